--- a/laburnumcart/examples/bundle_cost.rs
+++ b/laburnumcart/examples/bundle_cost.rs
@@ -17,7 +17,7 @@
 use laburnumcart::{
     bundle,
     document,
-    seal, //
+    signing, //
 };
 
 const ROUNDS: usize = 20;
@@ -29,16 +29,16 @@
 fn main() {
     let teams = env::args().nth(1).and_then(|arg| arg.parse().ok());
     let text = bundle(teams.unwrap_or(2500)).to_string();
-    let key = seal::SecretKey::generate().expect("random numbers");
+    let key = signing::SecretKey::generate().expect("random numbers");
     let name: laburnumcart::id::KeyName = "ana".parse().expect("a name");
     let keys = collections::BTreeMap::from([(name.clone(), key.public().into())]);
-    let trust = seal::Trust::new(keys, 1, &document::Path::root()).expect("valid settings");
-    let mut envelope = seal::Envelope::new(text.as_str());
+    let trust = signing::Trust::new(keys, 1, &document::Path::root()).expect("valid settings");
+    let mut envelope = signing::Envelope::new(text.as_str());
     envelope.sign(name, &key);
     let envelope = envelope.to_text();
     println!("bundle {} B, envelope {} B", text.len(), envelope.len());
     assert!(
-        envelope.len() <= seal::ENVELOPE_MAX,
+        envelope.len() <= signing::ENVELOPE_MAX,
         "too large for an object"
     );
     measure("first parse, with the schema compiled", 1, || {
@@ -89,7 +89,7 @@
 fn team(number: usize) -> Value {
     let promise = json!({"deadline": "10s", "priority": "high"});
     let names = (0..CALLED).map(|n| format!("pipeline-{}", (number + n) % PIPELINES));
-    let token = seal::Digest::of(&number.to_le_bytes());
+    let token = signing::Digest::of(&number.to_le_bytes());
     json!({
         "tokens": [token.to_string()],
         "weight": 1 + number % 9,
--- a/laburnumcart/examples/decision_cost/main.rs
+++ b/laburnumcart/examples/decision_cost/main.rs
@@ -5,15 +5,15 @@
 use std::time;
 
 use laburnumcart::{
-    admit,
+    admission,
+    balancer,
     bundle::Priority,
-    eject,
+    concurrency,
     estimate,
     facts,
     fair,
     id,
-    limit,
-    route,
+    outlier,
     subset,
     suspects,
     unit, //
@@ -86,7 +86,7 @@
     let now = Instant::now();
     let mut rng = rng();
     let ((mut admission, keys), bytes) = measure::bytes(|| {
-        let mut admission = admit::Admission::new(now);
+        let mut admission = admission::Controller::new(now);
         let keys: Vec<_> = (0..teams).map(|_| admission.add_team(1)).collect();
         (admission, keys)
     });
@@ -96,7 +96,7 @@
             .admit(key, Priority::Normal, now, &mut rng)
             .is_ok()
         {
-            admission.finish(key, admit::Outcome::Done, now);
+            admission.finish(key, admission::Outcome::Done, now);
         }
     });
     measure::row(
@@ -107,19 +107,19 @@
     );
 }
 
-fn targets(count: usize, now: Instant) -> Vec<route::Target> {
-    let target = |i: usize| route::Target {
+fn targets(count: usize, now: Instant) -> Vec<balancer::Target> {
+    let target = |i: usize| balancer::Target {
         name: format!("target-{i}").parse().expect("The name is valid."),
-        state: route::State::Ready,
-        load: route::Load {
+        state: balancer::State::Ready,
+        load: balancer::Load {
             pending: i as u32 % 7,
             own: 0,
             limit: 4,
-            service: time::Duration::from_millis(50),
+            service_time: time::Duration::from_millis(50),
             at: now,
         },
         local: i.is_multiple_of(4),
-        crossing: time::Duration::from_millis(1),
+        extra_latency: time::Duration::from_millis(1),
     };
     (0..count).map(target).collect()
 }
@@ -127,11 +127,11 @@
 fn routing(count: usize, prefix: Option<u64>) {
     let now = Instant::now();
     let mut rng = rng();
-    let (table, bytes) = measure::bytes(|| route::Table::new(targets(count, now)));
+    let (table, bytes) = measure::bytes(|| balancer::Table::new(targets(count, now)));
     let own = |i: usize| i as u32 % 3;
     let times = measure::nanos(|i| {
         let prefix = prefix.map(|p| p + i as u64);
-        let ask = route::Ask {
+        let ask = balancer::Request {
             tried: &[],
             prefix,
             own: &own,
@@ -151,14 +151,14 @@
 fn ejection(count: usize) {
     let mut now = Instant::now();
     let ((mut ejector, keys), bytes) = measure::bytes(|| {
-        let mut ejector = eject::Ejector::new(unit::Share(0.3), now);
+        let mut ejector = outlier::Detector::new(unit::Share(0.3), now);
         let keys: Vec<_> = (0..count).map(|_| ejector.add()).collect();
         (ejector, keys)
     });
-    let usual = eject::Outcome::Success(time::Duration::from_millis(20));
+    let usual = outlier::Outcome::Success(time::Duration::from_millis(20));
     let times = measure::nanos(|i| {
-        now += eject::INTERVAL / 10_000;
-        ejector.record(keys[i % count], usual, now);
+        now += outlier::COMPARISON_INTERVAL / 10_000;
+        ejector.record_outcome(keys[i % count], usual, now);
     });
     measure::row(
         "eject: record",
@@ -171,13 +171,13 @@
 fn limits(count: usize) {
     let mut now = Instant::now();
     let (mut all, bytes) = measure::bytes(|| {
-        let all = (0..count).map(|_| limit::Limit::new());
+        let all = (0..count).map(|_| concurrency::Limit::new());
         all.collect::<Vec<_>>()
     });
     let times = measure::nanos(|i| {
         now += time::Duration::from_micros(100);
         let limit = &mut all[i % count];
-        limit.observe(time::Duration::from_millis(20), limit.get(), now);
+        limit.record_latency(time::Duration::from_millis(20), limit.get(), now);
     });
     measure::row(
         "limit: observe",
@@ -224,7 +224,7 @@
     measure::row("estimate: record", size.clone(), times, bytes / stages);
     let times = measure::nanos(|i| {
         let rest = (0..4).map(|step| (i + step) % stages);
-        estimates.rest(rest, Priority::Normal, now)
+        estimates.expected_rest(rest, Priority::Normal, now)
     });
     measure::row("estimate: rest of 4 stages", size, times, bytes / stages);
 }
@@ -234,7 +234,10 @@
     let mut table = facts::Table::default();
     for i in 0..count as u128 {
         let ran = (0..8).map(|step| id::Fingerprint(i * 8 + step));
-        table.add_crash(&suspects::crash(ran, unit::Period::from_secs(600)), now);
+        table.add_crash(
+            &suspects::crash_fact(ran, unit::Period::from_secs(600)),
+            now,
+        );
     }
     table
 }
--- a/laburnumcart/examples/embed.rs
+++ b/laburnumcart/examples/embed.rs
@@ -11,25 +11,25 @@
 use tokio::time::Instant;
 
 use laburnumcart::{
-    admit,
+    admission,
+    balancer,
     budget,
     bundle,
     retry,
-    route,
     unit,
     verdict, //
 };
 
 /// What a service keeps beside its connections.
 struct Service {
-    admission: admit::Admission,
-    targets: route::Table,
+    admission: admission::Controller,
+    targets: balancer::Table,
     budget: budget::Budget,
     rng: rand::rngs::StdRng,
 }
 
 /// Calls a target. One is stopping and refuses, one breaks the connection, one answers.
-fn send(target: &route::Target) -> Result<String, verdict::Refusal> {
+fn send(target: &balancer::Target) -> Result<String, verdict::Refusal> {
     match target.name.as_str() {
         "stopping" => Err(verdict::Refusal::not_run(verdict::Reason::Leaving)),
         "broken" => Err(verdict::Refusal::may_have_run(verdict::Reason::Lost)),
@@ -39,14 +39,18 @@
 
 impl Service {
     /// Runs one request of a team, on as many targets as it takes and is safe.
-    fn run(&mut self, team: admit::TeamKey, idempotent: bool) -> Result<String, verdict::Refusal> {
+    fn run(
+        &mut self,
+        team: admission::TeamKey,
+        idempotent: bool,
+    ) -> Result<String, verdict::Refusal> {
         let now = Instant::now();
         let priority = bundle::Priority::Normal;
         self.admission.admit(team, priority, now, &mut self.rng)?;
         let answer = self.attempts(idempotent, now + Duration::from_secs(2));
         let outcome = match &answer {
-            Ok(_) => admit::Outcome::Done,
-            Err(refusal) => admit::Outcome::Refused(refusal.reason),
+            Ok(_) => admission::Outcome::Done,
+            Err(refusal) => admission::Outcome::Refused(refusal.reason),
         };
         self.admission.finish(team, outcome, Instant::now());
         answer
@@ -61,7 +65,7 @@
         let mut tried = Vec::new();
         loop {
             let now = Instant::now();
-            let ask = route::Ask {
+            let ask = balancer::Request {
                 tried: &tried,
                 prefix: None,
                 own: &|_| 0,
@@ -75,7 +79,7 @@
             let chosen = self.targets.choose(&ask, &mut self.rng).ok_or(nowhere)?;
             let refusal = match send(&self.targets.targets()[chosen]) {
                 Ok(answer) => {
-                    self.budget.earn(now);
+                    self.budget.deposit(now);
                     return Ok(answer);
                 }
                 Err(refusal) => refusal,
@@ -86,7 +90,7 @@
                 refusal,
                 resumable: false,
             };
-            let time = retry::Time {
+            let time = retry::TimeBudget {
                 remaining: deadline - now,
                 needed: Duration::from_millis(100),
                 now,
@@ -101,32 +105,32 @@
 }
 
 /// Describes a target; the load comes from its reports in a real service.
-fn target(name: &str, pending: u32, now: Instant) -> route::Target {
-    route::Target {
+fn target(name: &str, pending: u32, now: Instant) -> balancer::Target {
+    balancer::Target {
         name: name.parse().expect("a name"),
-        state: route::State::Ready,
-        load: route::Load {
+        state: balancer::State::Ready,
+        load: balancer::Load {
             pending,
             own: 0,
             limit: 4,
-            service: Duration::from_millis(50),
+            service_time: Duration::from_millis(50),
             at: now,
         },
         local: true,
-        crossing: Duration::ZERO,
+        extra_latency: Duration::ZERO,
     }
 }
 
 fn main() {
     let now = Instant::now();
-    let mut admission = admit::Admission::new(now);
+    let mut admission = admission::Controller::new(now);
     let team = admission.add_team(1);
     // The least loaded ones are those that fail, so that both decisions are seen.
     let targets = [("stopping", 0), ("broken", 1), ("sound", 40)];
     let targets = targets.map(|(name, pending)| target(name, pending, now));
     let mut service = Service {
         admission,
-        targets: route::Table::new(targets.into()),
+        targets: balancer::Table::new(targets.into()),
         budget: budget::Budget::new(unit::Share(0.1), now),
         rng: rand::rngs::StdRng::seed_from_u64(1),
     };
@@ -138,5 +142,5 @@
     let refusal = service.run(team, false).expect_err("a refusal");
     println!("non-idempotent: {refusal}");
     assert_eq!(refusal.verdict, verdict::Verdict::MayHaveRun);
-    assert_eq!(service.admission.running(), 0);
+    assert_eq!(service.admission.in_flight(), 0);
 }
--- a/laburnumcart/src/admit.rs
+++ b/laburnumcart/src/admission.rs
@@ -58,13 +58,13 @@
 /// Admission of one entry; each decision takes constant time.
 ///
 /// ```
-/// use laburnumcart::{admit, bundle::Priority, verdict};
+/// use laburnumcart::{admission, bundle::Priority, verdict};
 /// use rand::SeedableRng;
 /// use tokio::time::Instant;
 ///
 /// let now = Instant::now();
 /// let mut rng = rand::rngs::StdRng::seed_from_u64(1);
-/// let mut admission = admit::Admission::new(now);
+/// let mut admission = admission::Controller::new(now);
 /// let (flood, calm) = (admission.add_team(1), admission.add_team(1));
 /// while admission.admit(flood, Priority::Normal, now, &mut rng).is_ok() {}
 /// let refusal = admission.admit(flood, Priority::Normal, now, &mut rng).unwrap_err();
@@ -72,17 +72,17 @@
 /// assert!(admission.admit(calm, Priority::Normal, now, &mut rng).is_ok());
 /// ```
 #[derive(Debug)]
-pub struct Admission {
+pub struct Controller {
     teams: SlotMap<TeamKey, Team>,
     total: f64,
     running: u32,
     /// Sum of the weights of teams with requests in flight.
     active: u64,
     cut: Option<Instant>,
-    drain: estimate::Drain,
+    drain: estimate::Throughput,
 }
 
-impl Admission {
+impl Controller {
     /// Creates the admission of an entry that has just started.
     pub fn new(now: Instant) -> Self {
         Self {
@@ -91,17 +91,17 @@
             running: 0,
             active: 0,
             cut: None,
-            drain: estimate::Drain::new(now),
+            drain: estimate::Throughput::new(now),
         }
     }
 
     /// Returns the requests in flight.
-    pub fn running(&self) -> u32 {
+    pub fn in_flight(&self) -> u32 {
         self.running
     }
 
     /// Returns the requests that may be in flight before shares are enforced.
-    pub fn total(&self) -> u32 {
+    pub fn capacity(&self) -> u32 {
         self.total as u32
     }
 
--- a/laburnumcart/src/attempts.rs
+++ b/laburnumcart/src/attempts.rs
@@ -9,32 +9,32 @@
 //! use tokio::time;
 //!
 //! let now = time::Instant::now();
-//! let bounds = attempts::Bounds {
+//! let bounds = attempts::Limits {
 //!     retention: time::Duration::from_secs(60),
 //!     bytes: 1 << 20,
 //!     attempts: 1000,
 //! };
 //! let mut table = attempts::Table::new(bounds);
-//! let ticket = attempts::Ticket {
+//! let ticket = attempts::Descriptor {
 //!     request: id::RequestId(1),
 //!     attempt: id::AttemptId(2),
 //!     lane: id::Incarnation(3),
-//!     sent: 1,
+//!     session: 1,
 //!     arrived: now,
 //!     deadline: now + time::Duration::from_secs(10),
 //! };
 //! assert!(table.admit(ticket, "data").unwrap());
 //! assert!(!table.admit(ticket, "a duplicate never starts").unwrap());
-//! assert!(table.begin(ticket.attempt, now));
+//! assert!(table.mark_running(ticket.attempt, now));
 //! table.push(ticket.attempt, "text");
 //! table.finish(ticket.attempt, now);
-//! let view = table.read(ticket.attempt, 0, 1 << 20).unwrap().unwrap();
+//! let view = table.read_chunks(ticket.attempt, 0, 1 << 20).unwrap().unwrap();
 //! assert_eq!(view.chunks.len(), 1);
 //! assert!(matches!(view.state, attempts::State::Done(end) if end.count == 1));
 //! ```
 
 pub mod chunks;
-pub mod cycle;
+pub mod lifecycle;
 
 use std::collections;
 
@@ -49,9 +49,9 @@
         Chunk,
         Position, //
     },
-    cycle::{
+    lifecycle::{
+        Descriptor, //
         End,
-        Ticket, //
     },
 };
 use crate::{
@@ -66,7 +66,7 @@
 
 /// Limits of a table.
 #[derive(Clone, Copy, Debug)]
-pub struct Bounds {
+pub struct Limits {
     /// How long an ended attempt that was not acknowledged is kept.
     pub retention: time::Duration,
     /// Bytes of results kept, above which nothing is admitted.
@@ -90,7 +90,7 @@
 
 /// What a sender sees of an attempt.
 #[derive(Clone, Debug, PartialEq)]
-pub struct View {
+pub struct Progress {
     /// Request that it belongs to.
     pub request: id::RequestId,
     /// Chunks in order from the number that was asked for.
@@ -101,19 +101,19 @@
 
 /// An ended attempt that was forgotten before it was acknowledged and that may have run.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct Forgotten {
+pub struct Expired {
     /// Lane that it came over.
     pub lane: id::Incarnation,
     /// Session of the lane that it came over.
-    pub sent: u64,
+    pub session: u64,
 }
 
 #[derive(Debug)]
 enum Stage {
-    Queued(cycle::Attempt<cycle::Queued>),
-    Running(cycle::Attempt<cycle::Running>),
-    Done(cycle::Attempt<cycle::Done>),
-    Refused(cycle::Attempt<cycle::Refused>),
+    Queued(lifecycle::Attempt<lifecycle::Queued>),
+    Running(lifecycle::Attempt<lifecycle::Running>),
+    Done(lifecycle::Attempt<lifecycle::Done>),
+    Refused(lifecycle::Attempt<lifecycle::Refused>),
 }
 
 #[derive(Debug)]
@@ -128,7 +128,7 @@
 /// Attempts of one agent, each with data of the program around it.
 #[derive(Debug)]
 pub struct Table<T> {
-    bounds: Bounds,
+    bounds: Limits,
     entries: SlotMap<Key, Entry<T>>,
     ids: collections::HashMap<id::AttemptId, Key>,
     bytes: usize,
@@ -136,7 +136,7 @@
 
 impl<T> Table<T> {
     /// Creates an empty table.
-    pub fn new(bounds: Bounds) -> Self {
+    pub fn new(bounds: Limits) -> Self {
         Self {
             bounds,
             entries: SlotMap::with_key(),
@@ -151,14 +151,14 @@
     }
 
     /// Adds an attempt as queued; returns false for one that is known, which must not start again.
-    pub fn admit(&mut self, ticket: Ticket, data: T) -> Result<bool, verdict::Refusal> {
+    pub fn admit(&mut self, ticket: Descriptor, data: T) -> Result<bool, verdict::Refusal> {
         if self.ids.contains_key(&ticket.attempt) {
             return Ok(false);
         }
         if self.entries.len() >= self.bounds.attempts || self.bytes >= self.bounds.bytes {
             return Err(verdict::Refusal::not_run(verdict::Reason::Overloaded));
         }
-        let attempt = cycle::Attempt::new(ticket);
+        let attempt = lifecycle::Attempt::new(ticket);
         let key = self.entries.insert(Entry {
             stage: Some(Stage::Queued(attempt)),
             data,
@@ -169,9 +169,9 @@
     }
 
     /// Marks a queued attempt as running; returns false if it is not queued any more.
-    pub fn begin(&mut self, id: id::AttemptId, now: time::Instant) -> bool {
+    pub fn mark_running(&mut self, id: id::AttemptId, now: time::Instant) -> bool {
         self.step(id, |stage| match stage {
-            Stage::Queued(attempt) => (Stage::Running(attempt.begin(now)), true),
+            Stage::Queued(attempt) => (Stage::Running(attempt.mark_running(now)), true),
             other => (other, false),
         })
     }
@@ -218,7 +218,7 @@
         self.end(id, |stage| match stage {
             Stage::Queued(attempt) => (Stage::Refused(attempt.refuse(refusal, now)), true),
             Stage::Running(attempt) if proof => {
-                (Stage::Refused(attempt.disprove(refusal, now)), true)
+                (Stage::Refused(attempt.refuse_unstarted(refusal, now)), true)
             }
             other => (other, false),
         })
@@ -244,7 +244,7 @@
     }
 
     /// Forgets an attempt that its sender has settled, now or when it ends.
-    pub fn release(&mut self, id: id::AttemptId) {
+    pub fn forget(&mut self, id: id::AttemptId) {
         let Some(entry) = self.entry(id) else {
             return;
         };
@@ -255,7 +255,7 @@
     }
 
     /// Forgets ended attempts after their retention time; returns those that may have run.
-    pub fn sweep(&mut self, now: time::Instant) -> Vec<Forgotten> {
+    pub fn expire(&mut self, now: time::Instant) -> Vec<Expired> {
         let retention = self.bounds.retention;
         let due = |entry: &Entry<T>| match &entry.stage {
             Some(Stage::Done(attempt)) => now - attempt.state.ended >= retention,
@@ -268,18 +268,20 @@
             .filter(|(_, key)| due(&self.entries[**key]))
             .map(|(id, _)| *id)
             .collect();
-        ids.into_iter().filter_map(|id| self.expire(id)).collect()
+        ids.into_iter()
+            .filter_map(|id| self.remove_expired(id))
+            .collect()
     }
 
     /// Returns what the sender may see from chunk `from` on, in at most `limit` bytes of text.
     ///
     /// Returns `None` for an attempt that is not in the table.
-    pub fn read(
+    pub fn read_chunks(
         &self,
         id: id::AttemptId,
         from: u32,
         limit: usize,
-    ) -> Option<Result<View, Position>> {
+    ) -> Option<Result<Progress, Position>> {
         let entry = self.get(id)?;
         let (request, chunks, state) = match entry.stage.as_ref()? {
             Stage::Queued(attempt) => (attempt.ticket.request, None, State::Queued),
@@ -310,7 +312,7 @@
             State::Done(end) if from + (read.len() as u32) < end.count => State::Running,
             other => other,
         };
-        Some(Ok(View {
+        Some(Ok(Progress {
             request,
             chunks: read,
             state,
@@ -323,12 +325,12 @@
     }
 
     /// Returns the identity and time limit of an attempt.
-    pub fn ticket(&self, id: id::AttemptId) -> Option<Ticket> {
+    pub fn ticket(&self, id: id::AttemptId) -> Option<Descriptor> {
         self.get(id)?.stage.as_ref().map(Stage::ticket)
     }
 
     /// Returns when a running attempt began.
-    pub fn begun(&self, id: id::AttemptId) -> Option<time::Instant> {
+    pub fn started_at(&self, id: id::AttemptId) -> Option<time::Instant> {
         match self.get(id)?.stage.as_ref()? {
             Stage::Running(attempt) => Some(attempt.state.begun),
             _ => None,
@@ -336,7 +338,7 @@
     }
 
     /// Returns the number of chunks of a running attempt so far.
-    pub fn count(&self, id: id::AttemptId) -> u32 {
+    pub fn chunk_count(&self, id: id::AttemptId) -> u32 {
         match self.get(id).and_then(|entry| entry.stage.as_ref()) {
             Some(Stage::Running(attempt)) => attempt.state.chunks.count(),
             _ => 0,
@@ -344,7 +346,7 @@
     }
 
     /// Returns the bytes of its result that wait to be acknowledged.
-    pub fn pending(&self, id: id::AttemptId) -> usize {
+    pub fn unacknowledged_bytes(&self, id: id::AttemptId) -> usize {
         match self.get(id).and_then(|entry| entry.stage.as_ref()) {
             Some(Stage::Running(attempt)) => attempt.state.chunks.bytes(),
             _ => 0,
@@ -431,24 +433,24 @@
         self.entries.remove(key)?.stage
     }
 
-    fn expire(&mut self, id: id::AttemptId) -> Option<Forgotten> {
+    fn remove_expired(&mut self, id: id::AttemptId) -> Option<Expired> {
         let stage = self.remove(id)?;
         let ticket = stage.ticket();
-        let harmless = |refused: &cycle::Attempt<cycle::Refused>| {
+        let harmless = |refused: &lifecycle::Attempt<lifecycle::Refused>| {
             refused.state.refusal.verdict == verdict::Verdict::NotRun
         };
         match stage {
             Stage::Refused(refused) if harmless(&refused) => None,
-            _ => Some(Forgotten {
+            _ => Some(Expired {
                 lane: ticket.lane,
-                sent: ticket.sent,
+                session: ticket.session,
             }),
         }
     }
 }
 
 impl Stage {
-    fn ticket(&self) -> Ticket {
+    fn ticket(&self) -> Descriptor {
         match self {
             Self::Queued(attempt) => attempt.ticket,
             Self::Running(attempt) => attempt.ticket,
--- a/laburnumcart/src/attempts/cycle.rs
+++ b/laburnumcart/src/attempts/lifecycle.rs
@@ -13,7 +13,7 @@
 
 /// Identity and time limit of an attempt.
 #[derive(Clone, Copy, Debug)]
-pub struct Ticket {
+pub struct Descriptor {
     /// Request that it belongs to.
     pub request: id::RequestId,
     /// This dispatch.
@@ -21,7 +21,7 @@
     /// Lane that it came over.
     pub lane: id::Incarnation,
     /// Session of the lane that it came over.
-    pub sent: u64,
+    pub session: u64,
     /// Time of its arrival.
     pub arrived: time::Instant,
     /// Time after which its result is of no use.
@@ -32,7 +32,7 @@
 #[derive(Debug)]
 pub struct Attempt<S> {
     /// Identity and time limit.
-    pub ticket: Ticket,
+    pub ticket: Descriptor,
     /// What belongs to the state.
     pub state: S,
 }
@@ -85,7 +85,7 @@
 
 impl Attempt<Queued> {
     /// Creates an attempt that has just arrived.
-    pub fn new(ticket: Ticket) -> Self {
+    pub fn new(ticket: Descriptor) -> Self {
         Self {
             ticket,
             state: Queued,
@@ -93,7 +93,7 @@
     }
 
     /// Marks the attempt as running; must come before the first byte leaves for the target.
-    pub fn begin(self, now: time::Instant) -> Attempt<Running> {
+    pub fn mark_running(self, now: time::Instant) -> Attempt<Running> {
         self.with(Running {
             begun: now,
             chunks: chunks::Chunks::default(),
@@ -132,7 +132,11 @@
     }
 
     /// Ends the attempt when the target has proven that it did not start it.
-    pub fn disprove(self, refusal: verdict::Refusal, now: time::Instant) -> Attempt<Refused> {
+    pub fn refuse_unstarted(
+        self,
+        refusal: verdict::Refusal,
+        now: time::Instant,
+    ) -> Attempt<Refused> {
         self.with(Refused::not_run(refusal, now))
     }
 }
--- a/laburnumcart/src/route.rs
+++ b/laburnumcart/src/balancer.rs
@@ -11,7 +11,7 @@
 
 use crate::id;
 
-pub mod crossing;
+pub mod latency;
 pub mod prefix;
 mod table;
 
@@ -49,7 +49,7 @@
     /// Attempts that the target executes at once without slowing down; 0 counts as 1.
     pub limit: u32,
     /// Mean time an attempt takes at the target.
-    pub service: time::Duration,
+    pub service_time: time::Duration,
     /// Moment that the report describes.
     pub at: Instant,
 }
@@ -66,12 +66,12 @@
     /// Whether it is in the own data centre.
     pub local: bool,
     /// Measured time that a call takes to get there and back.
-    pub crossing: time::Duration,
+    pub extra_latency: time::Duration,
 }
 
 /// One question for a target.
 #[derive(Clone, Copy)]
-pub struct Ask<'a> {
+pub struct Request<'a> {
     /// Positions in the table that were tried before.
     pub tried: &'a [usize],
     /// Key of the prompt's prefix, as of [`prefix::key`]; engines only.
@@ -88,31 +88,31 @@
     /// ```
     /// use std::time::Duration;
     ///
-    /// use laburnumcart::route;
+    /// use laburnumcart::balancer;
     /// use rand::SeedableRng;
     /// use tokio::time::Instant;
     ///
     /// let now = Instant::now();
-    /// let target = |name: &str, pending| route::Target {
+    /// let target = |name: &str, pending| balancer::Target {
     ///     name: name.parse().unwrap(),
-    ///     state: route::State::Ready,
-    ///     load: route::Load {
+    ///     state: balancer::State::Ready,
+    ///     load: balancer::Load {
     ///         pending,
     ///         own: 0,
     ///         limit: 4,
-    ///         service: Duration::from_millis(50),
+    ///         service_time: Duration::from_millis(50),
     ///         at: now,
     ///     },
     ///     local: true,
-    ///     crossing: Duration::ZERO,
+    ///     extra_latency: Duration::ZERO,
     /// };
-    /// let table = route::Table::new(vec![target("busy", 9), target("free", 0)]);
-    /// let ask = route::Ask { tried: &[], prefix: None, own: &|_| 0, now };
+    /// let table = balancer::Table::new(vec![target("busy", 9), target("free", 0)]);
+    /// let ask = balancer::Request { tried: &[], prefix: None, own: &|_| 0, now };
     /// let mut rng = rand::rngs::StdRng::seed_from_u64(1);
     /// let chosen = table.choose(&ask, &mut rng).unwrap();
     /// assert_eq!(table.targets()[chosen].name.as_str(), "free");
     /// ```
-    pub fn choose(&self, ask: &Ask<'_>, rng: &mut impl rand::Rng) -> Option<usize> {
+    pub fn choose(&self, ask: &Request<'_>, rng: &mut impl rand::Rng) -> Option<usize> {
         if let Some(prefix) = ask.prefix
             && let Some(i) = self.choose_cached(prefix, ask)
         {
@@ -125,27 +125,27 @@
         let Some(two) = self.draw(all, ask, Some(one), rng) else {
             return Some(one);
         };
-        let sooner = self.finish(two, ask) < self.finish(one, ask);
+        let sooner = self.expected_time(two, ask) < self.expected_time(one, ask);
         Some(if sooner { two } else { one })
     }
 
     /// Returns the first target that `fits` in the order of a key, by rendezvous hashing.
     ///
     /// All processes that know the same targets find the same order, whatever they know of load.
-    pub fn home(&self, key: u64, fits: impl Fn(usize) -> bool) -> Option<usize> {
+    pub fn find_by_key(&self, key: u64, fits: impl Fn(usize) -> bool) -> Option<usize> {
         let fitting = (0..self.targets().len()).filter(|i| fits(*i));
         fitting.max_by_key(|i| self.score(*i, key))
     }
 
     /// Returns the expected time until an attempt sent now has finished.
-    pub fn finish(&self, i: usize, ask: &Ask<'_>) -> time::Duration {
+    pub fn expected_time(&self, i: usize, ask: &Request<'_>) -> time::Duration {
         let target = &self.targets()[i];
         let turns = 1.0 + self.pressure(i, ask);
-        target.crossing + target.load.service.mul_f64(turns)
+        target.extra_latency + target.load.service_time.mul_f64(turns)
     }
 
     /// Returns the attempts expected at a target for each that it executes at once.
-    fn pressure(&self, i: usize, ask: &Ask<'_>) -> f64 {
+    fn pressure(&self, i: usize, ask: &Request<'_>) -> f64 {
         let load = &self.targets()[i].load;
         let age = ask.now.saturating_duration_since(load.at);
         // Without ageing, a target that was idle at its last report draws all traffic until the
@@ -157,7 +157,7 @@
         aged + f64::from((ask.own)(i)) / limit
     }
 
-    fn is_eligible(&self, i: usize, ask: &Ask<'_>) -> bool {
+    fn is_eligible(&self, i: usize, ask: &Request<'_>) -> bool {
         self.targets()[i].state == State::Ready && !ask.tried.contains(&i)
     }
 
@@ -165,7 +165,7 @@
     fn draw(
         &self,
         range: std::ops::Range<usize>,
-        ask: &Ask<'_>,
+        ask: &Request<'_>,
         but: Option<usize>,
         rng: &mut impl rand::Rng,
     ) -> Option<usize> {
@@ -187,7 +187,7 @@
     }
 
     /// Chooses by rendezvous hashing on the prefix among the targets whose load is near the mean.
-    fn choose_cached(&self, prefix: u64, ask: &Ask<'_>) -> Option<usize> {
+    fn choose_cached(&self, prefix: u64, ask: &Request<'_>) -> Option<usize> {
         let eligible = |i: &usize| self.is_eligible(*i, ask);
         let all = 0..self.targets().len();
         let loads = all.filter(eligible).map(|i| (i, self.pressure(i, ask)));
--- a/laburnumcart/src/route/crossing.rs
+++ b/laburnumcart/src/balancer/latency.rs
@@ -20,14 +20,14 @@
 /// All but the least round trips hold waits at either end, which are load and not distance. The least
 /// must be forgotten in time, as the path between two data centres changes.
 #[derive(Clone, Copy, Debug)]
-pub struct Trip {
+pub struct MinRtt {
     old: Option<time::Duration>,
     young: Option<time::Duration>,
     /// Start of the young half.
     since: Instant,
 }
 
-impl Trip {
+impl MinRtt {
     /// Creates the measure of a connection that has made no round trip.
     pub fn new(now: Instant) -> Self {
         Self {
@@ -49,7 +49,7 @@
     }
 
     /// Returns the least round trip, if there was one.
-    pub fn least(&self) -> Option<time::Duration> {
+    pub fn get(&self) -> Option<time::Duration> {
         self.old.into_iter().chain(self.young).min()
     }
 }
@@ -59,10 +59,10 @@
 /// ```
 /// use std::time::Duration;
 ///
-/// use laburnumcart::{id, route::crossing};
+/// use laburnumcart::{balancer::latency, id};
 ///
 /// let [own, far]: [id::DataCentre; 2] = ["east".parse().unwrap(), "west".parse().unwrap()];
-/// let mut crossings = crossing::Crossings::new(own.clone());
+/// let mut crossings = latency::ExtraLatency::new(own.clone());
 /// crossings.record(&own, Duration::from_micros(200));
 /// crossings.record(&far, Duration::from_millis(31));
 /// crossings.record(&far, Duration::from_millis(30));
@@ -70,12 +70,12 @@
 /// assert_eq!(crossings.to(&own), Duration::ZERO);
 /// ```
 #[derive(Clone, Debug)]
-pub struct Crossings {
+pub struct ExtraLatency {
     own: id::DataCentre,
     trips: collections::BTreeMap<id::DataCentre, time::Duration>,
 }
 
-impl Crossings {
+impl ExtraLatency {
     /// Creates the table of a process in a data centre.
     pub fn new(own: id::DataCentre) -> Self {
         Self {
--- a/laburnumcart/src/route/prefix.rs
+++ b/laburnumcart/src/balancer/prefix.rs
@@ -21,7 +21,7 @@
 /// or, if it has none, of the first 64 bytes of its JSON text.
 ///
 /// ```
-/// use laburnumcart::route::prefix;
+/// use laburnumcart::balancer::prefix;
 ///
 /// let key = prefix::key(r#"{"prefix":"terms of the clinic","question":1}"#);
 /// assert_eq!(key, prefix::key(r#"{"question":2,"prefix":"terms of the clinic"}"#));
--- a/laburnumcart/src/route/table.rs
+++ b/laburnumcart/src/balancer/table.rs
@@ -1,11 +1,11 @@
 //! Immutable snapshot of the targets of one service.
 
-use crate::route;
+use crate::balancer;
 
 /// Targets of one service, as the control thread publishes them.
 #[derive(Clone, Debug)]
 pub struct Table {
-    targets: Vec<route::Target>,
+    targets: Vec<balancer::Target>,
     /// Digest of each target's name.
     seeds: Vec<u64>,
     /// Number of local targets, which come first.
@@ -15,11 +15,11 @@
 
 impl Table {
     /// Creates a table; local targets move to the front, otherwise the order is kept.
-    pub fn new(mut targets: Vec<route::Target>) -> Self {
+    pub fn new(mut targets: Vec<balancer::Target>) -> Self {
         targets.sort_by_key(|target| !target.local);
         admit_outliers(&mut targets);
         let near = targets.iter().filter(|target| target.local).count();
-        let digest = |t: &route::Target| xxhash_rust::xxh3::xxh3_64(t.name.as_str().as_bytes());
+        let digest = |t: &balancer::Target| xxhash_rust::xxh3::xxh3_64(t.name.as_str().as_bytes());
         let seeds = targets.iter().map(digest).collect();
         let mean = mean(&targets);
         Self {
@@ -31,7 +31,7 @@
     }
 
     /// Returns the targets in the order of their positions.
-    pub fn targets(&self) -> &[route::Target] {
+    pub fn targets(&self) -> &[balancer::Target] {
         &self.targets
     }
 
@@ -55,18 +55,18 @@
 ///
 /// The cap on the ejected share counts targets that have left or are down. When those that are
 /// ready go, callers would be told that there is no target while an outlier works.
-fn admit_outliers(targets: &mut [route::Target]) {
-    if targets.iter().any(|t| t.state == route::State::Ready) {
+fn admit_outliers(targets: &mut [balancer::Target]) {
+    if targets.iter().any(|t| t.state == balancer::State::Ready) {
         return;
     }
     let ejected = targets
         .iter_mut()
-        .filter(|t| t.state == route::State::Ejected);
-    ejected.for_each(|target| target.state = route::State::Ready);
+        .filter(|t| t.state == balancer::State::Ejected);
+    ejected.for_each(|target| target.state = balancer::State::Ready);
 }
 
-fn mean(targets: &[route::Target]) -> f64 {
-    let ready = targets.iter().filter(|t| t.state == route::State::Ready);
+fn mean(targets: &[balancer::Target]) -> f64 {
+    let ready = targets.iter().filter(|t| t.state == balancer::State::Ready);
     let loads = ready.map(|target| {
         let load = &target.load;
         f64::from(load.pending.saturating_sub(load.own)) / f64::from(load.limit.max(1))
--- a/laburnumcart/src/batch.rs
+++ b/laburnumcart/src/batch.rs
@@ -6,12 +6,12 @@
 //! accounted before a call is made.
 
 mod draft;
-mod engines;
+mod estimate;
 mod fit;
 mod job;
 mod load;
 mod order;
-mod outlook;
+mod targets;
 mod turns;
 
 use std::collections;
@@ -25,10 +25,6 @@
 };
 
 pub use self::{
-    engines::{
-        EngineKey,
-        Engines, //
-    },
     job::{
         Handle,
         Job,
@@ -38,6 +34,10 @@
         Rank,
         Spec, //
     },
+    targets::{
+        TargetKey,
+        Targets, //
+    },
 };
 
 /// Most times that a piece is sent to a target before its job fails.
@@ -84,7 +84,7 @@
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Call {
     /// Target.
-    pub engine: EngineKey,
+    pub target: TargetKey,
     /// Its pieces, in order.
     pub pieces: Vec<Piece>,
 }
@@ -99,19 +99,19 @@
 /// let now = Instant::now();
 /// let shape = ingress::Batching {
 ///     pieces: 8,
-///     call: Duration::from_millis(200),
-///     piece: Duration::from_millis(20),
-///     room: unit::Size(1 << 20),
+///     call_time: Duration::from_millis(200),
+///     piece_time: Duration::from_millis(20),
+///     capacity: unit::Size(1 << 20),
 ///     ttl: Duration::from_secs(4),
 /// };
 /// let mut queue = batch::Queue::new(shape);
-/// let engine = queue.engines.add("north".parse().unwrap());
+/// let engine = queue.targets.add("north".parse().unwrap());
 /// let spec = batch::Spec::new(2, unit::Size(1000), now + Duration::from_secs(1));
 /// let job = queue.push(spec);
-/// let call = queue.take(now).unwrap();
-/// assert_eq!((call.engine, call.pieces.len()), (engine, 2));
-/// let made = |i| batch::Outcome::Made(batch::Handle::new(format!("result-{i}"), id::Life(1)));
-/// let events = queue.finish(&call, vec![made(0), made(1)], now);
+/// let call = queue.next_call(now).unwrap();
+/// assert_eq!((call.target, call.pieces.len()), (engine, 2));
+/// let made = |i| batch::Outcome::Stored(batch::Handle::new(format!("result-{i}"), id::Life(1)));
+/// let events = queue.complete_call(&call, vec![made(0), made(1)], now);
 /// assert!(matches!(&events[..], [batch::Event::Done(key, _)] if *key == job));
 /// ```
 #[derive(Clone, Debug)]
@@ -131,7 +131,7 @@
     /// When it was last looked for jobs to give up.
     checked: Option<Instant>,
     /// Targets with their room and speed.
-    pub engines: Engines,
+    pub targets: Targets,
 }
 
 impl Queue {
@@ -146,14 +146,14 @@
             load: load::Load::default(),
             repeated: Vec::new(),
             checked: None,
-            engines: Engines::new(shape),
+            targets: Targets::new(shape),
         }
     }
 
     /// Changes the shape of the calls; those in progress keep theirs.
-    pub fn set_shape(&mut self, shape: ingress::Batching) {
+    pub fn set_batching(&mut self, shape: ingress::Batching) {
         self.shape = shape;
-        self.engines.set_shape(shape);
+        self.targets.set_shape(shape);
     }
 
     /// Adds a job.
@@ -163,13 +163,13 @@
     }
 
     /// Returns the number of pieces that wait.
-    pub fn waiting(&self) -> usize {
+    pub fn waiting_pieces(&self) -> usize {
         self.turns.pieces()
     }
 
     /// Reports whether a full call waits, so that room is wanted.
-    pub fn is_crowded(&self) -> bool {
-        self.waiting() >= self.shape.pieces
+    pub fn has_full_batch(&self) -> bool {
+        self.waiting_pieces() >= self.shape.pieces
     }
 
     /// Drops a job that nobody waits for; returns what it has made.
@@ -185,7 +185,7 @@
 
     /// Gives up the jobs whose deadline has passed, and forgets results that have expired.
     pub fn expire(&mut self, now: Instant) -> Vec<Event> {
-        self.engines.expire(now);
+        self.targets.expire(now);
         // The process that has announced it may be gone.
         let coming = &mut self.coming;
         self.expected.retain(|_, turn| {
@@ -205,7 +205,7 @@
     }
 
     /// Gives up the jobs that are not wholly in calls, so that another owner takes them.
-    pub fn hand_over(&mut self) -> Vec<Event> {
+    pub fn release_unstarted(&mut self) -> Vec<Event> {
         let waiting = self.jobs.iter().filter(|(_, j)| !j.waiting.is_empty());
         let keys: Vec<_> = waiting.map(|(key, _)| key).collect();
         keys.into_iter()
@@ -221,18 +221,18 @@
 
     /// Lists the jobs whose pieces wait once more after the last call, with the number of these
     /// pieces. Who has a bound on that gives up what exceeds it before the next call.
-    pub fn repeated(&self) -> &[(JobKey, u32)] {
+    pub fn requeued_pieces(&self) -> &[(JobKey, u32)] {
         &self.repeated
     }
 
     /// Chooses the next call, if a target is free and has room.
-    pub fn take(&mut self, now: Instant) -> Option<Call> {
+    pub fn next_call(&mut self, now: Instant) -> Option<Call> {
         let smallest = self.turns.smallest()?;
-        if !self.engines.is_any_free(smallest, now) || !self.may_call(now) {
+        if !self.targets.is_any_free(smallest, now) || !self.may_call(now) {
             return None;
         }
         let order = self.order(now);
-        let waiting = self.waiting();
+        let waiting = self.waiting_pieces();
         let mut tried = Vec::new();
         // Size for which no target is left.
         let mut blocked: Option<unit::Size> = None;
@@ -243,7 +243,7 @@
                 continue;
             }
             let near = spec.near.clone();
-            while let Some(engine) = self.engines.choose(near.as_ref(), size, &tried, now) {
+            while let Some(engine) = self.targets.choose(near.as_ref(), size, &tried, now) {
                 let most = self.fill(waiting, now);
                 let order = self.order_at(engine, &order);
                 if let Some(call) = self.call(&order, engine, most, now) {
@@ -260,14 +260,14 @@
     fn call(
         &mut self,
         order: &[(JobKey, turns::Place)],
-        engine: EngineKey,
+        engine: TargetKey,
         most: usize,
         now: Instant,
     ) -> Option<Call> {
         let mut draft = draft::Draft::new(self.bounds(engine, most));
         for (key, _) in order {
             let job = &self.jobs[*key];
-            if !self.engines.allows(engine, &job.spec) || self.is_left(engine, &job.spec, now) {
+            if !self.targets.allows(engine, &job.spec) || self.is_left(engine, &job.spec, now) {
                 continue;
             }
             draft.offer(*key, job.waiting.len(), job.spec.size);
@@ -281,30 +281,33 @@
         if pieces.is_empty() {
             return None;
         }
-        if self.waiting() >= self.shape.pieces {
-            self.engines.filled(pieces.len());
+        if self.waiting_pieces() >= self.shape.pieces {
+            self.targets.filled(pieces.len());
         }
-        self.engines.start(engine, pieces.len(), now);
-        Some(Call { engine, pieces })
+        self.targets.start(engine, pieces.len(), now);
+        Some(Call {
+            target: engine,
+            pieces,
+        })
     }
 
     /// Returns what a target can take in a call of at most so many pieces.
-    fn bounds(&self, engine: EngineKey, most: usize) -> draft::Bounds {
+    fn bounds(&self, engine: TargetKey, most: usize) -> draft::Bounds {
         draft::Bounds {
-            room: self.engines.room(engine),
-            whole: self.shape.room,
+            room: self.targets.room(engine),
+            whole: self.shape.capacity,
             most,
             limit: self.shape.pieces,
         }
     }
 
     /// Takes pieces out of their jobs and reserves room for their results.
-    fn reserve(&mut self, engine: EngineKey, jobs: Vec<(JobKey, usize)>) -> Vec<Piece> {
+    fn reserve(&mut self, engine: TargetKey, jobs: Vec<(JobKey, usize)>) -> Vec<Piece> {
         let mut pieces = Vec::new();
         for (key, count) in jobs {
             let job = &mut self.jobs[key];
             for _ in 0..count {
-                self.engines.reserve(engine, job.spec.size);
+                self.targets.reserve(engine, job.spec.size);
                 pieces.extend(job.take(key));
             }
             self.count(key);
@@ -321,12 +324,17 @@
     }
 
     /// Takes the outcomes of a call, one for each of its pieces.
-    pub fn finish(&mut self, call: &Call, outcomes: Vec<Outcome>, now: Instant) -> Vec<Event> {
-        self.engines.finish(call.engine, call.pieces.len(), now);
+    pub fn complete_call(
+        &mut self,
+        call: &Call,
+        outcomes: Vec<Outcome>,
+        now: Instant,
+    ) -> Vec<Event> {
+        self.targets.finish(call.target, call.pieces.len(), now);
         self.repeated.clear();
         let mut events = Vec::new();
         for (piece, outcome) in call.pieces.iter().zip(outcomes) {
-            self.settle(call.engine, piece, outcome, now, &mut events);
+            self.settle(call.target, piece, outcome, now, &mut events);
         }
         events
     }
@@ -335,14 +343,14 @@
     ///
     /// A call that may have been executed has results at the target that nobody can name. Their
     /// room stays accounted for as long as the target keeps them.
-    pub fn abandon(&mut self, call: &Call, ran: bool, now: Instant) -> Vec<Event> {
-        self.engines.fail(call.engine, now);
+    pub fn fail_call(&mut self, call: &Call, ran: bool, now: Instant) -> Vec<Event> {
+        self.targets.fail(call.target, now);
         self.repeated.clear();
         let mut events = Vec::new();
         for piece in &call.pieces {
             match ran {
-                true => self.engines.strand(call.engine, piece.size, now),
-                false => self.engines.release(call.engine, piece.size),
+                true => self.targets.strand(call.target, piece.size, now),
+                false => self.targets.release(call.target, piece.size),
             }
             self.again(piece, ran, &mut events);
         }
@@ -350,8 +358,8 @@
     }
 
     /// Frees a result; returns the target that holds it, if it is known.
-    pub fn free(&mut self, handle: &Handle) -> Option<EngineKey> {
-        self.engines.free(handle)
+    pub fn free_result(&mut self, handle: &Handle) -> Option<TargetKey> {
+        self.targets.free(handle)
     }
 
     /// Returns how many pieces the next call should take.
@@ -359,7 +367,7 @@
     /// What waits is spread over the free targets, as smaller calls end sooner; but a call is at
     /// least half full where there is that much, as the fixed time of calls binds the service.
     fn fill(&self, waiting: usize, now: Instant) -> usize {
-        let free = self.engines.free_count(now).max(1);
+        let free = self.targets.free_count(now).max(1);
         let half = self.shape.pieces.div_ceil(2);
         waiting
             .div_ceil(free)
@@ -368,26 +376,26 @@
 
     fn settle(
         &mut self,
-        engine: EngineKey,
+        engine: TargetKey,
         piece: &Piece,
         outcome: Outcome,
         now: Instant,
         events: &mut Vec<Event>,
     ) {
-        let Outcome::Made(handle) = outcome else {
-            self.engines.release(engine, piece.size);
+        let Outcome::Stored(handle) = outcome else {
+            self.targets.release(engine, piece.size);
             match outcome {
                 Outcome::Late => events.extend(self.fail(piece.job, Failure::Late)),
                 Outcome::Gone => events.extend(self.fail(piece.job, Failure::Gone)),
                 Outcome::NoRoom => {
-                    self.engines.crowd(engine, piece.size, now);
+                    self.targets.crowd(engine, piece.size, now);
                     self.again(piece, false, events);
                 }
                 _ => self.again(piece, true, events),
             }
             return;
         };
-        self.engines.hold(engine, &handle, piece.size, now);
+        self.targets.hold(engine, &handle, piece.size, now);
         let Some(job) = self.jobs.get_mut(piece.job) else {
             events.push(Event::Orphan(handle));
             return;
--- a/laburnumcart/src/batch/outlook.rs
+++ b/laburnumcart/src/batch/estimate.rs
@@ -10,7 +10,7 @@
 use crate::{
     batch::{
         Event, Failure, JobKey, Queue, Spec,
-        engines::Supply,
+        targets::Supply,
         turns::{
             Place,
             Turn, //
@@ -28,32 +28,32 @@
 
 impl Queue {
     /// Takes in that a job will come, when the stages before it are done.
-    pub fn expect(&mut self, id: u64, spec: Spec) {
-        self.unexpect(id);
+    pub fn announce(&mut self, id: u64, spec: Spec) {
+        self.withdraw(id);
         let turn = self.coming.add(Turn::new(&spec));
         self.expected.insert(id, turn);
     }
 
     /// Forgets a job that has come, or will not come any more.
-    pub fn unexpect(&mut self, id: u64) {
+    pub fn withdraw(&mut self, id: u64) {
         if let Some(turn) = self.expected.remove(&id) {
             self.coming.remove(turn);
         }
     }
 
     /// Returns how long a job will take, as far as is known.
-    pub fn outlook(&self, spec: &Spec, now: Instant) -> time::Duration {
-        let supply = self.engines.supply(now);
+    pub fn estimate_time(&self, spec: &Spec, now: Instant) -> time::Duration {
+        let supply = self.targets.supply(now);
         let [turn] = self.ends(spec, [self.place(spec, now)], &supply, now);
         turn
     }
 
     /// Returns how long a job that will come would take from now on.
-    pub fn forecast(&self, spec: &Spec, now: Instant) -> forecast::Outlook {
-        let supply = self.engines.supply(now);
+    pub fn estimate_future(&self, spec: &Spec, now: Instant) -> forecast::Estimate {
+        let supply = self.targets.supply(now);
         let places = [self.place(spec, now), (true, now)];
         let [turn, behind] = self.ends(spec, places, &supply, now);
-        forecast::Outlook {
+        forecast::Estimate {
             turn: unit::Period(turn.min(FORECAST_MAX)),
             behind: unit::Period(behind.min(FORECAST_MAX)),
         }
@@ -77,7 +77,7 @@
             let ahead = (waiting[i] + coming[i]) as f64;
             let (late, _) = places[i];
             let ahead = if late { ahead / spare } else { ahead };
-            self.engines.outlook(supply, ahead, spec.pieces as usize)
+            self.targets.outlook(supply, ahead, spec.pieces as usize)
         })
     }
 
@@ -87,19 +87,19 @@
     /// their callers would have no time left to come again.
     pub(super) fn give_up(&mut self, now: Instant) -> Vec<Event> {
         let checked = self.checked.is_some_and(|at| now < at + CHECK);
-        if checked || self.engines.is_empty() {
+        if checked || self.targets.is_empty() {
             return Vec::new();
         }
         self.checked = Some(now);
         let order = self.order(now);
-        let supply = self.engines.supply(now);
+        let supply = self.targets.supply(now);
         let spare = self.load.spare(supply.capacity, now);
         let mut ahead = 0;
         let mut hopeless = Vec::new();
         for (key, (late, _)) in order {
             let job = &self.jobs[key];
             let pieces = job.waiting.len();
-            let outlook = self.engines.outlook(&supply, ahead as f64 / spare, pieces);
+            let outlook = self.targets.outlook(&supply, ahead as f64 / spare, pieces);
             if late && now + outlook.min(FORECAST_MAX) > job.spec.deadline {
                 let excess = outlook.min(FORECAST_MAX).as_millis() as u32;
                 hopeless.push((key, Failure::Busy(excess)));
--- a/laburnumcart/src/batch/fit.rs
+++ b/laburnumcart/src/batch/fit.rs
@@ -4,9 +4,9 @@
 
 use crate::{
     batch::{
-        EngineKey,
         JobKey,
         Queue,
+        TargetKey,
         draft, //
     },
     unit, //
@@ -19,17 +19,17 @@
     /// that is sorted in vain at each message starves its owner.
     pub(super) fn may_call(&self, now: Instant) -> bool {
         let horizon = self.horizon(now);
-        let most = self.fill(self.waiting(), now);
-        let mut engines = self.engines.roomiest(now).into_iter();
+        let most = self.fill(self.waiting_pieces(), now);
+        let mut engines = self.targets.roomiest(now).into_iter();
         engines.any(|engine| self.may_fit(engine, most, horizon, now))
     }
 
     /// Reports whether a target may get a call of at most so many pieces.
-    fn may_fit(&self, engine: EngineKey, most: usize, horizon: Instant, now: Instant) -> bool {
+    fn may_fit(&self, engine: TargetKey, most: usize, horizon: Instant, now: Instant) -> bool {
         let mut blocked = None;
         while let Some(key) = self.first(engine, blocked, horizon) {
             let job = &self.jobs[key];
-            let is_passed = !self.engines.allows(engine, &job.spec);
+            let is_passed = !self.targets.allows(engine, &job.spec);
             if is_passed || self.is_left(engine, &job.spec, now) {
                 // Another job goes first here; which one, only the whole order tells.
                 return true;
@@ -47,7 +47,7 @@
     /// Returns the job whose turn it is at a target among those with results below a size.
     fn first(
         &self,
-        engine: EngineKey,
+        engine: TargetKey,
         below: Option<unit::Size>,
         horizon: Instant,
     ) -> Option<JobKey> {
--- a/laburnumcart/src/batch/job.rs
+++ b/laburnumcart/src/batch/job.rs
@@ -44,7 +44,7 @@
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Outcome {
     /// Its result lies at the target.
-    Made(Handle),
+    Stored(Handle),
     /// Its time was over before its turn came.
     Late,
     /// One of its inputs no longer exists.
--- a/laburnumcart/src/batch/order.rs
+++ b/laburnumcart/src/batch/order.rs
@@ -5,7 +5,7 @@
 use tokio::time::Instant;
 
 use crate::batch::{
-    EngineKey, Job, JobKey, Queue, Spec,
+    Job, JobKey, Queue, Spec, TargetKey,
     turns::{
         Place,
         Turn, //
@@ -54,12 +54,12 @@
 
     /// Returns the moment before which what is due can no longer be on time.
     pub(super) fn horizon(&self, now: Instant) -> Instant {
-        now + self.shape.call + self.shape.piece
+        now + self.shape.call_time + self.shape.piece_time
     }
 
     /// Returns how much later a job counts as due at a target than where it is best executed.
-    pub(super) fn far(&self, engine: EngineKey, spec: &Spec) -> time::Duration {
-        if !self.engines.is_far(engine, spec.near.as_ref()) {
+    pub(super) fn far(&self, engine: TargetKey, spec: &Spec) -> time::Duration {
+        if !self.targets.is_far(engine, spec.near.as_ref()) {
             return time::Duration::ZERO;
         }
         let millis = spec.moved.0.saturating_mul(FAR_MS_PER_MIB) >> 20;
@@ -71,11 +71,11 @@
     /// Each piece reads all its inputs, so that a call in another data centre moves far more than
     /// it makes, and the next free target is seldom a near one. A job that has time waits for one
     /// that is busy instead; under congestion none has.
-    pub(super) fn is_left(&self, engine: EngineKey, spec: &Spec, now: Instant) -> bool {
+    pub(super) fn is_left(&self, engine: TargetKey, spec: &Spec, now: Instant) -> bool {
         if self.far(engine, spec) < FAR_LEFT {
             return false;
         }
-        let Some(wait) = self.engines.wait_near(spec.near.as_ref(), spec.size, now) else {
+        let Some(wait) = self.targets.wait_near(spec.near.as_ref(), spec.size, now) else {
             return false;
         };
         wait.is_zero() || wait <= self.spare(spec, now).mul_f64(WAIT_SHARE)
@@ -83,14 +83,14 @@
 
     /// Returns the time that is left once a call that starts now has made a job's results.
     fn spare(&self, spec: &Spec, now: Instant) -> time::Duration {
-        let call = self.engines.promised(self.shape.pieces);
+        let call = self.targets.nominal_call_time(self.shape.pieces);
         spec.due.saturating_duration_since(now).saturating_sub(call)
     }
 
     /// Puts jobs behind of which much would cross between data centres.
     pub(super) fn order_at(
         &self,
-        engine: EngineKey,
+        engine: TargetKey,
         order: &[(JobKey, Place)],
     ) -> Vec<(JobKey, Place)> {
         let far = |key: JobKey| self.far(engine, &self.jobs[key].spec);
--- a/laburnumcart/src/batch/engines.rs
+++ b/laburnumcart/src/batch/targets.rs
@@ -22,7 +22,7 @@
 
 slotmap::new_key_type! {
     /// A target in the queue.
-    pub struct EngineKey;
+    pub struct TargetKey;
 }
 
 /// First pause of a target whose call failed; it doubles with each failure in a row.
@@ -56,7 +56,7 @@
 const SLOW: f64 = 2.0;
 
 #[derive(Clone, Debug)]
-struct Engine {
+struct Target {
     data_centre: id::DataCentre,
     /// When the call in progress started, and its pieces.
     call: Option<(Instant, usize)>,
@@ -71,12 +71,12 @@
     /// Time of calls, as a multiple of the promised one.
     pace: f64,
     /// Own calls, and what frees results there.
-    gate: quota::Gate,
+    gate: quota::Limiter,
 }
 
 #[derive(Clone, Debug)]
 struct Held {
-    engine: EngineKey,
+    engine: TargetKey,
     size: u64,
     expiry: Instant,
 }
@@ -95,9 +95,9 @@
 
 /// The targets of one service.
 #[derive(Clone, Debug)]
-pub struct Engines {
+pub struct Targets {
     shape: ingress::Batching,
-    engines: SlotMap<EngineKey, Engine>,
+    targets: SlotMap<TargetKey, Target>,
     held: collections::HashMap<Handle, Held>,
     /// Results without a known name, until they expire.
     stranded: Vec<Held>,
@@ -105,11 +105,11 @@
     fill: f64,
 }
 
-impl Engines {
+impl Targets {
     pub(super) fn new(shape: ingress::Batching) -> Self {
         Self {
             shape,
-            engines: SlotMap::with_key(),
+            targets: SlotMap::with_key(),
             held: collections::HashMap::new(),
             stranded: Vec::new(),
             fill: shape.pieces as f64,
@@ -121,8 +121,8 @@
     }
 
     /// Adds a target.
-    pub fn add(&mut self, data_centre: id::DataCentre) -> EngineKey {
-        self.engines.insert(Engine {
+    pub fn add(&mut self, data_centre: id::DataCentre) -> TargetKey {
+        self.targets.insert(Target {
             data_centre,
             call: None,
             used: 0,
@@ -130,28 +130,28 @@
             failed: 0,
             steady: false,
             pace: 1.0,
-            gate: quota::Gate::default(),
+            gate: quota::Limiter::default(),
         })
     }
 
     /// Holds calls of a target, and requests that free results there, to what its gate lets through.
-    pub fn set_gate(&mut self, key: EngineKey, gate: quota::Gate) {
-        if let Some(engine) = self.engines.get_mut(key) {
+    pub fn set_limiter(&mut self, key: TargetKey, gate: quota::Limiter) {
+        if let Some(engine) = self.targets.get_mut(key) {
             engine.gate = gate;
         }
     }
 
     /// Removes a target; its results are gone with it or will expire.
-    pub fn remove(&mut self, key: EngineKey) {
-        self.engines.remove(key);
+    pub fn remove(&mut self, key: TargetKey) {
+        self.targets.remove(key);
         self.held.retain(|_, held| held.engine != key);
         self.stranded.retain(|held| held.engine != key);
     }
 
     /// Returns how long a call of so many pieces should take at a target.
-    pub fn expected(&self, key: EngineKey, pieces: usize) -> time::Duration {
-        let pace = self.engines.get(key).map_or(1.0, |e| e.pace.max(1.0));
-        self.promised(pieces).mul_f64(pace)
+    pub fn expected_call_time(&self, key: TargetKey, pieces: usize) -> time::Duration {
+        let pace = self.targets.get(key).map_or(1.0, |e| e.pace.max(1.0));
+        self.nominal_call_time(pieces).mul_f64(pace)
     }
 
     /// Returns how long after its start a call has read its inputs, if that can be told.
@@ -160,30 +160,30 @@
     /// turn comes at once where the last call was answered in time. Behind one that was given up,
     /// or those of another owner of the queue, it may come much later: inputs that were freed then
     /// would be missed, and the whole request would have to begin again.
-    pub fn reading(&self, key: EngineKey) -> Option<time::Duration> {
-        let engine = self.engines.get(key)?;
-        engine.steady.then(|| self.shape.call.mul_f64(READING))
+    pub fn input_read_time(&self, key: TargetKey) -> Option<time::Duration> {
+        let engine = self.targets.get(key)?;
+        engine.steady.then(|| self.shape.call_time.mul_f64(READING))
     }
 
     /// Returns when a pause ends, for the next look at the queue.
-    pub fn wake(&self, now: Instant) -> Option<Instant> {
-        let paused = self.engines.values().filter_map(|e| e.paused);
+    pub fn next_wakeup(&self, now: Instant) -> Option<Instant> {
+        let paused = self.targets.values().filter_map(|e| e.paused);
         paused.filter(|at| *at > now).min()
     }
 
     /// Returns the number of targets.
     pub fn len(&self) -> usize {
-        self.engines.len()
+        self.targets.len()
     }
 
     /// Reports whether there is no target.
     pub fn is_empty(&self) -> bool {
-        self.engines.is_empty()
+        self.targets.is_empty()
     }
 
     /// Returns the bytes of results that are accounted at a target.
-    pub fn used(&self, key: EngineKey) -> unit::Size {
-        unit::Size(self.engines.get(key).map_or(0, |e| e.used))
+    pub fn used_bytes(&self, key: TargetKey) -> unit::Size {
+        unit::Size(self.targets.get(key).map_or(0, |e| e.used))
     }
 
     /// Takes in a call that was made while more waited.
@@ -200,7 +200,7 @@
         let queued = time::Duration::try_from_secs_f64(ahead / supply.capacity);
         let queued = queued.unwrap_or(time::Duration::MAX);
         let waves = own.div_ceil(most).div_ceil(supply.count).max(1) as u32;
-        let own = self.promised(own.min(most)) * waves;
+        let own = self.nominal_call_time(own.min(most)) * waves;
         queued.saturating_add(supply.wait + supply.busy / supply.count as u32 + own)
     }
 
@@ -210,19 +210,22 @@
         if supply.count > 0 {
             return supply;
         }
-        let waits = self.engines.values().map(|e| e.gate.backoff(now));
+        let waits = self.targets.values().map(|e| e.gate.backoff(now));
         self.supply_after(waits.min().unwrap_or_default(), now)
     }
 
     /// Adds up the targets that take calls after a time.
     fn supply_after(&self, wait: time::Duration, now: Instant) -> Supply {
         let fill = self.fill.max(1.0);
-        let call = self.promised(fill as usize).as_secs_f64().max(0.001);
+        let call = self
+            .nominal_call_time(fill as usize)
+            .as_secs_f64()
+            .max(0.001);
         let mut supply = Supply {
             wait,
             ..Supply::default()
         };
-        for engine in self.engines.values() {
+        for engine in self.targets.values() {
             if engine.gate.backoff(now) > wait {
                 continue;
             }
@@ -238,21 +241,21 @@
     }
 
     pub(super) fn free_count(&self, now: Instant) -> usize {
-        let free = |e: &&Engine| is_free(e, now) && e.pace < SLOW;
-        self.engines.values().filter(free).count()
+        let free = |e: &&Target| is_free(e, now) && e.pace < SLOW;
+        self.targets.values().filter(free).count()
     }
 
     /// Reports whether any target is free and has room for a result.
     pub(super) fn is_any_free(&self, size: unit::Size, now: Instant) -> bool {
-        let mut engines = self.engines.values();
+        let mut engines = self.targets.values();
         engines.any(|e| self.has_room(e, size) && is_free(e, now))
     }
 
     /// Lists the free target with the most room of each data centre.
-    pub(super) fn roomiest(&self, now: Instant) -> Vec<EngineKey> {
-        let mut least: collections::HashMap<&id::DataCentre, (u64, EngineKey)> =
+    pub(super) fn roomiest(&self, now: Instant) -> Vec<TargetKey> {
+        let mut least: collections::HashMap<&id::DataCentre, (u64, TargetKey)> =
             collections::HashMap::new();
-        for (key, engine) in self.engines.iter().filter(|(_, e)| is_free(e, now)) {
+        for (key, engine) in self.targets.iter().filter(|(_, e)| is_free(e, now)) {
             let best = least.entry(&engine.data_centre);
             let best = best.or_insert((engine.used, key));
             *best = (*best).min((engine.used, key));
@@ -261,14 +264,14 @@
     }
 
     /// Reports whether a job may be executed at a target.
-    pub(super) fn allows(&self, key: EngineKey, spec: &Spec) -> bool {
+    pub(super) fn allows(&self, key: TargetKey, spec: &Spec) -> bool {
         let places = spec.places.as_deref();
-        let engine = self.engines.get(key);
-        engine.is_some_and(|e| residency::allows(places, &e.data_centre))
+        let engine = self.targets.get(key);
+        engine.is_some_and(|e| residency::is_allowed(places, &e.data_centre))
     }
 
-    pub(super) fn is_far(&self, key: EngineKey, near: Option<&id::DataCentre>) -> bool {
-        let engine = self.engines.get(key);
+    pub(super) fn is_far(&self, key: TargetKey, near: Option<&id::DataCentre>) -> bool {
+        let engine = self.targets.get(key);
         near.is_some_and(|near| engine.is_some_and(|e| e.data_centre != *near))
     }
 
@@ -280,38 +283,38 @@
         size: unit::Size,
         now: Instant,
     ) -> Option<time::Duration> {
-        let is_near = |e: &&Engine| near.is_some_and(|near| e.data_centre == *near);
-        let fits = |e: &&Engine| e.failed == 0 && e.pace < SLOW && self.has_room(e, size);
-        let near = self.engines.values().filter(is_near).filter(fits);
+        let is_near = |e: &&Target| near.is_some_and(|near| e.data_centre == *near);
+        let fits = |e: &&Target| e.failed == 0 && e.pace < SLOW && self.has_room(e, size);
+        let near = self.targets.values().filter(is_near).filter(fits);
         near.filter_map(|e| self.wait(e, now)).min()
     }
 
     /// Returns the time until a target is free; nobody knows it once a call takes far too long.
-    fn wait(&self, engine: &Engine, now: Instant) -> Option<time::Duration> {
-        let held = engine.gate.wait(now);
+    fn wait(&self, engine: &Target, now: Instant) -> Option<time::Duration> {
+        let held = engine.gate.wait_time(now);
         if held == time::Duration::MAX {
             return None;
         }
         let Some((start, pieces)) = engine.call else {
             return Some(held);
         };
-        let length = self.promised(pieces).mul_f64(engine.pace.max(1.0));
+        let length = self.nominal_call_time(pieces).mul_f64(engine.pace.max(1.0));
         let is_over = now > start + length.mul_f64(STEADY);
         (!is_over).then(|| self.left(engine, now).max(SOON).max(held))
     }
 
     /// Returns the time until a target should end its call.
-    fn left(&self, engine: &Engine, now: Instant) -> time::Duration {
+    fn left(&self, engine: &Target, now: Instant) -> time::Duration {
         let Some((start, pieces)) = engine.call else {
             return time::Duration::ZERO;
         };
-        let end = start + self.promised(pieces).mul_f64(engine.pace);
+        let end = start + self.nominal_call_time(pieces).mul_f64(engine.pace);
         end.saturating_duration_since(now)
     }
 
     /// Returns the room for results that is left at a target.
-    pub(super) fn room(&self, key: EngineKey) -> unit::Size {
-        unit::Size(self.shape.room.0.saturating_sub(self.used(key).0))
+    pub(super) fn room(&self, key: TargetKey) -> unit::Size {
+        unit::Size(self.shape.capacity.0.saturating_sub(self.used_bytes(key).0))
     }
 
     /// Chooses a free target with room for a result: fast ones first, then near ones.
@@ -319,43 +322,43 @@
         &self,
         near: Option<&id::DataCentre>,
         size: unit::Size,
-        tried: &[EngineKey],
+        tried: &[TargetKey],
         now: Instant,
-    ) -> Option<EngineKey> {
-        let fits = |e: &Engine| is_free(e, now) && self.has_room(e, size);
-        let cost = |e: &Engine| {
+    ) -> Option<TargetKey> {
+        let fits = |e: &Target| is_free(e, now) && self.has_room(e, size);
+        let cost = |e: &Target| {
             let far = near.is_some_and(|near| *near != e.data_centre);
             (e.pace >= SLOW, far, e.used)
         };
         let free = self
-            .engines
+            .targets
             .iter()
             .filter(|(key, e)| !tried.contains(key) && fits(e));
         free.min_by_key(|(_, e)| cost(e)).map(|(key, _)| key)
     }
 
-    pub(super) fn reserve(&mut self, key: EngineKey, size: unit::Size) {
-        if let Some(engine) = self.engines.get_mut(key) {
+    pub(super) fn reserve(&mut self, key: TargetKey, size: unit::Size) {
+        if let Some(engine) = self.targets.get_mut(key) {
             engine.used += size.0;
         }
     }
 
-    pub(super) fn release(&mut self, key: EngineKey, size: unit::Size) {
-        if let Some(engine) = self.engines.get_mut(key) {
+    pub(super) fn release(&mut self, key: TargetKey, size: unit::Size) {
+        if let Some(engine) = self.targets.get_mut(key) {
             engine.used = engine.used.saturating_sub(size.0);
         }
     }
 
-    pub(super) fn start(&mut self, key: EngineKey, pieces: usize, now: Instant) {
-        if let Some(engine) = self.engines.get_mut(key) {
+    pub(super) fn start(&mut self, key: TargetKey, pieces: usize, now: Instant) {
+        if let Some(engine) = self.targets.get_mut(key) {
             engine.call = Some((now, pieces));
-            engine.gate.record(now);
+            engine.gate.record_send(now);
         }
     }
 
-    pub(super) fn finish(&mut self, key: EngineKey, pieces: usize, now: Instant) {
-        let promised = self.promised(pieces).as_secs_f64();
-        let Some(engine) = self.engines.get_mut(key) else {
+    pub(super) fn finish(&mut self, key: TargetKey, pieces: usize, now: Instant) {
+        let promised = self.nominal_call_time(pieces).as_secs_f64();
+        let Some(engine) = self.targets.get_mut(key) else {
             return;
         };
         let mut steady = false;
@@ -370,8 +373,8 @@
     }
 
     /// Pauses a target whose call failed.
-    pub(super) fn fail(&mut self, key: EngineKey, now: Instant) {
-        if let Some(engine) = self.engines.get_mut(key) {
+    pub(super) fn fail(&mut self, key: TargetKey, now: Instant) {
+        if let Some(engine) = self.targets.get_mut(key) {
             engine.call = None;
             engine.steady = false;
             let pause = PAUSE * (1 << engine.failed.min(8));
@@ -384,8 +387,8 @@
     ///
     /// Sizes are approximate, and results that an earlier owner of the queue had made are unknown.
     /// Without this the next call would send as many pieces in vain.
-    pub(super) fn crowd(&mut self, key: EngineKey, size: unit::Size, now: Instant) {
-        if let Some(engine) = self.engines.get_mut(key) {
+    pub(super) fn crowd(&mut self, key: TargetKey, size: unit::Size, now: Instant) {
+        if let Some(engine) = self.targets.get_mut(key) {
             engine.used += size.0;
             self.stranded.push(Held {
                 engine: key,
@@ -395,7 +398,7 @@
         }
     }
 
-    pub(super) fn hold(&mut self, key: EngineKey, handle: &Handle, size: unit::Size, now: Instant) {
+    pub(super) fn hold(&mut self, key: TargetKey, handle: &Handle, size: unit::Size, now: Instant) {
         let held = Held {
             engine: key,
             size: size.0,
@@ -404,7 +407,7 @@
         self.held.insert(handle.clone(), held);
     }
 
-    pub(super) fn strand(&mut self, key: EngineKey, size: unit::Size, now: Instant) {
+    pub(super) fn strand(&mut self, key: TargetKey, size: unit::Size, now: Instant) {
         self.stranded.push(Held {
             engine: key,
             size: size.0,
@@ -413,11 +416,11 @@
     }
 
     /// Reports whether a result is accounted at a target, which keeps it until it expires.
-    pub fn holds(&self, handle: &Handle) -> bool {
+    pub fn has_result(&self, handle: &Handle) -> bool {
         self.held.contains_key(handle)
     }
 
-    pub(super) fn free(&mut self, handle: &Handle) -> Option<EngineKey> {
+    pub(super) fn free(&mut self, handle: &Handle) -> Option<TargetKey> {
         let held = self.held.remove(handle)?;
         self.release(held.engine, unit::Size(held.size));
         Some(held.engine)
@@ -440,17 +443,17 @@
     }
 
     /// Returns how long a call of so many pieces is promised to take.
-    pub fn promised(&self, pieces: usize) -> time::Duration {
-        self.shape.call + self.shape.piece * pieces as u32
+    pub fn nominal_call_time(&self, pieces: usize) -> time::Duration {
+        self.shape.call_time + self.shape.piece_time * pieces as u32
     }
 
-    fn has_room(&self, engine: &Engine, size: unit::Size) -> bool {
+    fn has_room(&self, engine: &Target, size: unit::Size) -> bool {
         // A result larger than all the room is left to the target to refuse.
-        engine.used == 0 || engine.used + size.0 <= self.shape.room.0
+        engine.used == 0 || engine.used + size.0 <= self.shape.capacity.0
     }
 }
 
-fn is_free(engine: &Engine, now: Instant) -> bool {
+fn is_free(engine: &Target, now: Instant) -> bool {
     let is_paused = engine.paused.is_some_and(|at| at > now);
     engine.call.is_none() && !is_paused && engine.gate.is_open(now)
 }
--- a/laburnumcart/src/budget.rs
+++ b/laburnumcart/src/budget.rs
@@ -33,7 +33,7 @@
 
 /// What decides on extra attempts.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Account {
+pub struct Usage {
     /// Extra attempts in the last window.
     pub spent: u32,
     /// Extra attempts that a window may have.
@@ -58,9 +58,9 @@
 /// let now = Instant::now();
 /// let mut budget = budget::Budget::new(unit::Share(0.1), now);
 /// for _ in 0..100 {
-///     budget.earn(now);
+///     budget.deposit(now);
 /// }
-/// let spent = (0..100).filter(|_| budget.spend(now)).count();
+/// let spent = (0..100).filter(|_| budget.try_spend(now)).count();
 /// assert_eq!(spent, 10 + budget::RESERVE as usize);
 /// ```
 #[derive(Clone, Debug)]
@@ -99,22 +99,22 @@
     }
 
     /// Counts a success, or a request where the share is one of requests.
-    pub fn earn(&mut self, now: Instant) {
+    pub fn deposit(&mut self, now: Instant) {
         self.slot(now).earned += 1;
     }
 
     /// Counts a refusal for lack of room.
-    pub fn refuse(&mut self, now: Instant) {
+    pub fn record_refusal(&mut self, now: Instant) {
         self.slot(now).refused += 1;
     }
 
     /// Takes one extra attempt from the budget, if it is open.
-    pub fn spend(&mut self, now: Instant) -> bool {
-        self.spend_all(1, now)
+    pub fn try_spend(&mut self, now: Instant) -> bool {
+        self.try_spend_all(1, now)
     }
 
     /// Takes so many extra attempts from the budget, or none of them.
-    pub fn spend_all(&mut self, count: u32, now: Instant) -> bool {
+    pub fn try_spend_all(&mut self, count: u32, now: Instant) -> bool {
         let account = self.account(now);
         if account.shut || f64::from(account.spent + count) > account.allowed {
             return false;
@@ -124,10 +124,10 @@
     }
 
     /// Returns what was spent and what may be.
-    pub fn account(&mut self, now: Instant) -> Account {
+    pub fn account(&mut self, now: Instant) -> Usage {
         self.slot(now);
         let sum = self.sum();
-        Account {
+        Usage {
             spent: sum.spent,
             allowed: self.ratio * f64::from(sum.earned) + self.reserve,
             shut: Self::is_overloaded(sum),
--- a/laburnumcart/src/bundle/check.rs
+++ b/laburnumcart/src/bundle/check.rs
@@ -21,7 +21,7 @@
         Path, //
     },
     id,
-    seal,
+    signing,
     unit, //
 };
 
@@ -55,7 +55,7 @@
 pub const SHARDS_MAX: u16 = 1024;
 
 /// Room that signatures need in an envelope, in bytes.
-const SIGNATURES_ROOM: usize = seal::SIGNATURES_MAX * 256;
+const SIGNATURES_ROOM: usize = signing::SIGNATURES_MAX * 256;
 
 /// Reads a bundle, or reports every fault in it.
 pub fn parse(text: &str) -> Result<Bundle, Faults> {
@@ -77,7 +77,7 @@
     rules.teams();
     rules.claims();
     rules.limits();
-    rules.faults.or(())
+    rules.faults.into_result(())
 }
 
 /// Checks that the bundle's envelope will fit into one object.
@@ -85,11 +85,11 @@
     // Within the envelope each quotation mark, backslash and line end takes one byte more.
     let escaped = |b: &&u8| matches!(**b, b'"' | b'\\' | b'\n' | b'\r' | b'\t');
     let bytes = text.len() + text.as_bytes().iter().filter(escaped).count() + SIGNATURES_ROOM;
-    if bytes <= seal::ENVELOPE_MAX {
+    if bytes <= signing::ENVELOPE_MAX {
         return Ok(());
     }
     let problem = format!("takes {bytes} bytes when signed; at most 1MiB fits into an object");
-    Err(Faults::one(Path::root(), problem))
+    Err(Faults::single(Path::root(), problem))
 }
 
 /// The rules, with the faults found so far.
@@ -173,7 +173,7 @@
             self.team(&at, team);
             for (index, token) in team.tokens.iter().enumerate() {
                 let at = at.key("tokens").index(index);
-                if token.parse::<seal::Digest>().is_err() {
+                if token.parse::<signing::Digest>().is_err() {
                     let problem = "must be the SHA-256 of a token, 64 hexadecimal digits";
                     self.faults.push(at.clone(), problem);
                 }
--- a/laburnumcart/src/claim.rs
+++ b/laburnumcart/src/claim.rs
@@ -2,7 +2,7 @@
 //!
 //! Keys are spread over shards. Each shard has one owner at a time, which keeps a [`table`] of the
 //! granted keys and appends every change to a [`log`] in the object service before it answers.
-//! [`record`] is what the log holds; [`pace`] limits the appends; [`route`] says whom to ask and when to take over.
+//! [`record`] is what the log holds; [`limiter`] limits the appends; [`ownership`] says whom to ask and when to take over.
 //!
 //! # Examples
 //!
@@ -24,19 +24,19 @@
 //! };
 //! let now = Instant::now();
 //! let mut log = log::Log::new(1, Default::default(), Default::default(), now);
-//! assert!(matches!(log.claim(grant.clone(), now), log::Step::Queued(_)));
+//! assert!(matches!(log.claim(grant.clone(), now), log::Outcome::Queued(_)));
 //!
 //! // Nothing is granted before the append is durable.
-//! let append = log.begin(now).unwrap();
+//! let append = log.begin_append(now).unwrap();
 //! assert_eq!(append.number, 0);
-//! log.durable(now);
-//! assert_eq!(log.claim(grant, now), log::Step::Granted);
+//! log.append_succeeded(now);
+//! assert_eq!(log.claim(grant, now), log::Outcome::Granted);
 //! ```
 
+pub mod limiter;
 pub mod log;
-pub mod pace;
+pub mod ownership;
 pub mod record;
-pub mod route;
 pub mod table;
 
 use std::net;
--- a/laburnumcart/src/claim/pace.rs
+++ b/laburnumcart/src/claim/limiter.rs
@@ -11,7 +11,7 @@
 /// Batches of a shard gather while it waits for its slot, so that under load the appends keep to
 /// the rate and grow instead, and without load a claim does not wait.
 #[derive(Clone, Debug)]
-pub struct Pace {
+pub struct Limiter {
     rate: f64,
     shards: u16,
     burst: u32,
@@ -19,7 +19,7 @@
     next: Option<Instant>,
 }
 
-impl Pace {
+impl Limiter {
     /// Creates the limit of a process without shards; `rate` holds for all `shards` together, and
     /// `burst` writes may start at once after a quiet time.
     pub fn new(rate: unit::Rate, shards: u16, burst: u32) -> Self {
@@ -33,12 +33,12 @@
     }
 
     /// Counts a shard that the process has taken over.
-    pub fn gain(&mut self) {
+    pub fn add_shard(&mut self) {
         self.owned = self.owned.saturating_add(1);
     }
 
     /// Counts a shard that the process has lost.
-    pub fn lose(&mut self) {
+    pub fn remove_shard(&mut self) {
         self.owned = self.owned.saturating_sub(1);
     }
 
@@ -49,7 +49,7 @@
     }
 
     /// Reserves the next slot and returns its time, which is `now` unless the rate is used up.
-    pub fn reserve(&mut self, now: Instant) -> Instant {
+    pub fn reserve_slot(&mut self, now: Instant) -> Instant {
         let interval = self.interval();
         let earliest = now
             .checked_sub(interval * self.burst.saturating_sub(1))
--- a/laburnumcart/src/claim/log.rs
+++ b/laburnumcart/src/claim/log.rs
@@ -50,14 +50,14 @@
 
 /// What becomes of a claim at the owner.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub enum Step {
-    /// Already durable for this very request; valid once [`Log::confirm`] is durable.
+pub enum Outcome {
+    /// Already durable for this very request; valid once [`Log::confirm_ownership`] is durable.
     Granted,
     /// Granted once the batch is durable.
     Queued(Batch),
     /// The key is changed by a batch that is not settled; ask again when it is.
     Wait(Batch),
-    /// Claimed by another request; valid once [`Log::confirm`] is durable.
+    /// Claimed by another request; valid once [`Log::confirm_ownership`] is durable.
     Taken(record::Grant),
     /// No room for another claim; nothing was recorded.
     Full,
@@ -129,12 +129,12 @@
     }
 
     /// Returns the number of the next segment.
-    pub fn next(&self) -> u64 {
+    pub fn next_segment(&self) -> u64 {
         self.next
     }
 
     /// Returns the first batch that is not settled.
-    pub fn settled(&self) -> Batch {
+    pub fn first_unsettled(&self) -> Batch {
         match self.in_flight {
             true => self.batch - 1,
             false => self.batch,
@@ -142,7 +142,7 @@
     }
 
     /// Reports whether an append is in flight.
-    pub fn in_flight(&self) -> bool {
+    pub fn is_appending(&self) -> bool {
         self.in_flight
     }
 
@@ -156,13 +156,13 @@
     /// An owner that was sealed out does not know it, and what its table says may be out of date:
     /// a claim may have been given back since and its key granted again. That its append is
     /// durable proves that it was the owner until then.
-    pub fn confirm(&mut self) -> Batch {
+    pub fn confirm_ownership(&mut self) -> Batch {
         self.probe = true;
         self.batch
     }
 
     /// Asks for a claim; its record gathers in the next batch if the key is free.
-    pub fn claim(&mut self, grant: record::Grant, now: Instant) -> Step {
+    pub fn claim(&mut self, grant: record::Grant, now: Instant) -> Outcome {
         self.table.expire(now);
         if let Some((_, batch)) = self.pending.get(&grant.key) {
             return self.step_pending(&grant, *batch);
@@ -170,27 +170,27 @@
         if let Some(old) = self.table.get(grant.key) {
             // Its holder asks again because an answer was lost; it acts on one answer only.
             if old.request == grant.request {
-                return Step::Granted;
+                return Outcome::Granted;
             }
-            return Step::Taken(old.clone());
+            return Outcome::Taken(old.clone());
         }
         if self.table.len() + self.pending.len() >= self.limits.claims
             || self.gathering.len() >= BATCH_MAX
         {
-            return Step::Full;
+            return Outcome::Full;
         }
-        Step::Queued(self.gather(record::Record::Grant(grant)))
+        Outcome::Queued(self.gather(record::Record::Grant(grant)))
     }
 
-    fn step_pending(&self, grant: &record::Grant, batch: Batch) -> Step {
+    fn step_pending(&self, grant: &record::Grant, batch: Batch) -> Outcome {
         let records = self.gathering.iter().chain(&self.flight);
         let same = |record: &&record::Record| match record {
             record::Record::Grant(old) => old.key == grant.key && old.request == grant.request,
             record::Record::Release { .. } => false,
         };
         match records.into_iter().any(|record| same(&record)) {
-            true => Step::Queued(batch),
-            false => Step::Wait(batch),
+            true => Outcome::Queued(batch),
+            false => Outcome::Wait(batch),
         }
     }
 
@@ -212,7 +212,7 @@
     }
 
     /// Takes back the gathered grants that `keep` refuses; they were never in an append.
-    pub fn withdraw(&mut self, mut keep: impl FnMut(id::Fingerprint, id::RequestId) -> bool) {
+    pub fn retain_pending(&mut self, mut keep: impl FnMut(id::Fingerprint, id::RequestId) -> bool) {
         let pending = &mut self.pending;
         self.gathering.retain(|record| {
             let kept = match record {
@@ -231,7 +231,7 @@
     }
 
     /// Starts the next append, unless one is in flight or nothing waits.
-    pub fn begin(&mut self, now: Instant) -> Option<Append> {
+    pub fn begin_append(&mut self, now: Instant) -> Option<Append> {
         if self.in_flight || !self.wants_append() {
             return None;
         }
@@ -251,7 +251,7 @@
     }
 
     /// Records that the append in flight is in the log.
-    pub fn durable(&mut self, now: Instant) {
+    pub fn append_succeeded(&mut self, now: Instant) {
         for record in mem::take(&mut self.flight) {
             self.pending.remove(&record.key());
             self.table.apply(&record, now);
@@ -261,7 +261,7 @@
     }
 
     /// Records that the append in flight is provably not in the log and never will be.
-    pub fn rejected(&mut self) {
+    pub fn append_rejected(&mut self) {
         for record in mem::take(&mut self.flight) {
             self.pending.remove(&record.key());
             // A release that was dropped with its append would leave the key claimed for the rest
@@ -281,7 +281,7 @@
     }
 
     /// Returns the parts of a snapshot with their numbers; appended in order by the owner, each
-    /// confirmed by [`Log::part_durable`].
+    /// confirmed by [`Log::snapshot_part_succeeded`].
     pub fn snapshot(&mut self, now: Instant) -> Vec<(u64, record::Segment)> {
         self.table.expire(now);
         let first = self.next;
@@ -306,12 +306,12 @@
     }
 
     /// Puts a snapshot off that could not be completed.
-    pub fn postpone(&mut self) {
+    pub fn postpone_snapshot(&mut self) {
         self.postponed = self.next;
     }
 
     /// Records that the next part of a snapshot is in the log.
-    pub fn part_durable(&mut self, segment: &record::Segment) {
+    pub fn snapshot_part_succeeded(&mut self, segment: &record::Segment) {
         self.next += 1;
         if let record::Segment::Snapshot {
             first, last: true, ..
@@ -328,11 +328,11 @@
 /// ignored, as nothing was deleted for it. A claim is as old as the epoch's owner saw it become,
 /// up to its last append.
 pub fn replay(table: &mut table::Table, segments: &[record::Segment], now: Instant) {
-    let end = segments.iter().filter_map(record::Segment::at).max();
+    let end = segments.iter().filter_map(record::Segment::epoch_age).max();
     let end = end.unwrap_or_default();
     let mut parts = Parts::default();
     for segment in segments {
-        let held = segment.at().map(|at| end.0.saturating_sub(at.0));
+        let held = segment.epoch_age().map(|at| end.0.saturating_sub(at.0));
         let held = held.unwrap_or_default();
         match segment {
             record::Segment::Batch { records, .. } => {
--- a/laburnumcart/src/claim/route.rs
+++ b/laburnumcart/src/claim/ownership.rs
@@ -11,7 +11,7 @@
 ///
 /// This is a preference that spreads the shards. Safety does not rest on it: two processes with
 /// different lists may both try, and the log lets one through.
-pub fn preferred(shard: u16, live: &[net::SocketAddr]) -> Option<net::SocketAddr> {
+pub fn preferred_owner(shard: u16, live: &[net::SocketAddr]) -> Option<net::SocketAddr> {
     let weight = |addr: &&net::SocketAddr| {
         let mut hash = xxhash_rust::xxh3::Xxh3::new();
         hash.update(&shard.to_be_bytes());
@@ -23,7 +23,7 @@
 
 /// When an owner that cannot be reached is replaced.
 #[derive(Clone, Copy, Debug)]
-pub struct Patience {
+pub struct Limits {
     /// Time for which the owner must have been out of reach.
     pub silence: time::Duration,
     /// Longest time between two tries without an answer that speak of the same silence.
@@ -34,7 +34,7 @@
     pub settle_max: time::Duration,
 }
 
-impl Default for Patience {
+impl Default for Limits {
     fn default() -> Self {
         Self {
             silence: time::Duration::from_millis(250),
@@ -47,11 +47,11 @@
 
 /// What to do about an owner that did not answer.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Advice {
+pub enum Action {
     /// Ask it again after this time.
-    Again(time::Duration),
+    Retry(time::Duration),
     /// Take the shard over.
-    Take,
+    TakeOver,
     /// The shard changed hands a short while ago; refuse until this time has passed.
     Settle(time::Duration),
 }
@@ -62,16 +62,16 @@
 /// from one another with every claim, each time at the cost of a replay. The doubling wait leaves
 /// the shard with one of them for longer and longer; the other refuses, which is safe.
 #[derive(Clone, Debug)]
-pub struct Suspicion {
-    patience: Patience,
+pub struct Detector {
+    patience: Limits,
     silent: Option<(Instant, Instant)>,
     changed: Option<Instant>,
     wait: time::Duration,
 }
 
-impl Suspicion {
+impl Detector {
     /// Creates the memory for a shard of which nothing is known.
-    pub fn new(patience: Patience) -> Self {
+    pub fn new(patience: Limits) -> Self {
         Self {
             patience,
             silent: None,
@@ -81,12 +81,12 @@
     }
 
     /// Records that the owner answered.
-    pub fn answered(&mut self) {
+    pub fn record_success(&mut self) {
         self.silent = None;
     }
 
     /// Records that the shard has a new owner.
-    pub fn changed(&mut self, now: Instant) {
+    pub fn record_owner_change(&mut self, now: Instant) {
         self.silent = None;
         let soon = self
             .changed
@@ -99,18 +99,18 @@
     }
 
     /// Records that the owner did not answer, and says what to do.
-    pub fn unreachable(&mut self, now: Instant) -> Advice {
+    pub fn record_failure(&mut self, now: Instant) -> Action {
         let silence = self.silence(now);
         if silence < self.patience.silence {
-            return Advice::Again(self.patience.silence - silence);
+            return Action::Retry(self.patience.silence - silence);
         }
         let settled = self.changed.map_or(time::Duration::MAX, |last| {
             now.saturating_duration_since(last)
         });
         if settled < self.wait {
-            return Advice::Settle(self.wait - settled);
+            return Action::Settle(self.wait - settled);
         }
-        Advice::Take
+        Action::TakeOver
     }
 
     /// Returns how long the owner has been silent; a try long ago says nothing about today.
--- a/laburnumcart/src/claim/record.rs
+++ b/laburnumcart/src/claim/record.rs
@@ -124,7 +124,7 @@
 
 impl Segment {
     /// Returns the age of the epoch when the segment was written, as its owner measured it.
-    pub fn at(&self) -> Option<unit::Period> {
+    pub fn epoch_age(&self) -> Option<unit::Period> {
         match self {
             Self::Batch { at, .. } | Self::Snapshot { at, .. } => Some(*at),
             Self::Seal(_) => None,
--- a/laburnumcart/src/limit.rs
+++ b/laburnumcart/src/concurrency.rs
@@ -52,15 +52,15 @@
 /// ```
 /// use std::time::Duration;
 ///
-/// use laburnumcart::limit;
+/// use laburnumcart::concurrency;
 /// use tokio::time::Instant;
 ///
 /// let mut now = Instant::now();
-/// let mut limit = limit::Limit::new();
+/// let mut limit = concurrency::Limit::new();
 /// let before = limit.get();
 /// for _ in 0..100 {
 ///     now += Duration::from_millis(5);
-///     limit.observe(Duration::from_millis(20), limit.get(), now);
+///     limit.record_latency(Duration::from_millis(20), limit.get(), now);
 /// }
 /// assert!(limit.get() > before);
 /// ```
@@ -114,13 +114,13 @@
     }
 
     /// Returns the least latency in the window.
-    pub fn base(&self) -> Option<time::Duration> {
+    pub fn base_latency(&self) -> Option<time::Duration> {
         let found = self.found.map(|(found, _)| found);
         self.least.into_iter().chain(self.before).chain(found).min()
     }
 
     /// Takes in a completed call; `in_flight` includes it.
-    pub fn observe(&mut self, latency: time::Duration, in_flight: u32, now: Instant) {
+    pub fn record_latency(&mut self, latency: time::Duration, in_flight: u32, now: Instant) {
         // Calls that started under a higher limit measure that one, not the present.
         if in_flight > self.get() {
             return;
@@ -143,7 +143,7 @@
     }
 
     /// Takes in a refusal by the target itself.
-    pub fn refuse(&mut self) {
+    pub fn record_refusal(&mut self) {
         if !self.refused {
             self.value = (self.value * REFUSED).max(1.0);
         }
@@ -181,7 +181,7 @@
         if !saturated {
             return;
         }
-        let base = self.base().unwrap_or(typical).as_secs_f64();
+        let base = self.base_latency().unwrap_or(typical).as_secs_f64();
         let ratio = TOLERANCE * base / typical.as_secs_f64().max(f64::MIN_POSITIVE);
         let gradient = ratio.clamp(GRADIENT_MIN, 1.0);
         let growth = if self.refused { 0.0 } else { self.value.sqrt() };
@@ -205,7 +205,7 @@
         };
         let relieved = typical < before.mul_f64(RELIEF);
         if !relieved || !saturated || self.value <= 1.0 {
-            let base = self.base().filter(|_| error <= EXACT);
+            let base = self.base_latency().filter(|_| error <= EXACT);
             self.found = base.map(|base| (base, now));
             return false;
         }
--- a/laburnumcart/src/document.rs
+++ b/laburnumcart/src/document.rs
@@ -59,7 +59,7 @@
     }
     serde_path_to_error::deserialize(value).map_err(|error| {
         let path = Path::from_segments(error.path());
-        Faults::one(path, error.into_inner().to_string())
+        Faults::single(path, error.into_inner().to_string())
     })
 }
 
--- a/laburnumcart/src/document/explain.rs
+++ b/laburnumcart/src/document/explain.rs
@@ -11,7 +11,7 @@
 use super::fault;
 use crate::{
     id,
-    seal,
+    signing,
     unit, //
 };
 
@@ -29,7 +29,9 @@
         let error = |_| id::ParseError::new("address and port", text);
         address.map(drop).map_err(error)
     }),
-    ("public-keys", |text| text.parse::<seal::Keys>().map(drop)),
+    ("public-keys", |text| {
+        text.parse::<signing::Keys>().map(drop)
+    }),
 ];
 
 /// Least similarity, from 0 to 1, at which a name is offered as a correction.
--- a/laburnumcart/src/document/fault.rs
+++ b/laburnumcart/src/document/fault.rs
@@ -69,7 +69,7 @@
 
 impl Faults {
     /// Creates the report of a single fault.
-    pub fn one(path: Path, problem: impl Into<String>) -> Self {
+    pub fn single(path: Path, problem: impl Into<String>) -> Self {
         let mut faults = Self::default();
         faults.push(path, problem);
         faults
@@ -92,7 +92,7 @@
     }
 
     /// Returns `value` if there is no fault.
-    pub fn or<T>(self, value: T) -> Result<T, Self> {
+    pub fn into_result<T>(self, value: T) -> Result<T, Self> {
         if self.is_empty() {
             Ok(value)
         } else {
--- a/laburnumcart/src/document/tree.rs
+++ b/laburnumcart/src/document/tree.rs
@@ -24,7 +24,7 @@
     let value = de::DeserializeSeed::deserialize(node, &mut input);
     value
         .and_then(|value| input.end().map(|()| value))
-        .map_err(|e| fault::Faults::one(fault::Path::root(), format!("not valid JSON: {e}")))
+        .map_err(|e| fault::Faults::single(fault::Path::root(), format!("not valid JSON: {e}")))
         .map(|value| (value, faults))
 }
 
--- a/laburnumcart/src/estimate.rs
+++ b/laburnumcart/src/estimate.rs
@@ -14,23 +14,23 @@
     verdict, //
 };
 
-mod drain;
-mod sample;
+mod quantiles;
+mod throughput;
 
-pub use drain::Drain;
-pub use sample::Sample;
+pub use quantiles::Quantiles;
+pub use throughput::Throughput;
 
 /// Longest Retry-After.
 const RETRY_MAX: time::Duration = time::Duration::from_secs(60);
 
 /// Time of a request that has yet to run.
 #[derive(Clone, Copy, Debug)]
-pub struct Outlook {
+pub struct Remaining {
     /// Left until the deadline.
     pub remaining: time::Duration,
     /// Entries before it in the queue.
     pub ahead: u32,
-    /// Expected time of the stages that are left, as of [`Estimates::rest`].
+    /// Expected time of the stages that are left, as of [`Estimates::expected_rest`].
     pub rest: time::Duration,
 }
 
@@ -48,12 +48,12 @@
 ///     estimates.record("encode", Duration::from_millis(10), now);
 ///     estimates.record("generate", Duration::from_millis(400), now);
 /// }
-/// let rest = estimates.rest(["encode", "generate"], Priority::Normal, now);
+/// let rest = estimates.expected_rest(["encode", "generate"], Priority::Normal, now);
 /// assert!(rest > Duration::from_millis(400) && rest < Duration::from_millis(420));
 /// ```
 #[derive(Debug)]
 pub struct Estimates<K> {
-    samples: collections::HashMap<K, Sample>,
+    samples: collections::HashMap<K, Quantiles>,
 }
 
 impl<K> Default for Estimates<K> {
@@ -69,7 +69,7 @@
     pub fn record(&mut self, stage: K, elapsed: time::Duration, now: Instant) {
         let sample = self.samples.entry(stage);
         sample
-            .or_insert_with(|| Sample::new(now))
+            .or_insert_with(|| Quantiles::new(now))
             .record(elapsed, now);
     }
 
@@ -86,7 +86,7 @@
     /// Returns the expected time of the stages that are left; unmeasured ones count nothing.
     ///
     /// The more urgent a request, the more favourable the quantile: it is tried at worse odds.
-    pub fn rest(
+    pub fn expected_rest(
         &self,
         stages: impl IntoIterator<Item = K>,
         priority: bundle::Priority,
@@ -117,16 +117,16 @@
 ///
 /// let now = Instant::now();
 /// let mut rng = rand::rngs::StdRng::seed_from_u64(1);
-/// let mut drain = estimate::Drain::new(now);
+/// let mut drain = estimate::Throughput::new(now);
 /// let rest = Duration::from_millis(300);
-/// let outlook = estimate::Outlook { remaining: Duration::from_secs(1), ahead: 0, rest };
+/// let outlook = estimate::Remaining { remaining: Duration::from_secs(1), ahead: 0, rest };
 /// assert!(estimate::check(&outlook, &mut drain, now, &mut rng).is_ok());
-/// let late = estimate::Outlook { remaining: Duration::from_millis(200), ..outlook };
+/// let late = estimate::Remaining { remaining: Duration::from_millis(200), ..outlook };
 /// assert!(estimate::check(&late, &mut drain, now, &mut rng).is_err());
 /// ```
 pub fn check(
-    outlook: &Outlook,
-    drain: &mut Drain,
+    outlook: &Remaining,
+    drain: &mut Throughput,
     now: Instant,
     rng: &mut impl rand::Rng,
 ) -> Result<(), verdict::Refusal> {
--- a/laburnumcart/src/estimate/sample.rs
+++ b/laburnumcart/src/estimate/quantiles.rs
@@ -19,14 +19,14 @@
 /// Each time goes into two histograms that start half a window apart. The older one is read, so
 /// that a quantile rests on at least half a window, and no merging is needed.
 #[derive(Debug)]
-pub struct Sample {
+pub struct Quantiles {
     old: Histogram<u32>,
     young: Histogram<u32>,
     /// Start of the young histogram.
     since: Instant,
 }
 
-impl Sample {
+impl Quantiles {
     /// Creates an empty sample.
     pub fn new(now: Instant) -> Self {
         Self {
--- a/laburnumcart/src/estimate/drain.rs
+++ b/laburnumcart/src/estimate/throughput.rs
@@ -26,7 +26,7 @@
 
 /// Rate at which a queue is worked off, and the times at which refused callers may come back.
 #[derive(Clone, Debug)]
-pub struct Drain {
+pub struct Throughput {
     /// Completions, each losing weight with age.
     count: f64,
     last: Instant,
@@ -35,7 +35,7 @@
     next: Instant,
 }
 
-impl Drain {
+impl Throughput {
     /// Creates the meter of a queue that was never worked off.
     pub fn new(now: Instant) -> Self {
         Self {
--- a/laburnumcart/src/evacuation.rs
+++ b/laburnumcart/src/evacuation.rs
@@ -20,7 +20,7 @@
 
 /// What is known of evacuations, now and a while ago.
 #[derive(Clone, Debug, Default)]
-pub struct Places {
+pub struct Tracker {
     evacuated: Option<Evacuated>,
     /// When each evacuation in force was heard of.
     since: collections::BTreeMap<id::DataCentre, Instant>,
@@ -28,16 +28,16 @@
     cold: collections::BTreeMap<id::DataCentre, Instant>,
 }
 
-impl Places {
+impl Tracker {
     /// Takes in which data centres are evacuated.
-    pub fn set(&mut self, evacuated: Evacuated, now: Instant) {
+    pub fn update(&mut self, evacuated: Evacuated, now: Instant) {
         self.since.retain(|place, _| evacuated.contains(place));
         for place in &evacuated {
             self.since.entry(place.clone()).or_insert(now);
         }
         let before = self.evacuated.replace(evacuated).unwrap_or_default();
         self.cold.retain(|_, until| *until > now);
-        let returned = before.into_iter().filter(|place| !self.is_closed(place));
+        let returned = before.into_iter().filter(|place| !self.is_blocked(place));
         let returned: Vec<_> = returned.collect();
         let until = now + RETURN;
         self.cold
@@ -50,7 +50,7 @@
     }
 
     /// Returns when the evacuation of a data centre was heard of.
-    pub fn since(&self, place: &id::DataCentre) -> Option<Instant> {
+    pub fn evacuated_since(&self, place: &id::DataCentre) -> Option<Instant> {
         self.since.get(place).copied()
     }
 
@@ -58,14 +58,14 @@
     ///
     /// Before it is known which ones are evacuated, none gets any: a process that has just started
     /// would send to targets that all others avoid.
-    pub fn is_closed(&self, place: &id::DataCentre) -> bool {
+    pub fn is_blocked(&self, place: &id::DataCentre) -> bool {
         self.evacuated
             .as_ref()
             .is_none_or(|evacuated| evacuated.contains(place))
     }
 
     /// Returns until when the targets of a data centre are held to be cold.
-    pub fn cold(&self, place: &id::DataCentre) -> Option<Instant> {
+    pub fn cold_until(&self, place: &id::DataCentre) -> Option<Instant> {
         self.cold.get(place).copied()
     }
 }
--- a/laburnumcart/src/fair.rs
+++ b/laburnumcart/src/fair.rs
@@ -242,7 +242,7 @@
     }
 
     /// Corrects a team's account once the true cost of served work is known.
-    pub fn settle(&mut self, key: TeamKey, expected: u32, actual: u32) {
+    pub fn correct_cost(&mut self, key: TeamKey, expected: u32, actual: u32) {
         let (expected, actual) = (u128::from(expected.max(1)), u128::from(actual.max(1)));
         self.change(key, |team| {
             if actual >= expected {
--- a/laburnumcart/src/allotment.rs
+++ b/laburnumcart/src/fleet_budget.rs
@@ -21,10 +21,10 @@
 };
 
 /// Greatest age of knowledge of the other processes with which a part is spent.
-pub const KNOWN: time::Duration = time::Duration::from_secs(12);
+pub const MAX_AGE: time::Duration = time::Duration::from_secs(12);
 
 /// Time for which a process that has joined waits, and one that has left counts.
-pub const SETTLED: time::Duration = KNOWN.saturating_add(budget::WINDOW);
+pub const SETTLE_TIME: time::Duration = MAX_AGE.saturating_add(budget::WINDOW);
 
 /// Share of the ratio that each process spends of its own requests.
 ///
@@ -37,14 +37,14 @@
 
 /// What all processes may spend together in a window.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Bound {
+pub struct Limit {
     /// Share of the requests of a window.
     pub ratio: f64,
     /// What may be spent beside that.
     pub extra: f64,
 }
 
-impl Bound {
+impl Limit {
     /// Returns the budget of a process before it has anything of the extra.
     pub fn budget(&self, now: Instant) -> budget::Budget {
         let mut budget = budget::Budget::new(unit::Share(self.ratio * RATIO), now);
@@ -60,11 +60,11 @@
 
 /// How a listing shows this process's own entry.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Entry {
+pub enum OwnEntry {
     /// There is none.
     Absent,
     /// It is of an earlier life.
-    Earlier,
+    PreviousLife,
     /// It is of this life, so that all who list after this know of it.
     Present,
 }
@@ -72,42 +72,42 @@
 /// Since when this process may spend, and for when the listing that says so holds.
 #[derive(Clone, Copy, Debug)]
 struct Entered {
-    from: freshness::Moment,
-    listed: freshness::Moment,
+    from: freshness::BootTime,
+    listed: freshness::BootTime,
 }
 
 /// This process's part, as the listings of all processes tell it.
 ///
 /// ```
 /// use std::time::Duration;
-/// use laburnumcart::{allotment, freshness::Moment, id};
+/// use laburnumcart::{fleet_budget, freshness::BootTime, id};
 ///
 /// let other: id::InstanceName = "gateway-2".parse().unwrap();
-/// let mut allotment = allotment::Allotment::default();
-/// let start = Moment(Duration::from_secs(100));
-/// allotment.read(allotment::Entry::Present, [&other], start);
-/// assert_eq!(allotment.part(start), 0.0);
+/// let mut allotment = fleet_budget::Share::default();
+/// let start = BootTime(Duration::from_secs(100));
+/// allotment.update(fleet_budget::OwnEntry::Present, [&other], start);
+/// assert_eq!(allotment.fraction(start), 0.0);
 ///
-/// let later = Moment(start.0 + allotment::SETTLED);
-/// allotment.read(allotment::Entry::Present, [&other], later);
-/// assert_eq!(allotment.part(later), 0.5);
+/// let later = BootTime(start.0 + fleet_budget::SETTLE_TIME);
+/// allotment.update(fleet_budget::OwnEntry::Present, [&other], later);
+/// assert_eq!(allotment.fraction(later), 0.5);
 /// ```
 #[derive(Clone, Debug, Default)]
-pub struct Allotment {
+pub struct Share {
     entered: Option<Entered>,
     /// Whether another process, or an earlier life of this one, was ever listed.
     preceded: bool,
     /// Other processes, and since when they are listed no more.
-    others: collections::HashMap<id::InstanceName, Option<freshness::Moment>>,
+    others: collections::HashMap<id::InstanceName, Option<freshness::BootTime>>,
 }
 
-impl Allotment {
+impl Share {
     /// Takes in a listing of all processes that holds for `at`.
-    pub fn read<'a>(
+    pub fn update<'a>(
         &mut self,
-        own: Entry,
+        own: OwnEntry,
         others: impl IntoIterator<Item = &'a id::InstanceName>,
-        at: freshness::Moment,
+        at: freshness::BootTime,
     ) {
         for since in self.others.values_mut() {
             since.get_or_insert(at);
@@ -116,30 +116,30 @@
             self.others.insert(name.clone(), None);
         }
         self.others
-            .retain(|_, gone| gone.is_none_or(|since| at.since(since) < SETTLED));
-        self.preceded |= own == Entry::Earlier || !self.others.is_empty();
+            .retain(|_, gone| gone.is_none_or(|since| at.since(since) < SETTLE_TIME));
+        self.preceded |= own == OwnEntry::PreviousLife || !self.others.is_empty();
         self.entered = match (own, self.entered) {
-            (Entry::Present, Some(known)) => Some(Entered {
+            (OwnEntry::Present, Some(known)) => Some(Entered {
                 listed: known.listed.max(at),
                 ..known
             }),
             // Who finds nobody before it has nobody to wait for.
-            (Entry::Present, None) if !self.preceded => Some(Entered {
+            (OwnEntry::Present, None) if !self.preceded => Some(Entered {
                 from: at,
                 listed: at,
             }),
-            (Entry::Present, None) => Some(Entered {
-                from: freshness::Moment(at.0 + SETTLED),
+            (OwnEntry::Present, None) => Some(Entered {
+                from: freshness::BootTime(at.0 + SETTLE_TIME),
                 listed: at,
             }),
-            (Entry::Absent | Entry::Earlier, _) => None,
+            (OwnEntry::Absent | OwnEntry::PreviousLife, _) => None,
         };
     }
 
     /// Returns this process's part of the whole, from 0 to 1.
-    pub fn part(&self, now: freshness::Moment) -> f64 {
+    pub fn fraction(&self, now: freshness::BootTime) -> f64 {
         let may_spend = |entered: &Entered| {
-            entered.from <= now && now.since(entered.listed) <= KNOWN //
+            entered.from <= now && now.since(entered.listed) <= MAX_AGE //
         };
         match self.entered.filter(may_spend) {
             Some(_) => 1.0 / (self.others.len() + 1) as f64,
--- a/laburnumcart/src/forecast.rs
+++ b/laburnumcart/src/forecast.rs
@@ -32,7 +32,7 @@
 
 /// When a job of a queue will be done, counted from now.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq, Serialize, Deserialize)]
-pub struct Outlook {
+pub struct Estimate {
     /// In its turn.
     pub turn: unit::Period,
     /// When it goes behind all jobs that are on time.
@@ -41,13 +41,13 @@
 
 /// A stage of a request.
 #[derive(Clone, Debug, Default)]
-pub struct Step {
+pub struct Stage {
     /// Stages that it waits for, all of them earlier in the list.
     pub after: Vec<usize>,
     /// Time that it takes by itself.
-    pub own: time::Duration,
+    pub duration: time::Duration,
     /// What the owner of its queue expects; nothing when it was not asked or did not answer.
-    pub outlook: Option<Outlook>,
+    pub estimate: Option<Estimate>,
 }
 
 /// What becomes of a request.
@@ -63,7 +63,7 @@
 
 /// Time that a caller has for a request.
 #[derive(Clone, Copy, Debug)]
-pub struct Time {
+pub struct TimeBudget {
     /// Until its answer is late.
     pub slack: time::Duration,
     /// Until its answer is of no use.
@@ -71,7 +71,7 @@
     /// Needed after the last stage.
     pub rest: time::Duration,
     /// Whether the caller was refused before.
-    pub again: bool,
+    pub is_repeat: bool,
 }
 
 /// Judges a request by its stages.
@@ -81,26 +81,30 @@
 /// use laburnumcart::{forecast, unit};
 ///
 /// let ms = Duration::from_millis;
-/// let stage = |after: &[usize], queue| forecast::Step {
+/// let stage = |after: &[usize], queue| forecast::Stage {
 ///     after: after.to_vec(),
-///     own: ms(300),
-///     outlook: Some(forecast::Outlook {
+///     duration: ms(300),
+///     estimate: Some(forecast::Estimate {
 ///         turn: unit::Period(ms(queue)),
 ///         behind: unit::Period(ms(9000)),
 ///     }),
 /// };
-/// let time = forecast::Time { slack: ms(1000), left: ms(6000), rest: ms(200), again: false };
+/// let time = forecast::TimeBudget { slack: ms(1000), left: ms(6000), rest: ms(200), is_repeat: false };
 /// let calm = [stage(&[], 300), stage(&[0], 300)];
 /// assert_eq!(forecast::judge(&calm, time), forecast::Judgement::OnTime);
 /// let congested = [stage(&[], 300), stage(&[0], 1500)];
 /// assert!(matches!(forecast::judge(&congested, time), forecast::Judgement::Refused(_)));
 /// ```
-pub fn judge(steps: &[Step], time: Time) -> Judgement {
+pub fn judge(steps: &[Stage], time: TimeBudget) -> Judgement {
     let on_time = end(steps, with_margin).saturating_add(time.rest);
     if on_time <= time.slack {
         return Judgement::OnTime;
     }
-    let share = if time.again { AGAIN_SHARE } else { LATE_SHARE };
+    let share = if time.is_repeat {
+        AGAIN_SHARE
+    } else {
+        LATE_SHARE
+    };
     let late = end(steps, |_, outlook| outlook.behind.0).saturating_add(time.rest);
     if late <= time.left.mul_f64(share) {
         return Judgement::Late;
@@ -109,21 +113,24 @@
 }
 
 /// Returns when a queue is done with a request in its turn, with a margin on the wait alone.
-fn with_margin(step: &Step, outlook: &Outlook) -> time::Duration {
+fn with_margin(step: &Stage, outlook: &Estimate) -> time::Duration {
     let turn = outlook.turn.0;
-    turn.saturating_add(turn.saturating_sub(step.own).mul_f64(MARGIN))
+    turn.saturating_add(turn.saturating_sub(step.duration).mul_f64(MARGIN))
 }
 
 /// Returns when the last stage ends.
 ///
 /// What waits in a queue now is worked on while the stages before it go on, so that the longer of
 /// both counts, not their sum.
-fn end(steps: &[Step], queue: impl Fn(&Step, &Outlook) -> time::Duration) -> time::Duration {
+fn end(steps: &[Stage], queue: impl Fn(&Stage, &Estimate) -> time::Duration) -> time::Duration {
     let mut ends: Vec<time::Duration> = Vec::new();
     for step in steps {
         let before = step.after.iter().filter_map(|k| ends.get(*k)).max();
-        let alone = before.copied().unwrap_or_default().saturating_add(step.own);
-        let queued = step.outlook.as_ref().map(|outlook| queue(step, outlook));
+        let alone = before
+            .copied()
+            .unwrap_or_default()
+            .saturating_add(step.duration);
+        let queued = step.estimate.as_ref().map(|outlook| queue(step, outlook));
         let queued = queued.unwrap_or_default();
         ends.push(alone.max(queued));
     }
--- a/laburnumcart/src/freshness.rs
+++ b/laburnumcart/src/freshness.rs
@@ -18,9 +18,9 @@
 /// minutes would hold its knowledge to be fresh.
 #[derive(Clone, Copy, Debug, Default, Display, Eq, Ord, PartialEq, PartialOrd)]
 #[display("{}ms", _0.as_millis())]
-pub struct Moment(pub time::Duration);
+pub struct BootTime(pub time::Duration);
 
-impl Moment {
+impl BootTime {
     /// Returns the time since an earlier moment, zero for a later one.
     pub fn since(self, earlier: Self) -> time::Duration {
         self.0.saturating_sub(earlier.0)
@@ -36,16 +36,16 @@
 ///
 /// ```
 /// use std::time::Duration;
-/// use laburnumcart::freshness::{Freshness, Moment};
+/// use laburnumcart::freshness::{BootTime, Freshness};
 ///
 /// let freshness = Freshness::default();
-/// assert_eq!(freshness.age(Moment(Duration::from_secs(9))), None);
-/// freshness.confirm(Moment(Duration::from_secs(5)));
-/// assert_eq!(freshness.age(Moment(Duration::from_secs(9))), Some(Duration::from_secs(4)));
+/// assert_eq!(freshness.age(BootTime(Duration::from_secs(9))), None);
+/// freshness.record_read(BootTime(Duration::from_secs(5)));
+/// assert_eq!(freshness.age(BootTime(Duration::from_secs(9))), Some(Duration::from_secs(4)));
 /// ```
 #[derive(Debug, Default)]
 pub struct Freshness {
-    /// Microseconds on the clock of [`Moment`]; 0 before the first read.
+    /// Microseconds on the clock of [`BootTime`]; 0 before the first read.
     asked: atomic::AtomicU64,
 }
 
@@ -54,21 +54,21 @@
     ///
     /// What was read must be in force before this is called, or a thread could find an old
     /// configuration with a new age.
-    pub fn confirm(&self, asked: Moment) {
+    pub fn record_read(&self, asked: BootTime) {
         let micros = asked.0.as_micros().try_into().unwrap_or(u64::MAX);
         self.asked.fetch_max(micros, atomic::Ordering::Release);
     }
 
     /// Returns the age of what is known, or `None` before the first read.
-    pub fn age(&self, now: Moment) -> Option<time::Duration> {
+    pub fn age(&self, now: BootTime) -> Option<time::Duration> {
         match self.asked.load(atomic::Ordering::Acquire) {
             0 => None,
-            micros => Some(now.since(Moment(time::Duration::from_micros(micros)))),
+            micros => Some(now.since(BootTime(time::Duration::from_micros(micros)))),
         }
     }
 
     /// Reports whether what is known is at most `limit` old.
-    pub fn is_within(&self, limit: time::Duration, now: Moment) -> bool {
+    pub fn is_fresh(&self, limit: time::Duration, now: BootTime) -> bool {
         self.age(now).is_some_and(|age| age <= limit)
     }
 }
--- a/laburnumcart/src/head.rs
+++ b/laburnumcart/src/head.rs
@@ -14,15 +14,15 @@
 
 use crate::{
     id,
-    seal, //
+    signing, //
 };
 
 pub use publish::{
     Change,
-    Lost,
     Publish,
+    PublishError,
     Step,
-    Wrote, //
+    WriteOutcome, //
 };
 
 mod publish;
@@ -37,7 +37,7 @@
 pub const EARLIER_MAX: usize = 32;
 
 /// Returns the key of the object that holds an envelope.
-pub fn object_key(digest: seal::Digest) -> String {
+pub fn object_key(digest: signing::Digest) -> String {
     format!("bundle/objects/{digest}")
 }
 
@@ -47,7 +47,7 @@
     /// Its number.
     pub generation: id::Generation,
     /// Envelope that it puts in force.
-    pub digest: seal::Digest,
+    pub digest: signing::Digest,
     /// Try of the operator who accepted it.
     pub nonce: id::Nonce,
 }
@@ -84,7 +84,7 @@
     }
 
     /// Returns the head after `base`.
-    pub fn after(base: Option<&Self>, digest: seal::Digest, nonce: id::Nonce) -> Self {
+    pub fn after(base: Option<&Self>, digest: signing::Digest, nonce: id::Nonce) -> Self {
         let last = base.map(|head| head.accepted);
         let generation = last.map_or(id::Generation(1), |last| last.generation.next());
         let older = base.into_iter().flat_map(|head| &head.earlier);
--- a/laburnumcart/src/head/publish.rs
+++ b/laburnumcart/src/head/publish.rs
@@ -16,7 +16,7 @@
 };
 use crate::{
     id,
-    seal, //
+    signing, //
 };
 
 /// What an operator wants to be in force.
@@ -34,7 +34,7 @@
     /// Create the object of the envelope unless it exists.
     Create {
         /// Name of the object.
-        digest: seal::Digest,
+        digest: signing::Digest,
         /// Envelope.
         value: String,
     },
@@ -48,12 +48,12 @@
         value: String,
     },
     /// Nothing is left to do.
-    Done(Result<Head, Lost>),
+    Done(Result<Head, PublishError>),
 }
 
 /// What came of writing the head.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Wrote {
+pub enum WriteOutcome {
     /// The write took effect.
     Applied,
     /// The head had another version.
@@ -64,7 +64,7 @@
 
 /// A change that is not in force.
 #[derive(Clone, Debug, Display, Error, Eq, PartialEq)]
-pub enum Lost {
+pub enum PublishError {
     /// Another operator moved the head first.
     #[display("generation {} was accepted by another operator meanwhile", winner.generation)]
     Conflict {
@@ -105,7 +105,7 @@
     /// It is open whether the write took effect.
     Settling { expect: Option<V>, head: Head },
     /// Final.
-    Done(Result<Head, Lost>),
+    Done(Result<Head, PublishError>),
 }
 
 /// One try to change the head, from the first call to its proven outcome.
@@ -136,7 +136,7 @@
 
     /// Lets the change succeed only on top of this generation.
     #[must_use]
-    pub fn on(mut self, base: id::Generation) -> Self {
+    pub fn with_base(mut self, base: id::Generation) -> Self {
         self.base = Some(base);
         self
     }
@@ -157,14 +157,14 @@
     /// Returns whether a write may have taken effect, or may do so yet, without that being known.
     ///
     /// Finding the head unchanged does not end it, as the write may still be under way.
-    pub fn in_doubt(&self) -> bool {
+    pub fn is_in_doubt(&self) -> bool {
         self.doubt && !matches!(self.phase, Phase::Done(_))
     }
 
     fn create(&self) -> Step<V> {
         match &self.change {
             Change::Accept(value) => Step::Create {
-                digest: seal::Digest::of(value.as_bytes()),
+                digest: signing::Digest::of(value.as_bytes()),
                 value: value.clone(),
             },
             Change::Restore(_) => Step::Read,
@@ -172,14 +172,14 @@
     }
 
     /// Reports that the envelope's object exists.
-    pub fn created(&mut self) {
+    pub fn record_created(&mut self) {
         if matches!(self.phase, Phase::Storing) {
             self.phase = Phase::Reading;
         }
     }
 
     /// Reports what the head is.
-    pub fn read(&mut self, found: Option<(V, Head)>) {
+    pub fn record_read(&mut self, found: Option<(V, Head)>) {
         self.phase = match std::mem::replace(&mut self.phase, Phase::Reading) {
             Phase::Reading => self.prepare(found),
             Phase::Settling { expect, head } => self.settle(expect, head, found),
@@ -191,10 +191,12 @@
     ///
     /// A conflict is settled by reading as well: it may be the own write, repeated after its answer
     /// was lost, that the service now finds in its way.
-    pub fn wrote(&mut self, outcome: Wrote) {
-        self.doubt |= outcome == Wrote::Unknown;
+    pub fn record_write(&mut self, outcome: WriteOutcome) {
+        self.doubt |= outcome == WriteOutcome::Unknown;
         self.phase = match std::mem::replace(&mut self.phase, Phase::Reading) {
-            Phase::Writing { head, .. } if outcome == Wrote::Applied => Phase::Done(Ok(head)),
+            Phase::Writing { head, .. } if outcome == WriteOutcome::Applied => {
+                Phase::Done(Ok(head))
+            }
             Phase::Writing { expect, head } => Phase::Settling { expect, head },
             other => other,
         };
@@ -207,13 +209,13 @@
             .as_ref()
             .map_or(id::Generation(0), |h| h.accepted.generation);
         if let Some(expected) = self.base.filter(|expected| *expected != now) {
-            return Phase::Done(Err(Lost::Moved {
+            return Phase::Done(Err(PublishError::Moved {
                 expected,
                 found: now,
             }));
         }
         let digest = match &self.change {
-            Change::Accept(value) => Some(seal::Digest::of(value.as_bytes())),
+            Change::Accept(value) => Some(signing::Digest::of(value.as_bytes())),
             Change::Restore(wanted) => base.as_ref().and_then(|head| {
                 let mut listed = head.history();
                 listed.find(|a| a.generation == *wanted).map(|a| a.digest)
@@ -225,7 +227,7 @@
                 head: Head::after(base.as_ref(), digest, self.nonce),
             },
             (None, Change::Restore(wanted)) => {
-                Phase::Done(Err(Lost::NoSuchGeneration { wanted: *wanted }))
+                Phase::Done(Err(PublishError::NoSuchGeneration { wanted: *wanted }))
             }
             (None, Change::Accept(_)) => Phase::Reading,
         }
@@ -249,8 +251,8 @@
         let listed = now.history().find(|a| a.generation == own.generation);
         Phase::Done(match listed {
             Some(listed) if listed.nonce == own.nonce => Ok(head),
-            Some(winner) => Err(Lost::Conflict { winner: *winner }),
-            None => Err(Lost::Forgotten {
+            Some(winner) => Err(PublishError::Conflict { winner: *winner }),
+            None => Err(PublishError::Forgotten {
                 now: now.accepted.generation,
             }),
         })
--- a/laburnumcart/src/hedge.rs
+++ b/laburnumcart/src/hedge.rs
@@ -70,7 +70,7 @@
     if attempt.elapsed < quantile {
         return Decision::Wait(quantile - attempt.elapsed);
     }
-    if budget.spend(now) {
+    if budget.try_spend(now) {
         Decision::Hedge
     } else {
         Decision::Never
--- a/laburnumcart/src/ingress.rs
+++ b/laburnumcart/src/ingress.rs
@@ -13,7 +13,7 @@
 
 /// What may be done again when an attempt fails.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Repeat {
+pub enum RetryPolicy {
     /// The request is idempotent.
     Any,
     /// The request runs at most once.
@@ -52,7 +52,7 @@
     /// Start of the path, from slash to slash.
     pub prefix: String,
     /// What may be done again.
-    pub repeat: Repeat,
+    pub retry: RetryPolicy,
     /// Whether the answer is an event stream.
     pub stream: bool,
     /// Longest time until the final answer.
@@ -103,11 +103,11 @@
     /// Most pieces in one call.
     pub pieces: usize,
     /// Time that a call takes apart from its pieces.
-    pub call: time::Duration,
+    pub call_time: time::Duration,
     /// Time that each piece adds.
-    pub piece: time::Duration,
+    pub piece_time: time::Duration,
     /// Room for results at one target.
-    pub room: unit::Size,
+    pub capacity: unit::Size,
     /// Time that a target keeps a result.
     pub ttl: time::Duration,
 }
@@ -133,7 +133,7 @@
     /// Set for services of model engines.
     pub engine: Option<Engine>,
     /// Requests in a second that a target bears while it is cold, from all processes together.
-    pub cold: Option<unit::Rate>,
+    pub cold_rate: Option<unit::Rate>,
 }
 
 /// A paying customer, as found by a key.
@@ -168,7 +168,7 @@
     /// Bounds on what a caller may send.
     pub limits: Limits,
     /// Whether requests need a key.
-    pub keyed: bool,
+    pub requires_key: bool,
     teams: collections::HashMap<String, Team>,
     hosts: collections::HashMap<String, Vec<sync::Arc<Route>>>,
     services: collections::HashMap<id::ServiceName, Service>,
@@ -184,7 +184,7 @@
         Self {
             version,
             limits,
-            keyed: false,
+            requires_key: false,
             teams: collections::HashMap::new(),
             hosts: collections::HashMap::new(),
             services: collections::HashMap::new(),
@@ -206,14 +206,14 @@
 
     /// Adds a team's key; from then on requests need one.
     pub fn add_key(&mut self, key: impl Into<String>, team: Team) {
-        self.keyed = true;
+        self.requires_key = true;
         self.teams.insert(key.into(), team);
     }
 
     /// Returns the route of a host and path.
     ///
     /// The host is compared without its port and its case; the path as it is.
-    pub fn find(&self, host: &str, path: &str) -> Option<&sync::Arc<Route>> {
+    pub fn find_route(&self, host: &str, path: &str) -> Option<&sync::Arc<Route>> {
         let name = host.rsplit_once(':').map_or(host, |(name, _)| name);
         let routes = self.hosts.get(&name.to_ascii_lowercase())?;
         routes.iter().find(|r| path.starts_with(&r.prefix))
@@ -224,7 +224,7 @@
         let team = key.and_then(|key| self.teams.get(key));
         match team {
             Some(team) => Ok(Some(team)),
-            None if route.anonymous || !self.keyed => Ok(None),
+            None if route.anonymous || !self.requires_key => Ok(None),
             None => Err(Unauthorized),
         }
     }
@@ -246,7 +246,7 @@
     }
 
     /// Returns the number of routes.
-    pub fn routes(&self) -> usize {
+    pub fn route_count(&self) -> usize {
         self.hosts.values().map(Vec::len).sum()
     }
 }
--- a/laburnumcart/src/lanes.rs
+++ b/laburnumcart/src/lanes.rs
@@ -14,7 +14,7 @@
 //! lanes.open(entry, 2, now).unwrap();
 //! // A call that was still under way in the first connection can never start.
 //! assert_eq!(lanes.check(entry, 1, now).unwrap_err().reason, verdict::Reason::Fenced);
-//! assert_eq!(lanes.doubt(entry, 1), verdict::Verdict::NotRun);
+//! assert_eq!(lanes.unknown_verdict(entry, 1), verdict::Verdict::NotRun);
 //! ```
 
 use std::collections;
@@ -102,7 +102,7 @@
     }
 
     /// Notes that an attempt of session `sent` which may have run was forgotten unacknowledged.
-    pub fn forget(&mut self, lane: id::Incarnation, sent: u64) {
+    pub fn record_expired(&mut self, lane: id::Incarnation, sent: u64) {
         if let Some(known) = self.lanes.get_mut(&lane) {
             known.whole.retain(|session| *session != sent);
         }
@@ -112,13 +112,13 @@
     ///
     /// This is safe: a call of a forgotten lane is refused until `hello`, and whichever session that
     /// opens, nothing that an earlier one has sent is denied from then on.
-    pub fn sweep(&mut self, now: time::Instant) {
+    pub fn expire(&mut self, now: time::Instant) {
         let idle = self.idle;
         self.lanes.retain(|_, lane| now - lane.seen < idle);
     }
 
     /// Returns what is proven about an attempt of the fenced session `sent` that is not in the table.
-    pub fn doubt(&self, lane: id::Incarnation, sent: u64) -> verdict::Verdict {
+    pub fn unknown_verdict(&self, lane: id::Incarnation, sent: u64) -> verdict::Verdict {
         match self.lanes.get(&lane) {
             Some(known) if sent < known.number && known.whole.contains(&sent) => {
                 verdict::Verdict::NotRun
--- a/laburnumcart/src/orders.rs
+++ b/laburnumcart/src/orders.rs
@@ -11,14 +11,14 @@
 //! let now = time::Instant::now();
 //! let limit = time::Duration::from_secs(5);
 //! let mut orders = orders::Orders::new();
-//! orders.want(bundle::Orders::Unfenced, ["case@2".into()], limit);
-//! orders.observe(["case@1".into()]);
-//! orders.hold(id::Term(3), now);
+//! orders.set_wanted(bundle::Orders::Unfenced, ["case@2".into()], limit);
+//! orders.set_loaded(["case@1".into()]);
+//! orders.acquire_term(id::Term(3), now);
 //! assert_eq!(orders.step(now), orders::Step::Wait(now + limit));
 //! let later = now + limit;
 //! assert_eq!(orders.step(later), orders::Step::Confirm);
-//! orders.confirm(id::Term(3), later);
-//! let orders::Step::Give(order) = orders.step(later) else { panic!() };
+//! orders.confirm_term(id::Term(3), later);
+//! let orders::Step::Send(order) = orders.step(later) else { panic!() };
 //! assert_eq!((order.number.term, order.number.sequence), (id::Term(3), 1));
 //! assert_eq!((&order.load[0][..], &order.unload[0][..]), ("case@2", "case@1"));
 //! ```
@@ -58,13 +58,13 @@
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Step {
     /// Nothing, until something changes.
-    Rest,
+    Idle,
     /// Nothing before this moment.
     Wait(time::Instant),
-    /// Read the term from the object service and report it by [`Orders::confirm`].
+    /// Read the term from the object service and report it by [`Orders::confirm_term`].
     Confirm,
-    /// Send the order, with the order limit as its timeout, and report it by [`Orders::given`].
-    Give(Order),
+    /// Send the order, with the order limit as its timeout, and report it by [`Orders::record_completed`].
+    Send(Order),
 }
 
 /// Where the agent stands between two orders.
@@ -117,7 +117,7 @@
     }
 
     /// Sets the wanted models, what the target does with numbers, and the longest time of an order.
-    pub fn want(
+    pub fn set_wanted(
         &mut self,
         fencing: bundle::Orders,
         models: impl IntoIterator<Item = String>,
@@ -130,17 +130,17 @@
     }
 
     /// Takes note of the models that the target has.
-    pub fn observe(&mut self, models: impl IntoIterator<Item = String>) {
+    pub fn set_loaded(&mut self, models: impl IntoIterator<Item = String>) {
         self.actual = Some(models.into_iter().collect());
     }
 
     /// Takes note that the target's state is not known.
-    pub fn lose_sight(&mut self) {
+    pub fn set_unknown(&mut self) {
         self.actual = None;
     }
 
     /// Takes note that this process has acquired `term` at `now`.
-    pub fn hold(&mut self, term: id::Term, now: time::Instant) {
+    pub fn acquire_term(&mut self, term: id::Term, now: time::Instant) {
         self.term = Some(term);
         self.held = Some(now);
         self.sequence = 0;
@@ -151,7 +151,7 @@
     ///
     /// With another term than its own this process gives no more orders: its successor has begun
     /// to wait for those under way, and will put the wanted state back if one came late.
-    pub fn confirm(&mut self, term: id::Term, now: time::Instant) {
+    pub fn confirm_term(&mut self, term: id::Term, now: time::Instant) {
         if self.term != Some(term) {
             self.superseded = self.term.is_some();
             self.term = None;
@@ -164,8 +164,8 @@
         };
     }
 
-    /// Takes note that the order under way has ended; its effect is seen by [`Orders::observe`].
-    pub fn given(&mut self) {
+    /// Takes note that the order under way has ended; its effect is seen by [`Orders::set_loaded`].
+    pub fn record_completed(&mut self) {
         self.actual = None;
         self.phase = Phase::Given;
     }
@@ -173,15 +173,15 @@
     /// Returns what to do next; an order that is returned counts as under way.
     pub fn step(&mut self, now: time::Instant) -> Step {
         let (Some(term), Some(held)) = (self.term, self.held) else {
-            return Step::Rest;
+            return Step::Idle;
         };
         match self.phase {
-            Phase::Giving => return Step::Rest,
+            Phase::Giving => return Step::Idle,
             Phase::Given if self.fencing == bundle::Orders::Unfenced => return Step::Confirm,
             _ => (),
         }
         let Some((load, unload)) = self.difference() else {
-            return Step::Rest;
+            return Step::Idle;
         };
         if self.fencing == bundle::Orders::Unfenced {
             // A predecessor that was paused in the middle of an order could finish it after ours.
@@ -205,7 +205,7 @@
             term,
             sequence: self.sequence,
         };
-        Step::Give(Order {
+        Step::Send(Order {
             number,
             load,
             unload,
--- a/laburnumcart/src/eject.rs
+++ b/laburnumcart/src/outlier.rs
@@ -22,7 +22,7 @@
 }
 
 /// Time between two comparisons of all targets.
-pub const INTERVAL: time::Duration = time::Duration::from_secs(5);
+pub const COMPARISON_INTERVAL: time::Duration = time::Duration::from_secs(5);
 
 /// Failures in a row that eject a target at once.
 const FAILURES: u32 = 5;
@@ -82,25 +82,25 @@
 /// ```
 /// use std::time::Duration;
 ///
-/// use laburnumcart::{eject, unit};
+/// use laburnumcart::{outlier, unit};
 /// use tokio::time::Instant;
 ///
 /// let now = Instant::now();
-/// let mut ejector = eject::Ejector::new(unit::Share(0.5), now);
+/// let mut ejector = outlier::Detector::new(unit::Share(0.5), now);
 /// let (bad, good) = (ejector.add(), ejector.add());
 /// for _ in 0..5 {
-///     ejector.record(bad, eject::Outcome::Failure, now);
-///     ejector.record(good, eject::Outcome::Success(Duration::from_millis(20)), now);
+///     ejector.record_outcome(bad, outlier::Outcome::Failure, now);
+///     ejector.record_outcome(good, outlier::Outcome::Success(Duration::from_millis(20)), now);
 /// }
-/// assert!(!ejector.allows(bad, now) && ejector.allows(good, now));
+/// assert!(!ejector.can_send(bad, now) && ejector.can_send(good, now));
 /// // After a while a single trial is allowed.
 /// let later = now + Duration::from_secs(10);
-/// assert!(ejector.allows(bad, later));
-/// ejector.start(bad, later);
-/// assert!(!ejector.allows(bad, later));
+/// assert!(ejector.can_send(bad, later));
+/// ejector.record_send(bad, later);
+/// assert!(!ejector.can_send(bad, later));
 /// ```
 #[derive(Clone, Debug)]
-pub struct Ejector {
+pub struct Detector {
     targets: SlotMap<TargetKey, Target>,
     cap: f64,
     /// Targets that are not ready.
@@ -108,7 +108,7 @@
     compared: Instant,
 }
 
-impl Ejector {
+impl Detector {
     /// Creates an ejector that excludes at most a share of its targets.
     pub fn new(cap: unit::Share, now: Instant) -> Self {
         Self {
@@ -130,7 +130,7 @@
     }
 
     /// Reports whether a call may be sent to a target.
-    pub fn allows(&self, key: TargetKey, now: Instant) -> bool {
+    pub fn can_send(&self, key: TargetKey, now: Instant) -> bool {
         match self.state(key) {
             State::Ready => true,
             State::Ejected(until) => until <= now,
@@ -161,7 +161,7 @@
     }
 
     /// Tells that a call is sent to a target.
-    pub fn start(&mut self, key: TargetKey, now: Instant) {
+    pub fn record_send(&mut self, key: TargetKey, now: Instant) {
         if let Some(target) = self.targets.get_mut(key)
             && target.state != State::Ready
         {
@@ -170,7 +170,7 @@
     }
 
     /// Takes in how a call ended.
-    pub fn record(&mut self, key: TargetKey, outcome: Outcome, now: Instant) {
+    pub fn record_outcome(&mut self, key: TargetKey, outcome: Outcome, now: Instant) {
         let Some(target) = self.targets.get_mut(key) else {
             return;
         };
@@ -185,7 +185,7 @@
             // Calls that were sent before the ejection say nothing of recovery.
             State::Ready | State::Ejected(_) => {}
         }
-        if now.saturating_duration_since(self.compared) >= INTERVAL {
+        if now.saturating_duration_since(self.compared) >= COMPARISON_INTERVAL {
             self.compare(now);
         }
     }
--- a/laburnumcart/src/eject/score.rs
+++ b/laburnumcart/src/outlier/score.rs
@@ -1,6 +1,6 @@
 //! Results of one target within an interval.
 
-use crate::eject;
+use crate::outlier;
 
 /// Fewest calls from which a target is compared.
 const CALLS: u32 = 5;
@@ -24,13 +24,13 @@
 }
 
 impl Score {
-    pub(super) fn record(&mut self, outcome: eject::Outcome) {
+    pub(super) fn record(&mut self, outcome: outlier::Outcome) {
         match outcome {
-            eject::Outcome::Success(latency) => {
+            outlier::Outcome::Success(latency) => {
                 self.succeeded += 1;
                 self.latency += latency.as_secs_f64();
             }
-            eject::Outcome::Failure => self.failed += 1,
+            outlier::Outcome::Failure => self.failed += 1,
         }
     }
 
@@ -48,9 +48,9 @@
 
     /// Returns how far a target is from the usual; above 1 it is an outlier.
     pub(super) fn excess(&self, usual: &Usual) -> f64 {
-        let failing = (self.failing() - usual.failing) / eject::FAILING;
+        let failing = (self.failing() - usual.failing) / outlier::FAILING;
         let slow = self.latency().zip(usual.latency);
-        let slow = slow.map_or(0.0, |(own, usual)| own / (usual * eject::SLOW));
+        let slow = slow.map_or(0.0, |(own, usual)| own / (usual * outlier::SLOW));
         failing.max(slow)
     }
 }
--- a/laburnumcart/src/owners.rs
+++ b/laburnumcart/src/owners.rs
@@ -17,17 +17,17 @@
 };
 
 /// Members by the service whose queue they may own, the first choice first.
-pub type Orders<'a> = collections::BTreeMap<&'a id::ServiceName, Vec<readers::Member<'a>>>;
+pub type Rankings<'a> = collections::BTreeMap<&'a id::ServiceName, Vec<readers::Member<'a>>>;
 
 /// Lists for each service which members may own its queue, the first choice first.
 ///
 /// Which members can be reached is left out on purpose. Each process sees that differently, and if
 /// the loss of one member moved the owners of other services, two processes would disagree on all
 /// of them.
-pub fn orders<'a>(
+pub fn rankings<'a>(
     members: &[readers::Member<'a>],
     services: impl IntoIterator<Item = &'a id::ServiceName>,
-) -> Orders<'a> {
+) -> Rankings<'a> {
     let services: collections::BTreeSet<_> = services.into_iter().collect();
     let mut owners = Vec::new();
     for service in &services {
--- a/laburnumcart/src/patience.rs
+++ b/laburnumcart/src/patience.rs
@@ -17,9 +17,9 @@
 /// use laburnumcart::patience;
 ///
 /// let mut callers = patience::Patience::default();
-/// assert_eq!(callers.spent(Duration::from_secs(10)), Duration::ZERO);
-/// assert_eq!(callers.spent(Duration::from_secs(9)), Duration::ZERO);
-/// assert!(callers.spent(Duration::from_secs(5)) > Duration::from_secs(4));
+/// assert_eq!(callers.estimate_spent(Duration::from_secs(10)), Duration::ZERO);
+/// assert_eq!(callers.estimate_spent(Duration::from_secs(9)), Duration::ZERO);
+/// assert!(callers.estimate_spent(Duration::from_secs(5)) > Duration::from_secs(4));
 /// ```
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Patience {
@@ -32,7 +32,7 @@
     ///
     /// Callers that come again name what is left of the patience that they began with. That is
     /// known only up to the spread, so the middle is taken.
-    pub fn spent(&mut self, named: time::Duration) -> time::Duration {
+    pub fn estimate_spent(&mut self, named: time::Duration) -> time::Duration {
         self.most = self.most.max(named);
         if named >= self.most.mul_f64(1.0 - SPREAD) {
             return time::Duration::ZERO;
--- a/laburnumcart/src/placement.rs
+++ b/laburnumcart/src/placement.rs
@@ -78,7 +78,7 @@
 
 /// What is to be placed.
 #[derive(Clone, Debug, Default)]
-pub struct Ask<'a> {
+pub struct Request<'a> {
     /// Parts of the prompt in order; the last one belongs to this request alone.
     pub parts: &'a [Part],
     /// Tokens of the whole prompt and its answer.
@@ -114,16 +114,16 @@
     failed: u32,
     paused: Option<Instant>,
     /// Own requests sent there.
-    gate: quota::Gate,
+    gate: quota::Limiter,
 }
 
-/// Place of a request at an engine, until [`Fleet::end`].
+/// Place of a request at an engine, until [`Engines::record_end`].
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct Place {
+pub struct Assignment {
     /// Engine.
     pub engine: EngineKey,
     /// Tokens that it has to read.
-    pub missing: u64,
+    pub uncached_tokens: u64,
 }
 
 /// The model engines of one service.
@@ -133,23 +133,23 @@
 /// use tokio::time::Instant;
 ///
 /// let now = Instant::now();
-/// let mut fleet = placement::Fleet::new(ingress::Engine { slots: 64, tokens: 400_000 });
+/// let mut fleet = placement::Engines::new(ingress::Engine { slots: 64, tokens: 400_000 });
 /// fleet.add("engine-1", "north".parse().unwrap());
 /// fleet.add("engine-2", "south".parse().unwrap());
 /// let parts = [placement::Part { id: 1, tokens: 6000 }, placement::Part { id: 2, tokens: 100 }];
-/// let ask = placement::Ask { parts: &parts, tokens: 6100, ..Default::default() };
+/// let ask = placement::Request { parts: &parts, tokens: 6100, ..Default::default() };
 /// let first = fleet.choose(&ask, now).unwrap();
-/// fleet.start(&ask, first, now);
-/// fleet.first_token(first);
+/// fleet.record_sent(&ask, first, now);
+/// fleet.record_first_token(first);
 /// assert_eq!(fleet.choose(&ask, now).unwrap().engine, first.engine);
 /// ```
 #[derive(Clone, Debug)]
-pub struct Fleet {
+pub struct Engines {
     limits: ingress::Engine,
     engines: SlotMap<EngineKey, Engine>,
 }
 
-impl Fleet {
+impl Engines {
     /// Creates a fleet without engines.
     pub fn new(limits: ingress::Engine) -> Self {
         Self {
@@ -169,12 +169,12 @@
             cached: collections::HashMap::new(),
             failed: 0,
             paused: None,
-            gate: quota::Gate::default(),
+            gate: quota::Limiter::default(),
         })
     }
 
     /// Holds the requests for an engine to what its gate lets through.
-    pub fn set_gate(&mut self, key: EngineKey, gate: quota::Gate) {
+    pub fn set_limiter(&mut self, key: EngineKey, gate: quota::Limiter) {
         if let Some(engine) = self.engines.get_mut(key) {
             engine.gate = gate;
         }
@@ -191,7 +191,7 @@
     }
 
     /// Returns the data centre where the inputs of a prompt are best made.
-    pub fn near(&self, parts: &[Part], now: Instant) -> Option<id::DataCentre> {
+    pub fn preferred_data_centre(&self, parts: &[Part], now: Instant) -> Option<id::DataCentre> {
         let home = self.home(parts, now)?;
         Some(self.engines[home].data_centre.clone())
     }
@@ -200,7 +200,7 @@
     ///
     /// One that is avoided is still used where there is no other, but none beyond its quota: it
     /// would crash, and all that it runs with it.
-    pub fn choose(&self, ask: &Ask<'_>, now: Instant) -> Option<Place> {
+    pub fn choose(&self, ask: &Request<'_>, now: Instant) -> Option<Assignment> {
         let home = self.home(ask.parts, now);
         let fits = |key: EngineKey, e: &Engine| !ask.avoid.contains(&key) && e.gate.is_open(now);
         let fitting = self.engines.iter().filter(|(key, e)| fits(*key, e));
@@ -210,17 +210,20 @@
         let any = || fitting.map(|(key, _)| key).next();
         let engine = best.map(|(key, _)| key).or_else(any)?;
         let missing = missing(&self.engines[engine], ask.parts, now);
-        Some(Place { engine, missing })
+        Some(Assignment {
+            engine,
+            uncached_tokens: missing,
+        })
     }
 
     /// Records that a request was sent.
-    pub fn start(&mut self, ask: &Ask<'_>, place: Place, now: Instant) {
+    pub fn record_sent(&mut self, ask: &Request<'_>, place: Assignment, now: Instant) {
         let Some(engine) = self.engines.get_mut(place.engine) else {
             return;
         };
-        engine.gate.record(now);
+        engine.gate.record_send(now);
         engine.running += 1;
-        engine.pending += place.missing;
+        engine.pending += place.uncached_tokens;
         engine
             .cached
             .retain(|_, at| now.saturating_duration_since(*at) < CACHED_TTL);
@@ -230,26 +233,26 @@
     }
 
     /// Records that the prompt was read.
-    pub fn first_token(&mut self, place: Place) {
+    pub fn record_first_token(&mut self, place: Assignment) {
         if let Some(engine) = self.engines.get_mut(place.engine) {
-            engine.pending = engine.pending.saturating_sub(place.missing);
+            engine.pending = engine.pending.saturating_sub(place.uncached_tokens);
             engine.failed = 0;
         }
     }
 
     /// Records that a request has ended; `read` says whether its prompt had been read.
-    pub fn end(&mut self, place: Place, read: bool) {
+    pub fn record_end(&mut self, place: Assignment, read: bool) {
         let Some(engine) = self.engines.get_mut(place.engine) else {
             return;
         };
         engine.running = engine.running.saturating_sub(1);
         if !read {
-            engine.pending = engine.pending.saturating_sub(place.missing);
+            engine.pending = engine.pending.saturating_sub(place.uncached_tokens);
         }
     }
 
     /// Records that an engine failed a request, and avoids it for a while.
-    pub fn fail(&mut self, key: EngineKey, now: Instant) {
+    pub fn record_failure(&mut self, key: EngineKey, now: Instant) {
         if let Some(engine) = self.engines.get_mut(key) {
             let pause = PAUSE * (1 << engine.failed.min(6));
             engine.failed += 1;
@@ -259,7 +262,7 @@
     }
 
     /// Records an engine's own report.
-    pub fn report(&mut self, key: EngineKey, report: Report, now: Instant) {
+    pub fn record_report(&mut self, key: EngineKey, report: Report, now: Instant) {
         if let Some(engine) = self.engines.get_mut(key) {
             engine.report = Some((report, now));
         }
@@ -275,7 +278,7 @@
     }
 
     /// Reports whether an engine gives the first token well before it is late.
-    fn is_timely(&self, ask: &Ask<'_>, engine: &Engine, now: Instant) -> bool {
+    fn is_timely(&self, ask: &Request<'_>, engine: &Engine, now: Instant) -> bool {
         let unread = missing(engine, ask.parts, now) + engine.pending;
         let wait = self.load(engine, now) + unread as f64 / TOKENS_PER_MS;
         wait <= ask.slack.as_secs_f64() * 1e3 * HOME_SHARE
@@ -299,7 +302,7 @@
     }
 
     /// Returns the cost of an engine in milliseconds.
-    fn cost(&self, ask: &Ask<'_>, engine: &Engine, home: bool, now: Instant) -> f64 {
+    fn cost(&self, ask: &Request<'_>, engine: &Engine, home: bool, now: Instant) -> f64 {
         let load = self.load(engine, now);
         let unread = missing(engine, ask.parts, now) + engine.pending;
         let known: u64 = shared(ask.parts).iter().map(|p| p.tokens).sum();
--- a/laburnumcart/src/quota.rs
+++ b/laburnumcart/src/quota.rs
@@ -3,9 +3,9 @@
 //! A target that has just started, or that is in need, takes so many requests in a second from all
 //! processes together. They share no count: a word between them would come too late for a bound on
 //! one second. Each works out a [`Quota`] of its own from the members that it knows, so that the sum
-//! of all quotas stays within the rate, and counts its own sends against it in a [`Gate`].
+//! of all quotas stays within the rate, and counts its own sends against it in a [`Limiter`].
 
-mod heard;
+mod advertised;
 
 use std::{
     collections,
@@ -26,11 +26,11 @@
     unit, //
 };
 
-pub use heard::{
-    Heard,
+pub use advertised::{
+    Advertised,
     Limit,
-    Named,
-    Word, //
+    Observation, //
+    TargetLimit,
 };
 
 /// Length of a span above what the rate is counted in.
@@ -82,7 +82,7 @@
     /// Returns the whole of a rate, rounded down.
     ///
     /// A rate below one request in a second is counted over a longer span.
-    pub fn whole(rate: unit::Rate) -> Self {
+    pub fn from_rate(rate: unit::Rate) -> Self {
         Self::over(rate, 1.0)
     }
 
@@ -123,16 +123,16 @@
 
 /// What a process sends to the targets of a service.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub struct Uses {
+pub struct TrafficKinds {
     /// Requests, from all processes.
     pub requests: bool,
     /// Calls of stages, from the owner of their queue.
     pub calls: bool,
 }
 
-impl Uses {
+impl TrafficKinds {
     /// Returns the part of a rate that is left for requests.
-    pub fn requests(self, rate: unit::Rate) -> unit::Rate {
+    pub fn request_rate(self, rate: unit::Rate) -> unit::Rate {
         match (self.requests, self.calls) {
             (false, true) => unit::Rate(0.0),
             (true, true) => unit::Rate(rate.0 * HALF),
@@ -141,7 +141,7 @@
     }
 
     /// Returns the part of a rate that is left for the calls of one owner.
-    pub fn calls(self, rate: unit::Rate) -> unit::Rate {
+    pub fn call_rate(self, rate: unit::Rate) -> unit::Rate {
         match self.requests {
             true => unit::Rate(rate.0 * HALF * OWNER),
             false => unit::Rate(rate.0 * OWNER),
@@ -166,7 +166,7 @@
     /// removed, as it may be one that only this process cannot reach. A process that is no member
     /// yet has no part.
     pub fn quota(&self, target: &id::TargetName, rate: unit::Rate) -> Quota {
-        self.part(target, Quota::whole(rate))
+        self.part(target, Quota::from_rate(rate))
     }
 
     /// Returns the part of a target's limit that this process may use of `rate`, which is the limit
@@ -174,7 +174,12 @@
     ///
     /// Where it is too low for all, members without a part try once in a while, as nothing but an
     /// answer tells that the limit has ended. All are told in one moment, and must not try in one.
-    pub fn limit(&self, target: &id::TargetName, rate: unit::Rate, named: &Named) -> Bound {
+    pub fn advertised_bound(
+        &self,
+        target: &id::TargetName,
+        rate: unit::Rate,
+        named: &Advertised,
+    ) -> Bound {
         let members = self.members.len().max(1) as f64;
         let even = members / rate.0.max(f64::MIN_POSITIVE);
         let quota = self.part(target, Quota::longest(rate, even));
@@ -240,7 +245,7 @@
     /// Returns the bound on calls of a limited target from one owner of its queue, from `told` on.
     ///
     /// A target that takes next to nothing is called once in a while, to hear whether it takes more.
-    pub fn calls(rate: unit::Rate, told: Instant) -> Self {
+    pub fn for_calls(rate: unit::Rate, told: Instant) -> Self {
         let quota = Quota::longest(rate, 1.0);
         if quota.count > 0 {
             return Self::new(quota);
@@ -326,35 +331,35 @@
 /// use tokio::time::Instant;
 ///
 /// let now = Instant::now();
-/// let gate = quota::Gate::default();
-/// let quota = quota::Quota::whole(unit::Rate(1.0));
+/// let gate = quota::Limiter::default();
+/// let quota = quota::Quota::from_rate(unit::Rate(1.0));
 /// gate.set(quota::Bounds { limit: Some(quota::Bound::new(quota)), ..Default::default() });
 /// assert!(gate.is_open(now));
-/// gate.record(now);
+/// gate.record_send(now);
 /// assert!(!gate.is_open(now + Duration::from_millis(900)));
 /// assert!(gate.is_open(now + Duration::from_millis(1200)));
 /// ```
 #[derive(Clone, Debug, Default)]
-pub struct Gate(Arc<Mutex<State>>);
+pub struct Limiter(Arc<Mutex<State>>);
 
-impl Gate {
+impl Limiter {
     /// Takes in the bounds.
     pub fn set(&self, bounds: Bounds) {
         self.state().bounds = bounds;
     }
 
     /// Reports whether a bound is in force.
-    pub fn is_bound(&self, now: Instant) -> bool {
+    pub fn is_limited(&self, now: Instant) -> bool {
         self.state().bounds.in_force(now).next().is_some()
     }
 
     /// Reports whether a request may be sent.
     pub fn is_open(&self, now: Instant) -> bool {
-        self.wait(now).is_zero()
+        self.wait_time(now).is_zero()
     }
 
     /// Returns the time until a request may be sent; the greatest there is if nothing tells.
-    pub fn wait(&self, now: Instant) -> time::Duration {
+    pub fn wait_time(&self, now: Instant) -> time::Duration {
         let state = self.state();
         let waits = state.bounds.in_force(now).map(|b| b.wait(&state.sent, now));
         waits.max().unwrap_or_default()
@@ -367,7 +372,7 @@
     }
 
     /// Reports whether a request may be sent and another one after it.
-    pub fn is_wide(&self, now: Instant) -> bool {
+    pub fn has_spare(&self, now: Instant) -> bool {
         let state = self.state();
         let mut sent = state.sent.clone();
         sent.push_back(now);
@@ -392,7 +397,7 @@
     }
 
     /// Records a request that is sent.
-    pub fn record(&self, now: Instant) {
+    pub fn record_send(&self, now: Instant) {
         let mut state = self.state();
         let spans = state.bounds.in_force(now).map(|b| b.quota.span);
         let Some(longest) = spans.max() else {
--- a/laburnumcart/src/quota/heard.rs
+++ b/laburnumcart/src/quota/advertised.rs
@@ -22,7 +22,7 @@
 
 /// An answer, and how far it can be believed.
 #[derive(Clone, Copy, Debug)]
-pub struct Word {
+pub struct Observation {
     /// Limit that it names.
     pub limit: Limit,
     /// Whether it is a success and answers the request that was sent.
@@ -33,7 +33,7 @@
 
 /// A limit that is in force.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Named {
+pub struct Advertised {
     /// Requests in a second that the target takes.
     pub rate: unit::Rate,
     /// When it was heard first.
@@ -53,17 +53,17 @@
 /// use tokio::time::Instant;
 ///
 /// let now = Instant::now();
-/// let mut heard = quota::Heard::default();
+/// let mut heard = quota::TargetLimit::default();
 /// let limit = quota::Limit::Named(unit::Rate(2.0));
-/// heard.answer(quota::Word { limit, own: true, sent: now }, 0.5, now + Duration::from_millis(80));
+/// heard.record_answer(quota::Observation { limit, own: true, sent: now }, 0.5, now + Duration::from_millis(80));
 /// // This one was on its way before.
-/// let none = quota::Word { limit: quota::Limit::None, own: true, sent: now };
-/// assert!(!heard.answer(none, 0.5, now + Duration::from_millis(90)));
-/// assert_eq!(heard.named().unwrap().rate, unit::Rate(2.0));
+/// let none = quota::Observation { limit: quota::Limit::None, own: true, sent: now };
+/// assert!(!heard.record_answer(none, 0.5, now + Duration::from_millis(90)));
+/// assert_eq!(heard.advertised().unwrap().rate, unit::Rate(2.0));
 /// ```
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Heard {
-    named: Option<Named>,
+pub struct TargetLimit {
+    named: Option<Advertised>,
     /// When an answer has shown last that there is no limit any more.
     ended: Option<Instant>,
     unreadable: bool,
@@ -71,9 +71,9 @@
     left: Option<Instant>,
 }
 
-impl Heard {
+impl TargetLimit {
     /// Returns the limit in force.
-    pub fn named(&self) -> Option<&Named> {
+    pub fn advertised(&self) -> Option<&Advertised> {
         self.named.as_ref()
     }
 
@@ -87,19 +87,19 @@
     }
 
     /// Returns when the limit in force was true last, or when it ended.
-    pub fn at(&self) -> Option<Instant> {
+    pub fn confirmed_at(&self) -> Option<Instant> {
         self.named.map(|named| named.confirmed).or(self.ended)
     }
 
     /// Returns when the target has said last that it is leaving.
-    pub fn left(&self) -> Option<Instant> {
+    pub fn leaving_since(&self) -> Option<Instant> {
         self.left
     }
 
     /// Takes in that the target said at `at` that it is leaving; returns whether it is news.
     ///
     /// One that has begun to leave does not come back in the same life.
-    pub fn leave(&mut self, at: Instant) -> bool {
+    pub fn record_leaving(&mut self, at: Instant) -> bool {
         let news = self.left.is_none();
         self.left = self.left.max(Some(at));
         news
@@ -109,7 +109,7 @@
     ///
     /// Answers overtake each other: one that was on its way before the limit was named ends nothing,
     /// and neither does one that may belong to another request.
-    pub fn answer(&mut self, word: Word, draw: f64, now: Instant) -> bool {
+    pub fn record_answer(&mut self, word: Observation, draw: f64, now: Instant) -> bool {
         match word.limit {
             Limit::Named(rate) => self.name(rate, draw, now),
             Limit::Unreadable => !std::mem::replace(&mut self.unreadable, true),
@@ -121,8 +121,8 @@
     }
 
     /// Takes in what another process knew at `at`; returns whether it is news.
-    pub fn tell(&mut self, rate: Option<unit::Rate>, at: Instant, draw: f64) -> bool {
-        if self.at().is_some_and(|known| known >= at) {
+    pub fn merge(&mut self, rate: Option<unit::Rate>, at: Instant, draw: f64) -> bool {
+        if self.confirmed_at().is_some_and(|known| known >= at) {
             return false;
         }
         match rate {
@@ -137,7 +137,7 @@
             named.confirmed = at;
             return false;
         }
-        self.named = Some(Named {
+        self.named = Some(Advertised {
             rate,
             since: at,
             confirmed: at,
--- a/laburnumcart/src/readers.rs
+++ b/laburnumcart/src/readers.rs
@@ -7,7 +7,7 @@
 //! Nothing is agreed on. Two processes that see different members may take different ones for
 //! readers; what a process passes on carries its age, so that any of them can be asked.
 
-mod standing;
+mod health;
 
 use std::collections;
 
@@ -16,7 +16,7 @@
     rendezvous, //
 };
 
-pub use self::standing::Standing;
+pub use self::health::Health;
 
 /// Fewest readers, so that the loss of one leaves another that everybody knows already.
 ///
@@ -49,7 +49,7 @@
 }
 
 /// Returns how many of `members` processes read.
-pub fn count(members: usize) -> usize {
+pub fn reader_count(members: usize) -> usize {
     members.div_ceil(SERVED).max(FEWEST).min(members)
 }
 
@@ -59,7 +59,7 @@
 /// near.
 pub fn choose<'a>(members: impl IntoIterator<Item = Member<'a>>) -> Vec<Member<'a>> {
     let mut members: Vec<_> = members.into_iter().collect();
-    let count = count(members.len());
+    let count = reader_count(members.len());
     rendezvous::order(&mut members, "readers", |member| member.candidate());
     let mut seen = collections::HashSet::new();
     let (mut members, rest): (Vec<_>, Vec<_>) = members
@@ -73,7 +73,11 @@
 /// Sorts readers as `own` asks them: those of its data centre first.
 ///
 /// The rest are in an order of each process's own, so that readers get equal parts of the fleet.
-pub fn prefer(readers: &mut [Member<'_>], own: &id::InstanceName, data_centre: &id::DataCentre) {
+pub fn sort_by_proximity(
+    readers: &mut [Member<'_>],
+    own: &id::InstanceName,
+    data_centre: &id::DataCentre,
+) {
     rendezvous::order(readers, own.as_str(), |member| rendezvous::Candidate {
         name: member.name,
         // Those that read are strong enough.
--- a/laburnumcart/src/readers/standing.rs
+++ b/laburnumcart/src/readers/health.rs
@@ -19,19 +19,19 @@
 
 /// How the service took the last calls of this process.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Standing {
+pub struct Health {
     answered: Option<Instant>,
     failed: Option<Instant>,
 }
 
-impl Standing {
+impl Health {
     /// Records a call that was answered.
-    pub fn answer(&mut self, now: Instant) {
+    pub fn record_success(&mut self, now: Instant) {
         self.answered = Some(now);
     }
 
     /// Records a call that failed.
-    pub fn fail(&mut self, now: Instant) {
+    pub fn record_failure(&mut self, now: Instant) {
         self.failed = Some(now);
     }
 
@@ -41,12 +41,12 @@
     }
 
     /// Reports whether a reader calls the service before it asks others.
-    pub fn goes_first(&self, now: Instant) -> bool {
+    pub fn can_call_first(&self, now: Instant) -> bool {
         !self.is_failing() || !is_within(self.failed, RETRY, now)
     }
 
     /// Reports whether a process that is no reader calls the service once the readers know nothing.
-    pub fn is_served(&self, now: Instant) -> bool {
+    pub fn can_call(&self, now: Instant) -> bool {
         !self.is_failing() && is_within(self.answered, SERVED, now)
     }
 
@@ -54,7 +54,7 @@
     ///
     /// `draw` is a number below 1 that differs between processes and tries, so that hundreds of them
     /// do not call in one moment.
-    pub fn may_try(&self, draw: f64, now: Instant) -> bool {
+    pub fn can_probe(&self, draw: f64, now: Instant) -> bool {
         let tried = self.answered.max(self.failed);
         !is_within(tried, TRY.mul_f64(0.5 + draw), now)
     }
--- a/laburnumcart/src/residency.rs
+++ b/laburnumcart/src/residency.rs
@@ -14,7 +14,7 @@
 impl Residency {
     /// Confines to some regions beside what binds already; `None` names none.
     #[must_use]
-    pub fn and(mut self, regions: Option<impl IntoIterator<Item = id::Region>>) -> Self {
+    pub fn restrict(mut self, regions: Option<impl IntoIterator<Item = id::Region>>) -> Self {
         self.0
             .extend(regions.map(|regions| regions.into_iter().collect()));
         self
@@ -35,6 +35,6 @@
 }
 
 /// Reports whether a data centre is among those allowed.
-pub fn allows(allowed: Option<&[id::DataCentre]>, place: &id::DataCentre) -> bool {
+pub fn is_allowed(allowed: Option<&[id::DataCentre]>, place: &id::DataCentre) -> bool {
     allowed.is_none_or(|allowed| allowed.contains(place))
 }
--- a/laburnumcart/src/retry.rs
+++ b/laburnumcart/src/retry.rs
@@ -17,7 +17,7 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Decision {
     /// Dispatch a new attempt to another target.
-    Elsewhere,
+    Retry,
     /// Dispatch a new attempt to another target, which goes on after the text received.
     Resume,
     /// Answer the caller.
@@ -54,7 +54,7 @@
 
 /// Time of a request.
 #[derive(Clone, Copy, Debug)]
-pub struct Time {
+pub struct TimeBudget {
     /// Left until the deadline.
     pub remaining: time::Duration,
     /// Least that another attempt and the stages after it need.
@@ -73,7 +73,7 @@
 ///
 /// let now = Instant::now();
 /// let mut budget = budget::Budget::new(unit::Share(0.1), now);
-/// let time = retry::Time {
+/// let time = retry::TimeBudget {
 ///     remaining: Duration::from_secs(2),
 ///     needed: Duration::from_millis(100),
 ///     now,
@@ -81,7 +81,7 @@
 /// let mut attempts = retry::Attempts::new(false, verdict::Verdict::NotRun);
 /// let refusal = verdict::Refusal::not_run(verdict::Reason::Leaving);
 /// let failure = retry::Failure { refusal, reached: false, resumable: false };
-/// assert_eq!(attempts.decide(&failure, time, &mut budget), retry::Decision::Elsewhere);
+/// assert_eq!(attempts.decide(&failure, time, &mut budget), retry::Decision::Retry);
 ///
 /// let refusal = verdict::Refusal::may_have_run(verdict::Reason::Lost);
 /// let failure = retry::Failure { refusal, reached: true, resumable: false };
@@ -121,7 +121,7 @@
     }
 
     /// Takes in a failure after which there is no other target; returns the answer for the caller.
-    pub fn end(
+    pub fn record_failure(
         &mut self,
         refusal: verdict::Refusal,
         now: Instant,
@@ -129,9 +129,9 @@
     ) -> verdict::Refusal {
         self.cause = Cause::Exhausted;
         self.failed += 1;
-        self.verdict = self.verdict.and(refusal.verdict);
+        self.verdict = self.verdict.combine(refusal.verdict);
         if is_overload(refusal.reason) {
-            budget.refuse(now);
+            budget.record_refusal(now);
         }
         verdict::Refusal {
             verdict: self.verdict,
@@ -143,11 +143,11 @@
     pub fn decide(
         &mut self,
         failure: &Failure,
-        time: Time,
+        time: TimeBudget,
         budget: &mut budget::Budget,
     ) -> Decision {
         let refusal = failure.refusal;
-        self.end(refusal, time.now, budget);
+        self.record_failure(refusal, time.now, budget);
         self.cause = Cause::Unsafe;
         if !self.may_repeat(refusal) {
             return self.give_up(refusal);
@@ -164,13 +164,13 @@
             true => Cause::Unused,
             false => Cause::Budget,
         };
-        if !is_free && !budget.spend(time.now) {
+        if !is_free && !budget.try_spend(time.now) {
             return self.give_up(refusal);
         }
         if failure.resumable && refusal.reason != verdict::Reason::Corrupt {
             Decision::Resume
         } else {
-            Decision::Elsewhere
+            Decision::Retry
         }
     }
 
--- a/laburnumcart/src/seal.rs
+++ b/laburnumcart/src/signing.rs
@@ -80,7 +80,7 @@
 
 /// An envelope that must not be used.
 #[derive(Clone, Copy, Debug, Display, Error, Eq, PartialEq)]
-pub enum Rejected {
+pub enum VerifyError {
     /// It exceeds [`ENVELOPE_MAX`].
     #[display("envelope is larger than 1MiB")]
     TooLarge,
@@ -110,13 +110,13 @@
     }
 
     /// Reads the stored form.
-    pub fn parse(text: &str) -> Result<Self, Rejected> {
+    pub fn parse(text: &str) -> Result<Self, VerifyError> {
         if text.len() > ENVELOPE_MAX {
-            return Err(Rejected::TooLarge);
+            return Err(VerifyError::TooLarge);
         }
-        let envelope: Self = serde_json::from_str(text).map_err(|_| Rejected::Malformed)?;
+        let envelope: Self = serde_json::from_str(text).map_err(|_| VerifyError::Malformed)?;
         if envelope.signatures.len() > SIGNATURES_MAX {
-            return Err(Rejected::Malformed);
+            return Err(VerifyError::Malformed);
         }
         Ok(envelope)
     }
@@ -174,18 +174,18 @@
     /// Signatures of unknown keys are passed over: while keys change, an envelope bears some that
     /// not every process knows yet. The outcome does not depend on the order of the signatures, and
     /// all are checked in any case.
-    pub fn verify(&self, text: &str, wanted: Option<Digest>) -> Result<Verified, Rejected> {
+    pub fn verify(&self, text: &str, wanted: Option<Digest>) -> Result<Verified, VerifyError> {
         if text.len() > ENVELOPE_MAX {
-            return Err(Rejected::TooLarge);
+            return Err(VerifyError::TooLarge);
         }
         let digest = Digest::of(text.as_bytes());
         if wanted.is_some_and(|wanted| wanted != digest) {
-            return Err(Rejected::WrongDigest);
+            return Err(VerifyError::WrongDigest);
         }
         let envelope = Envelope::parse(text)?;
         let signers = self.signers(&envelope);
         if signers.len() < self.required as usize {
-            return Err(Rejected::TooFew {
+            return Err(VerifyError::TooFew {
                 valid: signers.len(),
                 required: self.required,
             });
@@ -234,7 +234,7 @@
             let problem = format!("must be from 1 to the number of keys, {count}");
             faults.push(at.key("signers"), problem);
         }
-        faults.or(Self { keys, required })
+        faults.into_result(Self { keys, required })
     }
 }
 
--- a/laburnumcart/src/strain.rs
+++ b/laburnumcart/src/starvation.rs
@@ -19,24 +19,24 @@
 /// ```
 /// use std::time::Duration;
 ///
-/// use laburnumcart::strain;
+/// use laburnumcart::starvation;
 ///
-/// let mut strain = strain::Strain::default();
-/// assert!(!strain.observe(Duration::from_millis(300)));
-/// assert!((0..20).any(|_| strain.observe(Duration::from_millis(300))));
+/// let mut strain = starvation::Detector::default();
+/// assert!(!strain.record_lateness(Duration::from_millis(300)));
+/// assert!((0..20).any(|_| strain.record_lateness(Duration::from_millis(300))));
 /// assert!(strain.is_starved());
 /// ```
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Strain {
+pub struct Detector {
     /// Mean lateness in seconds.
     mean: f64,
     starved: bool,
 }
 
-impl Strain {
+impl Detector {
     /// Takes in how late a timer of the process was; returns whether it has become starved by it, or
     /// has recovered.
-    pub fn observe(&mut self, late: time::Duration) -> bool {
+    pub fn record_lateness(&mut self, late: time::Duration) -> bool {
         self.mean += (late.as_secs_f64() - self.mean) * WEIGHT;
         let before = self.starved;
         self.starved = match before {
--- a/laburnumcart/src/subset.rs
+++ b/laburnumcart/src/subset.rs
@@ -67,9 +67,9 @@
 /// ```
 /// use laburnumcart::subset;
 ///
-/// assert_eq!(subset::period(15_000, 350).as_millis(), 14_186);
+/// assert_eq!(subset::heartbeat_period(15_000, 350).as_millis(), 14_186);
 /// ```
-pub fn period(bytes: u64, peers: usize) -> time::Duration {
+pub fn heartbeat_period(bytes: u64, peers: usize) -> time::Duration {
     let exchanges = peers as f64 * EXCHANGE as f64;
     time::Duration::from_secs_f64(exchanges / bytes.max(1) as f64)
 }
--- a/laburnumcart/src/suspects.rs
+++ b/laburnumcart/src/suspects.rs
@@ -29,7 +29,7 @@
 
 /// What is known of a request's content.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Standing {
+pub enum Status {
     /// Runs anywhere.
     Clean,
     /// Runs only where no other suspect does.
@@ -48,18 +48,18 @@
 /// let (poison, innocent) = (id::Fingerprint(1), id::Fingerprint(2));
 /// let quarantine = unit::Period::from_secs(600);
 /// let mut table = facts::Table::default();
-/// table.add_crash(&suspects::crash([poison, innocent], quarantine), now);
+/// table.add_crash(&suspects::crash_fact([poison, innocent], quarantine), now);
 ///
 /// // Both are retried, each alone among suspects. One completes, the other crashes a target.
 /// let known = suspects::Suspects::new(&table, now);
-/// assert!(!known.may_run(poison, [innocent], now));
-/// for cleared in known.clear(innocent, now) {
+/// assert!(!known.can_run(poison, [innocent], now));
+/// for cleared in known.clearances(innocent, now) {
 ///     table.add_cleared(&cleared, now);
 /// }
-/// table.add_crash(&suspects::crash([poison], quarantine), now);
+/// table.add_crash(&suspects::crash_fact([poison], quarantine), now);
 ///
 /// let known = suspects::Suspects::new(&table, now);
-/// assert_eq!(known.standing(innocent, now), suspects::Standing::Clean);
+/// assert_eq!(known.status(innocent, now), suspects::Status::Clean);
 /// assert!(known.refusal(poison, now).is_some());
 /// ```
 #[derive(Clone, Debug, Default)]
@@ -98,23 +98,23 @@
     }
 
     /// Returns what is known of a request's content.
-    pub fn standing(&self, print: id::Fingerprint, now: Instant) -> Standing {
+    pub fn status(&self, print: id::Fingerprint, now: Instant) -> Status {
         if let Some(until) = self.quarantined.get(&print)
             && *until > now
         {
-            return Standing::Quarantined(*until);
+            return Status::Quarantined(*until);
         }
         let strikes = self.strikes.get(&print);
         if strikes.is_some_and(|all| all.iter().any(|(_, expiry)| *expiry > now)) {
-            Standing::Suspect
+            Status::Suspect
         } else {
-            Standing::Clean
+            Status::Clean
         }
     }
 
     /// Returns the refusal of quarantined content; such a request did not run.
     pub fn refusal(&self, print: id::Fingerprint, now: Instant) -> Option<verdict::Refusal> {
-        let Standing::Quarantined(until) = self.standing(print, now) else {
+        let Status::Quarantined(until) = self.status(print, now) else {
             return None;
         };
         let period = unit::Period(until.saturating_duration_since(now));
@@ -125,24 +125,24 @@
     ///
     /// Two suspects on one target could both be struck by the crash of one, and an innocent request
     /// would be quarantined. Alone among suspects, a second crash tells them apart.
-    pub fn may_run(
+    pub fn can_run(
         &self,
         print: id::Fingerprint,
         running: impl IntoIterator<Item = id::Fingerprint>,
         now: Instant,
     ) -> bool {
-        match self.standing(print, now) {
-            Standing::Clean => true,
-            Standing::Quarantined(_) => false,
-            Standing::Suspect => {
-                let clean = |other| self.standing(other, now) == Standing::Clean;
+        match self.status(print, now) {
+            Status::Clean => true,
+            Status::Quarantined(_) => false,
+            Status::Suspect => {
+                let clean = |other| self.status(other, now) == Status::Clean;
                 running.into_iter().all(clean)
             }
         }
     }
 
     /// Returns the facts that clear content which has completed; none if it is not suspected.
-    pub fn clear(&self, print: id::Fingerprint, now: Instant) -> Vec<facts::Cleared> {
+    pub fn clearances(&self, print: id::Fingerprint, now: Instant) -> Vec<facts::Cleared> {
         let strikes = self.strikes.get(&print).into_iter().flatten();
         let cleared = strikes.map(|(crash, expiry)| facts::Cleared {
             fingerprint: print,
@@ -157,7 +157,7 @@
 ///
 /// It is valid for twice the quarantine. Content that crashes a second target within the quarantine
 /// of the first crash is then refused for at least that time, and at most twice as long.
-pub fn crash(
+pub fn crash_fact(
     ran: impl IntoIterator<Item = id::Fingerprint>,
     quarantine: unit::Period,
 ) -> facts::Crash {
--- a/laburnumcart/src/verdict.rs
+++ b/laburnumcart/src/verdict.rs
@@ -25,7 +25,7 @@
 
 impl Verdict {
     /// Combines the verdicts of two parts of one request: only two proofs are a proof.
-    pub fn and(self, other: Self) -> Self {
+    pub fn combine(self, other: Self) -> Self {
         match (self, other) {
             (Self::NotRun, Self::NotRun) => Self::NotRun,
             _ => Self::MayHaveRun,
--- a/laburnumcart/tests/admit.rs
+++ b/laburnumcart/tests/admission.rs
@@ -3,7 +3,7 @@
 use std::time;
 
 use laburnumcart::{
-    admit,
+    admission,
     bundle::Priority,
     verdict::{
         Reason,
@@ -20,7 +20,12 @@
 }
 
 /// Admits until refused; returns the number admitted.
-fn fill(a: &mut admit::Admission, team: admit::TeamKey, level: Priority, now: Instant) -> u32 {
+fn fill(
+    a: &mut admission::Controller,
+    team: admission::TeamKey,
+    level: Priority,
+    now: Instant,
+) -> u32 {
     let mut rng = rng();
     (0..)
         .take_while(|_| a.admit(team, level, now, &mut rng).is_ok())
@@ -34,21 +39,21 @@
     ) {
         let now = Instant::now();
         let mut rng = rng();
-        let mut admission = admit::Admission::new(now);
+        let mut admission = admission::Controller::new(now);
         let teams: Vec<_> = (1..=4).map(|w| admission.add_team(w)).collect();
         let mut running = [0u32; 4];
         for (i, start) in steps {
-            let guaranteed = admission.total() * (i as u32 + 1) / 10;
+            let guaranteed = admission.capacity() * (i as u32 + 1) / 10;
             if start {
                 let admitted = admission.admit(teams[i], Priority::Low, now, &mut rng).is_ok();
                 prop_assert!(admitted || running[i] >= guaranteed);
                 running[i] += u32::from(admitted);
             } else if running[i] > 0 {
-                admission.finish(teams[i], admit::Outcome::Done, now);
+                admission.finish(teams[i], admission::Outcome::Done, now);
                 running[i] -= 1;
             }
-            prop_assert_eq!(admission.running(), running.iter().sum::<u32>());
-            prop_assert!(admission.running() <= 2 * admission.total());
+            prop_assert_eq!(admission.in_flight(), running.iter().sum::<u32>());
+            prop_assert!(admission.in_flight() <= 2 * admission.capacity());
         }
     }
 }
@@ -59,7 +64,7 @@
 #[case(Priority::Low, 192)]
 fn lower_priorities_borrow_less(#[case] level: Priority, #[case] admitted: u32) {
     let now = Instant::now();
-    let mut admission = admit::Admission::new(now);
+    let mut admission = admission::Controller::new(now);
     let (flood, calm) = (admission.add_team(1), admission.add_team(1));
     admission.admit(calm, level, now, &mut rng()).unwrap();
     assert_eq!(fill(&mut admission, flood, level, now) + 1, admitted);
@@ -69,7 +74,7 @@
 #[test]
 fn borrowed_room_is_no_reason_to_refuse_a_share() {
     let now = Instant::now();
-    let mut admission = admit::Admission::new(now);
+    let mut admission = admission::Controller::new(now);
     let (flood, calm) = (admission.add_team(1), admission.add_team(3));
     assert_eq!(fill(&mut admission, flood, Priority::High, now), 256);
     assert_eq!(fill(&mut admission, calm, Priority::Low, now), 192);
@@ -80,10 +85,10 @@
 #[test]
 fn refusals_for_share_fall_on_their_team() {
     let mut now = Instant::now();
-    let mut admission = admit::Admission::new(now);
+    let mut admission = admission::Controller::new(now);
     let (flood, calm) = (admission.add_team(1), admission.add_team(1));
-    let before = admission.total();
-    let refused = admit::Outcome::Refused(Reason::OverShare);
+    let before = admission.capacity();
+    let refused = admission::Outcome::Refused(Reason::OverShare);
     for _ in 0..40 {
         now += time::Duration::from_secs(1);
         for _ in 0..fill(&mut admission, flood, Priority::High, now) {
@@ -100,19 +105,19 @@
         (Verdict::NotRun, Reason::OverShare)
     );
     assert!(refusal.retry.is_some());
-    assert_eq!(admission.total(), before);
+    assert_eq!(admission.capacity(), before);
     assert!(fill(&mut admission, calm, Priority::High, now) >= before / 2);
     for _ in 0..held {
-        admission.finish(flood, admit::Outcome::Done, now);
+        admission.finish(flood, admission::Outcome::Done, now);
     }
     for _ in 0..100_000 {
         if admission
             .admit(flood, Priority::High, now, &mut rng())
             .is_ok()
         {
-            admission.finish(flood, admit::Outcome::Done, now);
+            admission.finish(flood, admission::Outcome::Done, now);
         }
-        admission.finish(calm, admit::Outcome::Done, now);
+        admission.finish(calm, admission::Outcome::Done, now);
     }
     assert!(fill(&mut admission, flood, Priority::High, now) >= before / 2);
 }
@@ -122,26 +127,26 @@
 #[test]
 fn total_follows_overload() {
     let mut now = Instant::now();
-    let mut admission = admit::Admission::new(now);
+    let mut admission = admission::Controller::new(now);
     let team = admission.add_team(1);
-    let overload = admit::Outcome::Refused(Reason::Overloaded);
+    let overload = admission::Outcome::Refused(Reason::Overloaded);
     fill(&mut admission, team, Priority::High, now);
     for _ in 0..100 {
         admission.finish(team, overload, now);
     }
-    assert_eq!(admission.total(), 204);
+    assert_eq!(admission.capacity(), 204);
     for _ in 0..100 {
         now += time::Duration::from_secs(1);
         fill(&mut admission, team, Priority::High, now);
         admission.finish(team, overload, now);
     }
-    assert_eq!(admission.total(), 8);
-    while admission.running() > 8 {
-        admission.finish(team, admit::Outcome::Done, now);
+    assert_eq!(admission.capacity(), 8);
+    while admission.in_flight() > 8 {
+        admission.finish(team, admission::Outcome::Done, now);
     }
     for _ in 0..1000 {
         fill(&mut admission, team, Priority::High, now);
-        admission.finish(team, admit::Outcome::Done, now);
+        admission.finish(team, admission::Outcome::Done, now);
     }
-    assert!(admission.total() > 50);
+    assert!(admission.capacity() > 50);
 }
--- a/laburnumcart/tests/attempts.rs
+++ b/laburnumcart/tests/attempts.rs
@@ -2,12 +2,12 @@
 
 use laburnumcart::{
     attempts::{
-        Bounds,
-        Forgotten,
+        Descriptor, //
+        Expired,
+        Limits,
         Position,
         State,
         Table,
-        Ticket, //
     },
     id::{
         AttemptId,
@@ -33,20 +33,20 @@
 const ID: AttemptId = AttemptId(7);
 
 fn table() -> Table<()> {
-    Table::new(Bounds {
+    Table::new(Limits {
         retention: RETENTION,
         bytes: 1000,
         attempts: 2,
     })
 }
 
-fn ticket(id: AttemptId) -> Ticket {
+fn ticket(id: AttemptId) -> Descriptor {
     let now = Instant::now();
-    Ticket {
+    Descriptor {
         request: RequestId(1),
         attempt: id,
         lane: Incarnation(3),
-        sent: 4,
+        session: 4,
         arrived: now,
         deadline: now + Duration::from_secs(10),
     }
@@ -55,12 +55,12 @@
 fn running() -> Table<()> {
     let mut table = table();
     assert!(table.admit(ticket(ID), ()).unwrap());
-    assert!(table.begin(ID, Instant::now()));
+    assert!(table.mark_running(ID, Instant::now()));
     table
 }
 
 fn state(table: &Table<()>) -> State {
-    table.read(ID, 0, 1000).unwrap().unwrap().state
+    table.read_chunks(ID, 0, 1000).unwrap().unwrap().state
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -95,7 +95,7 @@
 async fn verdict_follows_from_the_end(#[case] how: End, #[case] verdict: Option<Verdict>) {
     let mut table = running();
     assert_eq!(end(&mut table, how), verdict);
-    assert!(!table.begin(ID, Instant::now()), "an end is final");
+    assert!(!table.mark_running(ID, Instant::now()), "an end is final");
     assert!(!table.fail(ID, Reason::Lost, Instant::now()));
     assert!(!table.push(ID, "late"));
     assert!(
@@ -131,15 +131,15 @@
     table.push(ID, "text");
     end(&mut table, how);
     time::advance(RETENTION - Duration::from_millis(1)).await;
-    assert_eq!(table.sweep(Instant::now()), []);
+    assert_eq!(table.expire(Instant::now()), []);
     assert_eq!(table.len(), 1);
     time::advance(Duration::from_millis(1)).await;
-    let forgotten = Forgotten {
+    let forgotten = Expired {
         lane: Incarnation(3),
-        sent: 4,
+        session: 4,
     };
     let expected: Vec<_> = named.then_some(forgotten).into_iter().collect();
-    assert_eq!(table.sweep(Instant::now()), expected);
+    assert_eq!(table.expire(Instant::now()), expected);
     assert!(table.is_empty() && table.bytes() == 0);
 }
 
@@ -154,7 +154,7 @@
     if ended {
         table.finish(ID, Instant::now());
     }
-    table.release(ID);
+    table.forget(ID);
     assert_eq!(table.is_empty(), ended);
     if !ended {
         assert!(table.fail(ID, Reason::Cancelled, Instant::now()));
@@ -170,10 +170,10 @@
     table.acknowledge(ID, 1);
     table.finish(ID, Instant::now());
     table.acknowledge(ID, 1);
-    let view = table.read(ID, 1, 1000).unwrap().unwrap();
+    let view = table.read_chunks(ID, 1, 1000).unwrap().unwrap();
     assert!(matches!(view.state, State::Done(end) if end.count == 1));
-    assert_eq!(table.read(ID, 0, 1000), Some(Err(Position::Past)));
-    assert_eq!(table.read(ID, 2, 1000), Some(Err(Position::Ahead)));
+    assert_eq!(table.read_chunks(ID, 0, 1000), Some(Err(Position::Past)));
+    assert_eq!(table.read_chunks(ID, 2, 1000), Some(Err(Position::Ahead)));
 }
 
 #[tokio::test(start_paused = true)]
@@ -219,7 +219,7 @@
 impl Reader {
     fn read(&mut self, table: &mut Table<()>, limit: usize) -> State {
         table.acknowledge(ID, self.next);
-        let view = table.read(ID, self.next, limit).unwrap().unwrap();
+        let view = table.read_chunks(ID, self.next, limit).unwrap().unwrap();
         for chunk in view.chunks {
             assert_eq!(chunk.number, self.next);
             self.text.push_str(&chunk.text);
@@ -249,7 +249,7 @@
                 }
                 Step::Lost(limit) => {
                     table.acknowledge(ID, reader.next);
-                    table.read(ID, reader.next, limit).unwrap().unwrap();
+                    table.read_chunks(ID, reader.next, limit).unwrap().unwrap();
                 }
                 Step::Late(number) => table.acknowledge(ID, number.min(reader.next)),
             }
@@ -264,7 +264,7 @@
         prop_assert_eq!(end.count, reader.next);
         let hash = xxhash_rust::xxh3::xxh3_128(sent.as_bytes());
         prop_assert_eq!(end.checksum, Checksum(hash));
-        table.release(ID);
+        table.forget(ID);
         prop_assert_eq!(table.bytes(), 0);
     }
 }
--- a/laburnumcart/tests/route.rs
+++ b/laburnumcart/tests/balancer.rs
@@ -5,25 +5,25 @@
     time, //
 };
 
-use laburnumcart::route;
+use laburnumcart::balancer;
 use proptest::prelude::*;
 use rand::SeedableRng;
 use rstest::rstest;
 use tokio::time::Instant;
 
-fn target(name: usize, pending: u32, local: bool, now: Instant) -> route::Target {
-    route::Target {
+fn target(name: usize, pending: u32, local: bool, now: Instant) -> balancer::Target {
+    balancer::Target {
         name: format!("t{name}").parse().unwrap(),
-        state: route::State::Ready,
-        load: route::Load {
+        state: balancer::State::Ready,
+        load: balancer::Load {
             pending,
             own: 0,
             limit: 4,
-            service: time::Duration::from_millis(40),
+            service_time: time::Duration::from_millis(40),
             at: now,
         },
         local,
-        crossing: time::Duration::from_millis(if local { 0 } else { 15 }),
+        extra_latency: time::Duration::from_millis(if local { 0 } else { 15 }),
     }
 }
 
@@ -39,15 +39,15 @@
         prefix in prop::option::of(any::<u64>()),
         seed: u64,
     ) {
-        use route::State;
+        use balancer::State;
         let now = Instant::now();
         let all = [State::Ready, State::Down, State::Leaving, State::Ejected];
-        let targets = states.iter().enumerate().map(|(i, state)| route::Target {
+        let targets = states.iter().enumerate().map(|(i, state)| balancer::Target {
             state: all[*state],
             ..target(i, 0, i % 2 == 0, now)
         });
-        let table = route::Table::new(targets.collect());
-        let ask = route::Ask { tried: &tried, prefix, own: &|_| 0, now };
+        let table = balancer::Table::new(targets.collect());
+        let ask = balancer::Request { tried: &tried, prefix, own: &|_| 0, now };
         let choose = || table.choose(&ask, &mut rand::rngs::StdRng::seed_from_u64(seed));
         let fits = |i: usize| table.targets()[i].state == State::Ready && !tried.contains(&i);
         let any = (0..states.len()).any(fits);
@@ -63,44 +63,48 @@
 #[test]
 fn home_is_the_same_for_all() {
     let now = Instant::now();
-    let here = route::Table::new((0..8).map(|i| target(i, 0, i < 3, now)).collect());
+    let here = balancer::Table::new((0..8).map(|i| target(i, 0, i < 3, now)).collect());
     let there = (0..8).rev().map(|i| target(i, i as u32, i > 4, now));
-    let there = route::Table::new(there.collect());
-    let name = |table: &route::Table, i: usize| table.targets()[i].name.clone();
+    let there = balancer::Table::new(there.collect());
+    let name = |table: &balancer::Table, i: usize| table.targets()[i].name.clone();
     let mut homes = std::collections::HashSet::new();
     for key in 0..100 {
-        let first = name(&here, here.home(key, |_| true).unwrap());
-        assert_eq!(name(&there, there.home(key, |_| true).unwrap()), first);
-        let next = |table: &route::Table| table.home(key, |i| name(table, i) != first).unwrap();
+        let first = name(&here, here.find_by_key(key, |_| true).unwrap());
+        assert_eq!(
+            name(&there, there.find_by_key(key, |_| true).unwrap()),
+            first
+        );
+        let next =
+            |table: &balancer::Table| table.find_by_key(key, |i| name(table, i) != first).unwrap();
         assert_eq!(name(&here, next(&here)), name(&there, next(&there)));
         homes.insert(first);
     }
     assert_eq!(homes.len(), 8);
-    assert_eq!(here.home(0, |_| false), None);
+    assert_eq!(here.find_by_key(0, |_| false), None);
 }
 
 // One target of two is ejected as an outlier, then the other leaves or goes down. Callers must be
 // served by the outlier: a cap on the ejected share counts targets that are of no use here, and
 // refusing all as "no target" while one works is worse than the slowness that it was ejected for.
 #[rstest]
-#[case::left(route::State::Leaving)]
-#[case::down(route::State::Down)]
-fn an_outlier_is_better_than_none(#[case] other: route::State) {
+#[case::left(balancer::State::Leaving)]
+#[case::down(balancer::State::Down)]
+fn an_outlier_is_better_than_none(#[case] other: balancer::State) {
     let now = Instant::now();
-    let with = |name, state| route::Target {
+    let with = |name, state| balancer::Target {
         state,
         ..target(name, 0, true, now)
     };
-    let ejected = with(0, route::State::Ejected);
-    let ask = route::Ask {
+    let ejected = with(0, balancer::State::Ejected);
+    let ask = balancer::Request {
         tried: &[],
         prefix: None,
         own: &|_| 0,
         now,
     };
-    let table = route::Table::new(vec![ejected.clone(), with(1, other)]);
+    let table = balancer::Table::new(vec![ejected.clone(), with(1, other)]);
     assert_eq!(table.choose(&ask, &mut rng()), Some(0));
-    let table = route::Table::new(vec![ejected, with(1, route::State::Ready)]);
+    let table = balancer::Table::new(vec![ejected, with(1, balancer::State::Ready)]);
     assert_eq!(table.choose(&ask, &mut rng()), Some(1));
 }
 
@@ -110,8 +114,8 @@
 #[case::remote_much_faster(40, 0, false)]
 fn crosses_only_where_it_is_faster(#[case] near: u32, #[case] far: u32, #[case] stays: bool) {
     let now = Instant::now();
-    let table = route::Table::new(vec![target(0, far, false, now), target(1, near, true, now)]);
-    let ask = route::Ask {
+    let table = balancer::Table::new(vec![target(0, far, false, now), target(1, near, true, now)]);
+    let ask = balancer::Request {
         tried: &[],
         prefix: None,
         own: &|_| 0,
@@ -129,12 +133,12 @@
     let old = now;
     let now = now + time::Duration::from_secs(5);
     let targets = (0..10).map(|i| target(i, if i == 0 { 0 } else { 12 }, true, old));
-    let table = route::Table::new(targets.collect());
+    let table = balancer::Table::new(targets.collect());
     let own = cell::RefCell::new(vec![0u32; 10]);
     let mut rng = rng();
     for _ in 0..200 {
         let read = |i: usize| own.borrow()[i];
-        let ask = route::Ask {
+        let ask = balancer::Request {
             tried: &[],
             prefix: None,
             own: &read,
@@ -149,13 +153,13 @@
 #[test]
 fn popular_prefix_stays_within_its_bound() {
     let now = Instant::now();
-    let table = route::Table::new((0..10).map(|i| target(i, 0, true, now)).collect());
+    let table = balancer::Table::new((0..10).map(|i| target(i, 0, true, now)).collect());
     let own = cell::RefCell::new(vec![0u32; 10]);
     let mut rng = rng();
     for i in 0..400u64 {
         let read = |i: usize| own.borrow()[i];
         let prefix = if i % 2 == 0 { 1 } else { i };
-        let ask = route::Ask {
+        let ask = balancer::Request {
             tried: &[],
             prefix: Some(prefix),
             own: &read,
@@ -172,14 +176,14 @@
 fn prefix_keeps_its_target_when_another_leaves() {
     let now = Instant::now();
     let all: Vec<_> = (0..10).map(|i| target(i, 0, true, now)).collect();
-    let ask = |prefix| route::Ask {
+    let ask = |prefix| balancer::Request {
         tried: &[],
         prefix: Some(prefix),
         own: &|_| 0,
         now,
     };
-    let name = |targets: &[route::Target], prefix| {
-        let table = route::Table::new(targets.to_vec());
+    let name = |targets: &[balancer::Target], prefix| {
+        let table = balancer::Table::new(targets.to_vec());
         let chosen = table.choose(&ask(prefix), &mut rng()).unwrap();
         table.targets()[chosen].name.clone()
     };
@@ -198,17 +202,17 @@
     let begun = Instant::now();
     let millis = time::Duration::from_millis;
     let at = |seconds| begun + time::Duration::from_secs(seconds);
-    let mut trip = route::crossing::Trip::new(begun);
-    assert_eq!(trip.least(), None);
+    let mut trip = balancer::latency::MinRtt::new(begun);
+    assert_eq!(trip.get(), None);
     trip.record(millis(5), at(1));
     trip.record(millis(30), at(2));
-    assert_eq!(trip.least(), Some(millis(5)));
+    assert_eq!(trip.get(), Some(millis(5)));
     trip.record(millis(30), at(31));
-    assert_eq!(trip.least(), Some(millis(5)));
+    assert_eq!(trip.get(), Some(millis(5)));
     trip.record(millis(30), at(62));
-    assert_eq!(trip.least(), Some(millis(30)));
+    assert_eq!(trip.get(), Some(millis(30)));
     trip.record(millis(40), at(200));
-    assert_eq!(trip.least(), Some(millis(40)));
+    assert_eq!(trip.get(), Some(millis(40)));
 }
 
 #[rstest]
@@ -217,7 +221,7 @@
 #[case(&[("own", 200), ("far", 30_200)], 30_000)]
 #[case(&[("own", 200), ("far", 150)], 0)]
 fn crossing_is_the_difference(#[case] trips: &[(&str, u64)], #[case] micros: u64) {
-    let mut crossings = route::crossing::Crossings::new("own".parse().unwrap());
+    let mut crossings = balancer::latency::ExtraLatency::new("own".parse().unwrap());
     for (data_centre, micros) in trips {
         let trip = time::Duration::from_micros(*micros);
         crossings.record(&data_centre.parse().unwrap(), trip);
--- a/laburnumcart/tests/batch/burst.rs
+++ b/laburnumcart/tests/batch/burst.rs
@@ -33,9 +33,9 @@
 
 const SHAPE: ingress::Batching = ingress::Batching {
     pieces: 24,
-    call: time::Duration::from_millis(200),
-    piece: time::Duration::from_millis(7),
-    room: unit::Size(1 << 30),
+    call_time: time::Duration::from_millis(200),
+    piece_time: time::Duration::from_millis(7),
+    capacity: unit::Size(1 << 30),
     ttl: time::Duration::from_secs(4),
 };
 
@@ -60,7 +60,7 @@
 
 /// Requests that the stages can do in a second, with full calls.
 pub(crate) fn capacity() -> f64 {
-    let call = SHAPE.call + SHAPE.piece * SHAPE.pieces as u32;
+    let call = SHAPE.call_time + SHAPE.piece_time * SHAPE.pieces as u32;
     let calls = TARGETS as f64 / call.as_secs_f64();
     calls * SHAPE.pieces as f64 / f64::from(PIECES)
 }
@@ -131,7 +131,7 @@
         let queue = |_| {
             let mut queue = batch::Queue::new(SHAPE);
             for _ in 0..TARGETS {
-                queue.engines.add("north".parse().unwrap());
+                queue.targets.add("north".parse().unwrap());
             }
             queue
         };
@@ -176,7 +176,7 @@
 
     fn spec(&self, request: &Request, stage: usize) -> batch::Spec {
         let later = (STAGES - 1 - stage) as u32;
-        let rest = REST + (SHAPE.call + SHAPE.piece * 12 + 60 * MS) * later;
+        let rest = REST + (SHAPE.call_time + SHAPE.piece_time * 12 + 60 * MS) * later;
         let due = request.start + OBJECTIVE - rest;
         let deadline = request.start + DEADLINE - rest;
         batch::Spec::new(PIECES, unit::Size(1000), due)
@@ -197,19 +197,19 @@
     /// Begins a request if the queues of all its stages can be in time.
     fn judge(&mut self, request: Request, asked: [bool; STAGES]) {
         let specs: Vec<_> = (0..STAGES).map(|i| self.spec(&request, i)).collect();
-        let step = |i: usize| forecast::Step {
+        let step = |i: usize| forecast::Stage {
             after: i.checked_sub(1).into_iter().collect(),
-            own: SHAPE.call + SHAPE.piece * 12 + 60 * MS,
-            outlook: asked[i].then(|| self.queues[i].forecast(&specs[i], self.now)),
+            duration: SHAPE.call_time + SHAPE.piece_time * 12 + 60 * MS,
+            estimate: asked[i].then(|| self.queues[i].estimate_future(&specs[i], self.now)),
         };
         let steps: Vec<_> = (0..STAGES).map(step).collect();
         let left =
             |limit: time::Duration| (request.start + limit).saturating_duration_since(self.now);
-        let time = forecast::Time {
+        let time = forecast::TimeBudget {
             slack: left(OBJECTIVE),
             left: left(DEADLINE),
             rest: REST,
-            again: request.again,
+            is_repeat: request.again,
         };
         let judgement = forecast::judge(&steps, time);
         match judgement {
@@ -228,7 +228,7 @@
         }
         self.tally(&request).begun += 1;
         for (queue, spec) in self.queues.iter_mut().zip(specs).skip(1) {
-            queue.expect(request.id, spec);
+            queue.announce(request.id, spec);
         }
         self.submit(0, request);
     }
@@ -244,7 +244,7 @@
             Act::Return(request) => self.arrive(request),
             Act::Submit(stage, request) => {
                 let spec = self.spec(&request, stage);
-                self.queues[stage].unexpect(request.id);
+                self.queues[stage].withdraw(request.id);
                 let key = self.queues[stage].push(spec);
                 self.jobs.insert((stage, key), request);
             }
@@ -253,7 +253,7 @@
                 self.acts.push((at, Act::End(stage, call)));
             }
             Act::End(stage, call) => {
-                let events = self.queues[stage].finish(&call, made(&call), self.now);
+                let events = self.queues[stage].complete_call(&call, made(&call), self.now);
                 self.settle(stage, events);
             }
         }
@@ -275,9 +275,11 @@
         }
         for stage in 0..STAGES {
             while self.owners.is_free(stage, now)
-                && let Some(call) = self.queues[stage].take(now)
+                && let Some(call) = self.queues[stage].next_call(now)
             {
-                let length = self.queues[stage].engines.promised(call.pieces.len());
+                let length = self.queues[stage]
+                    .targets
+                    .nominal_call_time(call.pieces.len());
                 let length = length.mul_f64(self.rng.random_range(1.0..1.1));
                 let sent = self.owners.handle(stage, now);
                 self.acts.push((sent + length, Act::Answer(stage, call)));
@@ -291,7 +293,7 @@
                 batch::Event::Done(key, handles) => {
                     let request = self.jobs.remove(&(stage, key)).unwrap();
                     for handle in handles {
-                        self.queues[stage].free(&handle);
+                        self.queues[stage].free_result(&handle);
                     }
                     match stage + 1 {
                         STAGES => self.end(&request),
@@ -302,7 +304,7 @@
                     self.jobs.remove(&(stage, key));
                 }
                 batch::Event::Orphan(handle) => {
-                    self.queues[stage].free(&handle);
+                    self.queues[stage].free_result(&handle);
                 }
             }
         }
