--- a/laburnumcart/tests/batch/calls.rs
+++ b/laburnumcart/tests/batch/calls.rs
@@ -25,13 +25,13 @@
     let now = Instant::now();
     let mut queue = queue(1);
     let jobs = [3, 3, 2, 1].map(|pieces| push(&mut queue, pieces, 1000 * MS, now));
-    let call = queue.take(now).unwrap();
+    let call = queue.next_call(now).unwrap();
     assert_eq!(call.pieces.len(), 8);
-    assert!(queue.take(now).is_none(), "one call at a time");
-    let events = queue.finish(&call, made(&call), now);
+    assert!(queue.next_call(now).is_none(), "one call at a time");
+    let events = queue.complete_call(&call, made(&call), now);
     assert_eq!(events.len(), 3);
-    let call = queue.take(now).unwrap();
-    let events = queue.finish(&call, made(&call), now);
+    let call = queue.next_call(now).unwrap();
+    let events = queue.complete_call(&call, made(&call), now);
     let batch::Event::Done(job, handles) = &events[0] else {
         panic!("{events:?}");
     };
@@ -47,9 +47,9 @@
     for _ in 0..3 {
         push(&mut queue, 3, 1000 * MS, now);
     }
-    let call = queue.take(now).unwrap();
+    let call = queue.next_call(now).unwrap();
     assert_eq!(call.pieces.len(), 6);
-    let events = queue.finish(&call, made(&call), now);
+    let events = queue.complete_call(&call, made(&call), now);
     assert!(
         matches!(
             &events[..],
@@ -71,11 +71,11 @@
     for _ in 0..4 {
         push(&mut queue, 1, 2100 * MS, now);
     }
-    assert!(queue.take(now).is_none());
+    assert!(queue.next_call(now).is_none());
     for handle in &handles {
-        queue.free(handle);
+        queue.free_result(handle);
     }
-    let call = queue.take(now).unwrap();
+    let call = queue.next_call(now).unwrap();
     assert!(call.pieces.iter().all(|p| p.job == large));
 }
 
@@ -88,11 +88,11 @@
     let job = queue.push(spec.deadline(now + 5000 * MS));
     let mut done = Vec::new();
     for _ in 0..3 {
-        let Some(call) = queue.take(now) else {
+        let Some(call) = queue.next_call(now) else {
             break;
         };
         assert!(call.pieces.len() <= 3);
-        done.extend(queue.finish(&call, made(&call), now));
+        done.extend(queue.complete_call(&call, made(&call), now));
         queue.expire(now + SHAPE.ttl);
     }
     assert!(
@@ -106,7 +106,7 @@
     let now = Instant::now();
     let mut queue = queue(2);
     push(&mut queue, 12, 1000 * MS, now);
-    let sizes = [(); 2].map(|()| queue.take(now).unwrap().pieces.len());
+    let sizes = [(); 2].map(|()| queue.next_call(now).unwrap().pieces.len());
     assert_eq!(sizes, [6, 6]);
 }
 
@@ -118,15 +118,15 @@
     for _ in 0..2 {
         push(&mut queue, 4, 1000 * MS, now);
     }
-    let next = queue.take(now).unwrap();
+    let next = queue.next_call(now).unwrap();
     assert_eq!(next.pieces.len(), 4, "12 results fit, 8 lie there");
-    queue.finish(&next, made(&next), now);
-    assert!(queue.take(now).is_none());
+    queue.complete_call(&next, made(&next), now);
+    assert!(queue.next_call(now).is_none());
     handles
         .iter()
-        .for_each(|handle| assert!(queue.free(handle).is_some()));
-    assert_eq!(queue.take(now).unwrap().pieces.len(), 4);
-    assert!(queue.free(&handles[0]).is_none(), "freed once");
+        .for_each(|handle| assert!(queue.free_result(handle).is_some()));
+    assert_eq!(queue.next_call(now).unwrap().pieces.len(), 4);
+    assert!(queue.free_result(&handles[0]).is_none(), "freed once");
 }
 
 #[test]
@@ -134,11 +134,11 @@
     let now = Instant::now();
     let mut queue = queue(1);
     push(&mut queue, 8, 1000 * MS, now);
-    let call = queue.take(now).unwrap();
-    queue.finish(&call, made(&call), now);
-    assert_eq!(queue.engines.used(call.engine), unit::Size(8000));
+    let call = queue.next_call(now).unwrap();
+    queue.complete_call(&call, made(&call), now);
+    assert_eq!(queue.targets.used_bytes(call.target), unit::Size(8000));
     queue.expire(now + SHAPE.ttl);
-    assert_eq!(queue.engines.used(call.engine), unit::Size(0));
+    assert_eq!(queue.targets.used_bytes(call.target), unit::Size(0));
 }
 
 // An earlier owner of the queue had results made that this one does not know of. The target has no
@@ -150,16 +150,19 @@
     for _ in 0..2 {
         push(&mut queue, 4, 3000 * MS, now);
     }
-    let call = queue.take(now).unwrap();
-    let events = queue.finish(&call, all(&call, batch::Outcome::NoRoom), now);
+    let call = queue.next_call(now).unwrap();
+    let events = queue.complete_call(&call, all(&call, batch::Outcome::NoRoom), now);
     assert!(events.is_empty());
-    let next = queue.take(now).unwrap();
+    let next = queue.next_call(now).unwrap();
     assert_eq!(next.pieces.len(), 4);
-    queue.finish(&next, all(&next, batch::Outcome::NoRoom), now);
-    assert!(queue.take(now).is_none());
+    queue.complete_call(&next, all(&next, batch::Outcome::NoRoom), now);
+    assert!(queue.next_call(now).is_none());
     let later = now + 600 * MS;
     queue.expire(later);
-    assert!(queue.take(later).is_some(), "tried again after a while");
+    assert!(
+        queue.next_call(later).is_some(),
+        "tried again after a while"
+    );
 }
 
 // A target dies during a call. Its pieces go to the other one, and the job is done all the same.
@@ -168,17 +171,17 @@
     let now = Instant::now();
     let mut queue = queue(2);
     let job = push(&mut queue, 4, 1000 * MS, now);
-    let call = queue.take(now).unwrap();
-    assert!(queue.abandon(&call, true, now).is_empty());
-    let other = queue.take(now).unwrap();
+    let call = queue.next_call(now).unwrap();
+    assert!(queue.fail_call(&call, true, now).is_empty());
+    let other = queue.next_call(now).unwrap();
     assert_ne!(
-        other.engine, call.engine,
+        other.target, call.target,
         "the target that failed is paused"
     );
-    let events = queue.finish(&other, made(&other), now);
+    let events = queue.complete_call(&other, made(&other), now);
     assert!(matches!(&events[..], [batch::Event::Done(key, _)] if *key == job));
     // What the lost call may have made still takes room at its target.
-    assert_eq!(queue.engines.used(call.engine), unit::Size(4000));
+    assert_eq!(queue.targets.used_bytes(call.target), unit::Size(4000));
 }
 
 // A piece that fails everywhere must not be sent for ever.
@@ -189,10 +192,10 @@
     let job = push(&mut queue, 1, 1000 * MS, start);
     for i in 1..100 {
         let now = start + i * 10 * MS;
-        let Some(call) = queue.take(now) else {
+        let Some(call) = queue.next_call(now) else {
             panic!("neither waiting nor given up");
         };
-        let events = queue.finish(&call, all(&call, batch::Outcome::Failed), now);
+        let events = queue.complete_call(&call, all(&call, batch::Outcome::Failed), now);
         if !events.is_empty() {
             assert_eq!(events, [batch::Event::Failed(job, batch::Failure::Failed)]);
             return;
@@ -208,10 +211,10 @@
     let now = Instant::now();
     let mut queue = queue(1);
     let job = push(&mut queue, 2, 1000 * MS, now);
-    let call = queue.take(now).unwrap();
+    let call = queue.next_call(now).unwrap();
     let kept = batch::Handle::new("kept", id::Life(1));
-    let outcomes = vec![batch::Outcome::Made(kept.clone()), batch::Outcome::Gone];
-    let events = queue.finish(&call, outcomes, now);
+    let outcomes = vec![batch::Outcome::Stored(kept.clone()), batch::Outcome::Gone];
+    let events = queue.complete_call(&call, outcomes, now);
     let failed = batch::Event::Failed(job, batch::Failure::Gone);
     assert_eq!(events, [batch::Event::Orphan(kept), failed]);
 }
@@ -222,9 +225,9 @@
     let now = Instant::now();
     let mut queue = queue(1);
     let job = push(&mut queue, 2, 1000 * MS, now);
-    let call = queue.take(now).unwrap();
+    let call = queue.next_call(now).unwrap();
     assert!(queue.cancel(job).is_empty());
-    let events = queue.finish(&call, made(&call), now);
+    let events = queue.complete_call(&call, made(&call), now);
     assert!(matches!(
         &events[..],
         [batch::Event::Orphan(_), batch::Event::Orphan(_)]
@@ -249,10 +252,10 @@
     let mut queue = queue(1);
     let running = push(&mut queue, 8, 900 * MS, now);
     let waiting = push(&mut queue, 2, 1000 * MS, now);
-    let call = queue.take(now).unwrap();
+    let call = queue.next_call(now).unwrap();
     let failed = batch::Event::Failed(waiting, batch::Failure::Unavailable);
-    assert_eq!(queue.hand_over(), [failed]);
-    let events = queue.finish(&call, made(&call), now);
+    assert_eq!(queue.release_unstarted(), [failed]);
+    let events = queue.complete_call(&call, made(&call), now);
     assert!(matches!(&events[..], [batch::Event::Done(key, _)] if *key == running));
 }
 
@@ -293,21 +296,21 @@
                 Step::Push(pieces) => {
                     open.insert(push(&mut queue, pieces, 700 * MS, now));
                 }
-                Step::Take => calls.extend(queue.take(now)),
+                Step::Take => calls.extend(queue.next_call(now)),
                 Step::End(kind) => {
                     let Some(call) = calls.pop() else { continue };
                     prop_assert!(call.pieces.len() <= SHAPE.pieces);
                     events.extend(match kind {
-                        0 => queue.abandon(&call, true, now),
-                        1 => queue.abandon(&call, false, now),
-                        2 => queue.finish(&call, all(&call, batch::Outcome::NoRoom), now),
-                        3 => queue.finish(&call, all(&call, batch::Outcome::Gone), now),
-                        _ => queue.finish(&call, made(&call), now),
+                        0 => queue.fail_call(&call, true, now),
+                        1 => queue.fail_call(&call, false, now),
+                        2 => queue.complete_call(&call, all(&call, batch::Outcome::NoRoom), now),
+                        3 => queue.complete_call(&call, all(&call, batch::Outcome::Gone), now),
+                        _ => queue.complete_call(&call, made(&call), now),
                     });
                 }
                 Step::Free => {
                     if let Some(handle) = held.pop() {
-                        queue.free(&handle);
+                        queue.free_result(&handle);
                     }
                 }
                 Step::Wait(millis) => {
@@ -323,14 +326,14 @@
                     }
                     batch::Event::Failed(key, _) => prop_assert!(open.remove(&key)),
                     batch::Event::Orphan(handle) => {
-                        queue.free(&handle);
+                        queue.free_result(&handle);
                     }
                 }
             }
         }
         // Time ends all that is left.
         for call in calls {
-            queue.abandon(&call, false, now);
+            queue.fail_call(&call, false, now);
         }
         for event in queue.expire(now + 10_000 * MS) {
             if let batch::Event::Failed(key, _) = event {
@@ -338,7 +341,7 @@
             }
         }
         prop_assert!(open.is_empty());
-        prop_assert_eq!(queue.waiting(), 0);
+        prop_assert_eq!(queue.waiting_pieces(), 0);
     }
 }
 
@@ -349,20 +352,20 @@
     let now = Instant::now();
     let mut queue = queue(1);
     push(&mut queue, 8, 1000 * MS, now);
-    let call = queue.take(now).unwrap();
+    let call = queue.next_call(now).unwrap();
     assert_eq!(
-        queue.engines.reading(call.engine),
+        queue.targets.input_read_time(call.target),
         None,
         "none was answered"
     );
-    queue.finish(&call, made(&call), now + 300 * MS);
-    let read = queue.engines.reading(call.engine).unwrap();
-    assert!(read > time::Duration::ZERO && read < SHAPE.call);
+    queue.complete_call(&call, made(&call), now + 300 * MS);
+    let read = queue.targets.input_read_time(call.target).unwrap();
+    assert!(read > time::Duration::ZERO && read < SHAPE.call_time);
     push(&mut queue, 4, 1000 * MS, now);
-    let call = queue.take(now + 300 * MS).unwrap();
-    queue.abandon(&call, true, now + 900 * MS);
+    let call = queue.next_call(now + 300 * MS).unwrap();
+    queue.fail_call(&call, true, now + 900 * MS);
     assert_eq!(
-        queue.engines.reading(call.engine),
+        queue.targets.input_read_time(call.target),
         None,
         "the last was given up"
     );
--- a/laburnumcart/tests/batch/cost.rs
+++ b/laburnumcart/tests/batch/cost.rs
@@ -28,7 +28,7 @@
 fn empty() -> batch::Queue {
     let mut queue = batch::Queue::new(SHAPE);
     for _ in 0..TARGETS {
-        queue.engines.add("north".parse().unwrap());
+        queue.targets.add("north".parse().unwrap());
     }
     queue
 }
@@ -45,8 +45,8 @@
 fn congested(jobs: u64, now: Instant) -> batch::Queue {
     let mut queue = empty();
     (0..jobs + TARGETS as u64 * 2).for_each(|i| _ = queue.push(job(i, 4, now)));
-    while queue.take(now).is_some() {}
-    (0..jobs).for_each(|i| queue.expect(i, job(i, 4, now)));
+    while queue.next_call(now).is_some() {}
+    (0..jobs).for_each(|i| queue.announce(i, job(i, 4, now)));
     queue
 }
 
@@ -54,9 +54,9 @@
 fn crowded(jobs: u64, now: Instant) -> batch::Queue {
     let mut queue = empty();
     (0..TARGETS as u64).for_each(|i| _ = queue.push(job(i, 8, now)));
-    let calls: Vec<_> = std::iter::from_fn(|| queue.take(now)).collect();
+    let calls: Vec<_> = std::iter::from_fn(|| queue.next_call(now)).collect();
     for call in &calls {
-        queue.finish(call, made(call), now);
+        queue.complete_call(call, made(call), now);
     }
     (0..jobs).for_each(|i| _ = queue.push(job(i, 8, now)));
     queue
@@ -95,9 +95,9 @@
     let mut queue = congested(JOBS, now);
     let spec = batch::Spec::new(4, SIZE, now + 2500 * MS);
     let pass = pass(JOBS, now);
-    let announced = shortest(|| _ = hint::black_box(queue.forecast(&spec, now)));
-    let checked = shortest(|| _ = hint::black_box(queue.outlook(&spec, now)));
-    let offered = shortest(|| assert!(queue.take(now).is_none()));
+    let announced = shortest(|| _ = hint::black_box(queue.estimate_future(&spec, now)));
+    let checked = shortest(|| _ = hint::black_box(queue.estimate_time(&spec, now)));
+    let offered = shortest(|| assert!(queue.next_call(now).is_none()));
     println!("pass={pass:?} announced={announced:?} checked={checked:?} offered={offered:?}");
     let all = announced + checked + offered;
     assert!(all < PASSES * pass, "{all:?} of {pass:?}");
@@ -109,6 +109,6 @@
     let now = Instant::now();
     let mut queue = crowded(JOBS, now);
     let pass = pass(JOBS, now);
-    let offered = shortest(|| assert!(queue.take(now).is_none()));
+    let offered = shortest(|| assert!(queue.next_call(now).is_none()));
     assert!(offered < PASSES * pass, "{offered:?} of {pass:?}");
 }
--- a/laburnumcart/tests/batch/outlook.rs
+++ b/laburnumcart/tests/batch/estimate.rs
@@ -22,17 +22,17 @@
     let now = Instant::now();
     let mut queue = queue(2);
     let spec = |due: u32| batch::Spec::new(4, SIZE, now + due * MS);
-    let empty = queue.outlook(&spec(1000), now);
+    let empty = queue.estimate_time(&spec(1000), now);
     assert_eq!(empty, 280 * MS);
     for _ in 0..8 {
         push(&mut queue, 8, 900 * MS, now);
     }
-    assert!(queue.outlook(&spec(1000), now) > empty + 1000 * MS);
+    assert!(queue.estimate_time(&spec(1000), now) > empty + 1000 * MS);
     // Jobs that are due later, or of a lower rank, do not hold up this one.
-    assert_eq!(queue.outlook(&spec(500), now), empty);
-    assert!(queue.outlook(&spec(500).rank(2), now) > empty);
+    assert_eq!(queue.estimate_time(&spec(500), now), empty);
+    assert!(queue.estimate_time(&spec(500).rank(2), now) > empty);
     let none = batch::Queue::new(SHAPE);
-    assert_eq!(none.outlook(&spec(1000), now), time::Duration::MAX);
+    assert_eq!(none.estimate_time(&spec(1000), now), time::Duration::MAX);
 }
 
 // Jobs that earlier stages will bring in a moment do not wait yet. Left out, as many requests again
@@ -42,20 +42,20 @@
     let now = Instant::now();
     let mut queue = queue(2);
     let spec = batch::Spec::new(4, SIZE, now + 900 * MS);
-    let empty = queue.forecast(&spec, now);
+    let empty = queue.estimate_future(&spec, now);
     for id in 0..10 {
-        queue.expect(id, spec.clone());
+        queue.announce(id, spec.clone());
     }
-    let behind = queue.forecast(&spec, now);
+    let behind = queue.estimate_future(&spec, now);
     assert!(behind.turn.0 > empty.turn.0 + 500 * MS, "{behind:?}");
     for id in 0..5 {
-        queue.unexpect(id);
+        queue.withdraw(id);
     }
-    assert!(queue.forecast(&spec, now).turn < behind.turn);
+    assert!(queue.estimate_future(&spec, now).turn < behind.turn);
     // Those who announced the rest have gone.
     queue.expire(now + 1000 * MS);
     let later = batch::Spec::new(4, SIZE, now + 1900 * MS);
-    assert_eq!(queue.forecast(&later, now + 1000 * MS), empty);
+    assert_eq!(queue.estimate_future(&later, now + 1000 * MS), empty);
 }
 
 // All that the targets can do goes to jobs on time. A late job would be told of the few that wait
@@ -66,23 +66,23 @@
     let mut queue = queue(1);
     let spec = |now| batch::Spec::new(2, SIZE, now);
     push(&mut queue, 8, 1000 * MS, now);
-    let idle = queue.outlook(&spec(now), now);
+    let idle = queue.estimate_time(&spec(now), now);
     for _ in 0..20 {
         push(&mut queue, 8, 1000 * MS, now);
-        let call = queue.take(now).unwrap();
+        let call = queue.next_call(now).unwrap();
         now += 360 * MS;
-        let events = queue.finish(&call, made(&call), now);
+        let events = queue.complete_call(&call, made(&call), now);
         let batch::Event::Done(_, handles) = &events[0] else {
             panic!("{events:?}");
         };
         for handle in handles {
-            queue.free(handle);
+            queue.free_result(handle);
         }
     }
-    let loaded = queue.outlook(&spec(now), now);
+    let loaded = queue.estimate_time(&spec(now), now);
     assert!(loaded > 3 * idle, "{idle:?} {loaded:?}");
     // A job on time is not held up by that.
-    assert!(queue.outlook(&spec(now + 2000 * MS), now) < loaded / 2);
+    assert!(queue.estimate_time(&spec(now + 2000 * MS), now) < loaded / 2);
 }
 
 // All instances were lost, and every target has just had some seconds of nothing but jobs on time. Callers come
@@ -96,29 +96,29 @@
         let calls: Vec<_> = (0..4)
             .map(|_| {
                 push(&mut queue, 8, 1000 * MS, now);
-                queue.take(now).unwrap()
+                queue.next_call(now).unwrap()
             })
             .collect();
         now += 360 * MS;
         for call in calls {
-            let events = queue.finish(&call, made(&call), now);
+            let events = queue.complete_call(&call, made(&call), now);
             let batch::Event::Done(_, handles) = &events[0] else {
                 panic!("{events:?}");
             };
             for handle in handles {
-                queue.free(handle);
+                queue.free_result(handle);
             }
         }
     }
     for _ in 0..4 {
         push(&mut queue, 8, 1000 * MS, now);
-        queue.take(now).unwrap();
+        queue.next_call(now).unwrap();
     }
     for _ in 0..10 {
         push(&mut queue, 8, time::Duration::ZERO, now);
     }
     let back = batch::Spec::new(4, SIZE, now).deadline(now + 10_000 * MS);
-    let outlook = queue.outlook(&back, now);
+    let outlook = queue.estimate_time(&back, now);
     assert!(outlook < 10_000 * MS, "{outlook:?}");
 }
 
@@ -141,7 +141,7 @@
         "{events:?}"
     );
     assert!(events.len() < jobs.len());
-    assert!(queue.take(now).is_some(), "the others are done");
+    assert!(queue.next_call(now).is_some(), "the others are done");
 }
 
 // Jobs are refused for a target that backs off for minutes while another one is free.
@@ -150,24 +150,24 @@
     let now = Instant::now();
     let mut queue = batch::Queue::new(SHAPE);
     let gates = ["north", "south"].map(|place| {
-        let key = queue.engines.add(place.parse().unwrap());
-        let gate = quota::Gate::default();
-        queue.engines.set_gate(key, gate.clone());
+        let key = queue.targets.add(place.parse().unwrap());
+        let gate = quota::Limiter::default();
+        queue.targets.set_limiter(key, gate.clone());
         gate
     });
     let spec = batch::Spec::new(4, SIZE, now + 5000 * MS);
-    let free = queue.outlook(&spec, now);
-    let close = |gate: &quota::Gate, left: time::Duration| {
+    let free = queue.estimate_time(&spec, now);
+    let close = |gate: &quota::Limiter, left: time::Duration| {
         gate.set(quota::Bounds {
             closed: Some(quota::Bound::closed().until(now + left)),
             ..quota::Bounds::default()
         });
     };
     close(&gates[0], 600_000 * MS);
-    assert_eq!(queue.outlook(&spec, now), free);
+    assert_eq!(queue.estimate_time(&spec, now), free);
     close(&gates[1], 2000 * MS);
-    assert_eq!(queue.outlook(&spec, now), free + 2000 * MS);
+    assert_eq!(queue.estimate_time(&spec, now), free + 2000 * MS);
     push(&mut queue, 4, 900 * MS, now);
-    assert!(queue.take(now).is_none());
-    assert!(queue.take(now + 2000 * MS).is_some());
+    assert!(queue.next_call(now).is_none());
+    assert!(queue.next_call(now + 2000 * MS).is_some());
 }
--- a/laburnumcart/tests/batch/load.rs
+++ b/laburnumcart/tests/batch/load.rs
@@ -22,9 +22,9 @@
 /// A stage whose pieces are small and read much.
 const SHAPE: ingress::Batching = ingress::Batching {
     pieces: 28,
-    call: time::Duration::from_millis(240),
-    piece: time::Duration::from_micros(7300),
-    room: unit::Size(300_000),
+    call_time: time::Duration::from_millis(240),
+    piece_time: time::Duration::from_micros(7300),
+    capacity: unit::Size(300_000),
     ttl: time::Duration::from_secs(4),
 };
 
@@ -58,7 +58,7 @@
 /// A queue before five targets, played in steps of time.
 struct Play {
     queue: batch::Queue,
-    zones: Vec<(batch::EngineKey, &'static str)>,
+    zones: Vec<(batch::TargetKey, &'static str)>,
     now: Instant,
     calls: Vec<(Instant, batch::Call)>,
     frees: Vec<(Instant, batch::Handle)>,
@@ -70,7 +70,7 @@
 impl Play {
     fn new(now: Instant) -> Self {
         let mut queue = batch::Queue::new(SHAPE);
-        let add = |zone: &&'static str| (queue.engines.add(zone.parse().unwrap()), *zone);
+        let add = |zone: &&'static str| (queue.targets.add(zone.parse().unwrap()), *zone);
         let zones = ZONES.iter().map(add).collect();
         Self {
             queue,
@@ -100,7 +100,7 @@
         self.frees.retain(|(at, handle)| {
             let kept = *at > now;
             if !kept {
-                queue.free(handle);
+                queue.free_result(handle);
             }
             kept
         });
@@ -109,13 +109,13 @@
         for (_, call) in Vec::<(Instant, batch::Call)>::from_iter(ended) {
             self.end(&call);
         }
-        while let Some(call) = self.queue.take(now) {
+        while let Some(call) = self.queue.next_call(now) {
             self.start(call);
         }
     }
 
     fn start(&mut self, call: batch::Call) {
-        let zone = self.zones.iter().find(|(key, _)| *key == call.engine);
+        let zone = self.zones.iter().find(|(key, _)| *key == call.target);
         let zone = zone.map(|(_, zone)| *zone);
         for piece in &call.pieces {
             let job = self.jobs.iter().find(|(key, _, _)| *key == piece.job);
@@ -123,12 +123,12 @@
                 self.tally.crossed += MOVED.0 / 6;
             }
         }
-        let end = self.now + SHAPE.call + SHAPE.piece * call.pieces.len() as u32;
+        let end = self.now + SHAPE.call_time + SHAPE.piece_time * call.pieces.len() as u32;
         self.calls.push((end, call));
     }
 
     fn end(&mut self, call: &batch::Call) {
-        for event in self.queue.finish(call, made(call), self.now) {
+        for event in self.queue.complete_call(call, made(call), self.now) {
             let batch::Event::Done(done, handles) = event else {
                 panic!("nothing fails here: {event:?}");
             };
--- a/laburnumcart/tests/batch/order.rs
+++ b/laburnumcart/tests/batch/order.rs
@@ -23,7 +23,7 @@
     let urgent = push(&mut queue, 8, 900 * MS, now);
     // This one cannot be on time any more; it must not hold up those that can.
     push(&mut queue, 8, 100 * MS, now);
-    let call = queue.take(now).unwrap();
+    let call = queue.next_call(now).unwrap();
     assert!(call.pieces.iter().all(|p| p.job == urgent));
 }
 
@@ -40,9 +40,9 @@
     };
     let (last, second, first) = (push(rank(1, 1)), push(rank(1, 0)), push(rank(0, 1)));
     let mut order = Vec::new();
-    while let Some(call) = queue.take(now) {
+    while let Some(call) = queue.next_call(now) {
         order.extend(call.pieces.iter().map(|p| p.job));
-        queue.finish(&call, made(&call), now);
+        queue.complete_call(&call, made(&call), now);
     }
     order.dedup();
     assert_eq!(order, [first, second, last]);
@@ -56,10 +56,10 @@
     let now = Instant::now();
     let mut queue = queue(1);
     let begun = push(&mut queue, 10, 700 * MS, now);
-    let call = queue.take(now).unwrap();
-    queue.finish(&call, made(&call), now);
+    let call = queue.next_call(now).unwrap();
+    queue.complete_call(&call, made(&call), now);
     let fresh = push(&mut queue, 2, 3000 * MS, now);
-    let call = queue.take(now + 1000 * MS).unwrap();
+    let call = queue.next_call(now + 1000 * MS).unwrap();
     let jobs: Vec<_> = call.pieces.iter().map(|p| p.job).collect();
     assert_eq!(jobs[..3], [begun, begun, fresh]);
 }
@@ -74,15 +74,15 @@
 fn jobs_are_executed_where_least_crosses() {
     let now = Instant::now();
     let mut queue = batch::Queue::new(SHAPE);
-    let north = queue.engines.add("north".parse().unwrap());
-    let south = queue.engines.add("south".parse().unwrap());
+    let north = queue.targets.add("north".parse().unwrap());
+    let south = queue.targets.add("south".parse().unwrap());
     let (a, b) = (
         queue.push(heavy("south", now)),
         queue.push(heavy("north", now)),
     );
-    let calls = [(); 2].map(|()| queue.take(now).unwrap());
+    let calls = [(); 2].map(|()| queue.next_call(now).unwrap());
     for call in calls {
-        let job = if call.engine == north { b } else { a };
+        let job = if call.target == north { b } else { a };
         assert!(
             call.pieces.iter().all(|p| p.job == job),
             "{call:?} {south:?}"
@@ -96,20 +96,20 @@
 fn a_job_is_left_to_a_free_target_near_its_inputs() {
     let now = Instant::now();
     let mut queue = batch::Queue::new(SHAPE);
-    let north = queue.engines.add("north".parse().unwrap());
-    queue.engines.add("south".parse().unwrap());
+    let north = queue.targets.add("north".parse().unwrap());
+    queue.targets.add("south".parse().unwrap());
     let jobs = ["north", "south"].map(|zone| queue.push(heavy(zone, now)));
-    let call = queue.take(now).unwrap();
-    assert_eq!((call.engine, call.pieces.len()), (north, 2));
+    let call = queue.next_call(now).unwrap();
+    assert_eq!((call.target, call.pieces.len()), (north, 2));
     assert!(call.pieces.iter().all(|p| p.job == jobs[0]));
-    let call = queue.take(now).unwrap();
+    let call = queue.next_call(now).unwrap();
     assert!(call.pieces.iter().all(|p| p.job == jobs[1]));
     // With no target there that will be free in time, nothing waits for one.
     queue.push(heavy("south", now));
-    assert!(queue.take(now).is_none());
-    queue.engines.add("north".parse().unwrap());
+    assert!(queue.next_call(now).is_none());
+    queue.targets.add("north".parse().unwrap());
     let later = now + 500 * MS;
-    assert_eq!(queue.take(later).unwrap().pieces.len(), 2);
+    assert_eq!(queue.next_call(later).unwrap().pieces.len(), 2);
 }
 
 // The target near a job's inputs works on a call, one elsewhere is free. The job has time to wait and still
@@ -118,15 +118,15 @@
 fn a_job_waits_for_a_target_near_its_inputs_while_it_has_time() {
     let now = Instant::now();
     let mut queue = batch::Queue::new(SHAPE);
-    let north = queue.engines.add("north".parse().unwrap());
+    let north = queue.targets.add("north".parse().unwrap());
     queue.push(heavy("north", now));
-    let call = queue.take(now).unwrap();
-    let south = queue.engines.add("south".parse().unwrap());
+    let call = queue.next_call(now).unwrap();
+    let south = queue.targets.add("south".parse().unwrap());
     let job = queue.push(heavy("north", now));
-    assert!(queue.take(now).is_none());
+    assert!(queue.next_call(now).is_none());
     let mut early = queue.clone();
-    early.finish(&call, made(&call), now + 200 * MS);
-    assert_eq!(early.take(now + 200 * MS).unwrap().engine, north);
-    let late = queue.take(now + 500 * MS).unwrap();
-    assert_eq!((late.engine, late.pieces[0].job), (south, job));
+    early.complete_call(&call, made(&call), now + 200 * MS);
+    assert_eq!(early.next_call(now + 200 * MS).unwrap().target, north);
+    let late = queue.next_call(now + 500 * MS).unwrap();
+    assert_eq!((late.target, late.pieces[0].job), (south, job));
 }
--- a/laburnumcart/tests/batch/owners.rs
+++ b/laburnumcart/tests/batch/owners.rs
@@ -45,7 +45,7 @@
         .collect();
     let service = |i| format!("stage-{salt}-{i}").parse().unwrap();
     let services: Vec<id::ServiceName> = (0..STAGES).map(service).collect();
-    let orders = owners::orders(&members, &services);
+    let orders = owners::rankings(&members, &services);
     let mut owners = orders.values().map(|order| {
         let first = order[0].name;
         names.iter().position(|name| name == first).unwrap()
--- a/laburnumcart/tests/batch/support.rs
+++ b/laburnumcart/tests/batch/support.rs
@@ -14,9 +14,9 @@
 
 pub(crate) const SHAPE: ingress::Batching = ingress::Batching {
     pieces: 8,
-    call: time::Duration::from_millis(200),
-    piece: time::Duration::from_millis(20),
-    room: unit::Size(12_000),
+    call_time: time::Duration::from_millis(200),
+    piece_time: time::Duration::from_millis(20),
+    capacity: unit::Size(12_000),
     ttl: time::Duration::from_secs(4),
 };
 
@@ -26,7 +26,7 @@
     let mut queue = batch::Queue::new(SHAPE);
     for i in 0..targets {
         queue
-            .engines
+            .targets
             .add(["north", "south"][i % 2].parse().unwrap());
     }
     queue
@@ -43,8 +43,8 @@
 }
 
 pub(crate) fn made(call: &batch::Call) -> Vec<batch::Outcome> {
-    let name = |p: &batch::Piece| format!("{:?}-{}-{:?}", p.job, p.index, call.engine);
-    let outcome = |p| batch::Outcome::Made(batch::Handle::new(name(p), id::Life(1)));
+    let name = |p: &batch::Piece| format!("{:?}-{}-{:?}", p.job, p.index, call.target);
+    let outcome = |p| batch::Outcome::Stored(batch::Handle::new(name(p), id::Life(1)));
     call.pieces.iter().map(outcome).collect()
 }
 
@@ -55,8 +55,8 @@
 /// Has a job of eight pieces made; returns the results, which lie at its target.
 pub(crate) fn hold(queue: &mut batch::Queue, now: Instant) -> Vec<batch::Handle> {
     push(queue, 8, 1000 * MS, now);
-    let call = queue.take(now).unwrap();
-    let events = queue.finish(&call, made(&call), now);
+    let call = queue.next_call(now).unwrap();
+    let events = queue.complete_call(&call, made(&call), now);
     let Ok([batch::Event::Done(_, handles)]) = <[_; 1]>::try_from(events) else {
         panic!("the job is done");
     };
--- a/laburnumcart/tests/claim.rs
+++ b/laburnumcart/tests/claim.rs
@@ -9,10 +9,10 @@
 use laburnumcart::{
     claim::{
         self,
+        limiter,
         log,
-        pace,
+        ownership,
         record,
-        route,
         table, //
     },
     id,
@@ -54,15 +54,15 @@
 #[test]
 fn next_batch_gathers_while_one_is_in_flight() {
     let (mut log, now) = new_log(100, 256);
-    assert_eq!(log.claim(grant(1, 1), now), log::Step::Queued(0));
-    let first = log.begin(now).unwrap();
+    assert_eq!(log.claim(grant(1, 1), now), log::Outcome::Queued(0));
+    let first = log.begin_append(now).unwrap();
     assert_eq!((first.number, records(&first)), (0, 1));
     for key in 2..6 {
-        assert_eq!(log.claim(grant(key, key), now), log::Step::Queued(1));
+        assert_eq!(log.claim(grant(key, key), now), log::Outcome::Queued(1));
     }
-    assert_eq!(log.begin(now), None);
-    log.durable(now);
-    let second = log.begin(now).unwrap();
+    assert_eq!(log.begin_append(now), None);
+    log.append_succeeded(now);
+    let second = log.begin_append(now).unwrap();
     assert_eq!((second.number, records(&second)), (1, 4));
 }
 
@@ -72,15 +72,18 @@
 fn claim_of_a_pending_key_waits() {
     let (mut log, now) = new_log(100, 256);
     log.claim(grant(1, 1), now);
-    assert_eq!(log.claim(grant(1, 2), now), log::Step::Wait(0));
-    assert_eq!(log.claim(grant(1, 1), now), log::Step::Queued(0));
-    log.begin(now).unwrap();
-    log.rejected();
-    assert_eq!(log.claim(grant(1, 2), now), log::Step::Queued(1));
-    assert_eq!(log.begin(now).unwrap().number, 0);
-    log.durable(now);
-    assert_eq!(log.claim(grant(1, 3), now), log::Step::Taken(grant(1, 2)));
-    assert_eq!(log.claim(grant(1, 2), now), log::Step::Granted);
+    assert_eq!(log.claim(grant(1, 2), now), log::Outcome::Wait(0));
+    assert_eq!(log.claim(grant(1, 1), now), log::Outcome::Queued(0));
+    log.begin_append(now).unwrap();
+    log.append_rejected();
+    assert_eq!(log.claim(grant(1, 2), now), log::Outcome::Queued(1));
+    assert_eq!(log.begin_append(now).unwrap().number, 0);
+    log.append_succeeded(now);
+    assert_eq!(
+        log.claim(grant(1, 3), now),
+        log::Outcome::Taken(grant(1, 2))
+    );
+    assert_eq!(log.claim(grant(1, 2), now), log::Outcome::Granted);
 }
 
 /// A caller that has gone before its batch was sent leaves no record; later it is too late.
@@ -89,13 +92,16 @@
     let (mut log, now) = new_log(100, 256);
     log.claim(grant(1, 1), now);
     log.claim(grant(2, 2), now);
-    log.withdraw(|key, _| key != id::Fingerprint(1));
-    let append = log.begin(now).unwrap();
+    log.retain_pending(|key, _| key != id::Fingerprint(1));
+    let append = log.begin_append(now).unwrap();
     assert_eq!(records(&append), 1);
-    log.withdraw(|_, _| false);
-    log.durable(now);
-    assert_eq!(log.claim(grant(1, 3), now), log::Step::Queued(1));
-    assert!(matches!(log.claim(grant(2, 3), now), log::Step::Taken(_)));
+    log.retain_pending(|_, _| false);
+    log.append_succeeded(now);
+    assert_eq!(log.claim(grant(1, 3), now), log::Outcome::Queued(1));
+    assert!(matches!(
+        log.claim(grant(2, 3), now),
+        log::Outcome::Taken(_)
+    ));
 }
 
 /// Claims beyond the limit are refused before anything is recorded, those in flight count.
@@ -104,12 +110,12 @@
     let (mut log, now) = new_log(2, 256);
     log.claim(grant(1, 1), now);
     log.claim(grant(2, 2), now);
-    assert_eq!(log.claim(grant(3, 3), now), log::Step::Full);
-    assert_eq!(records(&log.begin(now).unwrap()), 2);
-    log.durable(now);
-    assert_eq!(log.claim(grant(3, 3), now), log::Step::Full);
+    assert_eq!(log.claim(grant(3, 3), now), log::Outcome::Full);
+    assert_eq!(records(&log.begin_append(now).unwrap()), 2);
+    log.append_succeeded(now);
+    assert_eq!(log.claim(grant(3, 3), now), log::Outcome::Full);
     let later = now + 101 * SECOND;
-    assert_eq!(log.claim(grant(3, 3), later), log::Step::Queued(1));
+    assert_eq!(log.claim(grant(3, 3), later), log::Outcome::Queued(1));
 }
 
 /// Segments of an epoch are replayed: the batches alone, or a snapshot and what follows it. A
@@ -184,15 +190,15 @@
     for key in 0..4 {
         assert!(!log.wants_snapshot());
         log.claim(grant(key, key), now);
-        log.begin(now).unwrap();
-        log.durable(now);
+        log.begin_append(now).unwrap();
+        log.append_succeeded(now);
     }
     assert!(log.wants_snapshot());
     let parts = log.snapshot(now + SECOND);
     assert_eq!(parts.len(), 1);
     for (number, segment) in &parts {
-        assert_eq!(*number, log.next());
-        log.part_durable(segment);
+        assert_eq!(*number, log.next_segment());
+        log.snapshot_part_succeeded(segment);
     }
     assert!(!log.wants_snapshot());
     let mut table = table::Table::default();
@@ -251,38 +257,38 @@
     let live: Vec<_> = (1..=5).map(addr).collect();
     let rest = &live[1..];
     for shard in 0..64 {
-        let owner = route::preferred(shard, &live).unwrap();
+        let owner = ownership::preferred_owner(shard, &live).unwrap();
         if owner != live[0] {
-            assert_eq!(route::preferred(shard, rest), Some(owner));
+            assert_eq!(ownership::preferred_owner(shard, rest), Some(owner));
         }
     }
-    assert_eq!(route::preferred(0, &[]), None);
+    assert_eq!(ownership::preferred_owner(0, &[]), None);
 }
 
 /// An owner is replaced after a time of silence, not at the first failure; soon after a change the
 /// shard is left where it is, for longer with each change.
 #[test]
 fn suspicion_waits_longer_with_each_change() {
-    let patience = route::Patience::default();
-    let mut suspicion = route::Suspicion::new(patience);
+    let patience = ownership::Limits::default();
+    let mut suspicion = ownership::Detector::new(patience);
     let mut now = Instant::now();
     assert_eq!(
-        suspicion.unreachable(now),
-        route::Advice::Again(patience.silence)
+        suspicion.record_failure(now),
+        ownership::Action::Retry(patience.silence)
     );
-    suspicion.answered();
+    suspicion.record_success();
     assert_eq!(
-        suspicion.unreachable(now),
-        route::Advice::Again(patience.silence)
+        suspicion.record_failure(now),
+        ownership::Action::Retry(patience.silence)
     );
     now += patience.silence;
-    assert_eq!(suspicion.unreachable(now), route::Advice::Take);
+    assert_eq!(suspicion.record_failure(now), ownership::Action::TakeOver);
     let mut waits = Vec::new();
     for _ in 0..4 {
-        suspicion.changed(now);
-        suspicion.unreachable(now);
+        suspicion.record_owner_change(now);
+        suspicion.record_failure(now);
         now += patience.silence;
-        let route::Advice::Settle(wait) = suspicion.unreachable(now) else {
+        let ownership::Action::Settle(wait) = suspicion.record_failure(now) else {
             panic!("the shard would change hands at once");
         };
         waits.push(wait + patience.silence);
@@ -297,18 +303,18 @@
 /// from a minute ago does not count.
 #[test]
 fn an_owner_whose_tries_time_out_is_replaced() {
-    let patience = route::Patience::default();
-    let mut suspicion = route::Suspicion::new(patience);
+    let patience = ownership::Limits::default();
+    let mut suspicion = ownership::Detector::new(patience);
     let timeout = time::Duration::from_secs(2);
     let mut now = Instant::now();
-    suspicion.unreachable(now);
+    suspicion.record_failure(now);
     now += time::Duration::from_secs(60);
     assert_eq!(
-        suspicion.unreachable(now),
-        route::Advice::Again(patience.silence)
+        suspicion.record_failure(now),
+        ownership::Action::Retry(patience.silence)
     );
     now += patience.silence + timeout;
-    assert_eq!(suspicion.unreachable(now), route::Advice::Take);
+    assert_eq!(suspicion.record_failure(now), ownership::Action::TakeOver);
 }
 
 /// The object service refuses the append that gives a claim back. The release stays for the next append;
@@ -318,28 +324,31 @@
     let now = Instant::now();
     let mut log = log::Log::new(1, Default::default(), Default::default(), now);
     log.claim(grant(7, 1), now);
-    log.begin(now).unwrap();
-    log.durable(now);
+    log.begin_append(now).unwrap();
+    log.append_succeeded(now);
     log.release(id::Fingerprint(7), id::RequestId(1)).unwrap();
-    log.begin(now).unwrap();
-    log.rejected();
-    assert!(matches!(log.claim(grant(7, 2), now), log::Step::Wait(_)));
-    log.begin(now).unwrap();
-    log.durable(now);
-    assert!(matches!(log.claim(grant(7, 2), now), log::Step::Queued(_)));
+    log.begin_append(now).unwrap();
+    log.append_rejected();
+    assert!(matches!(log.claim(grant(7, 2), now), log::Outcome::Wait(_)));
+    log.begin_append(now).unwrap();
+    log.append_succeeded(now);
+    assert!(matches!(
+        log.claim(grant(7, 2), now),
+        log::Outcome::Queued(_)
+    ));
 }
 
 /// Appends start at once after a quiet time, and keep to the rate in the long run; a process that
 /// owns a quarter of the shards has a quarter of the rate.
 #[test]
 fn pace_keeps_the_rate() {
-    let mut pace = pace::Pace::new(unit::Rate(200.0), 16, 8);
-    (0..4).for_each(|_| pace.gain());
+    let mut pace = limiter::Limiter::new(unit::Rate(200.0), 16, 8);
+    (0..4).for_each(|_| pace.add_shard());
     let start = Instant::now() + 10 * SECOND;
-    assert_eq!(pace.reserve(start), start);
-    let last = (0..500).map(|_| pace.reserve(start)).last().unwrap();
+    assert_eq!(pace.reserve_slot(start), start);
+    let last = (0..500).map(|_| pace.reserve_slot(start)).last().unwrap();
     let taken = (last - start).as_secs_f64();
     assert!((9.0..=10.0).contains(&taken), "{taken}");
     let later = last + 10 * SECOND;
-    assert_eq!(pace.reserve(later), later);
+    assert_eq!(pace.reserve_slot(later), later);
 }
--- a/laburnumcart/tests/limit.rs
+++ b/laburnumcart/tests/concurrency.rs
@@ -2,21 +2,21 @@
 
 use std::time;
 
-use laburnumcart::limit;
+use laburnumcart::concurrency;
 use rstest::rstest;
 use tokio::time::Instant;
 
 const BASE: time::Duration = time::Duration::from_millis(20);
 
 /// Runs calls at a target of the given capacity, with as many in flight as the limit allows.
-fn saturate(limit: &mut limit::Limit, capacity: u32, secs: u64, now: &mut Instant) -> u32 {
+fn saturate(limit: &mut concurrency::Limit, capacity: u32, secs: u64, now: &mut Instant) -> u32 {
     let end = *now + time::Duration::from_secs(secs);
     let mut peak = 0;
     while *now < end {
         let n = limit.get();
         let latency = BASE.mul_f64((f64::from(n) / f64::from(capacity)).max(1.0));
         *now += latency / n;
-        limit.observe(latency, n, *now);
+        limit.record_latency(latency, n, *now);
         peak = peak.max(limit.get());
     }
     peak
@@ -28,7 +28,7 @@
 #[case(16)]
 #[case(64)]
 fn finds_capacity_and_stays_there(#[case] capacity: u32) {
-    let (mut limit, mut now) = (limit::Limit::new(), Instant::now());
+    let (mut limit, mut now) = (concurrency::Limit::new(), Instant::now());
     saturate(&mut limit, capacity, 5, &mut now);
     // Ten windows of lasting saturation must not let the limit creep up.
     let peak = saturate(&mut limit, capacity, 300, &mut now);
@@ -39,28 +39,28 @@
 
 #[test]
 fn one_slow_call_changes_nothing() {
-    let (mut limit, mut now) = (limit::Limit::new(), Instant::now());
+    let (mut limit, mut now) = (concurrency::Limit::new(), Instant::now());
     saturate(&mut limit, 16, 5, &mut now);
     let before = limit.get();
-    limit.observe(BASE * 100, before, now);
+    limit.record_latency(BASE * 100, before, now);
     for _ in 0..200 {
         now += BASE / 16;
         let latency = BASE.mul_f64((f64::from(limit.get()) / 16.0).max(1.0));
-        limit.observe(latency, limit.get(), now);
+        limit.record_latency(latency, limit.get(), now);
         assert!(limit.get() * 10 >= before * 9, "{before} {}", limit.get());
     }
 }
 
 #[test]
 fn light_traffic_proves_nothing_of_a_higher_limit() {
-    let (mut limit, mut now) = (limit::Limit::new(), Instant::now());
+    let (mut limit, mut now) = (concurrency::Limit::new(), Instant::now());
     saturate(&mut limit, 16, 5, &mut now);
     let before = limit.get();
     // The pause voids the batch that was begun under load.
     now += time::Duration::from_secs(10);
     for _ in 0..1000 {
         now += time::Duration::from_millis(500);
-        limit.observe(BASE, 1, now);
+        limit.record_latency(BASE, 1, now);
     }
     assert_eq!(limit.get(), before);
 }
@@ -69,24 +69,24 @@
 /// higher limit: it must neither grow nor be forgotten.
 #[test]
 fn idle_period_changes_nothing() {
-    let (mut limit, mut now) = (limit::Limit::new(), Instant::now());
+    let (mut limit, mut now) = (concurrency::Limit::new(), Instant::now());
     saturate(&mut limit, 16, 5, &mut now);
     let before = limit.get();
     for _ in 0..60 {
         now += time::Duration::from_secs(60);
-        limit.observe(BASE, 1, now);
+        limit.record_latency(BASE, 1, now);
     }
-    assert_eq!((limit.get(), limit.base()), (before, Some(BASE)));
+    assert_eq!((limit.get(), limit.base_latency()), (before, Some(BASE)));
 }
 
 #[test]
 fn never_below_one() {
-    let (mut limit, mut now) = (limit::Limit::new(), Instant::now());
+    let (mut limit, mut now) = (concurrency::Limit::new(), Instant::now());
     saturate(&mut limit, 4, 1, &mut now);
     for i in 0..1000 {
         now += BASE;
-        limit.refuse();
-        limit.observe(BASE * i, limit.get(), now);
+        limit.record_refusal();
+        limit.record_latency(BASE * i, limit.get(), now);
         assert!(limit.get() >= 1);
     }
 }
@@ -95,14 +95,14 @@
 /// must not cut it again, or one congestion would be answered many times.
 #[test]
 fn calls_from_before_a_cut_do_not_count() {
-    let (mut limit, mut now) = (limit::Limit::new(), Instant::now());
+    let (mut limit, mut now) = (concurrency::Limit::new(), Instant::now());
     saturate(&mut limit, 16, 5, &mut now);
     let before = limit.get();
-    limit.refuse();
+    limit.record_refusal();
     let after = limit.get();
     assert!(after < before);
     for in_flight in (after + 1..=before).rev().cycle().take(100) {
-        limit.observe(BASE * 10, in_flight, now);
+        limit.record_latency(BASE * 10, in_flight, now);
     }
     assert_eq!(limit.get(), after);
 }
@@ -113,15 +113,15 @@
 #[test]
 fn known_latency_is_not_searched_for_again() {
     let base = time::Duration::from_millis(500);
-    let (mut limit, mut now) = (limit::Limit::new(), Instant::now());
-    let mut run = |limit: &mut limit::Limit, secs: u64| {
+    let (mut limit, mut now) = (concurrency::Limit::new(), Instant::now());
+    let mut run = |limit: &mut concurrency::Limit, secs: u64| {
         let end = now + time::Duration::from_secs(secs);
         let mut lowest = u32::MAX;
         while now < end {
             let n = limit.get();
             let latency = base.mul_f64((f64::from(n) / 4.0).max(1.0));
             now += latency / n;
-            limit.observe(latency, n, now);
+            limit.record_latency(latency, n, now);
             lowest = lowest.min(limit.get());
         }
         lowest
--- a/laburnumcart/tests/limit_spread.rs
+++ b/laburnumcart/tests/concurrency_spread.rs
@@ -6,7 +6,7 @@
     time, //
 };
 
-use laburnumcart::limit;
+use laburnumcart::concurrency;
 use rand::{
     Rng,
     SeedableRng, //
@@ -24,7 +24,7 @@
     let mut rng = rand::rngs::StdRng::seed_from_u64(seed);
     let start = Instant::now();
     let micros = |secs: f64| (secs * 1e6) as u64;
-    let mut limit = limit::Limit::new();
+    let mut limit = concurrency::Limit::new();
     let mut free: collections::BinaryHeap<_> = (0..servers).map(|_| Reverse(0)).collect();
     let mut calls = collections::BinaryHeap::new();
     let (mut now, mut count, mut sum) = (0, 0, 0);
@@ -40,7 +40,7 @@
         let Reverse((end, sent)) = calls.pop().unwrap();
         now = end;
         let latency = time::Duration::from_micros(end - sent);
-        limit.observe(latency, in_flight, start + time::Duration::from_micros(now));
+        limit.record_latency(latency, in_flight, start + time::Duration::from_micros(now));
         // The first fifth is for finding the limit.
         if now > micros(SECS / 5.0) {
             count += 1;
--- a/laburnumcart/tests/document.rs
+++ b/laburnumcart/tests/document.rs
@@ -9,7 +9,7 @@
 use laburnumcart::{
     bundle,
     document,
-    seal,
+    signing,
     unit, //
 };
 
@@ -23,7 +23,7 @@
     #[serde(default)]
     small: Option<u8>,
     #[serde(default)]
-    key: Option<seal::Keys>,
+    key: Option<signing::Keys>,
 }
 
 #[derive(Debug, Deserialize, schemars::JsonSchema)]
--- a/laburnumcart/tests/estimate.rs
+++ b/laburnumcart/tests/estimate.rs
@@ -22,8 +22,8 @@
 }
 
 /// Returns a queue that has completed ten entries a second for a long time.
-fn drain(mut now: Instant) -> (estimate::Drain, Instant) {
-    let mut drain = estimate::Drain::new(now);
+fn drain(mut now: Instant) -> (estimate::Throughput, Instant) {
+    let mut drain = estimate::Throughput::new(now);
     for _ in 0..600 {
         now += millis(100);
         drain.record(now);
@@ -36,7 +36,7 @@
 #[test]
 fn quantile_follows_and_ages() {
     let mut now = Instant::now();
-    let mut sample = estimate::Sample::new(now);
+    let mut sample = estimate::Quantiles::new(now);
     assert_eq!(sample.quantile(0.5, now), None);
     for slow in [10, 100] {
         for _ in 0..700 {
@@ -55,7 +55,7 @@
 #[test]
 fn refuses_what_cannot_finish_behind_the_queue() {
     let (mut drain, now) = drain(Instant::now());
-    let outlook = estimate::Outlook {
+    let outlook = estimate::Remaining {
         remaining: millis(2000),
         ahead: 10,
         rest: millis(500),
@@ -64,7 +64,7 @@
         estimate::check(&outlook, &mut drain, now, &mut rng()),
         Ok(())
     );
-    let long = estimate::Outlook {
+    let long = estimate::Remaining {
         ahead: 40,
         ..outlook
     };
@@ -100,7 +100,7 @@
 #[test]
 fn refused_callers_of_a_new_process_come_back_soon() {
     let now = Instant::now();
-    let mut drain = estimate::Drain::new(now);
+    let mut drain = estimate::Throughput::new(now);
     let mut rng = rng();
     for _ in 0..50 {
         assert!(drain.retry_after(millis(0), now, &mut rng) < millis(2000));
@@ -111,7 +111,7 @@
     #[test]
     fn retry_after_is_bounded(excess in 0u64..1_000_000, count in 1usize..100) {
         let now = Instant::now();
-        let mut drain = estimate::Drain::new(now);
+        let mut drain = estimate::Throughput::new(now);
         let mut rng = rng();
         for _ in 0..count {
             let retry = drain.retry_after(millis(excess), now, &mut rng);
--- a/laburnumcart/tests/allotment.rs
+++ b/laburnumcart/tests/fleet_budget.rs
@@ -6,12 +6,12 @@
 };
 
 use laburnumcart::{
-    allotment::{
+    budget,
+    fleet_budget::{
         self,
-        Entry, //
+        OwnEntry, //
     },
-    budget,
-    freshness::Moment,
+    freshness::BootTime,
     id, //
 };
 use rand::{
@@ -21,7 +21,7 @@
 use rstest::rstest;
 use tokio::time::Instant;
 
-const BOUND: allotment::Bound = allotment::Bound {
+const BOUND: fleet_budget::Limit = fleet_budget::Limit {
     ratio: 0.2,
     extra: 40.0,
 };
@@ -37,14 +37,14 @@
     format!("gateway-{i}").parse().unwrap()
 }
 
-fn moment(seconds: u64) -> Moment {
-    Moment(time::Duration::from_secs(seconds))
+fn moment(seconds: u64) -> BootTime {
+    BootTime(time::Duration::from_secs(seconds))
 }
 
 /// One process of the simulated system.
 struct Process {
     life: u64,
-    allotment: allotment::Allotment,
+    allotment: fleet_budget::Share,
     budget: budget::Budget,
     /// Tick of the newest listing that it has read.
     read: usize,
@@ -103,25 +103,27 @@
                 process.read = random.random_range(oldest..=tick);
                 let known = &self.listings[process.read];
                 let own = match known.get(&i) {
-                    None => Entry::Absent,
-                    Some(life) if *life == process.life => Entry::Present,
-                    Some(_) => Entry::Earlier,
+                    None => OwnEntry::Absent,
+                    Some(life) if *life == process.life => OwnEntry::Present,
+                    Some(_) => OwnEntry::PreviousLife,
                 };
                 let others: Vec<_> = known
                     .keys()
                     .filter(|k| **k != i)
                     .map(|k| name(*k))
                     .collect();
-                let at = Moment(TICK * process.read as u32);
-                process.allotment.read(own, &others, at);
+                let at = BootTime(TICK * process.read as u32);
+                process.allotment.update(own, &others, at);
             }
-            let part = process.allotment.part(Moment(TICK * tick as u32));
+            let part = process.allotment.fraction(BootTime(TICK * tick as u32));
             process.budget.set_reserve(BOUND.reserve(part));
             let came = random.random_range(0..=load * 2);
-            (0..came).for_each(|_| process.budget.earn(now));
+            (0..came).for_each(|_| process.budget.deposit(now));
             requests += came;
             if random.random_bool(0.3) {
-                spent += (0..1000).take_while(|_| process.budget.spend(now)).count();
+                spent += (0..1000)
+                    .take_while(|_| process.budget.try_spend(now))
+                    .count();
             }
         }
         self.listings.push(listing);
@@ -143,7 +145,7 @@
                 self.lives += 1;
                 self.processes[i] = Some(Process {
                     life: self.lives,
-                    allotment: allotment::Allotment::default(),
+                    allotment: fleet_budget::Share::default(),
                     budget: BOUND.budget(self.start + TICK * tick as u32),
                     read: tick,
                     frozen: 0,
@@ -202,36 +204,36 @@
 // An earlier life may have spent its part a moment ago.
 #[test]
 fn a_process_that_starts_again_waits_for_its_part() {
-    let mut allotment = allotment::Allotment::default();
-    allotment.read(Entry::Earlier, [], moment(100));
-    allotment.read(Entry::Present, [], moment(101));
-    assert_eq!(allotment.part(moment(102)), 0.0);
-    let settled = Moment(moment(101).0 + allotment::SETTLED);
-    allotment.read(Entry::Present, [], settled);
-    assert_eq!(allotment.part(settled), 1.0);
+    let mut allotment = fleet_budget::Share::default();
+    allotment.update(OwnEntry::PreviousLife, [], moment(100));
+    allotment.update(OwnEntry::Present, [], moment(101));
+    assert_eq!(allotment.fraction(moment(102)), 0.0);
+    let settled = BootTime(moment(101).0 + fleet_budget::SETTLE_TIME);
+    allotment.update(OwnEntry::Present, [], settled);
+    assert_eq!(allotment.fraction(settled), 1.0);
 }
 
 // Who is cut off does not hear of those that join, and would keep a part that is theirs.
 #[test]
 fn old_knowledge_gives_no_part() {
-    let mut allotment = allotment::Allotment::default();
-    allotment.read(Entry::Present, [], moment(100));
-    assert_eq!(allotment.part(moment(101)), 1.0);
-    let late = Moment(moment(101).0 + allotment::KNOWN);
-    assert_eq!(allotment.part(late), 0.0);
+    let mut allotment = fleet_budget::Share::default();
+    allotment.update(OwnEntry::Present, [], moment(100));
+    assert_eq!(allotment.fraction(moment(101)), 1.0);
+    let late = BootTime(moment(101).0 + fleet_budget::MAX_AGE);
+    assert_eq!(allotment.fraction(late), 0.0);
 }
 
 // What a process that has left spent last is still in the window.
 #[test]
 fn a_process_that_has_left_counts_for_a_while() {
-    let mut allotment = allotment::Allotment::default();
-    allotment.read(Entry::Present, [], moment(100));
-    allotment.read(Entry::Present, [&name(2)], moment(101));
-    allotment.read(Entry::Present, [], moment(110));
-    assert_eq!(allotment.part(moment(110)), 0.5);
-    let settled = Moment(moment(110).0 + allotment::SETTLED);
-    allotment.read(Entry::Present, [], settled);
-    assert_eq!(allotment.part(settled), 1.0);
+    let mut allotment = fleet_budget::Share::default();
+    allotment.update(OwnEntry::Present, [], moment(100));
+    allotment.update(OwnEntry::Present, [&name(2)], moment(101));
+    allotment.update(OwnEntry::Present, [], moment(110));
+    assert_eq!(allotment.fraction(moment(110)), 0.5);
+    let settled = BootTime(moment(110).0 + fleet_budget::SETTLE_TIME);
+    allotment.update(OwnEntry::Present, [], settled);
+    assert_eq!(allotment.fraction(settled), 1.0);
 }
 
 // All targets fail as the requests move from one process to another.
@@ -242,10 +244,10 @@
     let spent = [0, 1].map(|turn| {
         let begin = start + budget::WINDOW * turn;
         let mut budget = BOUND.budget(begin);
-        (0..requests).for_each(|_| budget.earn(begin));
+        (0..requests).for_each(|_| budget.deposit(begin));
         // The first spends at the end of its window, the second within the next.
         let end = begin + budget::WINDOW - time::Duration::from_secs(1);
-        (0..requests).filter(|_| budget.spend(end)).count()
+        (0..requests).filter(|_| budget.try_spend(end)).count()
     });
     let allowed = BOUND.ratio * f64::from(requests) + BOUND.extra;
     assert!(spent[0] > 0);
--- a/laburnumcart/tests/forecast.rs
+++ b/laburnumcart/tests/forecast.rs
@@ -11,22 +11,22 @@
 const MS: time::Duration = time::Duration::from_millis(1);
 
 /// A stage of 300 ms whose queue is done with it after `turn` or `behind` milliseconds.
-fn step(after: &[usize], turn: u32, behind: u32) -> forecast::Step {
-    forecast::Step {
+fn step(after: &[usize], turn: u32, behind: u32) -> forecast::Stage {
+    forecast::Stage {
         after: after.to_vec(),
-        own: 300 * MS,
-        outlook: Some(forecast::Outlook {
+        duration: 300 * MS,
+        estimate: Some(forecast::Estimate {
             turn: unit::Period(turn * MS),
             behind: unit::Period(behind * MS),
         }),
     }
 }
 
-const TIME: forecast::Time = forecast::Time {
+const TIME: forecast::TimeBudget = forecast::TimeBudget {
     slack: time::Duration::from_millis(1100),
     left: time::Duration::from_millis(6000),
     rest: time::Duration::from_millis(200),
-    again: false,
+    is_repeat: false,
 };
 
 // Three stages wait at a time, so that only the longest queue counts and what comes after it. A sum
@@ -69,8 +69,8 @@
     let judged = forecast::judge(&steps, TIME);
     assert!(matches!(judged, forecast::Judgement::Refused(_)));
     // Refused before, it would have waited for nothing.
-    let again = forecast::Time {
-        again: true,
+    let again = forecast::TimeBudget {
+        is_repeat: true,
         ..TIME
     };
     assert_eq!(forecast::judge(&steps, again), forecast::Judgement::Late);
@@ -79,10 +79,10 @@
 #[test]
 fn an_owner_that_does_not_answer_refuses_nothing() {
     let mut steps = [step(&[], 300, 300), step(&[0], 9000, 9000)];
-    steps[1].outlook = None;
+    steps[1].estimate = None;
     assert_eq!(forecast::judge(&steps, TIME), forecast::Judgement::OnTime);
     // What the stage takes by itself still counts.
-    steps[1].own = 800 * MS;
+    steps[1].duration = 800 * MS;
     assert_ne!(forecast::judge(&steps, TIME), forecast::Judgement::OnTime);
 }
 
@@ -94,6 +94,6 @@
         step(&[0, 1], 300, 300),
     ];
     assert_eq!(forecast::judge(&steps, TIME), forecast::Judgement::OnTime);
-    let none: [forecast::Step; 0] = [];
+    let none: [forecast::Stage; 0] = [];
     assert_eq!(forecast::judge(&none, TIME), forecast::Judgement::OnTime);
 }
--- a/laburnumcart/tests/freshness.rs
+++ b/laburnumcart/tests/freshness.rs
@@ -3,18 +3,18 @@
 use std::time;
 
 use laburnumcart::freshness::{
+    BootTime, //
     Freshness,
-    Moment, //
 };
 
-fn at(secs: u64) -> Moment {
-    Moment(time::Duration::from_secs(secs))
+fn at(secs: u64) -> BootTime {
+    BootTime(time::Duration::from_secs(secs))
 }
 
 #[test]
 fn nothing_is_fresh_before_the_first_read() {
     let freshness = Freshness::default();
-    assert!(!freshness.is_within(time::Duration::from_secs(100), at(1)));
+    assert!(!freshness.is_fresh(time::Duration::from_secs(100), at(1)));
 }
 
 // Two followers read the store; the answer to the earlier read arrives last. It must not make the
@@ -22,8 +22,8 @@
 #[test]
 fn the_latest_question_counts() {
     let freshness = Freshness::default();
-    freshness.confirm(at(8));
-    freshness.confirm(at(5));
+    freshness.record_read(at(8));
+    freshness.record_read(at(5));
     assert_eq!(freshness.age(at(10)), Some(time::Duration::from_secs(2)));
 }
 
@@ -32,7 +32,7 @@
 #[test]
 fn suspended_time_counts() {
     let freshness = Freshness::default();
-    freshness.confirm(at(10));
-    assert!(freshness.is_within(time::Duration::from_secs(5), at(15)));
-    assert!(!freshness.is_within(time::Duration::from_secs(5), at(70)));
+    freshness.record_read(at(10));
+    assert!(freshness.is_fresh(time::Duration::from_secs(5), at(15)));
+    assert!(!freshness.is_fresh(time::Duration::from_secs(5), at(70)));
 }
--- a/laburnumcart/tests/head.rs
+++ b/laburnumcart/tests/head.rs
@@ -3,18 +3,18 @@
 use laburnumcart::{
     head,
     id,
-    seal, //
+    signing, //
 };
 
 type Publish = head::Publish<u64>;
 
-fn digest(text: &str) -> seal::Digest {
-    seal::Digest::of(text.as_bytes())
+fn digest(text: &str) -> signing::Digest {
+    signing::Digest::of(text.as_bytes())
 }
 
 fn accept(text: &str, nonce: u128) -> Publish {
     let mut publish = Publish::new(head::Change::Accept(text.into()), id::Nonce(nonce));
-    publish.created();
+    publish.record_created();
     publish
 }
 
@@ -40,15 +40,15 @@
     let mut publish = Publish::new(head::Change::Accept("a".into()), id::Nonce(7));
     assert!(matches!(publish.step(), head::Step::Create { .. }));
     // Nothing but the object's creation leads on.
-    publish.read(None);
-    publish.wrote(head::Wrote::Applied);
+    publish.record_read(None);
+    publish.record_write(head::WriteOutcome::Applied);
     assert!(matches!(publish.step(), head::Step::Create { .. }));
-    publish.created();
+    publish.record_created();
     assert_eq!(publish.step(), head::Step::Read);
-    publish.read(None);
+    publish.record_read(None);
     let head = written(&publish);
     assert_eq!(head.accepted.generation, id::Generation(1));
-    publish.wrote(head::Wrote::Applied);
+    publish.record_write(head::WriteOutcome::Applied);
     assert_eq!(publish.step(), head::Step::Done(Ok(head)));
 }
 
@@ -59,15 +59,15 @@
     for others in 0..3_u128 {
         let base = head_of(&["a"]);
         let mut publish = accept("b", 100);
-        publish.read(Some((1, base)));
+        publish.record_read(Some((1, base)));
         let own = written(&publish);
-        publish.wrote(head::Wrote::Unknown);
-        assert!(publish.in_doubt());
+        publish.record_write(head::WriteOutcome::Unknown);
+        assert!(publish.is_in_doubt());
         let mut now = own.clone();
         for other in 0..others {
             now = head::Head::after(Some(&now), digest("c"), id::Nonce(200 + other));
         }
-        publish.read(Some((5, now)));
+        publish.record_read(Some((5, now)));
         assert_eq!(publish.step(), head::Step::Done(Ok(own)));
     }
 }
@@ -78,21 +78,21 @@
 fn a_lost_call_is_repeated_with_the_same_expectation() {
     let base = head_of(&["a"]);
     let mut publish = accept("b", 100);
-    publish.read(Some((1, base.clone())));
+    publish.record_read(Some((1, base.clone())));
     let first = publish.step();
-    publish.wrote(head::Wrote::Unknown);
-    publish.read(Some((1, base)));
+    publish.record_write(head::WriteOutcome::Unknown);
+    publish.record_read(Some((1, base)));
     assert_eq!(publish.step(), first);
-    assert!(publish.in_doubt(), "the first write may still arrive");
+    assert!(publish.is_in_doubt(), "the first write may still arrive");
     let own = written(&publish);
-    publish.wrote(head::Wrote::Conflict);
+    publish.record_write(head::WriteOutcome::Conflict);
     assert!(
-        publish.in_doubt(),
+        publish.is_in_doubt(),
         "the first write may be what is in the way"
     );
-    publish.read(Some((2, own.clone())));
+    publish.record_read(Some((2, own.clone())));
     assert_eq!(publish.step(), head::Step::Done(Ok(own)));
-    assert!(!publish.in_doubt());
+    assert!(!publish.is_in_doubt());
 }
 
 /// Both operators have read the same head. The second to write is told, with what the first one
@@ -101,13 +101,13 @@
 fn the_loser_of_a_race_is_told_the_winner() {
     let base = head_of(&["a"]);
     let mut loser = accept("b", 100);
-    loser.read(Some((1, base.clone())));
+    loser.record_read(Some((1, base.clone())));
     let winner = head::Head::after(Some(&base), digest("c"), id::Nonce(200));
     let later = head::Head::after(Some(&winner), digest("d"), id::Nonce(300));
-    loser.wrote(head::Wrote::Conflict);
-    loser.read(Some((3, later)));
+    loser.record_write(head::WriteOutcome::Conflict);
+    loser.record_read(Some((3, later)));
     let winner = winner.accepted;
-    let lost = head::Lost::Conflict { winner };
+    let lost = head::PublishError::Conflict { winner };
     assert_eq!(loser.step(), head::Step::Done(Err(lost)));
 }
 
@@ -118,23 +118,23 @@
     let old = head_of(&["a"]);
     let base = head::Head::after(Some(&old), digest("b"), id::Nonce(1));
     let mut publish = accept("c", 100);
-    publish.read(Some((2, base)));
-    publish.wrote(head::Wrote::Unknown);
-    publish.read(Some((1, old)));
+    publish.record_read(Some((2, base)));
+    publish.record_write(head::WriteOutcome::Unknown);
+    publish.record_read(Some((1, old)));
     assert_eq!(publish.step(), head::Step::Read);
-    assert!(publish.in_doubt());
+    assert!(publish.is_in_doubt());
 }
 
 #[test]
 fn too_many_later_generations_leave_it_open() {
     let mut publish = accept("b", 100);
-    publish.read(Some((1, head_of(&["a"]))));
-    publish.wrote(head::Wrote::Unknown);
+    publish.record_read(Some((1, head_of(&["a"]))));
+    publish.record_write(head::WriteOutcome::Unknown);
     let now = head_of(&["x"; 2 * head::EARLIER_MAX]);
-    let lost = head::Lost::Forgotten {
+    let lost = head::PublishError::Forgotten {
         now: now.accepted.generation,
     };
-    publish.read(Some((9, now)));
+    publish.record_read(Some((9, now)));
     assert_eq!(publish.step(), head::Step::Done(Err(lost)));
 }
 
@@ -142,7 +142,7 @@
 fn rolling_back_is_a_new_generation_with_an_older_digest() {
     let change = head::Change::Restore(id::Generation(1));
     let mut publish = Publish::new(change, id::Nonce(100));
-    publish.read(Some((1, head_of(&["a", "b", "c"]))));
+    publish.record_read(Some((1, head_of(&["a", "b", "c"]))));
     let head = written(&publish);
     assert_eq!(head.accepted.generation, id::Generation(4));
     assert_eq!(head.accepted.digest, digest("a"));
@@ -152,16 +152,16 @@
 fn only_a_listed_generation_can_be_restored() {
     let wanted = id::Generation(9);
     let mut publish = Publish::new(head::Change::Restore(wanted), id::Nonce(100));
-    publish.read(Some((1, head_of(&["a"]))));
-    let lost = head::Lost::NoSuchGeneration { wanted };
+    publish.record_read(Some((1, head_of(&["a"]))));
+    let lost = head::PublishError::NoSuchGeneration { wanted };
     assert_eq!(publish.step(), head::Step::Done(Err(lost)));
 }
 
 #[test]
 fn an_expected_generation_is_kept_to() {
-    let mut publish = accept("b", 100).on(id::Generation(4));
-    publish.read(Some((1, head_of(&["a"]))));
-    let lost = head::Lost::Moved {
+    let mut publish = accept("b", 100).with_base(id::Generation(4));
+    publish.record_read(Some((1, head_of(&["a"]))));
+    let lost = head::PublishError::Moved {
         expected: id::Generation(4),
         found: id::Generation(1),
     };
--- a/laburnumcart/tests/ingress.rs
+++ b/laburnumcart/tests/ingress.rs
@@ -20,7 +20,7 @@
         name: name.into(),
         host: host.into(),
         prefix: prefix.into(),
-        repeat: ingress::Repeat::Never,
+        retry: ingress::RetryPolicy::Never,
         stream: false,
         timeout: time::Duration::from_secs(1),
         objective: time::Duration::from_millis(300),
@@ -66,7 +66,7 @@
     table.add_route(route("short", "a.example", "/x/"));
     table.add_route(route("long", "a.example", "/x/y/"));
     table.add_route(route("other", "b.example", "/x/"));
-    let found = table.find(host, path).map(|r| r.name.as_str());
+    let found = table.find_route(host, path).map(|r| r.name.as_str());
     assert_eq!(found, expected);
 }
 
--- a/laburnumcart/tests/lanes.rs
+++ b/laburnumcart/tests/lanes.rs
@@ -63,7 +63,7 @@
 #[case::unknown_lane(&[], 1, Verdict::MayHaveRun)]
 #[tokio::test(start_paused = true)]
 async fn unknown_attempt(#[case] sessions: &[u64], #[case] sent: u64, #[case] verdict: Verdict) {
-    assert_eq!(lanes(sessions).doubt(LANE, sent), verdict);
+    assert_eq!(lanes(sessions).unknown_verdict(LANE, sent), verdict);
 }
 
 /// The sender is told "may have run" of an attempt whose result was forgotten before it asked.
@@ -71,11 +71,11 @@
 #[tokio::test(start_paused = true)]
 async fn forgotten_result_is_not_denied() {
     let mut lanes = lanes(&[1, 2, 3]);
-    lanes.forget(LANE, 2);
-    assert_eq!(lanes.doubt(LANE, 1), Verdict::NotRun);
-    assert_eq!(lanes.doubt(LANE, 2), Verdict::MayHaveRun);
+    lanes.record_expired(LANE, 2);
+    assert_eq!(lanes.unknown_verdict(LANE, 1), Verdict::NotRun);
+    assert_eq!(lanes.unknown_verdict(LANE, 2), Verdict::MayHaveRun);
     lanes.open(LANE, 4, Instant::now()).unwrap();
-    assert_eq!(lanes.doubt(LANE, 3), Verdict::NotRun);
+    assert_eq!(lanes.unknown_verdict(LANE, 3), Verdict::NotRun);
 }
 
 /// A lane that was idle for long is forgotten; its old calls stay refused, and after the next
@@ -84,15 +84,15 @@
 async fn forgotten_lane_denies_nothing() {
     let mut lanes = lanes(&[1, 2]);
     time::advance(IDLE - Duration::from_millis(1)).await;
-    lanes.sweep(Instant::now());
+    lanes.expire(Instant::now());
     assert_eq!(lanes.len(), 1);
     lanes.check(LANE, 2, Instant::now()).unwrap();
     time::advance(IDLE).await;
-    lanes.sweep(Instant::now());
+    lanes.expire(Instant::now());
     assert!(lanes.is_empty());
     assert!(lanes.check(LANE, 2, Instant::now()).is_err());
     lanes.open(LANE, 3, Instant::now()).unwrap();
-    assert_eq!(lanes.doubt(LANE, 2), Verdict::MayHaveRun);
+    assert_eq!(lanes.unknown_verdict(LANE, 2), Verdict::MayHaveRun);
 }
 
 /// The sender is told "may have run". Its first `hello` was stuck in a connection, the stage ran
@@ -102,11 +102,11 @@
 async fn late_hello_after_a_forgotten_lane() {
     let mut lanes = lanes(&[2]);
     time::advance(IDLE).await;
-    lanes.sweep(Instant::now());
+    lanes.expire(Instant::now());
     lanes.open(LANE, 1, Instant::now()).unwrap();
     lanes.open(LANE, 3, Instant::now()).unwrap();
-    assert_eq!(lanes.doubt(LANE, 2), Verdict::MayHaveRun);
-    assert_eq!(lanes.doubt(LANE, 1), Verdict::NotRun);
+    assert_eq!(lanes.unknown_verdict(LANE, 2), Verdict::MayHaveRun);
+    assert_eq!(lanes.unknown_verdict(LANE, 1), Verdict::NotRun);
 }
 
 /// Only the latest sessions are remembered; older ones are not denied.
@@ -114,6 +114,6 @@
 async fn memory_is_bounded() {
     let sessions: Vec<u64> = (1..=20).collect();
     let lanes = lanes(&sessions);
-    assert_eq!(lanes.doubt(LANE, 4), Verdict::MayHaveRun);
-    assert_eq!(lanes.doubt(LANE, 5), Verdict::NotRun);
+    assert_eq!(lanes.unknown_verdict(LANE, 4), Verdict::MayHaveRun);
+    assert_eq!(lanes.unknown_verdict(LANE, 5), Verdict::NotRun);
 }
--- a/laburnumcart/tests/orders.rs
+++ b/laburnumcart/tests/orders.rs
@@ -19,17 +19,17 @@
 
 fn orders(fencing: Fencing) -> Orders {
     let mut orders = Orders::new();
-    orders.want(fencing, ["new".into()], LIMIT);
-    orders.observe(["old".into()]);
+    orders.set_wanted(fencing, ["new".into()], LIMIT);
+    orders.set_loaded(["old".into()]);
     orders
 }
 
 fn give(orders: &mut Orders, term: Term, now: Instant) -> (u64, Vec<String>) {
     if orders.step(now) == Step::Confirm {
-        orders.confirm(term, now);
+        orders.confirm_term(term, now);
     }
     match orders.step(now) {
-        Step::Give(order) => (order.number.sequence, order.load),
+        Step::Send(order) => (order.number.sequence, order.load),
         other => panic!("no order: {other:?}"),
     }
 }
@@ -39,26 +39,26 @@
 #[case(Fencing::Unfenced)]
 #[tokio::test(start_paused = true)]
 async fn no_order_without_term(#[case] fencing: Fencing) {
-    assert_eq!(orders(fencing).step(Instant::now()), Step::Rest);
+    assert_eq!(orders(fencing).step(Instant::now()), Step::Idle);
 }
 
 #[tokio::test(start_paused = true)]
 async fn no_order_to_a_service_without() {
     let mut orders = orders(Fencing::None);
-    orders.hold(Term(1), Instant::now());
-    assert_eq!(orders.step(Instant::now()), Step::Rest);
+    orders.acquire_term(Term(1), Instant::now());
+    assert_eq!(orders.step(Instant::now()), Step::Idle);
 }
 
 #[tokio::test(start_paused = true)]
 async fn fenced_target_is_ordered_at_once() {
     let mut orders = orders(Fencing::Fenced);
-    orders.hold(Term(7), Instant::now());
+    orders.acquire_term(Term(7), Instant::now());
     assert!(
-        matches!(orders.step(Instant::now()), Step::Give(order) if order.number.term == Term(7))
+        matches!(orders.step(Instant::now()), Step::Send(order) if order.number.term == Term(7))
     );
     assert_eq!(
         orders.step(Instant::now()),
-        Step::Rest,
+        Step::Idle,
         "one order at a time"
     );
 }
@@ -69,7 +69,7 @@
 async fn unfenced_target_is_waited_for() {
     let mut orders = orders(Fencing::Unfenced);
     let start = Instant::now();
-    orders.hold(Term(2), start);
+    orders.acquire_term(Term(2), start);
     assert_eq!(orders.step(start), Step::Wait(start + LIMIT));
     time::advance(LIMIT - Duration::from_millis(1)).await;
     assert_eq!(orders.step(Instant::now()), Step::Wait(start + LIMIT));
@@ -82,14 +82,14 @@
 #[tokio::test(start_paused = true)]
 async fn paused_agent_confirms_again() {
     let mut orders = orders(Fencing::Unfenced);
-    orders.hold(Term(2), Instant::now());
+    orders.acquire_term(Term(2), Instant::now());
     time::advance(LIMIT).await;
     assert_eq!(orders.step(Instant::now()), Step::Confirm);
-    orders.confirm(Term(2), Instant::now());
+    orders.confirm_term(Term(2), Instant::now());
     time::advance(LIMIT).await;
     assert_eq!(orders.step(Instant::now()), Step::Confirm);
-    orders.confirm(Term(3), Instant::now());
-    assert_eq!(orders.step(Instant::now()), Step::Rest);
+    orders.confirm_term(Term(3), Instant::now());
+    assert_eq!(orders.step(Instant::now()), Step::Idle);
     assert!(orders.is_superseded());
 }
 
@@ -98,16 +98,16 @@
 #[tokio::test(start_paused = true)]
 async fn late_order_is_put_right() {
     let mut orders = orders(Fencing::Unfenced);
-    orders.hold(Term(3), Instant::now());
+    orders.acquire_term(Term(3), Instant::now());
     time::advance(LIMIT).await;
     give(&mut orders, Term(3), Instant::now());
-    orders.given();
+    orders.record_completed();
     assert_eq!(orders.step(Instant::now()), Step::Confirm);
-    orders.confirm(Term(3), Instant::now());
-    orders.observe(["new".into()]);
+    orders.confirm_term(Term(3), Instant::now());
+    orders.set_loaded(["new".into()]);
     assert!(orders.is_settled());
-    assert_eq!(orders.step(Instant::now()), Step::Rest);
-    orders.observe(["old".into()]);
+    assert_eq!(orders.step(Instant::now()), Step::Idle);
+    orders.set_loaded(["old".into()]);
     let (sequence, load) = give(&mut orders, Term(3), Instant::now());
     assert_eq!((sequence, load), (2, vec!["new".to_owned()]));
 }
@@ -116,8 +116,8 @@
 #[tokio::test(start_paused = true)]
 async fn state_is_read_after_an_order() {
     let mut orders = orders(Fencing::Fenced);
-    orders.hold(Term(1), Instant::now());
-    assert!(matches!(orders.step(Instant::now()), Step::Give(_)));
-    orders.given();
-    assert_eq!(orders.step(Instant::now()), Step::Rest);
+    orders.acquire_term(Term(1), Instant::now());
+    assert!(matches!(orders.step(Instant::now()), Step::Send(_)));
+    orders.record_completed();
+    assert_eq!(orders.step(Instant::now()), Step::Idle);
 }
--- a/laburnumcart/tests/eject.rs
+++ b/laburnumcart/tests/outlier.rs
@@ -3,7 +3,7 @@
 use std::time;
 
 use laburnumcart::{
-    eject::{
+    outlier::{
         self,
         Outcome,
         State, //
@@ -17,8 +17,8 @@
 const USUAL: Outcome = Outcome::Success(time::Duration::from_millis(20));
 const SLOW: Outcome = Outcome::Success(time::Duration::from_millis(200));
 
-fn ejector(count: usize, now: Instant) -> (eject::Ejector, Vec<eject::TargetKey>) {
-    let mut ejector = eject::Ejector::new(unit::Share(0.3), now);
+fn ejector(count: usize, now: Instant) -> (outlier::Detector, Vec<outlier::TargetKey>) {
+    let mut ejector = outlier::Detector::new(unit::Share(0.3), now);
     let keys = (0..count).map(|_| ejector.add()).collect();
     (ejector, keys)
 }
@@ -36,10 +36,10 @@
             let key = keys[i % keys.len()];
             match step {
                 0 if keys.len() > 1 => ejector.remove(keys.swap_remove(i % keys.len())),
-                1 => ejector.start(key, now),
-                2 => ejector.record(key, USUAL, now),
-                3 => ejector.record(key, SLOW, now),
-                _ => ejector.record(key, Outcome::Failure, now),
+                1 => ejector.record_send(key, now),
+                2 => ejector.record_outcome(key, USUAL, now),
+                3 => ejector.record_outcome(key, SLOW, now),
+                _ => ejector.record_outcome(key, Outcome::Failure, now),
             }
             let out = keys.iter().filter(|k| ejector.state(**k) != State::Ready).count();
             prop_assert_eq!(out, ejector.ejected());
@@ -58,10 +58,10 @@
     let (mut ejector, keys) = ejector(10, now);
     for step in 0..20 {
         now += time::Duration::from_millis(300);
-        ejector.record(keys[0], if step % 2 == 0 { even } else { odd }, now);
+        ejector.record_outcome(keys[0], if step % 2 == 0 { even } else { odd }, now);
         keys[1..]
             .iter()
-            .for_each(|key| ejector.record(*key, USUAL, now));
+            .for_each(|key| ejector.record_outcome(*key, USUAL, now));
     }
     assert_ne!(ejector.state(keys[0]), State::Ready);
     assert_eq!(ejector.ejected(), 1);
@@ -74,18 +74,18 @@
     let mut now = Instant::now();
     let (mut ejector, keys) = ejector(10, now);
     let bad = keys[0];
-    (0..5).for_each(|_| ejector.record(bad, Outcome::Failure, now));
+    (0..5).for_each(|_| ejector.record_outcome(bad, Outcome::Failure, now));
     let State::Ejected(first) = ejector.state(bad) else {
         panic!("not ejected");
     };
     // The answer to a call from before the ejection is no trial.
-    ejector.record(bad, USUAL, now);
-    assert!(!ejector.allows(bad, now));
+    ejector.record_outcome(bad, USUAL, now);
+    assert!(!ejector.can_send(bad, now));
 
     now = first;
-    ejector.start(bad, now);
-    assert!(!ejector.allows(bad, now));
-    ejector.record(bad, Outcome::Failure, now);
+    ejector.record_send(bad, now);
+    assert!(!ejector.can_send(bad, now));
+    ejector.record_outcome(bad, Outcome::Failure, now);
     let State::Ejected(second) = ejector.state(bad) else {
         panic!("not ejected again");
     };
@@ -93,9 +93,9 @@
 
     now = second;
     for _ in 0..3 {
-        assert!(ejector.allows(bad, now));
-        ejector.start(bad, now);
-        ejector.record(bad, USUAL, now);
+        assert!(ejector.can_send(bad, now));
+        ejector.record_send(bad, now);
+        ejector.record_outcome(bad, USUAL, now);
     }
     assert_eq!((ejector.state(bad), ejector.ejected()), (State::Ready, 0));
 }
@@ -105,8 +105,8 @@
 fn lost_trial_is_given_up() {
     let now = Instant::now();
     let (mut ejector, keys) = ejector(10, now);
-    (0..5).for_each(|_| ejector.record(keys[0], Outcome::Failure, now));
+    (0..5).for_each(|_| ejector.record_outcome(keys[0], Outcome::Failure, now));
     let trial = now + time::Duration::from_secs(5);
-    ejector.start(keys[0], trial);
-    assert!(ejector.allows(keys[0], trial + time::Duration::from_secs(31)));
+    ejector.record_send(keys[0], trial);
+    assert!(ejector.can_send(keys[0], trial + time::Duration::from_secs(31)));
 }
--- a/laburnumcart/tests/owners.rs
+++ b/laburnumcart/tests/owners.rs
@@ -48,7 +48,7 @@
 }
 
 /// Queues of the instance that owns most of them.
-fn most(orders: &owners::Orders<'_>, place: usize) -> usize {
+fn most(orders: &owners::Rankings<'_>, place: usize) -> usize {
     let mut counts: collections::HashMap<_, usize> = collections::HashMap::new();
     for order in orders.values() {
         *counts.entry(order[place].name).or_default() += 1;
@@ -69,7 +69,7 @@
     for salt in 0..50 {
         let fleet = Fleet::new(strong, weak, salt);
         let members = fleet.members();
-        let orders = owners::orders(&members, &services);
+        let orders = owners::rankings(&members, &services);
         assert_eq!(most(&orders, 0), 1);
         let places: collections::HashSet<_> = orders.values().map(|o| o[0].data_centre).collect();
         assert_eq!(places.len(), count.min(3), "lost with a data centre");
@@ -84,7 +84,7 @@
     for salt in 0..50 {
         let fleet = Fleet::new(6, 21, salt);
         let members = fleet.members();
-        let orders = owners::orders(&members, &services);
+        let orders = owners::rankings(&members, &services);
         let owners: Vec<_> = orders.values().map(|order| order[0].name).collect();
         assert!(
             orders
@@ -101,7 +101,7 @@
     let fleet = Fleet::new(2, 20, 0);
     let members = fleet.members();
     let services = services(4);
-    let orders = owners::orders(&members, &services);
+    let orders = owners::rankings(&members, &services);
     assert_eq!(most(&orders, 0), 2);
     assert!(orders.values().all(|order| order[0].cores > 0.4));
 }
@@ -114,8 +114,8 @@
     let (fewer, more) = (Fleet::new(6, 20, 0), Fleet::new(6, 21, 0));
     let (few, many) = (fewer.members(), more.members());
     let (before, after) = (
-        owners::orders(&few, &services),
-        owners::orders(&many, &services),
+        owners::rankings(&few, &services),
+        owners::rankings(&many, &services),
     );
     for service in &services {
         assert_eq!(before[service][0].name, after[service][0].name);
--- a/laburnumcart/tests/patience.rs
+++ b/laburnumcart/tests/patience.rs
@@ -10,7 +10,7 @@
 /// Callers of a route of which one has named 6 s.
 fn callers() -> patience::Patience {
     let mut callers = patience::Patience::default();
-    assert_eq!(callers.spent(6000 * MS), time::Duration::ZERO);
+    assert_eq!(callers.estimate_spent(6000 * MS), time::Duration::ZERO);
     callers
 }
 
@@ -20,7 +20,7 @@
 // have been on time.
 #[rstest]
 fn first_attempts_have_spent_nothing(#[values(5100, 5400, 5700, 6000)] named: u32) {
-    assert_eq!(callers().spent(named * MS), time::Duration::ZERO);
+    assert_eq!(callers().estimate_spent(named * MS), time::Duration::ZERO);
 }
 
 // A caller was refused and comes again after a second or more. Its objective counts from its first
@@ -31,7 +31,7 @@
 #[case(6000, 3000)]
 #[case(5100, 3000)]
 fn later_attempts_have_spent_about_what_is_missing(#[case] first: u32, #[case] gone: u32) {
-    let spent = callers().spent((first - gone) * MS);
+    let spent = callers().estimate_spent((first - gone) * MS);
     let error = spent.abs_diff(gone * MS);
     assert!(error <= 500 * MS, "{spent:?}");
 }
--- a/laburnumcart/tests/placement.rs
+++ b/laburnumcart/tests/placement.rs
@@ -12,12 +12,12 @@
 
 const ENGINES: usize = 6;
 
-fn fleet() -> (placement::Fleet, Vec<placement::EngineKey>) {
+fn fleet() -> (placement::Engines, Vec<placement::EngineKey>) {
     let limits = ingress::Engine {
         slots: 8,
         tokens: 400_000,
     };
-    let mut fleet = placement::Fleet::new(limits);
+    let mut fleet = placement::Engines::new(limits);
     let zone = |i: usize| ["north", "south", "west"][i % 3].parse().unwrap();
     let add = |i| fleet.add(&format!("engine-{i}"), zone(i));
     let keys = (0..ENGINES).map(add).collect();
@@ -28,8 +28,8 @@
     [(session, 6000), (own, 500)].map(|(id, tokens)| placement::Part { id, tokens })
 }
 
-fn ask(parts: &[placement::Part]) -> placement::Ask<'_> {
-    placement::Ask {
+fn ask(parts: &[placement::Part]) -> placement::Request<'_> {
+    placement::Request {
         parts,
         tokens: 7000,
         ..Default::default()
@@ -53,10 +53,13 @@
     let (mut fleet, _) = fleet();
     let (first, second) = (parts(1, 1), parts(1, 2));
     let place = fleet.choose(&ask(&first), now).unwrap();
-    assert_eq!(place.missing, 6500);
-    fleet.start(&ask(&first), place, now);
-    fleet.first_token(place);
-    assert_eq!(fleet.choose(&ask(&second), now).unwrap().missing, 500);
+    assert_eq!(place.uncached_tokens, 6500);
+    fleet.record_sent(&ask(&first), place, now);
+    fleet.record_first_token(place);
+    assert_eq!(
+        fleet.choose(&ask(&second), now).unwrap().uncached_tokens,
+        500
+    );
 }
 
 // One session gets most of the traffic. Its home must not be left with all of it: the prompts
@@ -69,7 +72,7 @@
     for own in 0..40 {
         let parts = parts(1, 1000 + own);
         let place = fleet.choose(&ask(&parts), now).unwrap();
-        fleet.start(&ask(&parts), place, now);
+        fleet.record_sent(&ask(&parts), place, now);
         used.insert(place.engine);
     }
     assert!(used.len() >= 3, "{}", used.len());
@@ -84,16 +87,19 @@
     let (mut fleet, _) = fleet();
     let first = parts(1, 1);
     let home = fleet.choose(&ask(&first), now).unwrap();
-    fleet.start(&ask(&first), home, now);
-    fleet.first_token(home);
+    fleet.record_sent(&ask(&first), home, now);
+    fleet.record_first_token(home);
     for session in 100..102 {
         let other = parts(session, session);
         let missing = 6500;
-        let place = placement::Place { missing, ..home };
-        fleet.start(&ask(&other), place, now);
+        let place = placement::Assignment {
+            uncached_tokens: missing,
+            ..home
+        };
+        fleet.record_sent(&ask(&other), place, now);
     }
     let next = parts(1, 2);
-    let with = |slack| placement::Ask {
+    let with = |slack| placement::Request {
         slack,
         ..ask(&next)
     };
@@ -111,7 +117,7 @@
     let (mut fleet, keys) = fleet();
     let parts = parts(3, 1);
     let place = fleet.choose(&ask(&parts), now).unwrap();
-    fleet.fail(place.engine, now);
+    fleet.record_failure(place.engine, now);
     let other = fleet.choose(&ask(&parts), now).unwrap();
     assert_ne!(other.engine, place.engine);
     for key in keys.iter().filter(|key| **key != place.engine) {
@@ -122,7 +128,7 @@
         place.engine
     );
     let avoid = [place.engine];
-    let ask = placement::Ask {
+    let ask = placement::Request {
         avoid: &avoid,
         ..ask(&parts)
     };
@@ -135,7 +141,7 @@
     let (fleet, _) = fleet();
     let own = [placement::Part { id: 9, tokens: 500 }];
     let inputs = [("west".parse().unwrap(), unit::Size(8 << 20))];
-    let near = placement::Ask {
+    let near = placement::Request {
         inputs: &inputs,
         ..ask(&own)
     };
@@ -162,7 +168,7 @@
         running: 8,
         waiting: 20,
     };
-    fleet.report(home, full, now);
+    fleet.record_report(home, full, now);
     assert_ne!(fleet.choose(&ask(&parts), now).unwrap().engine, home);
     let later = now + time::Duration::from_secs(2);
     assert_eq!(fleet.choose(&ask(&parts), later).unwrap().engine, home);
@@ -181,13 +187,13 @@
     };
     let until = start + time::Duration::from_secs(3);
     for key in &keys {
-        let gate = quota::Gate::default();
+        let gate = quota::Limiter::default();
         gate.set(quota::Bounds {
             cold: Some(quota::Bound::new(quota).until(until)),
             ..quota::Bounds::default()
         });
-        fleet.set_gate(*key, gate);
-        fleet.fail(*key, start);
+        fleet.set_limiter(*key, gate);
+        fleet.record_failure(*key, start);
     }
     let (mut served, mut refused) = (0, 0);
     for session in 0..100 {
@@ -195,7 +201,7 @@
         let ask = ask(&parts);
         match fleet.choose(&ask, start) {
             Some(place) => {
-                fleet.start(&ask, place, start);
+                fleet.record_sent(&ask, place, start);
                 served += 1;
             }
             None => refused += 1,
--- a/laburnumcart/tests/strikes.rs
+++ b/laburnumcart/tests/poison.rs
@@ -4,9 +4,9 @@
 
 use laburnumcart::{
     id,
-    strikes::{
+    poison::{
         self,
-        Strike, //
+        Failure, //
     },
 };
 use tokio::time::Instant;
@@ -22,47 +22,53 @@
 }
 
 /// Adds a failure of [`CONTENT`] at a target, from one moment to another in milliseconds.
-fn strike(strikes: &mut strikes::Strikes, start: Instant, number: u64, sent: u32, failed: u32) {
-    let strike = Strike {
+fn strike(strikes: &mut poison::Failures, start: Instant, number: u64, sent: u32, failed: u32) {
+    let strike = Failure {
         content: CONTENT,
         sent: start + MS * sent,
         failed: start + MS * failed,
     };
-    strikes.add(target(number), strike);
+    strikes.record_failure(target(number), strike);
 }
 
 // Half of all targets crash in one moment, and many callers have asked for the same.
 #[test]
 fn requests_that_ran_at_once_on_targets_that_crashed_are_innocent() {
     let start = Instant::now();
-    let mut strikes = strikes::Strikes::default();
+    let mut strikes = poison::Failures::default();
     (0..9).for_each(|number| strike(&mut strikes, start, number, 0, 500 + number as u32));
     (9..18).for_each(|number| strike(&mut strikes, start, number, 520, 900));
-    assert_eq!(strikes.refused(CONTENT, |_| true, start + MS * 1000), None);
+    assert_eq!(
+        strikes.refused_until(CONTENT, |_| true, start + MS * 1000),
+        None
+    );
 }
 
 // A target fails a request and lives on.
 #[test]
 fn targets_that_are_still_there_did_not_crash() {
     let start = Instant::now();
-    let mut strikes = strikes::Strikes::default();
+    let mut strikes = poison::Failures::default();
     (0..9).for_each(|i| strike(&mut strikes, start, i, i as u32 * 100, i as u32 * 100 + 50));
     let is_gone = |life: &id::TargetLife| [target(2), target(5)].contains(life);
-    assert_eq!(strikes.refused(CONTENT, is_gone, start + MS * 1000), None);
+    assert_eq!(
+        strikes.refused_until(CONTENT, is_gone, start + MS * 1000),
+        None
+    );
 }
 
 // A target that has failed many requests long ago is crashed by the next one.
 #[test]
 fn failures_that_are_forgotten_make_room_for_others() {
     let start = Instant::now();
-    let mut strikes = strikes::Strikes::default();
+    let mut strikes = poison::Failures::default();
     for content in 2..1000 {
-        let strike = Strike {
+        let strike = Failure {
             content: id::Fingerprint(content),
             sent: start,
             failed: start,
         };
-        strikes.add(target(0), strike);
+        strikes.record_failure(target(0), strike);
     }
     let later = 60_000;
     (0..3).for_each(|i| {
@@ -70,19 +76,19 @@
         strike(&mut strikes, start, i, sent, sent + 50);
     });
     let now = start + MS * (later + 300);
-    assert!(strikes.refused(CONTENT, |_| true, now).is_some());
+    assert!(strikes.refused_until(CONTENT, |_| true, now).is_some());
 }
 
 // The content comes again once its failures are forgotten.
 #[test]
 fn a_refusal_ends() {
     let start = Instant::now();
-    let mut strikes = strikes::Strikes::default();
+    let mut strikes = poison::Failures::default();
     (0..3).for_each(|i| strike(&mut strikes, start, i, i as u32 * 100, i as u32 * 100 + 50));
-    let until = strikes.refused(CONTENT, |_| true, start + MS * 250);
-    let end = start + MS * 50 + strikes::REMEMBERED;
+    let until = strikes.refused_until(CONTENT, |_| true, start + MS * 250);
+    let end = start + MS * 50 + poison::RETENTION;
     assert_eq!(until, Some(end));
-    assert_eq!(strikes.refused(CONTENT, |_| true, end), None);
-    strikes.forget(end + MS * 1000);
+    assert_eq!(strikes.refused_until(CONTENT, |_| true, end), None);
+    strikes.expire(end + MS * 1000);
     assert_eq!(strikes.targets().count(), 0);
 }
--- a/laburnumcart/tests/quota.rs
+++ b/laburnumcart/tests/quota.rs
@@ -114,7 +114,7 @@
 // through at their border.
 #[tokio::test(start_paused = true)]
 async fn no_second_has_more_than_the_part() {
-    let gate = quota::Gate::default();
+    let gate = quota::Limiter::default();
     let start = Instant::now();
     let quota = quota::Quota {
         count: 3,
@@ -129,7 +129,7 @@
     for _ in 0..1000 {
         let now = Instant::now();
         if now < until && gate.is_open(now) {
-            gate.record(now);
+            gate.record_send(now);
             sent.push_back(now);
         }
         tokio::time::advance(time::Duration::from_millis(10)).await;
@@ -140,7 +140,7 @@
         assert!(sent.iter().filter(|t| second.contains(t)).count() <= 3);
     }
     assert!(gate.is_open(Instant::now()), "it is warm again");
-    assert!(!gate.is_bound(Instant::now()));
+    assert!(!gate.is_limited(Instant::now()));
 }
 
 /// Span in which the requests that a target gets are counted, in milliseconds.
@@ -164,7 +164,7 @@
 
 /// Members that were told of a limit, one after the other within two seconds.
 struct Fleet {
-    gates: Vec<(time::Duration, quota::Gate)>,
+    gates: Vec<(time::Duration, quota::Limiter)>,
     start: Instant,
     sent: Vec<u64>,
 }
@@ -178,14 +178,14 @@
             let after = time::Duration::from_millis(rng.random_range(0..2000));
             let senders = quota::Senders { own, members: &all };
             let rate = unit::Rate(rate);
-            let named = quota::Named {
+            let named = quota::Advertised {
                 rate,
                 since: start + after,
                 confirmed: start + after,
                 draw: rng.random(),
             };
-            let bound = senders.limit(&target(3), rate, &named);
-            let gate = quota::Gate::default();
+            let bound = senders.advertised_bound(&target(3), rate, &named);
+            let gate = quota::Limiter::default();
             gate.set(quota::Bounds {
                 limit: Some(bound),
                 ..quota::Bounds::default()
@@ -211,7 +211,7 @@
                     Spread::Skewed => i == busy || rng.random_ratio(1, 20),
                 };
                 if presses && now >= self.start + *told && gate.is_open(now) {
-                    gate.record(now);
+                    gate.record_send(now);
                     self.sent.push(at);
                 }
             }
@@ -263,7 +263,7 @@
     fleet.press(Spread::Even, 400_000, &mut rng);
     let start = fleet.start;
     let late = start + time::Duration::from_secs(400);
-    let waits = fleet.gates.iter().map(|(_, gate)| gate.wait(late));
+    let waits = fleet.gates.iter().map(|(_, gate)| gate.wait_time(late));
     assert!(waits.max().unwrap() <= time::Duration::from_secs(160));
 }
 
@@ -273,14 +273,14 @@
     #[values(0.0, 0.3, 1.0, 2.5, 20.0)] rate: f64,
     #[values(true, false)] requests: bool,
 ) {
-    let uses = quota::Uses {
+    let uses = quota::TrafficKinds {
         requests,
         calls: true,
     };
     let told = Instant::now();
     let owner = || {
-        let gate = quota::Gate::default();
-        let bound = quota::Bound::calls(uses.calls(unit::Rate(rate)), told);
+        let gate = quota::Limiter::default();
+        let bound = quota::Bound::for_calls(uses.call_rate(unit::Rate(rate)), told);
         gate.set(quota::Bounds {
             limit: Some(bound),
             ..quota::Bounds::default()
@@ -329,7 +329,7 @@
     fn what_was_true_last_is_known(events in prop::collection::vec(event(), 1..40)) {
         let start = Instant::now() + time::Duration::from_secs(10);
         let mut now = start;
-        let mut heard = quota::Heard::default();
+        let mut heard = quota::TargetLimit::default();
         for (pause, event) in events {
             now += time::Duration::from_millis(pause);
             let before = heard;
@@ -338,24 +338,24 @@
                     let sent = now - time::Duration::from_millis(flight);
                     let rate = |limit| quota::Limit::Named(unit::Rate(f64::from(limit)));
                     let limit = limit.map_or(quota::Limit::None, rate);
-                    heard.answer(quota::Word { limit, own, sent }, 0.5, now);
-                    prop_assert!(own || heard.named().is_some() || before.named().is_none());
+                    heard.record_answer(quota::Observation { limit, own, sent }, 0.5, now);
+                    prop_assert!(own || heard.advertised().is_some() || before.advertised().is_none());
                     (limit, sent)
                 }
                 Event::Told { limit, age } => {
                     let at = now - time::Duration::from_millis(age);
                     let rate = limit.map(|limit| unit::Rate(f64::from(limit)));
-                    heard.tell(rate, at, 0.5);
+                    heard.merge(rate, at, 0.5);
                     (rate.map_or(quota::Limit::None, quota::Limit::Named), at)
                 }
             };
-            if let (Some(named), None) = (before.named(), heard.named()) {
+            if let (Some(named), None) = (before.advertised(), heard.advertised()) {
                 prop_assert!(since > named.confirmed && limit == quota::Limit::None);
             }
             if heard.limit() != before.limit() {
                 prop_assert_eq!(heard.limit(), limit);
             }
-            prop_assert!(heard.at() >= before.at());
+            prop_assert!(heard.confirmed_at() >= before.confirmed_at());
         }
     }
 
@@ -367,10 +367,10 @@
         let all: Vec<_> = members.iter().collect();
         let at = Instant::now();
         let rate = unit::Rate(rate);
-        let named = quota::Named { rate, since: at, confirmed: at, draw: 1.0 };
+        let named = quota::Advertised { rate, since: at, confirmed: at, draw: 1.0 };
         let part = |own| {
             let senders = quota::Senders { own, members: &all };
-            senders.limit(&target(1), rate, &named)
+            senders.advertised_bound(&target(1), rate, &named)
         };
         let parts = members.iter().map(part).filter(|bound| bound.from.is_none());
         let sum: f64 = parts.map(|bound| bound.quota.rate()).sum();
--- a/laburnumcart/tests/readers.rs
+++ b/laburnumcart/tests/readers.rs
@@ -44,7 +44,7 @@
 
 #[test]
 fn readers_grow_slowly_with_the_fleet() {
-    let counts = [0, 1, 2, 5, 27, 103, 350].map(readers::count);
+    let counts = [0, 1, 2, 5, 27, 103, 350].map(readers::reader_count);
     assert_eq!(counts, [0, 1, 2, 2, 2, 3, 9]);
 }
 
@@ -101,7 +101,7 @@
     let mut asked = collections::HashMap::new();
     for member in fleet.members() {
         let mut readers = readers.clone();
-        readers::prefer(&mut readers, member.name, member.data_centre);
+        readers::sort_by_proximity(&mut readers, member.name, member.data_centre);
         *asked.entry(readers[0].name).or_insert(0) += 1;
     }
     assert_eq!(asked.len(), readers.len());
@@ -117,7 +117,7 @@
     let fleet = Fleet::new(103, 3);
     for member in fleet.members() {
         let mut readers = readers::choose(fleet.members());
-        readers::prefer(&mut readers, member.name, member.data_centre);
+        readers::sort_by_proximity(&mut readers, member.name, member.data_centre);
         assert_eq!(readers[0].data_centre, member.data_centre);
     }
 }
@@ -131,17 +131,17 @@
 #[test]
 fn a_reader_that_is_turned_away_tries_again_later() {
     let start = Instant::now();
-    let mut standing = readers::Standing::default();
-    assert!(standing.goes_first(start));
-    standing.answer(start);
-    assert!(standing.goes_first(start));
-    standing.fail(after(start, 100));
+    let mut standing = readers::Health::default();
+    assert!(standing.can_call_first(start));
+    standing.record_success(start);
+    assert!(standing.can_call_first(start));
+    standing.record_failure(after(start, 100));
     assert!(standing.is_failing());
-    assert!(!standing.goes_first(after(start, 2000)));
-    assert!(standing.goes_first(after(start, 2100)));
-    standing.answer(after(start, 2110));
+    assert!(!standing.can_call_first(after(start, 2000)));
+    assert!(standing.can_call_first(after(start, 2100)));
+    standing.record_success(after(start, 2110));
     assert!(!standing.is_failing());
-    assert!(standing.goes_first(after(start, 2110)));
+    assert!(standing.can_call_first(after(start, 2110)));
 }
 
 // The service is down for all. The hundred processes that do not read try it every two to six seconds,
@@ -149,20 +149,20 @@
 #[test]
 fn tries_of_those_that_do_not_read_are_spread() {
     let start = Instant::now();
-    let mut standing = readers::Standing::default();
-    assert!(standing.may_try(0.5, start), "it has not tried yet");
-    standing.fail(start);
+    let mut standing = readers::Health::default();
+    assert!(standing.can_probe(0.5, start), "it has not tried yet");
+    standing.record_failure(start);
     let tries = |millis| {
         let draws = (0..100).map(|i| f64::from(i) / 100.0);
-        let may_try = |draw: &f64| standing.may_try(*draw, after(start, millis));
+        let may_try = |draw: &f64| standing.can_probe(*draw, after(start, millis));
         draws.filter(may_try).count()
     };
     assert_eq!([1900, 4000, 6000].map(tries), [0, 51, 100]);
-    assert!(!standing.is_served(after(start, 10)));
-    standing.answer(after(start, 4000));
-    assert!(standing.is_served(after(start, 8900)));
-    assert!(!standing.is_served(after(start, 9100)));
+    assert!(!standing.can_call(after(start, 10)));
+    standing.record_success(after(start, 4000));
+    assert!(standing.can_call(after(start, 8900)));
+    assert!(!standing.can_call(after(start, 9100)));
     // One failure ends it: what was answered a moment ago is down for this process too.
-    standing.fail(after(start, 4100));
-    assert!(!standing.is_served(after(start, 4200)));
+    standing.record_failure(after(start, 4100));
+    assert!(!standing.can_call(after(start, 4200)));
 }
--- a/laburnumcart/tests/retry.rs
+++ b/laburnumcart/tests/retry.rs
@@ -24,7 +24,7 @@
 ) -> retry::Decision {
     let now = Instant::now();
     let needed = time::Duration::from_millis(100);
-    let time = retry::Time {
+    let time = retry::TimeBudget {
         remaining,
         needed,
         now,
@@ -60,11 +60,7 @@
 ) {
     let mut budget = budget::Budget::new(unit::Share(0.1), Instant::now());
     let decision = decide(idempotent, refusal, remaining, &mut budget);
-    assert_eq!(
-        decision == retry::Decision::Elsewhere,
-        again,
-        "{decision:?}"
-    );
+    assert_eq!(decision == retry::Decision::Retry, again, "{decision:?}");
 }
 
 /// The first attempt of an idempotent request is lost, the second is refused as "not run" by a
@@ -73,7 +69,7 @@
 fn verdict_covers_all_attempts() {
     let now = Instant::now();
     let mut budget = budget::Budget::new(unit::Share(0.0), now);
-    let time = retry::Time {
+    let time = retry::TimeBudget {
         remaining: LONG,
         needed: time::Duration::ZERO,
         now,
@@ -109,9 +105,9 @@
     let mut budget = budget::Budget::new(unit::Share(0.5), now);
     for i in 0..100 {
         if i % 5 == 0 {
-            budget.refuse(now)
+            budget.record_refusal(now)
         } else {
-            budget.earn(now)
+            budget.deposit(now)
         }
     }
     let full = Refusal::not_run(Reason::Overloaded);
@@ -120,8 +116,8 @@
         retry::Decision::GiveUp(full)
     );
     let later = now + budget::WINDOW;
-    budget.earn(later);
-    assert!(budget.spend(later));
+    budget.deposit(later);
+    assert!(budget.try_spend(later));
 }
 
 // Targets fail in two bursts, a little less than a window apart.
@@ -131,7 +127,7 @@
     let mut budget = budget::Budget::new(unit::Share(0.0), start);
     let first = start + time::Duration::from_millis(950);
     let second = first + budget::WINDOW - time::Duration::from_millis(100);
-    let spent = [first, second].map(|now| (0..100).filter(|_| budget.spend(now)).count());
+    let spent = [first, second].map(|now| (0..100).filter(|_| budget.try_spend(now)).count());
     assert_eq!(
         spent.iter().sum::<usize>(),
         budget::RESERVE as usize,
@@ -151,11 +147,11 @@
         for (earn, millis) in steps {
             now += time::Duration::from_millis(millis / 30);
             if earn {
-                budget.earn(now);
+                budget.deposit(now);
                 earned.push(now);
                 continue;
             }
-            if !budget.spend(now) {
+            if !budget.try_spend(now) {
                 continue;
             }
             spent.push(now);
--- a/laburnumcart/tests/seal.rs
+++ b/laburnumcart/tests/signing.rs
@@ -7,26 +7,26 @@
 
 use laburnumcart::{
     document,
-    seal, //
+    signing, //
 };
 
 const TEXT: &str = r#"{"format":1}"#;
 
-fn key() -> seal::SecretKey {
-    seal::SecretKey::generate().expect("random numbers")
+fn key() -> signing::SecretKey {
+    signing::SecretKey::generate().expect("random numbers")
 }
 
-fn trust(keys: &[(&str, &seal::SecretKey)], required: u32) -> seal::Trust {
+fn trust(keys: &[(&str, &signing::SecretKey)], required: u32) -> signing::Trust {
     let keys = keys.iter().map(|(name, key)| {
         let name = name.parse().expect("a name");
-        (name, seal::Keys::from(key.public()))
+        (name, signing::Keys::from(key.public()))
     });
     let at = document::Path::root();
-    seal::Trust::new(keys.collect(), required, &at).expect("valid settings")
+    signing::Trust::new(keys.collect(), required, &at).expect("valid settings")
 }
 
-fn signed(text: &str, keys: &[(&str, &seal::SecretKey)]) -> String {
-    let mut envelope = seal::Envelope::new(text);
+fn signed(text: &str, keys: &[(&str, &signing::SecretKey)]) -> String {
+    let mut envelope = signing::Envelope::new(text);
     for (name, key) in keys {
         envelope.sign(name.parse().expect("a name"), key);
     }
@@ -37,7 +37,7 @@
 fn an_envelope_with_enough_signers_is_verified() {
     let (ana, eva) = (key(), key());
     let text = signed(TEXT, &[("ana", &ana), ("eva", &eva)]);
-    let digest = seal::Digest::of(text.as_bytes());
+    let digest = signing::Digest::of(text.as_bytes());
     let trust = trust(&[("ana", &ana), ("eva", &eva)], 2);
     let verified = trust.verify(&text, Some(digest)).expect("verified");
     assert_eq!(verified.bundle(), TEXT);
@@ -58,7 +58,10 @@
     let keys: Vec<_> = names.iter().map(find).collect();
     let trust = trust(&[("ana", &ana), ("eva", &eva)], 2);
     let outcome = trust.verify(&signed(TEXT, &keys), None);
-    assert_eq!(outcome, Err(seal::Rejected::TooFew { valid, required: 2 }));
+    assert_eq!(
+        outcome,
+        Err(signing::VerifyError::TooFew { valid, required: 2 })
+    );
 }
 
 /// Someone else's key under a trusted name, a signature of another text, and a signature twice in
@@ -67,15 +70,15 @@
 fn forged_signatures_do_not_count() {
     let (ana, bob) = (key(), key());
     let trust = trust(&[("ana", &ana)], 1);
-    let refused = seal::Rejected::TooFew {
+    let refused = signing::VerifyError::TooFew {
         valid: 0,
         required: 1,
     };
     let forged = signed(TEXT, &[("ana", &bob)]);
     assert_eq!(trust.verify(&forged, None), Err(refused));
 
-    let other = seal::Envelope::parse(&signed("{}", &[("ana", &ana)])).expect("envelope");
-    let mut moved = seal::Envelope::new(TEXT);
+    let other = signing::Envelope::parse(&signed("{}", &[("ana", &ana)])).expect("envelope");
+    let mut moved = signing::Envelope::new(TEXT);
     moved.signatures = other.signatures;
     assert_eq!(trust.verify(&moved.to_text(), None), Err(refused));
 }
@@ -84,9 +87,9 @@
 fn one_signature_twice_is_one_signer() {
     let (ana, eva) = (key(), key());
     let trust = trust(&[("ana", &ana), ("eva", &eva)], 2);
-    let mut envelope = seal::Envelope::parse(&signed(TEXT, &[("ana", &ana)])).expect("envelope");
+    let mut envelope = signing::Envelope::parse(&signed(TEXT, &[("ana", &ana)])).expect("envelope");
     envelope.signatures.push(envelope.signatures[0].clone());
-    let refused = seal::Rejected::TooFew {
+    let refused = signing::VerifyError::TooFew {
         valid: 1,
         required: 2,
     };
@@ -98,11 +101,11 @@
 #[test]
 fn keys_are_rotated_without_a_gap() {
     let (old, new) = (key(), key());
-    let both: seal::Keys = format!("{},{}", old.public(), new.public())
+    let both: signing::Keys = format!("{},{}", old.public(), new.public())
         .parse()
         .expect("keys");
     let keys = collections::BTreeMap::from([("ana".parse().expect("a name"), both)]);
-    let between = seal::Trust::new(keys, 1, &document::Path::root()).expect("valid settings");
+    let between = signing::Trust::new(keys, 1, &document::Path::root()).expect("valid settings");
     for key in [&old, &new] {
         let text = signed(TEXT, &[("ana", key)]);
         assert!(between.verify(&text, None).is_ok());
@@ -116,8 +119,8 @@
 fn one_key_cannot_be_two_signers() {
     let ana = key();
     let names = ["ana", "eva"].map(|name| name.parse().expect("a name"));
-    let keys = names.map(|name| (name, seal::Keys::from(ana.public())));
-    let faults = seal::Trust::new(keys.into(), 2, &document::Path::root());
+    let keys = names.map(|name| (name, signing::Keys::from(ana.public())));
+    let faults = signing::Trust::new(keys.into(), 2, &document::Path::root());
     let text = faults.expect_err("a fault").to_string();
     assert_eq!(text, "$.keys.eva: holds a key that ana has already");
 }
@@ -128,7 +131,7 @@
 fn the_number_of_signers_must_be_possible(#[case] required: u32) {
     let ana = key();
     let keys = [("ana".parse().expect("a name"), ana.public().into())];
-    let faults = seal::Trust::new(keys.into(), required, &document::Path::root());
+    let faults = signing::Trust::new(keys.into(), required, &document::Path::root());
     let text = faults.expect_err("a fault").to_string();
     assert_eq!(text, "$.signers: must be from 1 to the number of keys, 1");
 }
@@ -138,18 +141,18 @@
     let ana = key();
     assert!(!format!("{ana:?}").contains(&ana.expose()));
     let error = "c2VjcmV0"
-        .parse::<seal::SecretKey>()
+        .parse::<signing::SecretKey>()
         .expect_err("too short");
     assert!(!error.to_string().contains("c2VjcmV0"));
-    let envelope = seal::Envelope::new("hunter2");
+    let envelope = signing::Envelope::new("hunter2");
     assert!(!format!("{envelope:?}").contains("hunter2"));
 }
 
 #[test]
 fn a_large_envelope_is_refused_unread() {
-    let text = "x".repeat(seal::ENVELOPE_MAX + 1);
+    let text = "x".repeat(signing::ENVELOPE_MAX + 1);
     let outcome = trust(&[("ana", &key())], 1).verify(&text, None);
-    assert_eq!(outcome, Err(seal::Rejected::TooLarge));
+    assert_eq!(outcome, Err(signing::VerifyError::TooLarge));
 }
 
 proptest! {
@@ -171,12 +174,12 @@
         let ana = key();
         let trust = trust(&[("ana", &ana)], 1);
         let stored = signed(&text, &[("ana", &ana)]);
-        let mut envelope = seal::Envelope::parse(&stored).expect("envelope");
+        let mut envelope = signing::Envelope::parse(&stored).expect("envelope");
         let at = at.index(text.len());
         envelope.bundle.replace_range(at..=at, "_");
         prop_assert!(trust.verify(&envelope.to_text(), None).is_err());
-        let digest = Some(seal::Digest::of(stored.as_bytes()));
+        let digest = Some(signing::Digest::of(stored.as_bytes()));
         let outcome = trust.verify(&envelope.to_text(), digest);
-        prop_assert_eq!(outcome, Err(seal::Rejected::WrongDigest));
+        prop_assert_eq!(outcome, Err(signing::VerifyError::WrongDigest));
     }
 }
--- a/laburnumcart/tests/suspects.rs
+++ b/laburnumcart/tests/suspects.rs
@@ -17,12 +17,12 @@
 
 fn crash(table: &mut facts::Table, ran: &[u128], now: Instant) {
     let ran = ran.iter().map(|print| id::Fingerprint(*print));
-    table.add_crash(&suspects::crash(ran, QUARANTINE), now);
+    table.add_crash(&suspects::crash_fact(ran, QUARANTINE), now);
 }
 
 fn clear(table: &mut facts::Table, print: u128, now: Instant) {
     let known = suspects::Suspects::new(table, now);
-    for cleared in known.clear(id::Fingerprint(print), now) {
+    for cleared in known.clearances(id::Fingerprint(print), now) {
         table.add_cleared(&cleared, now);
     }
 }
@@ -36,10 +36,10 @@
     let mut table = facts::Table::default();
     crash(&mut table, &[0, 1, 2, 3], now);
     let known = suspects::Suspects::new(&table, now);
-    assert_eq!(known.standing(POISON, now), suspects::Standing::Suspect);
-    assert!(!known.may_run(POISON, [id::Fingerprint(1)], now));
-    assert!(!known.may_run(POISON, [POISON], now));
-    assert!(known.may_run(POISON, [id::Fingerprint(7), id::Fingerprint(8)], now));
+    assert_eq!(known.status(POISON, now), suspects::Status::Suspect);
+    assert!(!known.can_run(POISON, [id::Fingerprint(1)], now));
+    assert!(!known.can_run(POISON, [POISON], now));
+    assert!(known.can_run(POISON, [id::Fingerprint(7), id::Fingerprint(8)], now));
 
     let later = now + time::Duration::from_secs(500);
     crash(&mut table, &[0, 7, 8], later);
@@ -55,8 +55,8 @@
     assert!(refusal.retry.unwrap() >= QUARANTINE);
     for print in [1, 2, 3, 7, 8] {
         assert_eq!(
-            known.standing(id::Fingerprint(print), later),
-            suspects::Standing::Clean
+            known.status(id::Fingerprint(print), later),
+            suspects::Status::Clean
         );
     }
     let end = later + 2 * QUARANTINE.0;
@@ -74,18 +74,18 @@
     crash(&mut table, &[0, 1], now);
     crash(&mut table, &[0, 1], now);
     let known = suspects::Suspects::new(&table, now);
-    assert_eq!(known.standing(POISON, now), suspects::Standing::Suspect);
+    assert_eq!(known.status(POISON, now), suspects::Status::Suspect);
     assert_eq!(
-        known.standing(id::Fingerprint(1), now),
-        suspects::Standing::Suspect
+        known.status(id::Fingerprint(1), now),
+        suspects::Status::Suspect
     );
 
     clear(&mut table, 1, now);
     let known = suspects::Suspects::new(&table, now);
     assert!(known.refusal(POISON, now).is_some());
     assert_eq!(
-        known.standing(id::Fingerprint(1), now),
-        suspects::Standing::Clean
+        known.status(id::Fingerprint(1), now),
+        suspects::Status::Clean
     );
 }
 
@@ -109,8 +109,8 @@
     for poison in [POISON, id::Fingerprint(9)] {
         assert!(known.refusal(poison, now).is_some());
     }
-    assert_eq!(known.standing(innocent, now), suspects::Standing::Suspect);
-    assert!(known.may_run(innocent, [], now));
+    assert_eq!(known.status(innocent, now), suspects::Status::Suspect);
+    assert!(known.can_run(innocent, [], now));
 }
 
 /// Facts of the two crashes and of a clearance reach a process in any order. It must come to the
@@ -138,11 +138,11 @@
     let known = suspects::Suspects::new(&table, now);
     assert!(known.refusal(POISON, now).is_some());
     assert_eq!(
-        known.standing(id::Fingerprint(1), now),
-        suspects::Standing::Clean
+        known.status(id::Fingerprint(1), now),
+        suspects::Status::Clean
     );
     assert_eq!(
-        known.standing(id::Fingerprint(2), now),
-        suspects::Standing::Suspect
+        known.status(id::Fingerprint(2), now),
+        suspects::Status::Suspect
     );
 }
--- a/laburnumcart_agent/src/control.rs
+++ b/laburnumcart_agent/src/control.rs
@@ -177,7 +177,7 @@
 
     fn add_crash(&mut self, suspects: Vec<id::Fingerprint>) {
         let now = time::Instant::now();
-        let crash = suspects::crash(suspects, self.watching.quarantine);
+        let crash = suspects::crash_fact(suspects, self.watching.quarantine);
         self.facts.add_crash(&crash, now);
     }
 }
--- a/laburnumcart_agent/src/control/ordering.rs
+++ b/laburnumcart_agent/src/control/ordering.rs
@@ -68,16 +68,16 @@
             Some(service) => {
                 self.limit = service.order_limit.0;
                 let models = service.models.iter().cloned();
-                self.orders.want(service.orders, models, self.limit);
+                self.orders.set_wanted(service.orders, models, self.limit);
             }
-            None => self.orders.want(bundle::Orders::None, [], self.limit),
+            None => self.orders.set_wanted(bundle::Orders::None, [], self.limit),
         }
     }
 
     fn observe(&mut self, state: Option<&target::State>) {
         match state {
-            Some(state) => self.orders.observe(state.models.iter().cloned()),
-            None => self.orders.lose_sight(),
+            Some(state) => self.orders.set_loaded(state.models.iter().cloned()),
+            None => self.orders.set_unknown(),
         }
     }
 
@@ -88,10 +88,10 @@
         }
         loop {
             match self.orders.step(time::Instant::now()) {
-                orders::Step::Rest | orders::Step::Wait(_) => break,
+                orders::Step::Idle | orders::Step::Wait(_) => break,
                 orders::Step::Confirm if self.confirm().await => (),
                 orders::Step::Confirm => break,
-                orders::Step::Give(order) => self.give(&order).await,
+                orders::Step::Send(order) => self.give(&order).await,
             }
         }
         if self.orders.is_superseded() && !self.reported {
@@ -109,7 +109,7 @@
         let taken = term::acquire(&*self.store, &self.key, self.shared.incarnation);
         // Dropped in the middle, the write may have taken effect; the next try finds that out.
         if let Ok(Ok(term)) = time::timeout(CALL_LIMIT, taken).await {
-            self.orders.hold(term, time::Instant::now());
+            self.orders.acquire_term(term, time::Instant::now());
             event!(Info, "term", term = term);
         }
     }
@@ -125,7 +125,7 @@
         let ours = |holder: &term::Holder| holder.incarnation == self.shared.incarnation;
         let holder = found.map(|(holder, _)| holder).filter(ours);
         let term = holder.map_or(id::Term(0), |holder| holder.term);
-        self.orders.confirm(term, now);
+        self.orders.confirm_term(term, now);
         true
     }
 
@@ -136,6 +136,6 @@
             Ok(()) => event!(Info, "order", sequence = order.number.sequence),
             Err(failure) => event!(Warn, "order-failed", cause = failure),
         }
-        self.orders.given();
+        self.orders.record_completed();
     }
 }
--- a/laburnumcart_agent/src/execute.rs
+++ b/laburnumcart_agent/src/execute.rs
@@ -79,7 +79,7 @@
         job::Outcome::Whole => {
             shared.counters.done.inc();
             let suspects = &shared.snapshot.load().suspects;
-            let cleared = suspects.clear(job.call.fingerprint, now);
+            let cleared = suspects.clearances(job.call.fingerprint, now);
             if !cleared.is_empty() {
                 shared.tell(shared::News::Cleared(cleared));
             }
@@ -138,7 +138,7 @@
 impl run::Sink for Sink<'_> {
     async fn push(&mut self, text: &str) {
         let id = self.job.call.attempt;
-        while self.shared.work().table.pending(id) >= PENDING_MAX {
+        while self.shared.work().table.unacknowledged_bytes(id) >= PENDING_MAX {
             self.job.changed.notify_waiters();
             self.job.drained.notified().await;
         }
--- a/laburnumcart_agent/src/service.rs
+++ b/laburnumcart_agent/src/service.rs
@@ -109,7 +109,7 @@
     }
 
     fn read(&self, id: id::AttemptId, from: u32) -> RpcResult<stage::Progress> {
-        match self.shared.work().table.read(id, from, ANSWER_MAX) {
+        match self.shared.work().table.read_chunks(id, from, ANSWER_MAX) {
             Some(Ok(view)) => Ok(progress(id, view)),
             Some(Err(position)) => Err(error(agent::INVALID, position)),
             None => Err(error(agent::UNKNOWN, "attempt not known")),
@@ -133,7 +133,7 @@
         Ok(self.shared.report(Some(session.lane)))
     }
 
-    async fn beat(&self, beat: agent::Beat) -> RpcResult<agent::Report> {
+    async fn beat(&self, beat: agent::Heartbeat) -> RpcResult<agent::Report> {
         let session = beat.session;
         let now = time::Instant::now();
         let checked = self
@@ -217,7 +217,7 @@
         Ok(())
     }
 
-    async fn bundle(&self, least: id::Generation) -> RpcResult<Option<agent::Shown>> {
+    async fn bundle(&self, least: id::Generation) -> RpcResult<Option<agent::SignedBundle>> {
         Ok(self.shared.feed.show(least))
     }
 
@@ -229,7 +229,7 @@
 
 /// Answers a query about an attempt that is not in the table.
 fn doubt(lanes: &lanes::Lanes, query: &stage::Query) -> verdict::Refusal {
-    match lanes.doubt(query.session.lane, query.sent) {
+    match lanes.unknown_verdict(query.session.lane, query.sent) {
         verdict::Verdict::NotRun => verdict::Refusal::not_run(verdict::Reason::Lost),
         verdict::Verdict::MayHaveRun => verdict::Refusal::may_have_run(verdict::Reason::Lost),
     }
@@ -239,7 +239,7 @@
     types::ErrorObject::owned(code, message.to_string(), None::<()>)
 }
 
-fn progress(id: id::AttemptId, view: attempts::View) -> stage::Progress {
+fn progress(id: id::AttemptId, view: attempts::Progress) -> stage::Progress {
     let chunk = |chunk: attempts::Chunk| stage::Chunk {
         number: chunk.number,
         text: chunk.text.as_ref().into(),
--- a/laburnumcart_agent/src/work.rs
+++ b/laburnumcart_agent/src/work.rs
@@ -10,11 +10,11 @@
 use laburnumcart::{
     attempts,
     bundle,
+    concurrency,
     estimate,
     fair,
     id,
     lanes,
-    limit,
     suspects,
     unit,
     verdict, //
@@ -40,7 +40,7 @@
     /// Attempts that may wait.
     pub queue: usize,
     /// Bounds of the table of attempts.
-    pub bounds: attempts::Bounds,
+    pub bounds: attempts::Limits,
     /// Time after which an unused lane is forgotten.
     pub idle: time::Duration,
 }
@@ -49,7 +49,7 @@
     fn default() -> Self {
         Self {
             queue: 1024,
-            bounds: attempts::Bounds {
+            bounds: attempts::Limits {
                 retention: time::Duration::from_secs(60),
                 bytes: 64 << 20,
                 attempts: 16_384,
@@ -76,9 +76,9 @@
     /// Suspects that wait until no other suspect runs.
     held: collections::VecDeque<Shared>,
     running: collections::HashMap<id::AttemptId, Shared>,
-    limit: limit::Limit,
+    limit: concurrency::Limit,
     times: estimate::Estimates<Stage>,
-    drain: estimate::Drain,
+    drain: estimate::Throughput,
     mean: Option<time::Duration>,
     /// Content of attempts that the target has failed since it was last seen well.
     lost: Vec<id::Fingerprint>,
@@ -95,9 +95,9 @@
             waiting: collections::HashMap::new(),
             held: collections::VecDeque::new(),
             running: collections::HashMap::new(),
-            limit: limit::Limit::new(),
+            limit: concurrency::Limit::new(),
             times: estimate::Estimates::default(),
-            drain: estimate::Drain::new(now),
+            drain: estimate::Throughput::new(now),
             mean: None,
             lost: Vec::new(),
         }
@@ -120,11 +120,11 @@
         self.lanes.check(lane, number, now)?;
         let stage = (call.pipeline.clone(), call.stage.clone());
         self.check(&call, &stage, now)?;
-        let ticket = attempts::Ticket {
+        let ticket = attempts::Descriptor {
             request: call.request,
             attempt: call.attempt,
             lane,
-            sent: number,
+            session: number,
             arrived: now,
             deadline: now + call.remaining.0,
         };
@@ -153,7 +153,7 @@
                 self.refuse(&job, refusal, now);
             } else if !self.may_run(&job, suspects, now) {
                 self.held.push_back(job);
-            } else if self.table.begin(job.call.attempt, now) {
+            } else if self.table.mark_running(job.call.attempt, now) {
                 self.running.insert(job.call.attempt, job.clone());
                 return Some(job);
             }
@@ -169,7 +169,7 @@
         job.cancelled.notify_one();
         let refusal = verdict::Refusal::not_run(verdict::Reason::Cancelled);
         self.refuse(&job, refusal, now);
-        self.table.release(id);
+        self.table.forget(id);
     }
 
     /// Ends a running attempt and frees its slot.
@@ -177,7 +177,7 @@
         let id = job.call.attempt;
         let in_flight = self.running.len() as u32;
         self.running.remove(&id);
-        let begun = self.table.begun(id).unwrap_or(now);
+        let begun = self.table.started_at(id).unwrap_or(now);
         self.account(job, now - begun);
         match outcome {
             job::Outcome::Whole => {
@@ -186,7 +186,7 @@
             }
             job::Outcome::NotRun(reason, retry) => {
                 if reason == verdict::Reason::Overloaded {
-                    self.limit.refuse();
+                    self.limit.record_refusal();
                 }
                 let refusal = verdict::Refusal::not_run(reason);
                 self.table
@@ -225,10 +225,10 @@
             let reason = verdict::Reason::DeadlineExceeded;
             self.refuse(&job, verdict::Refusal::not_run(reason), now);
         }
-        for forgotten in self.table.sweep(now) {
-            self.lanes.forget(forgotten.lane, forgotten.sent);
+        for forgotten in self.table.expire(now) {
+            self.lanes.record_expired(forgotten.lane, forgotten.session);
         }
-        self.lanes.sweep(now);
+        self.lanes.expire(now);
     }
 
     /// Refuses all that waits.
@@ -296,7 +296,7 @@
         stage: &Stage,
         now: time::Instant,
     ) -> Result<(), verdict::Refusal> {
-        let outlook = estimate::Outlook {
+        let outlook = estimate::Remaining {
             remaining: call.remaining.0,
             // The queue decides by team and priority who waits for whom.
             ahead: 0,
@@ -323,12 +323,12 @@
         let print = job.call.fingerprint;
         // Until it is known why the target failed, its end is not among the facts: content that has
         // just crashed it would start again at once when it comes back.
-        let known = suspects.standing(print, now) != suspects::Standing::Clean;
+        let known = suspects.status(print, now) != suspects::Status::Clean;
         if self.is_doubtful() && (known || self.lost.contains(&print)) {
             return false;
         }
         let running = self.running.values().map(|other| other.call.fingerprint);
-        suspects.may_run(print, running, now)
+        suspects.can_run(print, running, now)
     }
 
     /// Returns why an attempt that waited must not start any more.
@@ -361,7 +361,7 @@
 
     /// Charges a team what its attempt has really cost.
     fn account(&mut self, job: &job::Job, busy: time::Duration) {
-        self.queue.settle(job.team, job.cost, millis(busy));
+        self.queue.correct_cost(job.team, job.cost, millis(busy));
     }
 
     fn measure(
@@ -372,8 +372,8 @@
         now: time::Instant,
     ) {
         // The time of a stream goes by its length; per piece, streams can be compared.
-        let pieces = self.table.count(job.call.attempt).max(1);
-        self.limit.observe(busy / pieces, in_flight, now);
+        let pieces = self.table.chunk_count(job.call.attempt).max(1);
+        self.limit.record_latency(busy / pieces, in_flight, now);
         let stage = (job.call.pipeline.clone(), job.call.stage.clone());
         self.times.record(stage, busy, now);
         self.drain.record(now);
--- a/laburnumcart_agent/tests/agent/doubt.rs
+++ b/laburnumcart_agent/tests/agent/doubt.rs
@@ -14,8 +14,8 @@
         AgentClient, //
     },
     stage::{
+        Assembler,
         Cancel,
-        Joiner,
         State, //
     },
 };
@@ -80,7 +80,7 @@
     late.sent = 0;
     let late = bounded(first.client.query(late)).await;
     assert_eq!(code(late), agent::FENCED);
-    let beat = agent::Beat {
+    let beat = agent::Heartbeat {
         peer: None,
         session: first.session,
         facts: None,
@@ -97,13 +97,13 @@
     let sender = Sender::new(agent.addr());
     let old = sender.connect().await;
     let call = old.call();
-    let mut joiner = Joiner::default();
+    let mut joiner = Assembler::default();
     let first = bounded(old.client.start(call.clone())).await.unwrap();
     joiner.push(&first.chunks[0]).unwrap();
     drop(old);
     target.release();
     let new = sender.connect().await;
-    let mut progress = bounded(new.client.query(new.query(&call, joiner.next())))
+    let mut progress = bounded(new.client.query(new.query(&call, joiner.next_number())))
         .await
         .unwrap();
     let end = bounded(async {
@@ -114,7 +114,7 @@
             if let State::Done(end) = progress.state {
                 return end;
             }
-            let next = new.next(&call, joiner.next());
+            let next = new.next(&call, joiner.next_number());
             progress = new.client.next(next).await.unwrap();
         }
     })
--- a/laburnumcart_agent/tests/agent/fixture.rs
+++ b/laburnumcart_agent/tests/agent/fixture.rs
@@ -11,7 +11,7 @@
     bundle,
     facts,
     id,
-    seal,
+    signing,
     unit,
     verdict, //
 };
@@ -23,7 +23,7 @@
 use laburnumcart_wire::{
     agent::{
         AgentClient,
-        Beat,
+        Heartbeat,
         Hello,
         Report, //
     },
@@ -51,7 +51,7 @@
 }
 
 pub(crate) fn settings(target: net::SocketAddr) -> settings::Settings {
-    let key = seal::SecretKey::generate().unwrap().public().to_string();
+    let key = signing::SecretKey::generate().unwrap().public().to_string();
     let text = json!({
         "instance": "agent-1",
         "data_centre": "dc-a",
@@ -229,7 +229,7 @@
     /// Waits until the agent has sent the facts.
     pub(crate) async fn wait_facts(&self, fits: impl Fn(&facts::Facts) -> bool) -> facts::Facts {
         loop {
-            let beat = Beat {
+            let beat = Heartbeat {
                 peer: None,
                 session: self.session,
                 facts: None,
@@ -247,7 +247,7 @@
         call: &stage::Call,
         mut progress: stage::Progress,
     ) -> (String, stage::State) {
-        let mut joiner = stage::Joiner::default();
+        let mut joiner = stage::Assembler::default();
         loop {
             assert_eq!(
                 (progress.request, progress.attempt),
@@ -263,7 +263,7 @@
                 stage::State::Refused(_) => return (joiner.text().into(), progress.state),
                 _ => (),
             }
-            let next = self.next(call, joiner.next());
+            let next = self.next(call, joiner.next_number());
             progress = self.client.next(next).await.unwrap();
         }
     }
--- a/laburnumcart_agent/tests/agent/sign.rs
+++ b/laburnumcart_agent/tests/agent/sign.rs
@@ -6,7 +6,7 @@
     document,
     head,
     id,
-    seal, //
+    signing, //
 };
 use laburnumcart_daemon::bundle;
 use laburnumcart_platform::{
@@ -35,24 +35,24 @@
             },
         },
     });
-    let key = seal::SecretKey::generate().unwrap();
+    let key = signing::SecretKey::generate().unwrap();
     let name: id::KeyName = "ops".parse().unwrap();
-    let mut envelope = seal::Envelope::new(bundle.to_string());
+    let mut envelope = signing::Envelope::new(bundle.to_string());
     envelope.sign(name.clone(), &key);
     let text = envelope.to_text();
-    let digest = seal::Digest::of(text.as_bytes());
+    let digest = signing::Digest::of(text.as_bytes());
     let object = head::object_key(digest);
     store
         .put(&object, store::Expect::Absent, &text)
         .await
         .unwrap();
     move_head(store, digest).await;
-    let keys: seal::Keys = key.public().to_string().parse().unwrap();
+    let keys: signing::Keys = key.public().to_string().parse().unwrap();
     let keys = collections::BTreeMap::from([(name, keys)]);
-    bundle::Options::new(seal::Trust::new(keys, 1, &document::Path::root()).unwrap())
+    bundle::Options::new(signing::Trust::new(keys, 1, &document::Path::root()).unwrap())
 }
 
-async fn move_head(store: &memory::Memory, digest: seal::Digest) {
+async fn move_head(store: &memory::Memory, digest: signing::Digest) {
     let before = store.get(head::KEY).await.unwrap();
     let base = before
         .as_ref()
--- a/laburnumcart_agent/tests/agent/stopping.rs
+++ b/laburnumcart_agent/tests/agent/stopping.rs
@@ -18,7 +18,7 @@
 use laburnumcart_wire::{
     agent::{
         AgentClient,
-        Beat, //
+        Heartbeat, //
     },
     stage::{
         Cancel,
@@ -101,7 +101,7 @@
     let report = bounded(lane.client.drain()).await.unwrap();
     assert!(report.leaving);
     let stopping = tokio::spawn(agent.stop());
-    let beat = Beat {
+    let beat = Heartbeat {
         peer: None,
         session: lane.session,
         facts: None,
@@ -194,12 +194,12 @@
     let lane = Sender::new(agent.addr()).connect().await;
     let call = lane.call();
     let quarantine = unit::Period::from_secs(600);
-    let crash = || laburnumcart::suspects::crash([call.fingerprint], quarantine);
+    let crash = || laburnumcart::suspects::crash_fact([call.fingerprint], quarantine);
     let facts = laburnumcart::facts::Facts {
         crashes: vec![crash(), crash()],
         ..Default::default()
     };
-    let beat = Beat {
+    let beat = Heartbeat {
         peer: None,
         session: lane.session,
         facts: Some(facts),
--- a/laburnumcart_agent/tests/agent/suspects.rs
+++ b/laburnumcart_agent/tests/agent/suspects.rs
@@ -13,7 +13,7 @@
 use laburnumcart_wire::{
     agent::{
         AgentClient,
-        Beat,
+        Heartbeat,
         Report, //
     },
     stage,
@@ -37,7 +37,7 @@
 
 /// Returns the fact of a crash elsewhere of a target that ran this content.
 fn crash(ran: &[u128]) -> facts::Crash {
-    suspects::crash(ran.iter().map(|print| id::Fingerprint(*print)), QUARANTINE)
+    suspects::crash_fact(ran.iter().map(|print| id::Fingerprint(*print)), QUARANTINE)
 }
 
 fn call(lane: &Connection, print: u128) -> stage::Call {
@@ -54,7 +54,7 @@
         crashes,
         ..Default::default()
     };
-    let beat = Beat {
+    let beat = Heartbeat {
         peer: None,
         session: lane.session,
         facts: Some(facts),
@@ -64,7 +64,7 @@
 
 /// Asks the agent for its state and for facts that it has not told yet.
 async fn report(lane: &Connection) -> Report {
-    let beat = Beat {
+    let beat = Heartbeat {
         peer: None,
         session: lane.session,
         facts: None,
--- a/laburnumcart_ctl/src/command/file.rs
+++ b/laburnumcart_ctl/src/command/file.rs
@@ -8,7 +8,7 @@
 use laburnumcart::{
     bundle,
     id,
-    seal, //
+    signing, //
 };
 
 use super::key;
@@ -35,7 +35,7 @@
 #[display("{file}: digest {digest}, signed by {}", signers.join(", "))]
 struct Signed {
     file: String,
-    digest: seal::Digest,
+    digest: signing::Digest,
     signers: Vec<String>,
 }
 
@@ -43,7 +43,7 @@
 pub(super) fn check(args: &args::Args) -> Result<output::Output, error::Error> {
     let file = args.first();
     let text = settings::read(file)?;
-    let bundle = match seal::Envelope::parse(&text) {
+    let bundle = match signing::Envelope::parse(&text) {
         Ok(envelope) => parse(file, &envelope.bundle)?,
         Err(_) => parse(file, &text)?,
     };
@@ -62,9 +62,9 @@
     let key = key::load(&args.required("key")?)?;
     let out = args.required("out")?;
     let text = settings::read(file)?;
-    let mut envelope = match seal::Envelope::parse(&text) {
+    let mut envelope = match signing::Envelope::parse(&text) {
         Ok(envelope) => envelope,
-        Err(_) => seal::Envelope::new(compact(file, &text)?),
+        Err(_) => signing::Envelope::new(compact(file, &text)?),
     };
     // Also what another has signed before: nobody signs what the fleet would refuse.
     parse(file, &envelope.bundle)?;
@@ -77,7 +77,7 @@
     let names = envelope.signatures.iter();
     Ok(output::Output::new(&Signed {
         file: out,
-        digest: seal::Digest::of(text.as_bytes()),
+        digest: signing::Digest::of(text.as_bytes()),
         signers: names.map(|signed| signed.key.to_string()).collect(),
     }))
 }
@@ -98,7 +98,7 @@
 pub(super) fn load(
     file: &str,
     settings: &settings::Checked,
-) -> Result<(String, seal::Verified), error::Error> {
+) -> Result<(String, signing::Verified), error::Error> {
     let text = settings::read(file)?.trim().to_owned();
     let verified = settings.trust.verify(&text, None);
     let verified = verified.map_err(|cause| error::Error::Rejected {
--- a/laburnumcart_ctl/src/command/gateways.rs
+++ b/laburnumcart_ctl/src/command/gateways.rs
@@ -177,7 +177,7 @@
     format!("queue {} owner={owner}", queue.service)
 }
 
-fn held(held: &wire::Held) -> String {
+fn held(held: &wire::Restricted) -> String {
     let cause = |cause: &wire::Cause| match cause {
         wire::Cause::Leaving => "leaving".to_owned(),
         wire::Cause::Evacuated => "evacuated".to_owned(),
--- a/laburnumcart_ctl/src/command/key.rs
+++ b/laburnumcart_ctl/src/command/key.rs
@@ -14,7 +14,7 @@
 
 use laburnumcart::{
     id,
-    seal, //
+    signing, //
 };
 
 use crate::{
@@ -29,7 +29,7 @@
 #[serde(deny_unknown_fields)]
 struct KeyFile {
     name: id::KeyName,
-    public: seal::PublicKey,
+    public: signing::PublicKey,
     secret: String,
 }
 
@@ -38,7 +38,7 @@
 #[display("{name} {public}\nsecret key written to {file}")]
 struct Made {
     name: id::KeyName,
-    public: seal::PublicKey,
+    public: signing::PublicKey,
     file: String,
 }
 
@@ -47,14 +47,14 @@
     /// Name of the signer.
     pub(super) name: id::KeyName,
     /// Secret key.
-    pub(super) secret: seal::SecretKey,
+    pub(super) secret: signing::SecretKey,
 }
 
 /// Makes a key.
 pub(super) fn keygen(args: &args::Args) -> Result<output::Output, error::Error> {
     let name: id::KeyName = args::parse_value("name", &args.required("name")?)?;
     let file = args.required("out")?;
-    let key = seal::SecretKey::generate().map_err(error::Error::Random)?;
+    let key = signing::SecretKey::generate().map_err(error::Error::Random)?;
     let content = KeyFile {
         name: name.clone(),
         public: key.public(),
@@ -87,7 +87,7 @@
 pub(super) fn load(file: &str) -> Result<Key, error::Error> {
     let error = || error::Error::Key { file: file.into() };
     let content: KeyFile = serde_json::from_str(&settings::read(file)?).map_err(|_| error())?;
-    let secret: seal::SecretKey = content.secret.parse().map_err(|_| error())?;
+    let secret: signing::SecretKey = content.secret.parse().map_err(|_| error())?;
     if secret.public() != content.public {
         return Err(error());
     }
--- a/laburnumcart_ctl/src/command/rollout.rs
+++ b/laburnumcart_ctl/src/command/rollout.rs
@@ -6,7 +6,7 @@
 use laburnumcart::{
     head,
     id,
-    seal, //
+    signing, //
 };
 
 use super::file;
@@ -23,7 +23,7 @@
 #[display("generation {generation} accepted, digest {digest}")]
 struct Accepted {
     generation: id::Generation,
-    digest: seal::Digest,
+    digest: signing::Digest,
 }
 
 /// Puts a signed bundle in force.
@@ -47,7 +47,7 @@
 ) -> Result<output::Output, error::Error> {
     let mut change = head::Publish::new(change, id::Nonce::random());
     if let Some(base) = args.optional("on")? {
-        change = change.on(base);
+        change = change.with_base(base);
     }
     let head = publish::publish(&settings.store(), change, args.limit()?).await?;
     Ok(output::Output::new(&Accepted {
--- a/laburnumcart_ctl/src/command/teams.rs
+++ b/laburnumcart_ctl/src/command/teams.rs
@@ -14,7 +14,7 @@
 
 use laburnumcart::{
     bundle,
-    seal, //
+    signing, //
 };
 
 use crate::{
@@ -32,14 +32,14 @@
 #[display("token for the team: {token}\ndigest for the bundle: {digest}")]
 struct Issued {
     token: String,
-    digest: seal::Digest,
+    digest: signing::Digest,
 }
 
 /// Digest of a token.
 #[derive(Display, Serialize)]
 #[display("{digest}")]
 struct Digested {
-    digest: seal::Digest,
+    digest: signing::Digest,
 }
 
 /// Teams of a bundle.
@@ -80,7 +80,7 @@
     let mut bytes = [0; TOKEN_BYTES];
     getrandom::fill(&mut bytes).map_err(error::Error::Random)?;
     let token = BASE64_URL_SAFE_NO_PAD.encode(bytes);
-    let digest = seal::Digest::of(token.as_bytes());
+    let digest = signing::Digest::of(token.as_bytes());
     Ok(output::Output::new(&Issued { token, digest }))
 }
 
@@ -97,13 +97,13 @@
     if token.is_empty() {
         return Err(error::Error::Usage("no token on the standard input".into()));
     }
-    let digest = seal::Digest::of(token.as_bytes());
+    let digest = signing::Digest::of(token.as_bytes());
     Ok(output::Output::new(&Digested { digest }))
 }
 
 fn list(file: &str) -> Result<output::Output, error::Error> {
     let text = settings::read(file)?;
-    let text = seal::Envelope::parse(&text).map_or(text, |envelope| envelope.bundle);
+    let text = signing::Envelope::parse(&text).map_or(text, |envelope| envelope.bundle);
     let bundle = bundle::check::parse(&text).map_err(|faults| error::Error::Document {
         file: file.into(),
         faults,
--- a/laburnumcart_ctl/src/error.rs
+++ b/laburnumcart_ctl/src/error.rs
@@ -11,7 +11,7 @@
 use laburnumcart::{
     document,
     head,
-    seal, //
+    signing, //
 };
 
 use crate::paths;
@@ -47,7 +47,7 @@
     },
     /// The change of the head came to nothing.
     #[display("{_0}")]
-    Lost(head::Lost),
+    Lost(head::PublishError),
     /// The object service does not answer; nothing was changed.
     #[display("the object service does not answer; nothing was changed")]
     Unavailable,
@@ -66,7 +66,7 @@
         /// File that holds it.
         file: String,
         /// Why.
-        cause: seal::Rejected,
+        cause: signing::VerifyError,
     },
     /// A process refused the call.
     #[display("{_0}")]
@@ -84,7 +84,7 @@
     pub fn code(&self) -> u8 {
         match self {
             Self::Usage(_) | Self::File { .. } | Self::Document { .. } | Self::Key { .. } => 2,
-            Self::Lost(head::Lost::NoSuchGeneration { .. }) => 2,
+            Self::Lost(head::PublishError::NoSuchGeneration { .. }) => 2,
             Self::Lost(_) => 3,
             Self::Unavailable | Self::InDoubt | Self::Unreachable(_) | Self::Random(_) => 4,
             Self::Rejected { .. } | Self::Refused(_) | Self::Head(_) | Self::Invalid => 5,
@@ -98,11 +98,11 @@
             Self::File { file, cause } => advise_file(file, cause.kind()),
             Self::Document { .. } => "mend the lines above and run `laburnumctl check` again",
             Self::Key { .. } => "make one with `laburnumctl keygen`",
-            Self::Lost(head::Lost::NoSuchGeneration { .. }) => {
+            Self::Lost(head::PublishError::NoSuchGeneration { .. }) => {
                 "see `laburnumctl status` for the generations that can be restored, or accept the \
                  signed file of the older bundle"
             }
-            Self::Lost(head::Lost::Forgotten { .. }) => {
+            Self::Lost(head::PublishError::Forgotten { .. }) => {
                 "see `laburnumctl status`; accept again only if your bundle is still wanted"
             }
             Self::Lost(_) => {
--- a/laburnumcart_ctl/src/publish.rs
+++ b/laburnumcart_ctl/src/publish.rs
@@ -71,7 +71,7 @@
 }
 
 fn given_up(change: &head::Publish<store::Version>) -> error::Error {
-    if change.in_doubt() {
+    if change.is_in_doubt() {
         error::Error::InDoubt
     } else {
         error::Error::Unavailable
@@ -87,17 +87,17 @@
             let key = head::object_key(digest);
             match store.put(&key, store::Expect::Absent, &value).await {
                 // The name is the digest of the content: what exists under it is the same.
-                Ok(_) | Err(store::Failure::Conflict) => change.created(),
+                Ok(_) | Err(store::Failure::Conflict) => change.record_created(),
                 Err(failure) => return Err(Stop::from(failure)),
             }
         }
-        head::Step::Read => change.read(read(store).await?),
+        head::Step::Read => change.record_read(read(store).await?),
         head::Step::Write { expect, value } => {
             let expect = expect.map_or(store::Expect::Absent, store::Expect::Version);
             match store.put(head::KEY, expect, &value).await {
-                Ok(_) => change.wrote(head::Wrote::Applied),
-                Err(store::Failure::Conflict) => change.wrote(head::Wrote::Conflict),
-                Err(store::Failure::Unanswered) => change.wrote(head::Wrote::Unknown),
+                Ok(_) => change.record_write(head::WriteOutcome::Applied),
+                Err(store::Failure::Conflict) => change.record_write(head::WriteOutcome::Conflict),
+                Err(store::Failure::Unanswered) => change.record_write(head::WriteOutcome::Unknown),
                 Err(failure) => return Err(Stop::from(failure)),
             }
         }
--- a/laburnumcart_ctl/src/settings.rs
+++ b/laburnumcart_ctl/src/settings.rs
@@ -9,7 +9,7 @@
 
 use laburnumcart::{
     document,
-    seal, //
+    signing, //
 };
 use laburnumcart_daemon::settings;
 use laburnumcart_platform::client;
@@ -40,7 +40,7 @@
     /// The settings.
     pub settings: Settings,
     /// Keys that they trust.
-    pub trust: seal::Trust,
+    pub trust: signing::Trust,
 }
 
 impl Checked {
--- a/laburnumcart_ctl/tests/publish.rs
+++ b/laburnumcart_ctl/tests/publish.rs
@@ -65,7 +65,7 @@
     while let Some(outcome) = operators.join_next().await {
         match outcome.expect("no panic") {
             Ok(head) => won.push(head.accepted),
-            Err(error::Error::Lost(head::Lost::Conflict { winner })) => lost.push(winner),
+            Err(error::Error::Lost(head::PublishError::Conflict { winner })) => lost.push(winner),
             Err(error) => panic!("{error}"),
         }
     }
--- a/laburnumcart_ctl/tests/settings.rs
+++ b/laburnumcart_ctl/tests/settings.rs
@@ -5,7 +5,7 @@
 use laburnumcart::{
     document,
     head,
-    seal, //
+    signing, //
 };
 use laburnumcart_ctl::settings;
 
@@ -42,6 +42,6 @@
     #[test]
     fn no_text_makes_the_head_or_an_envelope_panic(text in r#"[\[\]{}",:a-z0-9]{0,120}"#) {
         let _ = head::Head::parse(&text);
-        let _ = seal::Envelope::parse(&text);
+        let _ = signing::Envelope::parse(&text);
     }
 }
--- a/laburnumcart_daemon/examples/in_force.rs
+++ b/laburnumcart_daemon/examples/in_force.rs
@@ -28,7 +28,7 @@
     document,
     head,
     id,
-    seal,
+    signing,
     unit, //
 };
 use laburnumcart_daemon::{
@@ -106,7 +106,7 @@
 /// Processes, and the links over which heartbeats tell them of generations.
 struct Fleet {
     store: Limited,
-    key: seal::SecretKey,
+    key: signing::SecretKey,
     head: Option<head::Head>,
     feeds: Vec<bundle::Feed>,
     tasks: Vec<task::JoinHandle<()>>,
@@ -114,10 +114,10 @@
 
 impl Fleet {
     fn new(count: u16) -> Self {
-        let key = seal::SecretKey::generate().expect("random numbers");
+        let key = signing::SecretKey::generate().expect("random numbers");
         let name = "ana".parse().expect("a name");
         let keys = collections::BTreeMap::from([(name, key.public().into())]);
-        let trust = seal::Trust::new(keys, 1, &document::Path::root()).expect("valid settings");
+        let trust = signing::Trust::new(keys, 1, &document::Path::root()).expect("valid settings");
         let store = Limited::new();
         store.set_down(false);
         let feed = |_| bundle::Feed::new(&metrics::Metrics::new());
@@ -147,13 +147,13 @@
     fn envelope(&self, title: &str) -> String {
         let mut bundle: serde_json::Value = serde_json::from_str(ARAYA).expect("JSON");
         bundle["title"] = title.into();
-        let mut envelope = seal::Envelope::new(bundle.to_string());
+        let mut envelope = signing::Envelope::new(bundle.to_string());
         envelope.sign("ana".parse().expect("a name"), &self.key);
         envelope.to_text()
     }
 
     fn next(&mut self, envelope: &str) -> head::Head {
-        let digest = seal::Digest::of(envelope.as_bytes());
+        let digest = signing::Digest::of(envelope.as_bytes());
         let head = head::Head::after(self.head.as_ref(), digest, id::Nonce::random());
         self.head = Some(head.clone());
         head
@@ -193,7 +193,7 @@
         let feed = self.feeds.last().expect("at least one process").clone();
         let name = "ana".parse().expect("a name");
         let keys = collections::BTreeMap::from([(name, self.key.public().into())]);
-        let trust = seal::Trust::new(keys, 1, &document::Path::root()).expect("valid settings");
+        let trust = signing::Trust::new(keys, 1, &document::Path::root()).expect("valid settings");
         let network = Network(sync::Arc::default());
         let run = bundle::run(feed, other, network, bundle::Options::new(trust));
         self.tasks.push(task::spawn(run));
@@ -248,7 +248,7 @@
         &self,
         peer: net::SocketAddr,
         least: id::Generation,
-    ) -> Result<Option<agent::Shown>, bundle::PeerError> {
+    ) -> Result<Option<agent::SignedBundle>, bundle::PeerError> {
         tokio::time::sleep(CALL.0).await;
         let feed = self.0.get(usize::from(peer.port()));
         Ok(feed.and_then(|feed| feed.show(least)))
--- a/laburnumcart_daemon/src/bundle/feed.rs
+++ b/laburnumcart_daemon/src/bundle/feed.rs
@@ -35,7 +35,7 @@
     /// Its content.
     pub bundle: bundle::Bundle,
     /// What peers are shown.
-    pub shown: agent::Shown,
+    pub shown: agent::SignedBundle,
 }
 
 /// The bundle in force; clones share it.
@@ -121,7 +121,7 @@
     }
 
     /// Returns what a peer is shown that asks for at least this generation.
-    pub fn show(&self, least: id::Generation) -> Option<agent::Shown> {
+    pub fn show(&self, least: id::Generation) -> Option<agent::SignedBundle> {
         let snapshot = self.0.current.load();
         let snapshot = snapshot.as_ref()?;
         (snapshot.generation >= least).then(|| snapshot.shown.clone())
--- a/laburnumcart_daemon/src/bundle/follow.rs
+++ b/laburnumcart_daemon/src/bundle/follow.rs
@@ -189,7 +189,7 @@
         let bundle = bundle.map_err(|e| fail(Failure::Content)(e.to_string()))?;
         let raw = |text: &str| value::RawValue::from_string(text.into());
         let malformed = |e: serde_json::Error| fail(Failure::Head)(e.to_string());
-        let shown = agent::Shown {
+        let shown = agent::SignedBundle {
             generation: head.accepted.generation,
             head: raw(text).map_err(malformed)?,
             envelope: raw(envelope).map_err(malformed)?,
--- a/laburnumcart_daemon/src/bundle/options.rs
+++ b/laburnumcart_daemon/src/bundle/options.rs
@@ -3,7 +3,7 @@
 use std::net;
 
 use laburnumcart::{
-    seal,
+    signing,
     unit, //
 };
 
@@ -37,14 +37,14 @@
 /// Settings of [`run`](super::run).
 #[derive(Clone, Debug)]
 pub struct Options {
-    pub(super) trust: seal::Trust,
+    pub(super) trust: signing::Trust,
     pub(super) peers: Vec<net::SocketAddr>,
     pub(super) timing: Timing,
 }
 
 impl Options {
     /// Creates settings with no peers and the default periods.
-    pub fn new(trust: seal::Trust) -> Self {
+    pub fn new(trust: signing::Trust) -> Self {
         Self {
             trust,
             peers: Vec::new(),
--- a/laburnumcart_daemon/src/bundle/peers.rs
+++ b/laburnumcart_daemon/src/bundle/peers.rs
@@ -41,7 +41,7 @@
         &self,
         peer: net::SocketAddr,
         least: id::Generation,
-    ) -> impl future::Future<Output = Result<Option<agent::Shown>, PeerError>> + Send;
+    ) -> impl future::Future<Output = Result<Option<agent::SignedBundle>, PeerError>> + Send;
 }
 
 /// Asks by a connection of its own, as it is rarely done.
@@ -66,7 +66,7 @@
         &self,
         addr: net::SocketAddr,
         least: id::Generation,
-    ) -> Result<Option<agent::Shown>, PeerError> {
+    ) -> Result<Option<agent::SignedBundle>, PeerError> {
         let client = peer::connect(addr, &self.secret, &self.limits).await;
         let client = client.map_err(|e| error(&e))?;
         match EntryClient::bundle(&client, least).await {
--- a/laburnumcart_daemon/src/settings.rs
+++ b/laburnumcart_daemon/src/settings.rs
@@ -22,7 +22,7 @@
 use laburnumcart::{
     document,
     id,
-    seal,
+    signing,
     unit, //
 };
 use laburnumcart_platform::budget;
@@ -135,7 +135,7 @@
     pub secrets: Vec<secret::Secret>,
     /// Public keys whose signatures on a bundle count, by the signer's name; two in one
     /// text, divided by a comma, while a signer changes keys.
-    pub keys: collections::BTreeMap<id::KeyName, seal::Keys>,
+    pub keys: collections::BTreeMap<id::KeyName, signing::Keys>,
     /// How many of the signers must have signed a bundle.
     #[serde(default = "one")]
     pub signers: u32,
@@ -156,9 +156,9 @@
     }
 
     /// Returns the keys that the fleet trusts; the settings stand at `$.fleet`.
-    pub fn trust(&self) -> Result<seal::Trust, document::Faults> {
+    pub fn trust(&self) -> Result<signing::Trust, document::Faults> {
         let at = document::Path::root().key("fleet");
-        seal::Trust::new(self.keys.clone(), self.signers, &at)
+        signing::Trust::new(self.keys.clone(), self.signers, &at)
     }
 
     /// Lists faults that no schema can express, with paths below `path`.
--- a/laburnumcart_daemon/tests/bundle.rs
+++ b/laburnumcart_daemon/tests/bundle.rs
@@ -16,7 +16,7 @@
     document,
     head,
     id,
-    seal,
+    signing,
     unit, //
 };
 use laburnumcart_daemon::{
@@ -37,14 +37,14 @@
 /// Longest time that a bundle may take to come into force, on the paused clock.
 const SOON: time::Duration = time::Duration::from_secs(8);
 
-fn key() -> seal::SecretKey {
-    seal::SecretKey::generate().expect("random numbers")
+fn key() -> signing::SecretKey {
+    signing::SecretKey::generate().expect("random numbers")
 }
 
 /// A fleet that shares an object service and in which any process can ask any other.
 struct Fleet {
     store: memory::Memory,
-    key: seal::SecretKey,
+    key: signing::SecretKey,
     network: Network,
     head: Option<head::Head>,
 }
@@ -59,25 +59,25 @@
         }
     }
 
-    fn trust(&self) -> seal::Trust {
+    fn trust(&self) -> signing::Trust {
         let name = "ana".parse().expect("a name");
         let keys = collections::BTreeMap::from([(name, self.key.public().into())]);
-        seal::Trust::new(keys, 1, &document::Path::root()).expect("valid settings")
+        signing::Trust::new(keys, 1, &document::Path::root()).expect("valid settings")
     }
 
     fn sign(&self, text: &str) -> String {
-        let mut envelope = seal::Envelope::new(text);
+        let mut envelope = signing::Envelope::new(text);
         envelope.sign("ana".parse().expect("a name"), &self.key);
         envelope.to_text()
     }
 
     /// Writes an envelope and moves the head to it, without the checks of an operator's tool.
     async fn accept(&mut self, envelope: &str) -> id::Generation {
-        let digest = seal::Digest::of(envelope.as_bytes());
+        let digest = signing::Digest::of(envelope.as_bytes());
         self.accept_as(digest, envelope).await
     }
 
-    async fn accept_as(&mut self, digest: seal::Digest, envelope: &str) -> id::Generation {
+    async fn accept_as(&mut self, digest: signing::Digest, envelope: &str) -> id::Generation {
         let key = head::object_key(digest);
         let _ = self.store.put(&key, store::Expect::Absent, envelope).await;
         let head = head::Head::after(self.head.as_ref(), digest, id::Nonce::random());
@@ -199,7 +199,7 @@
         &self,
         peer: net::SocketAddr,
         least: id::Generation,
-    ) -> Result<Option<agent::Shown>, bundle::PeerError> {
+    ) -> Result<Option<agent::SignedBundle>, bundle::PeerError> {
         let feed = self.lock().get(&peer).cloned();
         let feed = feed.ok_or_else(|| bundle::PeerError {
             cause: "no such process".into(),
@@ -209,14 +209,14 @@
 }
 
 /// Peers that show what the test says.
-struct Showing(agent::Shown);
+struct Showing(agent::SignedBundle);
 
 impl bundle::Peers for Showing {
     fn fetch(
         &self,
         _: net::SocketAddr,
         _: id::Generation,
-    ) -> impl Future<Output = Result<Option<agent::Shown>, bundle::PeerError>> {
+    ) -> impl Future<Output = Result<Option<agent::SignedBundle>, bundle::PeerError>> {
         future::ready(Ok(Some(self.0.clone())))
     }
 }
@@ -250,7 +250,7 @@
 }
 
 fn foreign(_: &Fleet) -> String {
-    let mut envelope = seal::Envelope::new(titled("foreign"));
+    let mut envelope = signing::Envelope::new(titled("foreign"));
     envelope.sign("ana".parse().expect("a name"), &key());
     envelope.to_text()
 }
@@ -259,7 +259,7 @@
 /// signed with a key that is not trusted, or invalid. The one in force stays, the failure is counted,
 /// and the next good one comes into force.
 #[rstest]
-#[case::unsigned(|_: &Fleet| seal::Envelope::new(titled("x")).to_text(), bundle::Failure::Signature)]
+#[case::unsigned(|_: &Fleet| signing::Envelope::new(titled("x")).to_text(), bundle::Failure::Signature)]
 #[case::unknown_key(foreign, bundle::Failure::Signature)]
 #[case::not_an_envelope(|_: &Fleet| "{}".into(), bundle::Failure::Signature)]
 #[case::invalid(|f: &Fleet| f.sign(r#"{"format":1}"#), bundle::Failure::Content)]
@@ -290,7 +290,7 @@
 async fn tampered_content_is_never_in_force() {
     let mut fleet = Fleet::new();
     let process = fleet.start(1, &[]);
-    let accepted = seal::Digest::of(fleet.sign(&titled("accepted")).as_bytes());
+    let accepted = signing::Digest::of(fleet.sign(&titled("accepted")).as_bytes());
     let other = fleet.sign(&titled("signed too, and not what was accepted"));
     fleet.accept_as(accepted, &other).await;
     process.counted(bundle::Failure::Signature).await;
@@ -387,11 +387,11 @@
 ) {
     let fleet = Fleet::new();
     fleet.set_down(true);
-    let digest = seal::Digest::of(b"another");
+    let digest = signing::Digest::of(b"another");
     let head = head::Head::after(None, digest, id::Nonce::random()).to_text();
     let head = if parses { head } else { "{}".into() };
     let raw = |text| value::RawValue::from_string(text).expect("JSON");
-    let shown = agent::Shown {
+    let shown = agent::SignedBundle {
         generation: id::Generation(1),
         head: raw(head),
         envelope: raw(fleet.sign(&titled("x"))),
@@ -468,7 +468,7 @@
     fleet.set_down(true);
     let head = fleet.head.as_ref().expect("accepted").to_text();
     let raw = |text| value::RawValue::from_string(text).expect("JSON");
-    let shown = agent::Shown {
+    let shown = agent::SignedBundle {
         generation: second,
         head: raw(head),
         envelope: raw(envelope),
--- a/laburnumcart_daemon/tests/peers.rs
+++ b/laburnumcart_daemon/tests/peers.rs
@@ -8,7 +8,7 @@
 use laburnumcart::{
     head,
     id,
-    seal, //
+    signing, //
 };
 use laburnumcart_daemon::bundle::{
     self,
@@ -29,14 +29,14 @@
 
 /// An envelope whose text differs from what a reader of JSON would write again.
 fn envelope() -> String {
-    seal::Envelope::new("{ \"z\": 1.50, \"a\": \"\\u00e9 é\" }").to_text()
+    signing::Envelope::new("{ \"z\": 1.50, \"a\": \"\\u00e9 é\" }").to_text()
 }
 
-fn shown() -> agent::Shown {
-    let digest = seal::Digest::of(envelope().as_bytes());
+fn shown() -> agent::SignedBundle {
+    let digest = signing::Digest::of(envelope().as_bytes());
     let head = head::Head::after(None, digest, id::Nonce(5));
     let raw = |text| value::RawValue::from_string(text).expect("JSON");
-    agent::Shown {
+    agent::SignedBundle {
         generation: head.accepted.generation,
         head: raw(head.to_text()),
         envelope: raw(envelope()),
@@ -73,7 +73,7 @@
     let head = head::Head::parse(answer.head.get()).expect("a head");
     assert_eq!(
         head.accepted.digest,
-        seal::Digest::of(envelope().as_bytes())
+        signing::Digest::of(envelope().as_bytes())
     );
 
     let none = peers.fetch(server.addr(), id::Generation(2)).await;
--- a/laburnumcart_entry/src/claims.rs
+++ b/laburnumcart_entry/src/claims.rs
@@ -41,9 +41,9 @@
 use laburnumcart::{
     claim::{
         self,
-        pace,
+        limiter,
+        ownership, //
         record,
-        route, //
     },
     id,
     unit,
@@ -121,7 +121,7 @@
 #[derive(Debug)]
 struct Shard {
     inbox: mpsc::Sender<actor::Command>,
-    suspicion: sync::Arc<sync::Mutex<route::Suspicion>>,
+    suspicion: sync::Arc<sync::Mutex<ownership::Detector>>,
 }
 
 /// Claims and releases, wherever their shards are owned.
@@ -355,12 +355,12 @@
                 Err(actor::Mode::Take(None))
             }
             Ok(entry::Decision::Elsewhere { .. }) => {
-                self.suspicion(shard, route::Suspicion::answered);
+                self.suspicion(shard, ownership::Detector::record_success);
                 clock::sleep(DISAGREEMENT_PAUSE).await;
                 Err(actor::Mode::Refresh)
             }
             Ok(decision) => {
-                self.suspicion(shard, route::Suspicion::answered);
+                self.suspicion(shard, ownership::Detector::record_success);
                 Ok(decision)
             }
             Err(Unreachable) => {
@@ -377,20 +377,20 @@
         owner: Option<claim::Holder>,
     ) -> Result<entry::Decision, actor::Mode> {
         let now = clock::Instant::now();
-        match self.suspicion(shard, |suspicion| suspicion.unreachable(now)) {
-            route::Advice::Again(wait) => {
+        match self.suspicion(shard, |suspicion| suspicion.record_failure(now)) {
+            ownership::Action::Retry(wait) => {
                 clock::sleep(wait).await;
                 Err(actor::Mode::Refresh)
             }
-            route::Advice::Take => Err(actor::Mode::Take(owner)),
-            route::Advice::Settle(wait) => {
+            ownership::Action::TakeOver => Err(actor::Mode::Take(owner)),
+            ownership::Action::Settle(wait) => {
                 let retry = unit::Period(wait);
                 Ok(refused(verdict::Reason::ClaimUnavailable, Some(retry)))
             }
         }
     }
 
-    fn suspicion<T>(&self, shard: u16, act: impl FnOnce(&mut route::Suspicion) -> T) -> T {
+    fn suspicion<T>(&self, shard: u16, act: impl FnOnce(&mut ownership::Detector) -> T) -> T {
         let shards = self.shards.get().expect("shards are known");
         let shard = &shards[usize::from(shard)];
         act(&mut shard.suspicion.lock().expect("lock is not poisoned"))
@@ -398,7 +398,7 @@
 
     fn preferred(&self, shard: u16) -> net::SocketAddr {
         let live = self.live.read().expect("lock is not poisoned");
-        route::preferred(shard, &live).unwrap_or(self.config.me.addr)
+        ownership::preferred_owner(shard, &live).unwrap_or(self.config.me.addr)
     }
 
     fn send(&self, shard: u16, command: actor::Command) -> Result<(), ()> {
@@ -427,7 +427,8 @@
         // In the long run each append costs a deletion. With a limit of their own, deletions do
         // not delay claims.
         let half = unit::Rate(self.config.write_rate.0 / 2.0);
-        let pace = |burst| sync::Arc::new(sync::Mutex::new(pace::Pace::new(half, count, burst)));
+        let pace =
+            |burst| sync::Arc::new(sync::Mutex::new(limiter::Limiter::new(half, count, burst)));
         let (appends, deletions) = (pace(APPEND_BURST), pace(1));
         let spawn = |shard| self.spawn(shard, appends.clone(), deletions.clone());
         Ok((0..count).map(spawn).collect())
@@ -435,7 +436,7 @@
 
     fn spawn(&self, shard: u16, appends: actor::Pace, deletions: actor::Pace) -> Shard {
         let (inbox, commands) = mpsc::channel(INBOX);
-        let suspicion = route::Suspicion::new(self.config.patience);
+        let suspicion = ownership::Detector::new(self.config.patience);
         let suspicion = sync::Arc::new(sync::Mutex::new(suspicion));
         let context = actor::Context {
             shard,
--- a/laburnumcart_entry/src/claims/actor.rs
+++ b/laburnumcart_entry/src/claims/actor.rs
@@ -17,8 +17,8 @@
 use laburnumcart::{
     claim::{
         self,
+        ownership, //
         record,
-        route, //
     },
     id,
     unit,
@@ -94,7 +94,7 @@
 }
 
 /// A rate limit that the shards of a process share.
-pub(super) type Pace = sync::Arc<sync::Mutex<claim::pace::Pace>>;
+pub(super) type Pace = sync::Arc<sync::Mutex<claim::limiter::Limiter>>;
 
 /// What the task works with.
 pub(super) struct Context<S> {
@@ -106,13 +106,13 @@
     pub(super) appends: Pace,
     pub(super) deletions: Pace,
     pub(super) call_limit: time::Duration,
-    pub(super) suspicion: sync::Arc<sync::Mutex<route::Suspicion>>,
+    pub(super) suspicion: sync::Arc<sync::Mutex<ownership::Detector>>,
     pub(super) metrics: metrics::Metrics,
 }
 
 impl<S> Context<S> {
     /// Changes both rate limits of this process.
-    fn count(&self, change: impl Fn(&mut claim::pace::Pace)) {
+    fn count(&self, change: impl Fn(&mut claim::limiter::Limiter)) {
         for pace in [&self.appends, &self.deletions] {
             change(&mut pace.lock().expect("lock is not poisoned"));
         }
@@ -147,9 +147,9 @@
         let Some(taken) = follower.handle(&context, command).await else {
             continue;
         };
-        context.count(claim::pace::Pace::gain);
+        context.count(claim::limiter::Limiter::add_shard);
         let ended = owned::run(&context, &mut inbox, taken).await;
-        context.count(claim::pace::Pace::lose);
+        context.count(claim::limiter::Limiter::remove_shard);
         follower.lose(&context);
         match ended {
             owned::Ended::Sealed => {}
@@ -306,7 +306,7 @@
         let epoch = head.map(|head| head.epoch);
         if known.is_some() && epoch > known {
             let mut suspicion = context.suspicion.lock().expect("lock is not poisoned");
-            suspicion.changed(clock::Instant::now());
+            suspicion.record_owner_change(clock::Instant::now());
         }
         self.head = head.or(self.head);
     }
--- a/laburnumcart_entry/src/claims/owned.rs
+++ b/laburnumcart_entry/src/claims/owned.rs
@@ -152,7 +152,7 @@
     fn slot(&mut self, now: clock::Instant) -> Option<clock::Instant> {
         if self.slot.is_none() && self.log.wants_append() {
             let mut pace = self.context.appends.lock().expect("lock is not poisoned");
-            let slot = pace.reserve(now);
+            let slot = pace.reserve_slot(now);
             // Releases wait through an outage; they are not worth a call of their own each time.
             self.slot = Some(self.down.map_or(slot, |(until, _)| slot.max(until)));
         }
@@ -162,7 +162,7 @@
     /// Starts the next append with what has gathered, without those who no longer wait.
     fn begin(&mut self) -> Option<Call> {
         let waiting = &mut self.waiting;
-        self.log.withdraw(|key, request| {
+        self.log.retain_pending(|key, request| {
             let waits = waiting
                 .get(&(key, request))
                 .is_some_and(|replies| replies.iter().any(|reply| !reply.is_closed()));
@@ -172,7 +172,7 @@
             waits
         });
         let now = clock::Instant::now();
-        let append = self.log.begin(now)?;
+        let append = self.log.begin_append(now)?;
         if let record::Segment::Batch { records, .. } = &append.segment {
             self.flight = records.clone();
         }
@@ -201,13 +201,13 @@
             return self.context.refuse(reply, reason, claims::RETRY);
         }
         match self.log.claim(grant.clone(), now) {
-            log::Step::Granted => self.confirm(entry::Decision::Granted, reply),
-            log::Step::Queued(_) => {
+            log::Outcome::Granted => self.confirm(entry::Decision::Granted, reply),
+            log::Outcome::Queued(_) => {
                 let waiting = self.waiting.entry((grant.key, grant.request));
                 waiting.or_default().push(reply);
             }
-            log::Step::Wait(_) => self.parked.push((grant, reply)),
-            log::Step::Taken(old) => {
+            log::Outcome::Wait(_) => self.parked.push((grant, reply)),
+            log::Outcome::Taken(old) => {
                 self.context.metrics.taken.inc();
                 let taken = entry::Decision::Taken {
                     request: old.request,
@@ -216,7 +216,7 @@
                 };
                 self.confirm(taken, reply);
             }
-            log::Step::Full => {
+            log::Outcome::Full => {
                 let reason = verdict::Reason::Overloaded;
                 self.context.refuse(reply, reason, claims::RETRY);
             }
@@ -228,7 +228,7 @@
     /// From a paused owner's table, a resend would be sent to a request that gave the key back,
     /// and be told "not run" although another request has run under the key since.
     fn confirm(&mut self, decision: entry::Decision, reply: Reply) {
-        let batch = self.log.confirm();
+        let batch = self.log.confirm_ownership();
         let waiting = self.unconfirmed.entry(batch).or_default();
         waiting.push((decision, reply));
     }
@@ -268,9 +268,9 @@
     fn durable(&mut self, version: store::Version) {
         self.context.metrics.appends.inc();
         let (shard, epoch) = (self.context.shard, self.log.epoch());
-        let key = record::segment_key(shard, epoch, self.log.next());
+        let key = record::segment_key(shard, epoch, self.log.next_segment());
         self.segments.push(sweep::Old { key, version });
-        self.log.durable(clock::Instant::now());
+        self.log.append_succeeded(clock::Instant::now());
         for record in mem::take(&mut self.flight) {
             match record {
                 record::Record::Grant(grant) => self.granted(&grant),
@@ -286,7 +286,7 @@
     }
 
     fn take_confirmed(&mut self) -> Vec<(entry::Decision, Reply)> {
-        let later = self.unconfirmed.split_off(&self.log.settled());
+        let later = self.unconfirmed.split_off(&self.log.first_unsettled());
         let done = mem::replace(&mut self.unconfirmed, later);
         done.into_values().flatten().collect()
     }
@@ -317,8 +317,8 @@
 
     /// Refuses everything that waits: the object service takes no writes.
     fn refused(&mut self, retry: unit::Period) {
-        self.log.rejected();
-        self.log.withdraw(|_, _| false);
+        self.log.append_rejected();
+        self.log.retain_pending(|_, _| false);
         self.flight.clear();
         self.down = Some((clock::Instant::now() + actor::DOWN.min(retry.0), retry));
         for reply in self.take_waiting() {
@@ -330,14 +330,16 @@
 
     /// Refuses what is in no append, as one before it has had no answer.
     fn refuse_gathered(&mut self) {
-        self.log.withdraw(|_, _| false);
+        self.log.retain_pending(|_, _| false);
         let sent = |record: &record::Record| (record.key(), record.request());
         let sent: collections::HashSet<_> = self.flight.iter().map(sent).collect();
         let gathered = self.waiting.extract_if(|claim, _| !sent.contains(claim));
         let gathered: Vec<_> = gathered.flat_map(|(_, replies)| replies).collect();
         let parked = mem::take(&mut self.parked);
         let parked = parked.into_iter().map(|(_, reply)| reply);
-        let unconfirmed = self.unconfirmed.split_off(&(self.log.settled() + 1));
+        let unconfirmed = self
+            .unconfirmed
+            .split_off(&(self.log.first_unsettled() + 1));
         let unconfirmed = unconfirmed.into_values().flatten();
         let unconfirmed = unconfirmed.map(|(_, reply)| reply);
         for reply in gathered.into_iter().chain(parked).chain(unconfirmed) {
@@ -347,7 +349,7 @@
     }
 
     fn answer_releases(&mut self, recorded: bool) {
-        let settled = self.log.settled();
+        let settled = self.log.first_unsettled();
         let later = self.releases.split_off(&settled);
         let done = mem::replace(&mut self.releases, later);
         for reply in done.into_values().flatten() {
@@ -364,14 +366,14 @@
             let (store, limit) = (&*self.context.store, self.context.call_limit);
             match append::append(store, &key, &segment, limit, &self.doubt).await {
                 append::Appended::Durable(version) => {
-                    self.log.part_durable(&segment);
+                    self.log.snapshot_part_succeeded(&segment);
                     parts.push(sweep::Old { key, version });
                 }
                 append::Appended::Sealed => return false,
                 append::Appended::Refused(_) => {
                     // What is there of it is ignored and deleted with the next one.
                     self.segments.append(&mut parts);
-                    self.log.postpone();
+                    self.log.postpone_snapshot();
                     break;
                 }
             }
@@ -399,7 +401,7 @@
         let store = &*self.context.store;
         let limit = self.context.call_limit;
         let (shard, epoch) = (self.context.shard, self.log.epoch());
-        let key = record::segment_key(shard, epoch, self.log.next());
+        let key = record::segment_key(shard, epoch, self.log.next_segment());
         let seal = serde_json::to_string(&record::Segment::Seal(epoch)).expect("seals serialize");
         let call = store.put(&key, store::Expect::Absent, &seal);
         // The next owner seals the epoch itself if this is lost.
--- a/laburnumcart_entry/src/claims/settings.rs
+++ b/laburnumcart_entry/src/claims/settings.rs
@@ -9,7 +9,7 @@
     claim::{
         self,
         log,
-        route, //
+        ownership, //
     },
     unit, //
 };
@@ -29,7 +29,7 @@
     pub(super) limits: log::Limits,
     pub(super) call_limit: time::Duration,
     pub(super) serve_limit: time::Duration,
-    pub(super) patience: route::Patience,
+    pub(super) patience: ownership::Limits,
     pub(super) metrics: metrics::Metrics,
 }
 
@@ -43,7 +43,7 @@
             limits: log::Limits::default(),
             call_limit: time::Duration::from_secs(2),
             serve_limit: time::Duration::from_secs(5),
-            patience: route::Patience::default(),
+            patience: ownership::Limits::default(),
             metrics: metrics::Metrics::default(),
         }
     }
@@ -87,7 +87,7 @@
 
     /// Sets when an owner that cannot be reached is replaced.
     #[must_use]
-    pub fn patience(mut self, patience: route::Patience) -> Self {
+    pub fn patience(mut self, patience: ownership::Limits) -> Self {
         self.patience = patience;
         self
     }
--- a/laburnumcart_entry/src/claims/sweep.rs
+++ b/laburnumcart_entry/src/claims/sweep.rs
@@ -49,7 +49,7 @@
 ) {
     for object in old {
         let now = clock::Instant::now();
-        let slot = pace.lock().expect("lock is not poisoned").reserve(now);
+        let slot = pace.lock().expect("lock is not poisoned").reserve_slot(now);
         clock::sleep_until(slot).await;
         let call = store.delete(&object.key, object.version);
         if append::bounded(limit, call).await.is_err() {
--- a/laburnumcart_entry/src/claims/takeover.rs
+++ b/laburnumcart_entry/src/claims/takeover.rs
@@ -251,7 +251,7 @@
     for (number, segment) in log.snapshot(clock::Instant::now()) {
         let key = record::segment_key(plan.shard, log.epoch(), number);
         match append::append(store, &key, &segment, plan.call_limit, &doubt).await {
-            append::Appended::Durable(_) => log.part_durable(&segment),
+            append::Appended::Durable(_) => log.snapshot_part_succeeded(&segment),
             append::Appended::Sealed => return Ok(false),
             append::Appended::Refused(retry) => {
                 return Err(store::Failure::Unavailable { retry });
--- a/laburnumcart_entry/src/control/thread.rs
+++ b/laburnumcart_entry/src/control/thread.rs
@@ -12,8 +12,8 @@
 };
 
 use laburnumcart::{
+    balancer::latency, //
     id,
-    route::crossing, //
 };
 use laburnumcart_daemon::{
     bundle,
@@ -152,8 +152,8 @@
     }
 
     /// Returns the least round trip to each data centre.
-    fn crossings(&self) -> crossing::Crossings {
-        let mut crossings = crossing::Crossings::new(self.entry.identity.data_centre.clone());
+    fn crossings(&self) -> latency::ExtraLatency {
+        let mut crossings = latency::ExtraLatency::new(self.entry.identity.data_centre.clone());
         for member in self.members.agents() {
             if let Some(trip) = member.lane.report().and_then(|seen| seen.trip) {
                 crossings.record(&member.data_centre, trip);
@@ -162,7 +162,7 @@
         crossings
     }
 
-    fn way(&self, member: &members::Member, crossings: &crossing::Crossings) -> routes::Way {
+    fn way(&self, member: &members::Member, crossings: &latency::ExtraLatency) -> routes::Way {
         let report = member.lane.report();
         let leaving = |seen: &links::Seen| self.entry.gossip.is_leaving(seen.report.incarnation);
         let ejected = |seen: &links::Seen| {
--- a/laburnumcart_entry/src/driver.rs
+++ b/laburnumcart_entry/src/driver.rs
@@ -178,14 +178,14 @@
 
     /// Widens the verdict on one stage to the whole request and says when to come again.
     fn judge(&self, mut refusal: verdict::Refusal) -> verdict::Refusal {
-        refusal.verdict = refusal.verdict.and(self.verdict);
+        refusal.verdict = refusal.verdict.combine(self.verdict);
         refusal.retry = refusal.retry.or(Some(RETRY));
         refusal
     }
 
     /// Remembers what an attempt's end proves.
     fn note(&mut self, verdict: verdict::Verdict) {
-        self.verdict = self.verdict.and(verdict);
+        self.verdict = self.verdict.combine(verdict);
     }
 }
 
--- a/laburnumcart_entry/src/driver/place.rs
+++ b/laburnumcart_entry/src/driver/place.rs
@@ -113,7 +113,7 @@
         let print = self.request.fingerprint;
         match suspects.refusal(print, now) {
             Some(refusal) => Err(refusal),
-            None => Ok(suspects.standing(print, now) != suspects::Standing::Clean),
+            None => Ok(suspects.status(print, now) != suspects::Status::Clean),
         }
     }
 
--- a/laburnumcart_entry/src/driver/race.rs
+++ b/laburnumcart_entry/src/driver/race.rs
@@ -229,7 +229,7 @@
                 let refusal = refusal(settled);
                 let runner = race.runners.swap_remove(index);
                 self.measure(tries, &runner.target, runner.begun.elapsed(), Some(refusal));
-                race.verdict = race.verdict.and(refusal.verdict);
+                race.verdict = race.verdict.combine(refusal.verdict);
                 let verdict = race.verdict;
                 race.runners
                     .is_empty()
--- a/laburnumcart_entry/src/links.rs
+++ b/laburnumcart_entry/src/links.rs
@@ -25,9 +25,9 @@
 };
 
 use laburnumcart::{
+    balancer::latency,
     facts,
     id,
-    route::crossing,
     unit, //
 };
 use laburnumcart_wire::{
@@ -116,7 +116,7 @@
     pub incarnation: id::Incarnation,
     client: peer::Client,
     closed: watch::Sender<bool>,
-    trip: Mutex<crossing::Trip>,
+    trip: Mutex<latency::MinRtt>,
 }
 
 impl Connection {
@@ -129,7 +129,7 @@
     fn record(&self, elapsed: time::Duration) -> Option<time::Duration> {
         let mut trip = self.trip.lock().unwrap_or_else(PoisonError::into_inner);
         trip.record(elapsed, time::Instant::now());
-        trip.least()
+        trip.get()
     }
 
     /// Returns whether the connection was given up.
@@ -223,7 +223,7 @@
         let Some(connection) = self.connection() else {
             return;
         };
-        let beat = agent::Beat {
+        let beat = agent::Heartbeat {
             session: connection.session,
             peer: Some(self.ear.peer),
             facts: Some(self.ear.gossip.all()),
@@ -342,7 +342,7 @@
                 return;
             }
             let (facts, version) = self.caller.gossip.changes(sent);
-            let beat = agent::Beat {
+            let beat = agent::Heartbeat {
                 session: connection.session,
                 peer: facts.is_some().then_some(self.caller.peer),
                 facts,
@@ -427,7 +427,7 @@
         incarnation: report.incarnation,
         client,
         closed: watch::channel(false).0,
-        trip: Mutex::new(crossing::Trip::new(time::Instant::now())),
+        trip: Mutex::new(latency::MinRtt::new(time::Instant::now())),
     };
     Some((connection, report))
 }
--- a/laburnumcart_entry/src/links/ear.rs
+++ b/laburnumcart_entry/src/links/ear.rs
@@ -65,7 +65,7 @@
     pub(super) async fn beat(
         self: &Arc<Self>,
         connection: &Arc<links::Connection>,
-        beat: agent::Beat,
+        beat: agent::Heartbeat,
     ) -> Heard {
         let (ear, connection) = (self.clone(), connection.clone());
         let task = tokio::spawn(async move {
--- a/laburnumcart_entry/src/links/pull.rs
+++ b/laburnumcart_entry/src/links/pull.rs
@@ -92,7 +92,7 @@
             connection: self.connection,
             request: call.request,
             sent: self.prepared.send(),
-            joiner: stage::Joiner::default(),
+            joiner: stage::Assembler::default(),
             patient: !call.idempotent,
             call: Some(Box::new(call)),
         })
@@ -108,7 +108,7 @@
     sent: attempt::Sent,
     /// Number of the session that carries the attempt.
     session: u64,
-    joiner: stage::Joiner,
+    joiner: stage::Assembler,
     /// Whether certainty is waited for until the deadline, as there can be no second attempt.
     patient: bool,
     call: Option<Box<stage::Call>>,
@@ -232,7 +232,7 @@
     async fn next(&self) -> Result<stage::Progress, Failure> {
         let next = stage::Next {
             attempt: self.sent.id,
-            from: self.joiner.next(),
+            from: self.joiner.next_number(),
             wait: WAIT,
         };
         ask(&self.connection, self.connection.client().next(next)).await
@@ -285,7 +285,7 @@
             incarnation: self.sent.incarnation,
             sent: self.session,
             attempt: self.sent.id,
-            from: self.joiner.next(),
+            from: self.joiner.next_number(),
         };
         self.lane.doubts.inc();
         let client = self.connection.client();
@@ -330,7 +330,9 @@
                 tokio::spawn(self.canceller().cancel());
                 Step::Refused(self.sent.refused(refusal))
             }
-            stage::State::Done(end) if self.joiner.next() < end.count => Step::More(self, tail),
+            stage::State::Done(end) if self.joiner.next_number() < end.count => {
+                Step::More(self, tail)
+            }
             stage::State::Done(end) => match self.joiner.finish(&end) {
                 Ok(text) => Step::Whole(Whole { tail, text, end }),
                 Err(_) => Step::Refused(self.sent.lost(verdict::Reason::Corrupt)),
--- a/laburnumcart_entry/src/members.rs
+++ b/laburnumcart_entry/src/members.rs
@@ -233,7 +233,7 @@
     /// [`BEAT_BYTES`], as far as the list tells how many entries share the agents.
     fn idle(&self, lanes: usize, kept: usize, all: usize) -> time::Duration {
         let there = (self.entries.len() * kept).div_ceil(all.max(1));
-        let period = subset::period(BEAT_BYTES, lanes.max(there));
+        let period = subset::heartbeat_period(BEAT_BYTES, lanes.max(there));
         period.min(IDLE_MAX).max(self.caller.timing.idle)
     }
 
--- a/laburnumcart_entry/src/peers.rs
+++ b/laburnumcart_entry/src/peers.rs
@@ -91,7 +91,7 @@
         Ok(self.entry.answers.fetch(fetch.request, wait.0).await)
     }
 
-    async fn bundle(&self, least: id::Generation) -> RpcResult<Option<agent::Shown>> {
+    async fn bundle(&self, least: id::Generation) -> RpcResult<Option<agent::SignedBundle>> {
         Ok(self.entry.gossip.feed().show(least))
     }
 }
--- a/laburnumcart_entry/src/policy.rs
+++ b/laburnumcart_entry/src/policy.rs
@@ -15,13 +15,13 @@
 use tokio::time;
 
 use laburnumcart::{
-    admit,
+    admission,
     budget,
     bundle,
-    eject,
     estimate,
     hedge,
     id,
+    outlier,
     retry,
     unit,
     verdict, //
@@ -52,8 +52,8 @@
 
 #[derive(Debug)]
 struct State {
-    admission: admit::Admission,
-    teams: collections::HashMap<id::TeamName, admit::TeamKey>,
+    admission: admission::Controller,
+    teams: collections::HashMap<id::TeamName, admission::TeamKey>,
     services: collections::HashMap<id::ServiceName, Service>,
     /// Time that targets spent; tells what can still finish.
     busy: estimate::Estimates<Key>,
@@ -61,15 +61,15 @@
     elapsed: estimate::Estimates<Key>,
     /// When the first result of a stage came.
     since: collections::HashMap<Key, time::Instant>,
-    drain: estimate::Drain,
+    drain: estimate::Throughput,
 }
 
 #[derive(Debug)]
 struct Service {
     retries: budget::Budget,
     hedges: budget::Budget,
-    ejector: eject::Ejector,
-    targets: collections::HashMap<id::TargetName, eject::TargetKey>,
+    ejector: outlier::Detector,
+    targets: collections::HashMap<id::TargetName, outlier::TargetKey>,
 }
 
 /// An attempt that has ended.
@@ -90,13 +90,13 @@
         let now = time::Instant::now();
         Self {
             state: Mutex::new(State {
-                admission: admit::Admission::new(now),
+                admission: admission::Controller::new(now),
                 teams: collections::HashMap::new(),
                 services: collections::HashMap::new(),
                 busy: estimate::Estimates::default(),
                 elapsed: estimate::Estimates::default(),
                 since: collections::HashMap::new(),
-                drain: estimate::Drain::new(now),
+                drain: estimate::Throughput::new(now),
             }),
         }
     }
@@ -117,7 +117,7 @@
         Ok(Admitted {
             policy: self.clone(),
             key,
-            outcome: admit::Outcome::Refused(verdict::Reason::Cancelled),
+            outcome: admission::Outcome::Refused(verdict::Reason::Cancelled),
         })
     }
 
@@ -164,8 +164,8 @@
         let mut state = self.lock();
         let service = state.service(service, now);
         let key = service.key(target);
-        service.ejector.start(key, now);
-        service.hedges.earn(now);
+        service.ejector.record_send(key, now);
+        service.hedges.deposit(now);
     }
 
     /// Takes in how an attempt ended.
@@ -175,16 +175,18 @@
         let service = state.service(ended.service, now);
         let key = service.key(ended.target);
         let Some(refusal) = ended.refusal else {
-            let outcome = eject::Outcome::Success(ended.elapsed);
-            service.ejector.record(key, outcome, now);
-            service.retries.earn(now);
+            let outcome = outlier::Outcome::Success(ended.elapsed);
+            service.ejector.record_outcome(key, outcome, now);
+            service.retries.deposit(now);
             return;
         };
         if is_fault(refusal.reason) {
-            service.ejector.record(key, eject::Outcome::Failure, now);
+            service
+                .ejector
+                .record_outcome(key, outlier::Outcome::Failure, now);
         }
         if retry::is_overload(refusal.reason) {
-            service.hedges.refuse(now);
+            service.hedges.record_refusal(now);
         }
     }
 
@@ -214,7 +216,7 @@
         needed: time::Duration,
     ) -> retry::Decision {
         let now = time::Instant::now();
-        let time = retry::Time {
+        let time = retry::TimeBudget {
             remaining: head.remaining(),
             needed,
             now,
@@ -265,7 +267,7 @@
             return false;
         };
         let key = service.targets.get(target);
-        key.is_some_and(|key| !service.ejector.allows(*key, now))
+        key.is_some_and(|key| !service.ejector.can_send(*key, now))
     }
 
     /// Forgets the targets of a service that are not in `known`.
@@ -293,7 +295,7 @@
 
 impl State {
     fn check(&mut self, head: &request::Head, now: time::Instant) -> Result<(), verdict::Refusal> {
-        let outlook = estimate::Outlook {
+        let outlook = estimate::Remaining {
             remaining: head.remaining(),
             ahead: 0,
             rest: self.rest(head, 0, now),
@@ -304,7 +306,7 @@
     fn rest(&self, head: &request::Head, from: usize, now: time::Instant) -> time::Duration {
         let stages = head.stages().stages.iter().skip(from);
         let keys = stages.map(|stage| (head.pipeline.clone(), stage.name.clone()));
-        self.busy.rest(keys, head.priority, now)
+        self.busy.expected_rest(keys, head.priority, now)
     }
 
     /// Returns the time after which an attempt is slow, once that is known.
@@ -317,7 +319,7 @@
         known.then(|| self.elapsed.quantile(key, STRAGGLER, now))?
     }
 
-    fn team(&mut self, team: &id::TeamName, weight: u32) -> admit::TeamKey {
+    fn team(&mut self, team: &id::TeamName, weight: u32) -> admission::TeamKey {
         if let Some(key) = self.teams.get(team) {
             self.admission.set_weight(*key, weight);
             return *key;
@@ -333,7 +335,7 @@
             Service {
                 retries: budget::Budget::new(limits.retry_ratio, now),
                 hedges: budget::Budget::new(limits.hedge_ratio, now),
-                ejector: eject::Ejector::new(EJECTED_MAX, now),
+                ejector: outlier::Detector::new(EJECTED_MAX, now),
                 targets: collections::HashMap::new(),
             }
         })
@@ -341,7 +343,7 @@
 }
 
 impl Service {
-    fn key(&mut self, target: &id::TargetName) -> eject::TargetKey {
+    fn key(&mut self, target: &id::TargetName) -> outlier::TargetKey {
         if let Some(key) = self.targets.get(target) {
             return *key;
         }
@@ -363,15 +365,15 @@
 #[derive(Debug)]
 pub struct Admitted {
     policy: Arc<Policy>,
-    key: admit::TeamKey,
-    outcome: admit::Outcome,
+    key: admission::TeamKey,
+    outcome: admission::Outcome,
 }
 
 impl Admitted {
     /// Sets how the request ended.
     pub fn end(&mut self, refusal: Option<&verdict::Refusal>) {
-        self.outcome = refusal.map_or(admit::Outcome::Done, |refusal| {
-            admit::Outcome::Refused(refusal.reason)
+        self.outcome = refusal.map_or(admission::Outcome::Done, |refusal| {
+            admission::Outcome::Refused(refusal.reason)
         });
     }
 }
--- a/laburnumcart_entry/src/request.rs
+++ b/laburnumcart_entry/src/request.rs
@@ -6,9 +6,9 @@
 use tokio::time;
 
 use laburnumcart::{
+    balancer,
     bundle,
     id,
-    route,
     unit,
     verdict, //
 };
@@ -155,7 +155,9 @@
         let input: Box<value::RawValue> =
             serde_json::from_slice(body).map_err(|_| verdict::Reason::Invalid)?;
         let fingerprint = id::Fingerprint::of(&self.team, &self.pipeline, body);
-        let prefix = self.has_engine().then(|| route::prefix::key(input.get()));
+        let prefix = self
+            .has_engine()
+            .then(|| balancer::prefix::key(input.get()));
         Ok(Request {
             head: self,
             input,
--- a/laburnumcart_entry/src/routes.rs
+++ b/laburnumcart_entry/src/routes.rs
@@ -11,8 +11,8 @@
 use tokio::time::Instant;
 
 use laburnumcart::{
+    balancer, //
     id,
-    route, //
 };
 
 use crate::links;
@@ -21,7 +21,7 @@
 #[derive(Clone, Debug)]
 pub struct Routes {
     service: id::ServiceName,
-    table: route::Table,
+    table: balancer::Table,
     lanes: Vec<Arc<links::Lane>>,
 }
 
@@ -52,7 +52,7 @@
             .collect();
         Self {
             service,
-            table: route::Table::new(targets),
+            table: balancer::Table::new(targets),
             lanes: ways.into_iter().map(|way| way.lane).collect(),
         }
     }
@@ -74,8 +74,8 @@
         let takes = |i: usize| self.lanes[i].takes(&self.service);
         let fresh = |i: usize| takes(i) && !tried.contains(&self.lanes[i].addr);
         let key = print.0 as u64;
-        let home = self.table.home(key, fresh);
-        let home = home.or_else(|| self.table.home(key, takes))?;
+        let home = self.table.find_by_key(key, fresh);
+        let home = home.or_else(|| self.table.find_by_key(key, takes))?;
         Some(Chosen {
             lane: self.lanes[home].clone(),
             expected: time::Duration::ZERO,
@@ -86,7 +86,7 @@
     fn search(&self, out: &mut Vec<usize>, prefix: Option<u64>) -> Option<Chosen> {
         let own = |i: usize| self.lanes[i].running.load(Ordering::Relaxed);
         loop {
-            let ask = route::Ask {
+            let ask = balancer::Request {
                 tried: out,
                 prefix,
                 own: &own,
@@ -97,7 +97,7 @@
             if self.lanes[chosen].takes(&self.service) {
                 return Some(Chosen {
                     lane: self.lanes[chosen].clone(),
-                    expected: self.table.finish(chosen, &ask),
+                    expected: self.table.expected_time(chosen, &ask),
                     is_free: self.is_free(chosen),
                 });
             }
@@ -136,29 +136,29 @@
     pub is_free: bool,
 }
 
-fn target(service: &id::ServiceName, way: &Way) -> Option<route::Target> {
+fn target(service: &id::ServiceName, way: &Way) -> Option<balancer::Target> {
     let seen = way.lane.report()?;
     let report = &seen.report;
     let state = if way.lane.connection().is_none() || !report.ready || report.service != *service {
-        route::State::Down
+        balancer::State::Down
     } else if report.leaving || way.leaving {
-        route::State::Leaving
+        balancer::State::Leaving
     } else if way.ejected {
-        route::State::Ejected
+        balancer::State::Ejected
     } else {
-        route::State::Ready
+        balancer::State::Ready
     };
-    Some(route::Target {
+    Some(balancer::Target {
         name: report.target.clone(),
         state,
-        load: route::Load {
+        load: balancer::Load {
             pending: report.load.running + report.load.queued,
             own: seen.own,
             limit: report.load.limit,
-            service: report.load.service.0,
+            service_time: report.load.service.0,
             at: seen.at,
         },
         local: way.local,
-        crossing: way.crossing,
+        extra_latency: way.crossing,
     })
 }
--- a/laburnumcart_entry/src/run.rs
+++ b/laburnumcart_entry/src/run.rs
@@ -153,7 +153,7 @@
 ) -> io::Result<()> {
     let store = client::Client::builder([settings.platform.address])
         .rates(settings.platform.rates(STORE_RATES))
-        .patience(STORE_PATIENCE)
+        .budget_wait(STORE_PATIENCE)
         .build();
     let store = store.map_err(io::Error::other)?;
     metrics.register("laburnum_entry", |r| store.register(r));
--- a/laburnumcart_entry/tests/it/agent.rs
+++ b/laburnumcart_entry/tests/it/agent.rs
@@ -320,7 +320,7 @@
         Ok(self.0.report())
     }
 
-    async fn beat(&self, _: agent::Beat) -> RpcResult<agent::Report> {
+    async fn beat(&self, _: agent::Heartbeat) -> RpcResult<agent::Report> {
         Ok(self.0.report())
     }
 
@@ -353,7 +353,7 @@
         Ok(())
     }
 
-    async fn bundle(&self, _: id::Generation) -> RpcResult<Option<agent::Shown>> {
+    async fn bundle(&self, _: id::Generation) -> RpcResult<Option<agent::SignedBundle>> {
         Ok(None)
     }
 
--- a/laburnumcart_fakes/src/store/handle.rs
+++ b/laburnumcart_fakes/src/store/handle.rs
@@ -184,8 +184,8 @@
             counts::Kind::Read | counts::Kind::Watch => &mut budget.reads,
         };
         let taken = match kind {
-            counts::Kind::Watch => bucket.hold(Instant::now()),
-            counts::Kind::Read | counts::Kind::Write => bucket.take(Instant::now()),
+            counts::Kind::Watch => bucket.try_hold(Instant::now()),
+            counts::Kind::Read | counts::Kind::Write => bucket.try_take(Instant::now()),
         };
         match taken {
             Ok(()) => self.counts.admit(kind, key),
--- a/laburnumcart_fakes/tests/store_failures.rs
+++ b/laburnumcart_fakes/tests/store_failures.rs
@@ -19,7 +19,7 @@
 use laburnumcart::unit;
 use laburnumcart_fakes::store as fake;
 use laburnumcart_platform::{
-    budget, client, memory, outage, settle,
+    breaker, budget, client, memory, settle,
     store::{
         self,
         Failure,
@@ -176,7 +176,7 @@
         value: "{\"nonce\":1}",
     };
     let until = Instant::now() + LONG;
-    let outcome = settle::put(&client, write, until, settle::created(write)).await;
+    let outcome = settle::put(&client, write, until, settle::judge_created(write)).await;
     let object = server.memory().get("a").await.unwrap().unwrap();
     assert_eq!(outcome, Ok(settle::Outcome::Written(object.version)));
     assert_eq!(server.memory().faults().lose_answers, 0);
@@ -206,7 +206,7 @@
     assert_eq!(first, Err(Failure::Unanswered));
     server.memory().set_faults(memory::Faults::default());
     let until = Instant::now() + LONG;
-    let outcome = settle::resolve(&client(addr), write, until, settle::created(write)).await;
+    let outcome = settle::resolve(&client(addr), write, until, settle::judge_created(write)).await;
     tokio::time::sleep(slow.slow.0 * 2).await;
     let object = server.memory().get("a").await.unwrap().unwrap();
     assert_eq!(outcome, settle::Outcome::Written(object.version));
@@ -217,9 +217,9 @@
 #[tokio::test]
 async fn outage_is_not_hammered_and_ends() {
     let server = fake::Server::builder().start().unwrap();
-    let limits = outage::Limits {
-        longest: time::Duration::from_millis(200),
-        ..outage::Limits::default()
+    let limits = breaker::Limits {
+        longest_pause: time::Duration::from_millis(200),
+        ..breaker::Limits::default()
     };
     let client = client::Client::builder([server.addr()]).outage(limits);
     let client = client.timeout(unit::Period(LONG)).build().unwrap();
@@ -280,7 +280,7 @@
     let client = client::Client::builder([server.addr()]).rates(rates);
     let client = client
         .timeout(unit::Period(LONG))
-        .patience(unit::Period(LONG));
+        .budget_wait(unit::Period(LONG));
     let client = client.build().unwrap();
     for _ in 0..15 {
         assert_eq!(client.get("a").await, Ok(None));
