--- a/laburnumcart_fakes/tests/target.rs
+++ b/laburnumcart_fakes/tests/target.rs
@@ -6,8 +6,8 @@
 };
 
 use laburnumcart::{
+    balancer,
     bundle,
-    route,
     unit, //
 };
 use laburnumcart_fakes::{
@@ -456,6 +456,6 @@
 #[case(json!(["terms"]))]
 #[case(json!("x"))]
 fn entry_and_engine_agree_on_prefixes(#[case] input: Value) {
-    let key = route::prefix::key(&input.to_string());
+    let key = balancer::prefix::key(&input.to_string());
     assert_eq!(format!("{key:016x}"), expected::prefix(&input));
 }
--- a/laburnumcart_gateway/src/admission.rs
+++ b/laburnumcart_gateway/src/admission.rs
@@ -71,7 +71,7 @@
     /// Rank of the team, if it has one; it goes before that of the route.
     pub team_rank: Option<u8>,
     /// When it came.
-    pub start: freshness::Moment,
+    pub start: freshness::BootTime,
     /// Time that the caller had spent on it before.
     pub spent: time::Duration,
 }
@@ -141,13 +141,13 @@
 ) -> Result<Admitted, verdict::Refusal> {
     let now = clock::now();
     let table = view.table.load_full().ok_or_else(unready)?;
-    let fresh = |limit| view.freshness.is_within(limit, now);
+    let fresh = |limit| view.freshness.is_fresh(limit, now);
     let absent = |reason| match fresh(ABSENT) {
         true => verdict::Refusal::not_run(reason),
         false => unready(),
     };
     let host = headers.get(header::HOST).and_then(|h| h.to_str().ok());
-    let route = host.and_then(|host| table.find(host, path));
+    let route = host.and_then(|host| table.find_route(host, path));
     let route = route.ok_or_else(|| absent(verdict::Reason::UnknownPipeline))?;
     let team = table.team(route, call.key.as_deref());
     let team = team.map_err(|_| absent(verdict::Reason::Unauthorized))?;
--- a/laburnumcart_gateway/src/balancer.rs
+++ b/laburnumcart_gateway/src/balancer.rs
@@ -8,12 +8,12 @@
 use tokio::time::Instant;
 
 use laburnumcart::{
-    eject,
+    balancer,
     id,
+    outlier,
     placement,
     quota,
     residency,
-    route,
     unit, //
 };
 
@@ -34,10 +34,10 @@
 #[derive(Debug)]
 struct Entry {
     target: Arc<view::Target>,
-    key: eject::TargetKey,
+    key: outlier::TargetKey,
     own: u32,
-    load: route::Load,
-    gate: quota::Gate,
+    load: balancer::Load,
+    gate: quota::Limiter,
 }
 
 /// Targets of one plain service.
@@ -45,7 +45,7 @@
 pub struct Balancer {
     own: id::DataCentre,
     entries: Vec<Entry>,
-    ejector: eject::Ejector,
+    ejector: outlier::Detector,
 }
 
 impl Balancer {
@@ -54,7 +54,7 @@
         Self {
             own,
             entries: Vec::new(),
-            ejector: eject::Ejector::new(EJECTED, now),
+            ejector: outlier::Detector::new(EJECTED, now),
         }
     }
 
@@ -64,7 +64,7 @@
     pub fn update(
         &mut self,
         targets: &[Arc<view::Target>],
-        gate: impl Fn(&view::Target) -> quota::Gate,
+        gate: impl Fn(&view::Target) -> quota::Limiter,
         now: Instant,
     ) {
         let known = self.entries.iter().map(|e| e.target.key());
@@ -95,11 +95,11 @@
         tried: &[id::TargetName],
         now: Instant,
     ) -> Option<Arc<view::Target>> {
-        let table = route::Table::new(
+        let table = balancer::Table::new(
             self.entries
                 .iter()
                 .filter(|e| e.gate.is_open(now))
-                .filter(|e| residency::allows(places, &e.target.data_centre))
+                .filter(|e| residency::is_allowed(places, &e.target.data_centre))
                 .map(|e| self.candidate(e, now))
                 .collect(),
         );
@@ -107,7 +107,7 @@
         let positions = (0..names.len()).filter(|i| tried.contains(&names[*i]));
         let tried: Vec<_> = positions.collect();
         let own = |i: usize| self.entry(&names[i]).map_or(0, |e| e.own);
-        let ask = route::Ask {
+        let ask = balancer::Request {
             tried: &tried,
             prefix: None,
             own: &own,
@@ -117,24 +117,24 @@
         let name = names[chosen].clone();
         let entry = self.entries.iter_mut().find(|e| e.target.name == name)?;
         entry.own += 1;
-        entry.gate.record(now);
-        self.ejector.start(entry.key, now);
+        entry.gate.record_send(now);
+        self.ejector.record_send(entry.key, now);
         Some(entry.target.clone())
     }
 
     /// Records the end of a request; `None` says nothing of the target's health.
-    pub fn end(&mut self, life: &id::TargetLife, outcome: Option<eject::Outcome>, now: Instant) {
+    pub fn end(&mut self, life: &id::TargetLife, outcome: Option<outlier::Outcome>, now: Instant) {
         let Some(entry) = self.entries.iter_mut().find(|e| e.target.key() == *life) else {
             return;
         };
         entry.own = entry.own.saturating_sub(1);
-        if let Some(eject::Outcome::Success(taken)) = outcome {
-            let mean = entry.load.service.as_secs_f64();
+        if let Some(outlier::Outcome::Success(taken)) = outcome {
+            let mean = entry.load.service_time.as_secs_f64();
             let mean = mean + WEIGHT * (taken.as_secs_f64() - mean);
-            entry.load.service = time::Duration::from_secs_f64(mean);
+            entry.load.service_time = time::Duration::from_secs_f64(mean);
         }
         if let Some(outcome) = outcome {
-            self.ejector.record(entry.key, outcome, now);
+            self.ejector.record_outcome(entry.key, outcome, now);
         }
     }
 
@@ -158,18 +158,18 @@
         self.entries.iter().find(|e| e.target.name == *name)
     }
 
-    fn candidate(&self, entry: &Entry, now: Instant) -> route::Target {
+    fn candidate(&self, entry: &Entry, now: Instant) -> balancer::Target {
         let local = entry.target.data_centre == self.own;
-        let state = match self.ejector.allows(entry.key, now) {
-            true => route::State::Ready,
-            false => route::State::Ejected,
+        let state = match self.ejector.can_send(entry.key, now) {
+            true => balancer::State::Ready,
+            false => balancer::State::Ejected,
         };
-        route::Target {
+        balancer::Target {
             name: entry.target.name.clone(),
             state,
             load: entry.load,
             local,
-            crossing: if local {
+            extra_latency: if local {
                 time::Duration::ZERO
             } else {
                 CROSSING
@@ -178,12 +178,12 @@
     }
 }
 
-fn unknown(now: Instant) -> route::Load {
-    route::Load {
+fn unknown(now: Instant) -> balancer::Load {
+    balancer::Load {
         pending: 0,
         own: 0,
         limit: 1,
-        service: FIRST,
+        service_time: FIRST,
         at: now,
     }
 }
--- a/laburnumcart_gateway/src/budgets.rs
+++ b/laburnumcart_gateway/src/budgets.rs
@@ -3,7 +3,7 @@
 //! All ways that lead to a target a second time draw on one budget a service: a request that is
 //! sent again, a stream that is resumed, a piece of a stage that has failed, and a stage that is
 //! run again. The budgets of all processes together stay within the operator's bound, see
-//! [`laburnumcart::allotment`].
+//! [`laburnumcart::fleet_budget`].
 
 use std::{
     collections,
@@ -18,9 +18,9 @@
 use tokio::time::Instant;
 
 use laburnumcart::{
-    allotment,
     budget,
     event,
+    fleet_budget,
     freshness,
     id,
     retry, //
@@ -87,11 +87,11 @@
 /// The budgets of all services.
 pub struct Budgets {
     view: Arc<view::View>,
-    bound: allotment::Bound,
+    bound: fleet_budget::Limit,
     metrics: metrics::Metrics,
     known: Mutex<collections::HashMap<id::ServiceName, budget::Budget>>,
     /// One moment on both clocks.
-    start: (Instant, freshness::Moment),
+    start: (Instant, freshness::BootTime),
 }
 
 impl Budgets {
@@ -103,7 +103,7 @@
     ) -> Arc<Self> {
         Arc::new(Self {
             view,
-            bound: allotment::Bound {
+            bound: fleet_budget::Limit {
                 ratio: bounds.retry_ratio,
                 extra: bounds.retry_extra,
             },
@@ -115,13 +115,13 @@
 
     /// Counts a request for a service.
     pub fn earn(&self, service: &id::ServiceName) {
-        self.with(service, |budget, now| budget.earn(now));
+        self.with(service, |budget, now| budget.deposit(now));
     }
 
     /// Takes a repeat from the budget of its service; returns whether it may be sent.
     pub fn spend(&self, repeat: &Repeat<'_>) -> bool {
         let granted = self.with(repeat.service, |budget, now| {
-            budget.spend_all(repeat.count, now) //
+            budget.try_spend_all(repeat.count, now) //
         });
         let outcome = match granted {
             true => Outcome::Granted,
--- a/laburnumcart_gateway/src/control.rs
+++ b/laburnumcart_gateway/src/control.rs
@@ -88,14 +88,14 @@
     let settings = |wait, longest, spread| follow::Settings {
         wait,
         interval: INTERVAL,
-        spread,
-        longest,
+        longest_interval: spread,
+        longest_pause: longest,
     };
-    let returns = follow::Returns::default();
+    let returns = follow::Recovery::default();
     let table = Table {
         view: view.clone(),
         directory: directory.clone(),
-        asked: freshness::Moment::default(),
+        asked: freshness::BootTime::default(),
         version: store::Version::default(),
     };
     let targets = targets::Observer::new(view.clone(), directory.clone());
@@ -109,14 +109,17 @@
         follow::follower(store.clone(), topic.prefix(&*directory), settings)
     };
     let (follows, _table) = follower(Topic::Table, settings(WAIT, PAUSE, INTERVAL));
-    let table = follows.observe(table).share(&returns).probe(PROBE);
+    let table = follows
+        .observe(table)
+        .share_recovery(&returns)
+        .duplicate_after(PROBE);
     let (follows, _targets) = follower(Topic::Targets, settings(WAIT, PAUSE_SHARED, SPREAD));
-    let targets = follows.observe(targets).share(&returns);
+    let targets = follows.observe(targets).share_recovery(&returns);
     let (follows, listed) = follower(Topic::Members, settings(MEMBERS_WAIT, PAUSE_SHARED, SPREAD));
-    let members = follows.observe(members).share(&returns);
+    let members = follows.observe(members).share_recovery(&returns);
     let (follows, _evacuations) =
         follower(Topic::Evacuations, settings(WAIT, PAUSE_SHARED, INTERVAL));
-    let evacuations = follows.observe(evacuations).share(&returns);
+    let evacuations = follows.observe(evacuations).share_recovery(&returns);
     let evacuations = async {
         match evacuates {
             true => evacuations.run().await,
@@ -175,22 +178,22 @@
     view: Arc<view::View>,
     directory: Arc<dyn dialect::Directory>,
     /// When the call in progress was sent.
-    asked: freshness::Moment,
+    asked: freshness::BootTime,
     version: store::Version,
 }
 
 impl follow::Observer for Table {
-    fn ask(&mut self) {
+    fn before_call(&mut self) {
         self.asked = clock::now();
     }
 
-    fn read(&mut self, snapshot: &follow::Snapshot, age: unit::Period) {
+    fn after_read(&mut self, snapshot: &follow::Snapshot, age: unit::Period) {
         let object = snapshot.objects.values().next();
         if let Some(object) = object.filter(|o| o.version > self.version) {
             self.version = object.version;
             match self.directory.table(&object.value) {
                 Ok(table) => {
-                    let (version, routes) = (table.version, table.routes());
+                    let (version, routes) = (table.version, table.route_count());
                     let taken = self.view.set_table(table);
                     event!(
                         Info,
@@ -212,7 +215,7 @@
                 }
             }
         }
-        self.view.freshness.confirm(self.asked.before(age.0));
+        self.view.freshness.record_read(self.asked.before(age.0));
     }
 }
 
--- a/laburnumcart_gateway/src/control/evacuations.rs
+++ b/laburnumcart_gateway/src/control/evacuations.rs
@@ -50,9 +50,9 @@
 }
 
 impl follow::Observer for Observer {
-    fn ask(&mut self) {}
+    fn before_call(&mut self) {}
 
-    fn read(&mut self, snapshot: &follow::Snapshot, age: unit::Period) {
+    fn after_read(&mut self, snapshot: &follow::Snapshot, age: unit::Period) {
         let objects = &snapshot.objects;
         self.refused.retain(|key, _| objects.contains_key(key));
         let places = objects.values().filter_map(|object| self.place(object));
--- a/laburnumcart_gateway/src/control/members.rs
+++ b/laburnumcart_gateway/src/control/members.rs
@@ -6,8 +6,8 @@
 };
 
 use laburnumcart::{
-    allotment,
     event,
+    fleet_budget,
     freshness,
     unit, //
 };
@@ -37,7 +37,7 @@
     /// Entries that were refused, so that each is told once.
     refused: collections::HashMap<String, store::Version>,
     /// When the call in progress was sent.
-    asked: freshness::Moment,
+    asked: freshness::BootTime,
 }
 
 impl Observer {
@@ -46,17 +46,17 @@
             view,
             own,
             refused: collections::HashMap::new(),
-            asked: freshness::Moment::default(),
+            asked: freshness::BootTime::default(),
         }
     }
 
     /// Returns how a list of members shows this process.
-    fn entry(&self, members: &[view::Member]) -> allotment::Entry {
+    fn entry(&self, members: &[view::Member]) -> fleet_budget::OwnEntry {
         let own = members.iter().find(|m| m.instance == self.own.instance);
         match own.map(|own| own.incarnation == self.own.incarnation) {
-            None => allotment::Entry::Absent,
-            Some(false) => allotment::Entry::Earlier,
-            Some(true) => allotment::Entry::Present,
+            None => fleet_budget::OwnEntry::Absent,
+            Some(false) => fleet_budget::OwnEntry::PreviousLife,
+            Some(true) => fleet_budget::OwnEntry::Present,
         }
     }
 
@@ -98,11 +98,11 @@
 }
 
 impl follow::Observer for Observer {
-    fn ask(&mut self) {
+    fn before_call(&mut self) {
         self.asked = clock::now();
     }
 
-    fn read(&mut self, snapshot: &follow::Snapshot, age: unit::Period) {
+    fn after_read(&mut self, snapshot: &follow::Snapshot, age: unit::Period) {
         let objects = &snapshot.objects;
         self.refused.retain(|key, _| objects.contains_key(key));
         let entries = objects.values();
--- a/laburnumcart_gateway/src/control/targets.rs
+++ b/laburnumcart_gateway/src/control/targets.rs
@@ -266,9 +266,9 @@
 }
 
 impl follow::Observer for Observer {
-    fn ask(&mut self) {}
+    fn before_call(&mut self) {}
 
-    fn read(&mut self, snapshot: &follow::Snapshot, age: unit::Period) {
+    fn after_read(&mut self, snapshot: &follow::Snapshot, age: unit::Period) {
         let now = Instant::now();
         let mut state = view::lock(&self.state);
         let first = state.read.is_none();
--- a/laburnumcart_gateway/src/dispatcher.rs
+++ b/laburnumcart_gateway/src/dispatcher.rs
@@ -135,7 +135,7 @@
     /// kept, as a piece that fails can be made again of them; its whole request would have to begin
     /// again otherwise.
     pub fn read(self: &Arc<Self>, service: &id::ServiceName, handles: Vec<batch::Handle>) {
-        let is_crowded = |line: &Line| line.queue.is_crowded();
+        let is_crowded = |line: &Line| line.queue.has_full_batch();
         if view::lock(&self.lines).get(service).is_some_and(is_crowded) {
             self.free(service, handles);
         }
@@ -158,7 +158,7 @@
     /// Gives the jobs that wait to other processes; theirs is the next choice of owner.
     pub fn hand_over(&self) {
         for (service, line) in view::lock(&self.lines).iter_mut() {
-            let events = line.queue.hand_over();
+            let events = line.queue.release_unstarted();
             event!(Info, "queue-left", service = service, jobs = events.len());
             line.settle(events, &*self.dialect);
         }
@@ -173,7 +173,7 @@
         for (service, line) in view::lock(&self.lines).iter_mut() {
             let was_first = std::mem::replace(&mut line.first, is_first(service));
             if was_first && !line.first {
-                let events = line.queue.hand_over();
+                let events = line.queue.release_unstarted();
                 event!(Info, "queue-moved", service = service, jobs = events.len());
                 line.settle(events, &*self.dialect);
             }
@@ -191,7 +191,7 @@
         for (service, line) in view::lock(&self.lines).iter_mut() {
             let known = table.as_ref().and_then(|t| t.service(service));
             if let Some(shape) = known.and_then(|s| s.batching) {
-                line.queue.set_shape(shape);
+                line.queue.set_batching(shape);
             }
             line.update(targets.service(service), |t| self.gate(t));
             let gone = line.drop_lost(&targets, &*self.dialect);
@@ -215,7 +215,7 @@
                 Info,
                 "queue-owned",
                 service = service,
-                targets = line.queue.engines.len()
+                targets = line.queue.targets.len()
             );
             lines.insert(service.clone(), line);
         }
@@ -229,11 +229,11 @@
         let mut lines = view::lock(&self.lines);
         let line = self.line(&mut lines, &job.service);
         let line = line.ok_or(batch::Failure::Unavailable)?;
-        if line.queue.engines.is_empty() {
+        if line.queue.targets.is_empty() {
             return Err(batch::Failure::Unavailable);
         }
         let now = Instant::now();
-        line.queue.unexpect(job.id);
+        line.queue.withdraw(job.id);
         if job.input.is_lost(&self.view.targets.load(), &*self.dialect) {
             return Err(batch::Failure::Gone);
         }
@@ -245,29 +245,31 @@
     }
 
     /// Takes in that a job will come; returns when it would be done.
-    pub fn announce(&self, notice: &Notice) -> Option<forecast::Outlook> {
+    pub fn announce(&self, notice: &Notice) -> Option<forecast::Estimate> {
         let mut lines = view::lock(&self.lines);
         let line = self.line(&mut lines, &notice.service)?;
-        if line.queue.engines.is_empty() {
+        if line.queue.targets.is_empty() {
             return None;
         }
         let now = Instant::now();
         let spec = notice.spec(now);
-        let outlook = line.queue.forecast(&spec, now);
-        line.queue.expect(notice.id, spec);
+        let outlook = line.queue.estimate_future(&spec, now);
+        line.queue.announce(notice.id, spec);
         Some(outlook)
     }
 
     /// Returns the number of pieces of a service that wait here.
     pub fn waiting(&self, service: &id::ServiceName) -> usize {
         let lines = view::lock(&self.lines);
-        lines.get(service).map_or(0, |line| line.queue.waiting())
+        lines
+            .get(service)
+            .map_or(0, |line| line.queue.waiting_pieces())
     }
 
     /// Forgets a job that will not come.
     pub fn withdraw(&self, service: &id::ServiceName, id: u64) {
         if let Some(line) = view::lock(&self.lines).get_mut(service) {
-            line.queue.unexpect(id);
+            line.queue.withdraw(id);
         }
     }
 
@@ -275,7 +277,7 @@
     ///
     /// Kept, it would wait for that until its deadline, in which its caller could have come again.
     fn check(&self, line: &Line, job: &Job, now: Instant) -> Result<(), batch::Failure> {
-        let outlook = line.queue.outlook(&job.spec(now), now);
+        let outlook = line.queue.estimate_time(&job.spec(now), now);
         if outlook <= job.deadline.0 {
             return Ok(());
         }
@@ -288,7 +290,7 @@
             outlook_ms = outlook.as_millis(),
             due_ms = job.due.as_millis(),
             deadline_ms = job.deadline.as_millis(),
-            waiting = line.queue.waiting()
+            waiting = line.queue.waiting_pieces()
         );
         let excess = outlook.saturating_sub(job.due.0);
         Err(batch::Failure::Busy(
@@ -333,14 +335,14 @@
         };
         let expired = line.expire(now);
         line.settle(expired, &*self.dialect);
-        while let Some(call) = line.queue.take(now) {
+        while let Some(call) = line.queue.next_call(now) {
             self.start(service, line, call, now);
         }
         self.flush_later(service, line);
     }
 
     /// Returns the gate of calls of a target.
-    fn gate(&self, target: &view::Target) -> quota::Gate {
+    fn gate(&self, target: &view::Target) -> quota::Limiter {
         self.outbound.quotas.gates(target).calls
     }
 
--- a/laburnumcart_gateway/src/dispatcher/call.rs
+++ b/laburnumcart_gateway/src/dispatcher/call.rs
@@ -58,7 +58,7 @@
     let mut tally = Tally::default();
     for outcome in result.iter().flatten() {
         match outcome {
-            batch::Outcome::Made(_) => tally.made += 1,
+            batch::Outcome::Stored(_) => tally.made += 1,
             batch::Outcome::NoRoom => tally.full += 1,
             batch::Outcome::Gone => tally.gone += 1,
             batch::Outcome::Late | batch::Outcome::Failed => {}
@@ -90,7 +90,7 @@
         call: batch::Call,
         now: Instant,
     ) {
-        let Some(target) = line.targets.get(call.engine).cloned() else {
+        let Some(target) = line.targets.get(call.target).cloned() else {
             return;
         };
         let waiter = |piece: &batch::Piece| &line.waiters[piece.job];
@@ -112,21 +112,24 @@
             target = target.name,
             pieces = call.pieces.len(),
             waited_ms = oldest.unwrap_or_default().as_millis(),
-            waiting = line.queue.waiting(),
-            used = line.queue.engines.used(call.engine)
+            waiting = line.queue.waiting_pieces(),
+            used = line.queue.targets.used_bytes(call.target)
         );
         // Drawn for each call: a late second answer to an earlier one on the connection, perhaps of
         // the same request, must not be taken for this one's results.
         let label = format!("{:016x}", rand::random::<u64>());
         let request = self.dialect.batch(&target.name, &label, &items);
-        let expected = line.queue.engines.expected(call.engine, call.pieces.len());
+        let expected = line
+            .queue
+            .targets
+            .expected_call_time(call.target, call.pieces.len());
         self.metrics.calls.inc();
         self.metrics.pieces.inc_by(call.pieces.len() as u64);
         let ready = Ready {
             service: service.clone(),
             target,
             limit: expected.mul_f64(PATIENCE) + GRACE,
-            reading: line.queue.engines.reading(call.engine),
+            reading: line.queue.targets.input_read_time(call.target),
             bounds: self.bounds(service),
             call,
             label,
@@ -159,15 +162,15 @@
         let tally = tally(&result);
         let reached = !matches!(result, Err(Failed::Unsent(_)));
         let (events, outcome) = match result {
-            Ok(outcomes) => (line.queue.finish(&ready.call, outcomes, now), "done"),
-            Err(Failed::Unsent(cause)) => (line.queue.abandon(&ready.call, false, now), cause),
-            Err(Failed::NotRun(cause)) => (line.queue.abandon(&ready.call, false, now), cause),
+            Ok(outcomes) => (line.queue.complete_call(&ready.call, outcomes, now), "done"),
+            Err(Failed::Unsent(cause)) => (line.queue.fail_call(&ready.call, false, now), cause),
+            Err(Failed::NotRun(cause)) => (line.queue.fail_call(&ready.call, false, now), cause),
             Err(Failed::Lost(failure)) => {
                 let cause = match failure {
                     pool::Failure::Timeout => "timeout",
                     _ => "lost",
                 };
-                (line.queue.abandon(&ready.call, true, now), cause)
+                (line.queue.fail_call(&ready.call, true, now), cause)
             }
         };
         event!(
@@ -181,7 +184,7 @@
             no_room = tally.full,
             gone = tally.gone,
             taken_ms = taken.as_millis(),
-            used = line.queue.engines.used(ready.call.engine)
+            used = line.queue.targets.used_bytes(ready.call.target)
         );
         line.settle(events, &*self.dialect);
         if reached {
@@ -195,7 +198,7 @@
     /// Takes the pieces that wait once more from the budget; gives up the jobs that exceed it.
     fn charge(&self, service: &id::ServiceName, line: &mut Line) -> Vec<batch::Event> {
         let mut denied = Vec::new();
-        for (key, count) in line.queue.repeated() {
+        for (key, count) in line.queue.requeued_pieces() {
             // A job that nobody waits for any more has failed already.
             let Some(waiter) = line.waiters.get(*key) else {
                 continue;
--- a/laburnumcart_gateway/src/dispatcher/frees.rs
+++ b/laburnumcart_gateway/src/dispatcher/frees.rs
@@ -63,11 +63,11 @@
             }
             let gate = self.gate(target);
             // Without its last request it would make nothing; results expire by themselves.
-            if !gate.is_wide(now) {
+            if !gate.has_spare(now) {
                 line.keep(holder, handles);
                 continue;
             }
-            gate.record(now);
+            gate.record_send(now);
             let bounds = self.bounds(service);
             tokio::spawn(free(
                 self.clone(),
@@ -110,7 +110,7 @@
     }
     if let Some(line) = view::lock(&dispatcher.lines).get_mut(&service) {
         for handle in &handles {
-            line.queue.free(handle);
+            line.queue.free_result(handle);
         }
     }
     dispatcher.pump(&service);
--- a/laburnumcart_gateway/src/dispatcher/line.rs
+++ b/laburnumcart_gateway/src/dispatcher/line.rs
@@ -61,9 +61,9 @@
 /// The queue of one service.
 pub(super) struct Line {
     pub(super) queue: batch::Queue,
-    pub(super) targets: SecondaryMap<batch::EngineKey, Arc<view::Target>>,
+    pub(super) targets: SecondaryMap<batch::TargetKey, Arc<view::Target>>,
     pub(super) waiters: SecondaryMap<batch::JobKey, Waiter>,
-    keys: collections::HashMap<id::TargetLife, batch::EngineKey>,
+    keys: collections::HashMap<id::TargetLife, batch::TargetKey>,
     ids: collections::HashMap<u64, batch::JobKey>,
     /// Results to free, by the address and the life of their target.
     pub(super) frees: collections::HashMap<(net::SocketAddr, id::Life), Vec<batch::Handle>>,
@@ -100,18 +100,18 @@
     pub(super) fn update(
         &mut self,
         targets: &[Arc<view::Target>],
-        gate: impl Fn(&view::Target) -> quota::Gate,
+        gate: impl Fn(&view::Target) -> quota::Limiter,
     ) {
         let (gone, new) = view::changes(self.keys.keys().cloned(), targets);
         for life in gone {
             if let Some(key) = self.keys.remove(&life) {
-                self.queue.engines.remove(key);
+                self.queue.targets.remove(key);
                 self.targets.remove(key);
             }
         }
         for target in new {
-            let key = self.queue.engines.add(target.data_centre.clone());
-            self.queue.engines.set_gate(key, gate(target));
+            let key = self.queue.targets.add(target.data_centre.clone());
+            self.queue.targets.set_limiter(key, gate(target));
             self.keys.insert(target.key(), key);
             self.targets.insert(key, target.clone());
         }
@@ -215,7 +215,7 @@
         holder: (net::SocketAddr, id::Life),
         handles: Vec<batch::Handle>,
     ) {
-        let held = |handle: &batch::Handle| self.queue.engines.holds(handle);
+        let held = |handle: &batch::Handle| self.queue.targets.has_result(handle);
         let held: Vec<_> = handles.into_iter().filter(held).collect();
         if !held.is_empty() {
             self.frees.entry(holder).or_default().extend(held);
--- a/laburnumcart_gateway/src/engines.rs
+++ b/laburnumcart_gateway/src/engines.rs
@@ -22,7 +22,7 @@
 #[derive(Debug)]
 pub struct Engines {
     /// What decides.
-    pub fleet: placement::Fleet,
+    pub fleet: placement::Engines,
     targets: SecondaryMap<placement::EngineKey, Arc<view::Target>>,
     keys: collections::HashMap<id::TargetLife, placement::EngineKey>,
 }
@@ -31,7 +31,7 @@
     /// Creates a service without engines.
     pub fn new(limits: ingress::Engine) -> Self {
         Self {
-            fleet: placement::Fleet::new(limits),
+            fleet: placement::Engines::new(limits),
             targets: SecondaryMap::new(),
             keys: collections::HashMap::new(),
         }
@@ -43,7 +43,7 @@
     pub fn update(
         &mut self,
         targets: &[Arc<view::Target>],
-        gate: impl Fn(&view::Target) -> quota::Gate,
+        gate: impl Fn(&view::Target) -> quota::Limiter,
     ) {
         let (gone, new) = view::changes(self.keys.keys().cloned(), targets);
         for life in gone {
@@ -55,7 +55,7 @@
         for target in new {
             let zone = target.data_centre.clone();
             let key = self.fleet.add(target.name.as_str(), zone);
-            self.fleet.set_gate(key, gate(target));
+            self.fleet.set_limiter(key, gate(target));
             self.keys.insert(target.key(), key);
             self.targets.insert(key, target.clone());
         }
@@ -68,7 +68,7 @@
         places: Option<&[id::DataCentre]>,
     ) -> Vec<placement::EngineKey> {
         let is_avoided = |target: &view::Target| {
-            names.contains(&target.name) || !residency::allows(places, &target.data_centre)
+            names.contains(&target.name) || !residency::is_allowed(places, &target.data_centre)
         };
         let avoided = self.targets.iter().filter(|(_, target)| is_avoided(target));
         avoided.map(|(key, _)| key).collect()
@@ -77,12 +77,12 @@
     /// Chooses an engine and counts the request there.
     pub fn start(
         &mut self,
-        ask: &placement::Ask<'_>,
+        ask: &placement::Request<'_>,
         now: Instant,
-    ) -> Option<(placement::Place, Arc<view::Target>)> {
+    ) -> Option<(placement::Assignment, Arc<view::Target>)> {
         let place = self.fleet.choose(ask, now)?;
         let target = self.targets.get(place.engine)?.clone();
-        self.fleet.start(ask, place, now);
+        self.fleet.record_sent(ask, place, now);
         Some((place, target))
     }
 }
--- a/laburnumcart_gateway/src/forward.rs
+++ b/laburnumcart_gateway/src/forward.rs
@@ -15,8 +15,8 @@
     event,
     id,
     ingress,
+    poison,
     retry,
-    strikes,
     verdict, //
 };
 
@@ -85,7 +85,7 @@
         let missing = verdict::Refusal::not_run(verdict::Reason::NoTarget);
         let service = service.ok_or(missing)?.clone();
         gateway.budgets.earn(&service);
-        let idempotent = request.route.repeat != ingress::Repeat::Never;
+        let idempotent = request.route.retry != ingress::RetryPolicy::Never;
         Ok(Self {
             gateway: gateway.clone(),
             request: request.clone(),
@@ -132,7 +132,7 @@
     /// Returns a refusal of the request as a whole.
     pub fn refuse(&self, refusal: verdict::Refusal) -> verdict::Refusal {
         verdict::Refusal {
-            verdict: self.verdict().and(refusal.verdict),
+            verdict: self.verdict().combine(refusal.verdict),
             ..refusal
         }
     }
@@ -218,7 +218,7 @@
 
     /// Takes in a failure and decides whether the request goes to another target.
     pub fn decide(&mut self, failure: verdict::Refusal, way: budgets::Way) -> retry::Decision {
-        let time = retry::Time {
+        let time = retry::TimeBudget {
             remaining: self.request.left(),
             needed: NEEDED,
             now: Instant::now(),
@@ -234,8 +234,8 @@
         let attempts = &mut self.attempts;
         let budgets = &self.gateway.budgets;
         let decision = budgets.with(&self.service, |budget, now| match more {
-            true => attempts.decide(&failure, retry::Time { now, ..time }, budget),
-            false => retry::Decision::GiveUp(attempts.end(failure.refusal, now, budget)),
+            true => attempts.decide(&failure, retry::TimeBudget { now, ..time }, budget),
+            false => retry::Decision::GiveUp(attempts.record_failure(failure.refusal, now, budget)),
         });
         self.note(&decision, way);
         if let retry::Decision::GiveUp(refusal) = decision {
@@ -251,7 +251,7 @@
         let Some((target, sent)) = self.last.take() else {
             return;
         };
-        let strike = strikes::Strike {
+        let strike = poison::Failure {
             content: self.request.content(),
             sent,
             failed: Instant::now(),
--- a/laburnumcart_gateway/src/gateway.rs
+++ b/laburnumcart_gateway/src/gateway.rs
@@ -18,9 +18,9 @@
 
 use laburnumcart::{
     batch,
-    eject,
     id,
     ingress,
+    outlier,
     patience,
     placement,
     quota,
@@ -80,9 +80,9 @@
     service: id::ServiceName,
     /// Target.
     pub target: Arc<view::Target>,
-    place: Option<placement::Place>,
+    place: Option<placement::Assignment>,
     start: Instant,
-    outcome: Option<eject::Outcome>,
+    outcome: Option<outlier::Outcome>,
     read: bool,
 }
 
@@ -184,7 +184,7 @@
     }
 
     /// Returns the gate of requests for a target.
-    fn gate(&self, target: &view::Target) -> quota::Gate {
+    fn gate(&self, target: &view::Target) -> quota::Limiter {
         self.outbound.quotas.gates(target).requests
     }
 
@@ -194,7 +194,9 @@
         let prompt = request.call.prompt.as_ref()?;
         let mut engines = view::lock(&self.engines);
         let engines = self.engines_of(&mut engines, &request.table, service)?;
-        engines.fleet.near(&prompt.parts, Instant::now())
+        engines
+            .fleet
+            .preferred_data_centre(&prompt.parts, Instant::now())
     }
 
     /// Reports whether the target that holds a result is known to have started again since.
@@ -288,15 +290,15 @@
             known.clear();
         }
         let callers = known.entry(route.name.clone()).or_default();
-        callers.spent(patience).min(route.timeout)
+        callers.estimate_spent(patience).min(route.timeout)
     }
 
     /// Returns the bounds of an exchange with a target of a service.
     pub fn bounds(&self, request: &admission::Request, service: &id::ServiceName) -> pool::Bounds {
         let known = request.table.service(service);
         let all = known.map_or(1, |s| s.connections);
-        let idle = match request.route.repeat {
-            ingress::Repeat::Never => pool::FRESH,
+        let idle = match request.route.retry {
+            ingress::RetryPolicy::Never => pool::FRESH,
             _ => time::Duration::from_secs(60),
         };
         pool::Bounds {
@@ -312,10 +314,10 @@
     inputs: &[(id::DataCentre, unit::Size)],
     tried: &[id::TargetName],
     now: Instant,
-) -> Option<(placement::Place, Arc<view::Target>)> {
+) -> Option<(placement::Assignment, Arc<view::Target>)> {
     let prompt = request.call.prompt.as_ref();
     let avoid = engines.avoided(tried, request.places.as_deref());
-    let ask = placement::Ask {
+    let ask = placement::Request {
         parts: prompt.map_or(&[], |p| &p.parts),
         tokens: prompt.map_or(0, |p| p.input + p.output),
         inputs,
@@ -333,7 +335,7 @@
         };
         let now = Instant::now();
         match self.place {
-            Some(place) => self.with_engines(|e| e.fleet.report(place.engine, report, now)),
+            Some(place) => self.with_engines(|e| e.fleet.record_report(place.engine, report, now)),
             None => self.with_balancer(|b| b.report(&self.target.key(), report, reply.slots, now)),
         }
     }
@@ -342,19 +344,19 @@
     pub fn begin(&mut self) {
         self.read = true;
         if let Some(place) = self.place {
-            self.with_engines(|e| e.fleet.first_token(place));
+            self.with_engines(|e| e.fleet.record_first_token(place));
         }
     }
 
     /// Records a whole answer.
     pub fn succeed(&mut self) {
         let taken = Instant::now() - self.start;
-        self.outcome = Some(eject::Outcome::Success(taken));
+        self.outcome = Some(outlier::Outcome::Success(taken));
     }
 
     /// Records a failure of the target.
     pub fn fail(&mut self) {
-        self.outcome = Some(eject::Outcome::Failure);
+        self.outcome = Some(outlier::Outcome::Failure);
     }
 
     fn with_engines(&self, act: impl FnOnce(&mut engines::Engines)) {
@@ -373,12 +375,12 @@
 impl Drop for Seat {
     fn drop(&mut self) {
         let now = Instant::now();
-        let failed = self.outcome == Some(eject::Outcome::Failure);
+        let failed = self.outcome == Some(outlier::Outcome::Failure);
         match self.place {
             Some(place) => self.with_engines(|e| {
-                e.fleet.end(place, self.read);
+                e.fleet.record_end(place, self.read);
                 if failed {
-                    e.fleet.fail(place.engine, now);
+                    e.fleet.record_failure(place.engine, now);
                 }
             }),
             None => self.with_balancer(|b| b.end(&self.target.key(), self.outcome, now)),
--- a/laburnumcart_gateway/src/gateway/availability.rs
+++ b/laburnumcart_gateway/src/gateway/availability.rs
@@ -30,7 +30,7 @@
         let targets = self.view.targets.load();
         let mut targets = targets.service(service).iter();
         targets.any(|target| {
-            let allowed = residency::allows(places, &target.data_centre);
+            let allowed = residency::is_allowed(places, &target.data_centre);
             allowed && !tried.contains(&target.name) && self.gate(target).is_open(now)
         })
     }
@@ -46,8 +46,8 @@
         let places = request.places.as_deref();
         let targets = self.view.targets.load();
         let targets = targets.service(service).iter();
-        let allowed = targets.filter(|t| residency::allows(places, &t.data_centre));
-        let waits = allowed.map(|target| self.gate(target).wait(now));
+        let allowed = targets.filter(|t| residency::is_allowed(places, &t.data_centre));
+        let waits = allowed.map(|target| self.gate(target).wait_time(now));
         waits.min().filter(|wait| *wait < time::Duration::MAX)
     }
 
--- a/laburnumcart_gateway/src/outbound.rs
+++ b/laburnumcart_gateway/src/outbound.rs
@@ -75,7 +75,7 @@
             self.quotas.back_off(target, MISDIRECTED);
         } else {
             let echoed = |label| reply.attempt.as_deref().is_none_or(|echo| echo == label);
-            let word = quota::Word {
+            let word = quota::Observation {
                 limit: reply.limit,
                 own: answer.head.status.is_success() && label.is_some_and(echoed),
                 sent,
--- a/laburnumcart_gateway/src/peers/link.rs
+++ b/laburnumcart_gateway/src/peers/link.rs
@@ -171,7 +171,7 @@
     pub(super) async fn announce(
         self: &Arc<Self>,
         notice: dispatcher::Notice,
-    ) -> Option<forecast::Outlook> {
+    ) -> Option<forecast::Estimate> {
         let call = async {
             let open = self.client().await?;
             let outlook = open.client.announce(notice).await.ok()?;
--- a/laburnumcart_gateway/src/peers/order.rs
+++ b/laburnumcart_gateway/src/peers/order.rs
@@ -71,7 +71,7 @@
         });
         let members: Vec<_> = members.collect();
         let find = |name: &id::InstanceName| all.iter().find(|m| m.instance == *name).cloned();
-        for (service, order) in owners::orders(&members, services) {
+        for (service, order) in owners::rankings(&members, services) {
             let order = order.iter().filter_map(|member| find(member.name));
             self.known.insert(service.clone(), order.collect());
         }
--- a/laburnumcart_gateway/src/pipeline/admit.rs
+++ b/laburnumcart_gateway/src/pipeline/admit.rs
@@ -30,13 +30,13 @@
         let outlooks = self.notices.announce(self.gateway, notices).await;
         let mut steps: Vec<_> = (0..stages.len()).map(|i| self.step(i)).collect();
         for (i, outlook) in asked.into_iter().zip(outlooks) {
-            steps[i].outlook = outlook;
+            steps[i].estimate = outlook;
         }
-        let time = forecast::Time {
+        let time = forecast::TimeBudget {
             slack: self.request.slack(),
             left: self.request.left(),
             rest: self.prompt(),
-            again: self.again,
+            is_repeat: self.again,
         };
         match forecast::judge(&steps, time) {
             forecast::Judgement::OnTime => Ok(()),
@@ -55,21 +55,21 @@
         }
     }
 
-    fn step(&self, i: usize) -> forecast::Step {
+    fn step(&self, i: usize) -> forecast::Stage {
         let own = match self.pieces(i) {
             0 => time::Duration::ZERO,
             _ => self.length(i),
         };
-        forecast::Step {
+        forecast::Stage {
             after: self.request.route.stages[i].after.clone(),
-            own,
-            outlook: None,
+            duration: own,
+            estimate: None,
         }
     }
 
-    fn report(&self, judgement: &str, steps: &[forecast::Step], time: forecast::Time) {
-        let turn = |step: &forecast::Step| {
-            let turn = step.outlook.map(|outlook| outlook.turn.0);
+    fn report(&self, judgement: &str, steps: &[forecast::Stage], time: forecast::TimeBudget) {
+        let turn = |step: &forecast::Stage| {
+            let turn = step.estimate.map(|outlook| outlook.turn.0);
             turn.map_or("?".into(), |turn| turn.as_millis().to_string())
         };
         let turns: Vec<_> = steps.iter().map(turn).collect();
@@ -81,7 +81,7 @@
             queues_ms = turns.join(","),
             slack_ms = time.slack.as_millis(),
             left_ms = time.left.as_millis(),
-            again = time.again
+            again = time.is_repeat
         );
     }
 
--- a/laburnumcart_gateway/src/pipeline/notices.rs
+++ b/laburnumcart_gateway/src/pipeline/notices.rs
@@ -44,7 +44,7 @@
         &mut self,
         gateway: &Arc<gateway::Gateway>,
         notices: Vec<(usize, dispatcher::Notice)>,
-    ) -> Vec<Option<forecast::Outlook>> {
+    ) -> Vec<Option<forecast::Estimate>> {
         let mut calls = Vec::new();
         for (stage, notice) in notices {
             self.0[stage] = Some(Announced {
--- a/laburnumcart_gateway/src/pipeline/times.rs
+++ b/laburnumcart_gateway/src/pipeline/times.rs
@@ -31,7 +31,7 @@
         };
         // Calls are about half full in the mean.
         let pieces = shape.pieces.div_ceil(2) as u32;
-        shape.call + shape.piece * pieces + WAIT
+        shape.call_time + shape.piece_time * pieces + WAIT
     }
 
     /// Returns the usual time to the first token.
--- a/laburnumcart_gateway/src/quotas.rs
+++ b/laburnumcart_gateway/src/quotas.rs
@@ -36,9 +36,9 @@
 #[derive(Clone, Debug, Default)]
 pub struct Gates {
     /// For requests.
-    pub requests: quota::Gate,
+    pub requests: quota::Limiter,
     /// For calls of stages and the freeing of their results.
-    pub calls: quota::Gate,
+    pub calls: quota::Limiter,
 }
 
 #[derive(Debug)]
@@ -57,9 +57,9 @@
 
 impl Known {
     /// Returns the bound on a target that takes nothing.
-    fn closed(&self, heard: &quota::Heard) -> Option<quota::Bound> {
+    fn closed(&self, heard: &quota::TargetLimit) -> Option<quota::Bound> {
         let closed = quota::Bound::closed();
-        match heard.left() {
+        match heard.leaving_since() {
             Some(_) => Some(closed),
             None => self.backoff.map(|until| closed.until(until)),
         }
@@ -161,7 +161,7 @@
     }
 
     /// Takes in what an answer of a target says of its limit.
-    pub fn note(&self, target: &view::Target, word: quota::Word) {
+    pub fn note(&self, target: &view::Target, word: quota::Observation) {
         if !self.signals.answer(&target.key(), word) {
             return;
         }
@@ -231,7 +231,7 @@
     /// Sets the gates of a target by what is known of it.
     fn bind(&self, known: &mut Known, now: Instant) {
         let heard = self.signals.heard(&known.target.key());
-        let (mut requests, mut calls) = self.shares(&known.target, heard.named(), now);
+        let (mut requests, mut calls) = self.shares(&known.target, heard.advertised(), now);
         let closed = known.closed(&heard);
         requests.closed = closed;
         calls.closed = closed;
@@ -261,7 +261,7 @@
     fn shares(
         &self,
         target: &view::Target,
-        named: Option<&quota::Named>,
+        named: Option<&quota::Advertised>,
         now: Instant,
     ) -> (quota::Bounds, quota::Bounds) {
         let (mut requests, mut calls) = (quota::Bounds::default(), quota::Bounds::default());
@@ -271,7 +271,7 @@
         }
         let table = self.view.table.load();
         let service = table.as_ref().and_then(|t| t.service(&target.service));
-        let uses = quota::Uses {
+        let uses = quota::TrafficKinds {
             requests: table.as_ref().is_none_or(|t| t.is_routed(&target.service)),
             calls: service.is_some_and(|s| s.batching.is_some()),
         };
@@ -281,16 +281,19 @@
             own: &self.own,
             members: &members,
         };
-        if let (Some(until), Some(rate)) = (until, service.and_then(|s| s.cold)) {
-            let quota = senders.quota(&target.name, uses.requests(rate));
+        if let (Some(until), Some(rate)) = (until, service.and_then(|s| s.cold_rate)) {
+            let quota = senders.quota(&target.name, uses.request_rate(rate));
             requests.cold = Some(quota::Bound::new(quota).until(until));
-            let quota = quota::Quota::whole(uses.calls(rate));
+            let quota = quota::Quota::from_rate(uses.call_rate(rate));
             calls.cold = Some(quota::Bound::new(quota).until(until));
         }
         if let Some(named) = named {
-            let part = uses.requests(named.rate);
-            requests.limit = Some(senders.limit(&target.name, part, named));
-            calls.limit = Some(quota::Bound::calls(uses.calls(named.rate), named.since));
+            let part = uses.request_rate(named.rate);
+            requests.limit = Some(senders.advertised_bound(&target.name, part, named));
+            calls.limit = Some(quota::Bound::for_calls(
+                uses.call_rate(named.rate),
+                named.since,
+            ));
         }
         (requests, calls)
     }
--- a/laburnumcart_gateway/src/relay/copies.rs
+++ b/laburnumcart_gateway/src/relay/copies.rs
@@ -53,7 +53,7 @@
 pub struct Copy {
     replica: replica::Replica,
     /// The moment for which it holds; `None` before the first read.
-    read: Option<freshness::Moment>,
+    read: Option<freshness::BootTime>,
 }
 
 impl Copy {
@@ -61,8 +61,8 @@
     pub fn update(
         &mut self,
         snapshot: &follow::Snapshot,
-        read: freshness::Moment,
-        now: freshness::Moment,
+        read: freshness::BootTime,
+        now: freshness::BootTime,
     ) -> bool {
         let regained = self.read.is_none_or(|last| now.since(last) > REGAINED);
         let changed = self.replica.apply(snapshot);
@@ -74,8 +74,8 @@
     pub fn answer(
         &self,
         ask: &Ask,
-        arrived: freshness::Moment,
-        now: freshness::Moment,
+        arrived: freshness::BootTime,
+        now: freshness::BootTime,
     ) -> Option<Answer> {
         let age = self.read.map(|read| now.since(read));
         let Some(age) = age.filter(|age| *age <= ask.limit.0) else {
@@ -113,7 +113,7 @@
     }
 
     /// Returns the answer to a question whose wait has ended.
-    fn ended(&self, ask: &Ask, arrived: freshness::Moment, now: freshness::Moment) -> Answer {
+    fn ended(&self, ask: &Ask, arrived: freshness::BootTime, now: freshness::BootTime) -> Answer {
         let age = self.read.map(|read| now.since(read));
         match (age, ask.after) {
             (Some(age), Some(after)) if age <= ask.limit.0 => Answer::Changes(store::Changes {
@@ -126,7 +126,7 @@
     }
 
     /// Returns how long the copy stays within the limit of a question.
-    fn lasts(&self, ask: &Ask, now: freshness::Moment) -> time::Duration {
+    fn lasts(&self, ask: &Ask, now: freshness::BootTime) -> time::Duration {
         let age = self.read.map_or(ask.limit.0, |read| now.since(read));
         match ask.hold {
             true => time::Duration::MAX,
@@ -230,7 +230,7 @@
     topic: Topic,
     copies: Arc<Copies>,
     /// When the call in progress was sent.
-    asked: freshness::Moment,
+    asked: freshness::BootTime,
 }
 
 impl<O> Publisher<O> {
@@ -240,19 +240,19 @@
             observer,
             topic,
             copies: copies.clone(),
-            asked: freshness::Moment::default(),
+            asked: freshness::BootTime::default(),
         }
     }
 }
 
 impl<O: follow::Observer> follow::Observer for Publisher<O> {
-    fn ask(&mut self) {
+    fn before_call(&mut self) {
         self.asked = clock::now();
-        self.observer.ask();
+        self.observer.before_call();
     }
 
-    fn read(&mut self, snapshot: &follow::Snapshot, age: unit::Period) {
-        self.observer.read(snapshot, age);
+    fn after_read(&mut self, snapshot: &follow::Snapshot, age: unit::Period) {
+        self.observer.after_read(snapshot, age);
         let read = self.asked.before(age.0);
         let update = |copy: &mut Copy| copy.update(snapshot, read, clock::now());
         self.copies.topic(self.topic).send_if_modified(update);
--- a/laburnumcart_gateway/src/relay/signals.rs
+++ b/laburnumcart_gateway/src/relay/signals.rs
@@ -22,8 +22,8 @@
 
 use laburnumcart::{
     id,
+    poison,
     quota,
-    strikes,
     unit, //
 };
 
@@ -89,7 +89,7 @@
 /// What is known of one target.
 #[derive(Clone, Copy, Debug, Default)]
 struct Known {
-    heard: quota::Heard,
+    heard: quota::TargetLimit,
     /// Version of all knowledge in which the target began to leave.
     left: u64,
 }
@@ -106,7 +106,7 @@
 /// Requests that have failed.
 #[derive(Debug, Default)]
 struct Struck {
-    strikes: strikes::Strikes,
+    strikes: poison::Failures,
     /// Targets among theirs that are gone.
     gone: collections::HashMap<id::TargetLife, Gone>,
 }
@@ -121,19 +121,21 @@
 
 impl Signals {
     /// Returns what is known of one target.
-    pub fn heard(&self, target: &id::TargetLife) -> quota::Heard {
+    pub fn heard(&self, target: &id::TargetLife) -> quota::TargetLimit {
         let known = view::lock(&self.known).get(target).copied();
         known.unwrap_or_default().heard
     }
 
     /// Takes in what an answer of a target says of its limit; returns whether it is news.
-    pub fn answer(&self, target: &id::TargetLife, word: quota::Word) -> bool {
+    pub fn answer(&self, target: &id::TargetLife, word: quota::Observation) -> bool {
         let mut all = view::lock(&self.known);
         if word.limit == quota::Limit::None && !all.contains_key(target) {
             return false;
         }
         let known = all.entry(target.clone()).or_default();
-        let news = known.heard.answer(word, rand::random(), Instant::now());
+        let news = known
+            .heard
+            .record_answer(word, rand::random(), Instant::now());
         if news {
             self.count(true);
         }
@@ -144,7 +146,7 @@
     pub fn leave(&self, target: &id::TargetLife) -> bool {
         let mut all = view::lock(&self.known);
         let known = all.entry(target.clone()).or_default();
-        let news = known.heard.leave(Instant::now());
+        let news = known.heard.record_leaving(Instant::now());
         if news {
             known.left = self.count(true);
         }
@@ -152,9 +154,9 @@
     }
 
     /// Takes in that a request has failed at a target.
-    pub fn fail(&self, target: &id::TargetLife, strike: strikes::Strike) {
+    pub fn fail(&self, target: &id::TargetLife, strike: poison::Failure) {
         let mut struck = view::lock(&self.struck);
-        struck.strikes.add(target.clone(), strike);
+        struck.strikes.record_failure(target.clone(), strike);
     }
 
     /// Takes in which targets are still there; others are told of what failed at those that are
@@ -163,8 +165,8 @@
         let now = Instant::now();
         let mut struck = view::lock(&self.struck);
         let Struck { strikes, gone } = &mut *struck;
-        strikes.forget(now);
-        gone.retain(|target, _| strikes.has(target));
+        strikes.expire(now);
+        gone.retain(|target, _| strikes.has_failures(target));
         let lost = |target: &&id::TargetLife| !gone.contains_key(*target) && !is_listed(target);
         let lost: Vec<_> = strikes.targets().filter(lost).cloned().collect();
         if !lost.is_empty() {
@@ -180,14 +182,16 @@
         let Struck { strikes, gone } = &*view::lock(&self.struck);
         match gone.is_empty() {
             true => None,
-            false => strikes.refused(content(), |t| gone.contains_key(t), Instant::now()),
+            false => strikes.refused_until(content(), |t| gone.contains_key(t), Instant::now()),
         }
     }
 
     /// Returns the targets that have said that they are leaving.
     pub fn leaving(&self) -> collections::HashSet<id::TargetLife> {
         let all = view::lock(&self.known);
-        let leaving = all.iter().filter(|(_, known)| known.heard.left().is_some());
+        let leaving = all
+            .iter()
+            .filter(|(_, known)| known.heard.leaving_since().is_some());
         leaving.map(|(target, _)| target.clone()).collect()
     }
 
@@ -213,22 +217,24 @@
             // What is older than this process's clock is too old to matter.
             let at = now.checked_sub(told.age.0);
             if let (Some(failed), Signal::Failed(content, ran)) = (at, told.signal) {
-                let strike = strikes::Strike {
+                let strike = poison::Failure {
                     content,
                     sent: failed.checked_sub(ran.0).unwrap_or(failed),
                     failed,
                 };
-                if struck.strikes.add(target.clone(), strike) {
+                if struck.strikes.record_failure(target.clone(), strike) {
                     let version = self.count(false);
                     struck.gone.insert(target, Gone { at: now, version });
                 }
             } else if let Some(at) = at {
                 let known = all.entry(target).or_default();
                 match told.signal {
-                    Signal::Limit(rate) if known.heard.tell(rate, at, rand::random()) => {
+                    Signal::Limit(rate) if known.heard.merge(rate, at, rand::random()) => {
                         self.count(false);
                     }
-                    Signal::Leaving if known.heard.leave(at) => known.left = self.count(false),
+                    Signal::Leaving if known.heard.record_leaving(at) => {
+                        known.left = self.count(false)
+                    }
                     Signal::Limit(_) | Signal::Leaving | Signal::Failed(..) => {}
                 }
             }
@@ -245,19 +251,21 @@
         let now = Instant::now();
         let mut all = view::lock(&self.known);
         all.retain(|_, Known { heard, .. }| {
-            let kept = if heard.named().is_some() {
+            let kept = if heard.advertised().is_some() {
                 FORGET
             } else {
                 RECENT
             };
-            let leaves = heard.left().is_some_and(|at| now < at + FORGET);
-            leaves || heard.at().is_some_and(|at| now < at + kept)
+            let leaves = heard.leaving_since().is_some_and(|at| now < at + FORGET);
+            leaves || heard.confirmed_at().is_some_and(|at| now < at + kept)
         });
         let told = all.iter().flat_map(|(target, Known { heard, left })| {
-            let limit = Signal::Limit(heard.named().map(|named| named.rate));
-            let limit = heard.at().map(|at| (limit, at));
+            let limit = Signal::Limit(heard.advertised().map(|named| named.rate));
+            let limit = heard.confirmed_at().map(|at| (limit, at));
             let missed = version.is_some_and(|version| *left > version);
-            let left = heard.left().filter(|at| missed || now < *at + RECENT);
+            let left = heard
+                .leaving_since()
+                .filter(|at| missed || now < *at + RECENT);
             let leaving = left.map(|at| (Signal::Leaving, at));
             let told = |(signal, at)| Told {
                 target: target.name.clone(),
--- a/laburnumcart_gateway/src/relay/source.rs
+++ b/laburnumcart_gateway/src/relay/source.rs
@@ -79,7 +79,7 @@
     signals: Arc<signals::Signals>,
     /// Versions of what other processes have told of targets, by the lives of these processes.
     heard: Mutex<collections::HashMap<id::InstanceName, (id::Incarnation, u64)>>,
-    standing: Mutex<readers::Standing>,
+    standing: Mutex<readers::Health>,
     /// Who told each topic last; nobody where the store did.
     tellers: Mutex<collections::HashMap<Topic, Option<id::InstanceName>>>,
 }
@@ -179,7 +179,7 @@
         let (readers, others) = self.sources();
         let is_own = |member: &view::Member| member.instance == self.own.instance;
         let reads = readers.is_empty() || readers.iter().any(is_own);
-        if reads && self.standing().goes_first(Instant::now()) {
+        if reads && self.standing().can_call_first(Instant::now()) {
             return Told::Nothing;
         }
         let readers: Vec<_> = readers.into_iter().filter(|r| !is_own(r)).collect();
@@ -187,7 +187,7 @@
         if let Some(told) = self.ask_each(&readers, &ask).await {
             return told;
         }
-        if !reads && self.standing().is_served(Instant::now()) {
+        if !reads && self.standing().can_call(Instant::now()) {
             return Told::Nothing;
         }
         ask.limit = ask.limit.max(unit::Period(AGE_OTHERS));
@@ -196,7 +196,7 @@
         }
         // One topic is enough to find out whether the store is back.
         let tries =
-            topic == Topic::Table && self.standing().may_try(rand::random(), Instant::now());
+            topic == Topic::Table && self.standing().can_probe(rand::random(), Instant::now());
         if reads || tries {
             return Told::Nothing;
         }
@@ -215,7 +215,7 @@
         None
     }
 
-    fn standing(&self) -> readers::Standing {
+    fn standing(&self) -> readers::Health {
         *view::lock(&self.standing)
     }
 
@@ -233,7 +233,7 @@
             cores: m.cores,
         });
         let mut chosen = readers::choose(candidates);
-        readers::prefer(&mut chosen, &self.own.instance, &self.own.data_centre);
+        readers::sort_by_proximity(&mut chosen, &self.own.instance, &self.own.data_centre);
         let find = |reader: &readers::Member<'_>| up.iter().find(|m| m.instance == *reader.name);
         let readers: Vec<view::Member> = chosen
             .iter()
@@ -335,9 +335,9 @@
         match result {
             // Only a service that answers says so.
             Ok(_) | Err(store::Failure::Compacted | store::Failure::Conflict) => {
-                standing.answer(now);
+                standing.record_success(now);
             }
-            Err(_) => standing.fail(now),
+            Err(_) => standing.record_failure(now),
         }
         let is_failing = standing.is_failing();
         drop(standing);
--- a/laburnumcart_gateway/src/request.rs
+++ b/laburnumcart_gateway/src/request.rs
@@ -119,7 +119,7 @@
 async fn read(
     gateway: &gateway::Gateway,
     incoming: http::Request<Incoming>,
-    start: freshness::Moment,
+    start: freshness::BootTime,
     id: &mut String,
 ) -> Result<admission::Request, verdict::Refusal> {
     let (head, body) = incoming.into_parts();
@@ -192,7 +192,9 @@
 ) -> Option<Vec<id::DataCentre>> {
     let team = admitted.team.as_ref().and_then(|team| team.regions.clone());
     let residency = residency::Residency::default();
-    let residency = residency.and(admitted.route.regions.clone()).and(team);
+    let residency = residency
+        .restrict(admitted.route.regions.clone())
+        .restrict(team);
     residency.data_centres(&gateway.settings.regions)
 }
 
@@ -291,7 +293,7 @@
 /// Returns how long a target gets before the next one is asked.
 fn try_limit(request: &admission::Request, sends: &Sends) -> time::Duration {
     let left = request.left();
-    if request.route.repeat == ingress::Repeat::Never || !sends.has_spare() {
+    if request.route.retry == ingress::RetryPolicy::Never || !sends.has_spare() {
         return left;
     }
     let half = left / 2;
@@ -327,7 +329,7 @@
 
 /// Reports whether another target may bring a better answer than this one.
 fn is_retried(head: &response::Parts, request: &admission::Request, sends: &Sends) -> bool {
-    let repeatable = request.route.repeat != ingress::Repeat::Never;
+    let repeatable = request.route.retry != ingress::RetryPolicy::Never;
     head.status.is_server_error() && repeatable && sends.has_more() && sends.has_target()
 }
 
--- a/laburnumcart_gateway/src/run.rs
+++ b/laburnumcart_gateway/src/run.rs
@@ -222,7 +222,7 @@
 ) -> io::Result<admin::Admin> {
     let (shown, view) = (gateway.clone(), gateway.view.clone());
     let ready = move || {
-        let fresh = view.freshness.is_within(READY_AGE, crate::clock::now());
+        let fresh = view.freshness.is_fresh(READY_AGE, crate::clock::now());
         match (view.is_leaving(), view.is_complete(), fresh) {
             (true, _, _) => Err("leaving".to_owned()),
             (_, false, _) => Err("no configuration".to_owned()),
--- a/laburnumcart_gateway/src/state.rs
+++ b/laburnumcart_gateway/src/state.rs
@@ -85,7 +85,11 @@
 }
 
 /// Tells why a target gets less than others; nothing of one that does not.
-fn held(gateway: &gateway::Gateway, target: &view::Target, now: Instant) -> Option<wire::Held> {
+fn held(
+    gateway: &gateway::Gateway,
+    target: &view::Target,
+    now: Instant,
+) -> Option<wire::Restricted> {
     let mut causes = Vec::new();
     if target.leaving {
         causes.push(wire::Cause::Leaving);
@@ -114,7 +118,7 @@
         .flatten()
         .map(|rate| rate.0)
         .reduce(f64::max);
-    Some(wire::Held {
+    Some(wire::Restricted {
         target: target.name.clone(),
         service: target.service.clone(),
         data_centre: target.data_centre.clone(),
--- a/laburnumcart_gateway/src/strain.rs
+++ b/laburnumcart_gateway/src/strain.rs
@@ -6,7 +6,7 @@
 
 use laburnumcart::{
     event,
-    strain, //
+    starvation, //
 };
 
 use crate::metrics;
@@ -16,11 +16,11 @@
 
 /// Looks at it until the process ends.
 pub async fn watch(metrics: metrics::Metrics) {
-    let mut strain = strain::Strain::default();
+    let mut strain = starvation::Detector::default();
     loop {
         let start = Instant::now();
         tokio::time::sleep(LOOK).await;
-        let has_changed = strain.observe(start.elapsed().saturating_sub(LOOK));
+        let has_changed = strain.record_lateness(start.elapsed().saturating_sub(LOOK));
         metrics.late.set(strain.lateness().as_secs_f64());
         if has_changed {
             event!(
--- a/laburnumcart_gateway/src/stream.rs
+++ b/laburnumcart_gateway/src/stream.rs
@@ -281,7 +281,7 @@
     }
 
     fn may_resume(&self) -> bool {
-        self.request.route.repeat == ingress::Repeat::Resume && self.sends.has_more()
+        self.request.route.retry == ingress::RetryPolicy::Resume && self.sends.has_more()
     }
 
     fn is_retried(&self, head: &response::Parts) -> bool {
@@ -290,7 +290,7 @@
 
     fn limit_first(&self) -> time::Duration {
         let left = self.request.left();
-        let resumable = self.request.route.repeat == ingress::Repeat::Resume;
+        let resumable = self.request.route.retry == ingress::RetryPolicy::Resume;
         if !resumable || !self.sends.has_spare() {
             return left;
         }
@@ -339,7 +339,7 @@
 /// Returns how long the next event of a stream is waited for.
 fn limit_gap(request: &admission::Request, sends: &Sends) -> time::Duration {
     let left = request.left();
-    let resumable = request.route.repeat == ingress::Repeat::Resume && sends.has_more();
+    let resumable = request.route.retry == ingress::RetryPolicy::Resume && sends.has_more();
     match request.route.gap.filter(|_| resumable) {
         Some(gap) => left.min((gap * GAPS).max(GAP_MIN)),
         None => left,
--- a/laburnumcart_gateway/src/view.rs
+++ b/laburnumcart_gateway/src/view.rs
@@ -26,8 +26,8 @@
 };
 
 use laburnumcart::{
-    allotment,
     evacuation,
+    fleet_budget,
     freshness,
     id,
     ingress, //
@@ -172,7 +172,7 @@
 #[derive(Debug, Default)]
 struct Listed {
     targets: Option<Vec<Target>>,
-    places: evacuation::Places,
+    places: evacuation::Tracker,
     leaving: collections::HashSet<id::TargetLife>,
 }
 
@@ -195,7 +195,7 @@
     /// Processes of the system, this one included once it is known.
     pub members: ArcSwap<Vec<Member>>,
     /// Part of this process in what all may spend together.
-    allotment: Mutex<allotment::Allotment>,
+    allotment: Mutex<fleet_budget::Share>,
     /// Age of the configuration.
     pub freshness: freshness::Freshness,
     /// Counts the changes of targets and members.
@@ -233,7 +233,7 @@
     /// Publishes which data centres are evacuated.
     pub fn set_evacuated(&self, evacuated: evacuation::Evacuated) {
         let mut listed = lock(&self.listed);
-        listed.places.set(evacuated, Instant::now());
+        listed.places.update(evacuated, Instant::now());
         self.publish(&listed);
     }
 
@@ -255,7 +255,8 @@
     pub fn evacuated_since(&self) -> Option<Vec<(id::DataCentre, Instant)>> {
         let listed = lock(&self.listed);
         let evacuated = listed.places.evacuated()?.iter();
-        let since = |place: &id::DataCentre| Some((place.clone(), listed.places.since(place)?));
+        let since =
+            |place: &id::DataCentre| Some((place.clone(), listed.places.evacuated_since(place)?));
         Some(evacuated.filter_map(since).collect())
     }
 
@@ -270,11 +271,11 @@
     fn publish(&self, listed: &Listed) {
         let places = &listed.places;
         let targets = listed.targets.iter().flatten().map(|target| Target {
-            cold: target.cold.max(places.cold(&target.data_centre)),
+            cold: target.cold.max(places.cold_until(&target.data_centre)),
             leaving: target.leaving || listed.leaving.contains(&target.key()),
             ..target.clone()
         });
-        let targets = Targets::new(targets, |place| places.is_closed(place));
+        let targets = Targets::new(targets, |place| places.is_blocked(place));
         self.targets.store(Arc::new(targets));
         let complete = listed.targets.is_some() && places.evacuated().is_some();
         self.complete.store(complete, atomic::Ordering::Release);
@@ -290,16 +291,16 @@
     /// Takes in a listing of all processes that holds for `at`.
     pub fn allot<'a>(
         &self,
-        own: allotment::Entry,
+        own: fleet_budget::OwnEntry,
         others: impl IntoIterator<Item = &'a id::InstanceName>,
-        at: freshness::Moment,
+        at: freshness::BootTime,
     ) {
-        lock(&self.allotment).read(own, others, at);
+        lock(&self.allotment).update(own, others, at);
     }
 
     /// Returns this process's part of what all may spend together, from 0 to 1.
     pub fn part(&self) -> f64 {
-        lock(&self.allotment).part(clock::now())
+        lock(&self.allotment).fraction(clock::now())
     }
 
     /// Publishes a configuration, unless a later one is in force.
--- a/laburnumcart_gateway/tests/balancer.rs
+++ b/laburnumcart_gateway/tests/balancer.rs
@@ -3,8 +3,8 @@
 use std::sync::Arc;
 
 use laburnumcart::{
-    eject,
     id,
+    outlier,
     placement, //
 };
 use laburnumcart_gateway::{
@@ -43,7 +43,7 @@
         start,
     );
     for _ in 0..8 {
-        balancer.end(&first.key(), Some(eject::Outcome::Failure), start);
+        balancer.end(&first.key(), Some(outlier::Outcome::Failure), start);
     }
     let full = placement::Report {
         running: 90,
--- a/laburnumcart_gateway/tests/peers.rs
+++ b/laburnumcart_gateway/tests/peers.rs
@@ -107,7 +107,7 @@
         }
     }
 
-    async fn announce(&self, _: dispatcher::Notice) -> RpcResult<Option<forecast::Outlook>> {
+    async fn announce(&self, _: dispatcher::Notice) -> RpcResult<Option<forecast::Estimate>> {
         Ok(None)
     }
 
--- a/laburnumcart_gateway/tests/relay.rs
+++ b/laburnumcart_gateway/tests/relay.rs
@@ -20,8 +20,8 @@
     store, //
 };
 
-fn at(millis: u64) -> freshness::Moment {
-    freshness::Moment(time::Duration::from_millis(millis))
+fn at(millis: u64) -> freshness::BootTime {
+    freshness::BootTime(time::Duration::from_millis(millis))
 }
 
 fn ask(after: Option<u64>, limit: u64) -> Ask {
--- a/laburnumcart_platform/src/pause.rs
+++ b/laburnumcart_platform/src/backoff.rs
@@ -4,13 +4,13 @@
 
 /// Growing pauses; each is drawn from the upper half of its range.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Pause {
+pub(crate) struct Backoff {
     first: time::Duration,
     longest: time::Duration,
     tries: u32,
 }
 
-impl Pause {
+impl Backoff {
     pub(crate) fn new(first: time::Duration, longest: time::Duration) -> Self {
         Self {
             first,
--- a/laburnumcart_platform/src/outage.rs
+++ b/laburnumcart_platform/src/breaker.rs
@@ -10,26 +10,26 @@
 
 use laburnumcart::unit;
 
-/// Thresholds and pauses of an [`Outage`].
+/// Thresholds and pauses of an [`CircuitBreaker`].
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
     /// Failures in a row after which calls are refused.
     pub failures: u32,
     /// First pause; each further one is twice as long.
-    pub first: time::Duration,
+    pub first_pause: time::Duration,
     /// Longest pause.
-    pub longest: time::Duration,
+    pub longest_pause: time::Duration,
     /// Time after which a probe that has not reported is given up.
-    pub probe: time::Duration,
+    pub probe_timeout: time::Duration,
 }
 
 impl Default for Limits {
     fn default() -> Self {
         Self {
             failures: 3,
-            first: time::Duration::from_millis(100),
-            longest: time::Duration::from_secs(5),
-            probe: time::Duration::from_secs(5),
+            first_pause: time::Duration::from_millis(100),
+            longest_pause: time::Duration::from_secs(5),
+            probe_timeout: time::Duration::from_secs(5),
         }
     }
 }
@@ -54,12 +54,12 @@
 
 /// What is known of the service: working, paused after failures, or being probed.
 #[derive(Debug)]
-pub struct Outage {
+pub struct CircuitBreaker {
     limits: Limits,
     state: State,
 }
 
-impl Outage {
+impl CircuitBreaker {
     /// Creates the state of a service that works.
     pub fn new(limits: Limits) -> Self {
         Self {
@@ -83,7 +83,7 @@
             State::Paused { pauses, .. } | State::Probing { pauses, .. } => {
                 // A probe whose task was dropped never reports. Without an end of its time, all
                 // calls would be refused for good.
-                let until = now + self.limits.probe;
+                let until = now + self.limits.probe_timeout;
                 self.state = State::Probing { until, pauses };
                 Admission::Probe
             }
@@ -91,14 +91,14 @@
     }
 
     /// Records an answer of the service.
-    pub fn succeeded(&mut self) {
+    pub fn record_success(&mut self) {
         self.state = State::Working { failures: 0 };
     }
 
     /// Records that the service was down or did not answer.
     ///
     /// `jitter`, from 0 to 1, spreads the pauses of many processes that failed together.
-    pub fn failed(&mut self, now: Instant, jitter: f64) {
+    pub fn record_failure(&mut self, now: Instant, jitter: f64) {
         self.state = match self.state {
             State::Working { failures } if failures + 1 < self.limits.failures => State::Working {
                 failures: failures + 1,
@@ -112,7 +112,7 @@
 
     fn pause(&self, now: Instant, pauses: u32, jitter: f64) -> State {
         let factor = 1u32 << pauses.min(16);
-        let full = (self.limits.first * factor).min(self.limits.longest);
+        let full = (self.limits.first_pause * factor).min(self.limits.longest_pause);
         let until = now + full.mul_f64(0.5 + jitter.clamp(0.0, 1.0) / 2.0);
         State::Paused { until, pauses }
     }
--- a/laburnumcart_platform/src/budget.rs
+++ b/laburnumcart_platform/src/budget.rs
@@ -37,7 +37,7 @@
     }
 
     /// Takes a token for one call; an error tells when the next token is due.
-    pub fn take(&mut self, now: Instant) -> Result<(), unit::Period> {
+    pub fn try_take(&mut self, now: Instant) -> Result<(), unit::Period> {
         self.refill(now);
         if self.tokens < 1.0 {
             return Err(self.due());
@@ -50,12 +50,12 @@
     ///
     /// Calls that wait can take the whole rate; they are then refused, so that the bucket never
     /// runs into debt.
-    pub fn hold(&mut self, now: Instant) -> Result<(), unit::Period> {
+    pub fn try_hold(&mut self, now: Instant) -> Result<(), unit::Period> {
         self.refill(now);
         if f64::from(self.held + 1) > self.rate {
             return Err(unit::Period::from_secs(1));
         }
-        self.take(now)?;
+        self.try_take(now)?;
         self.held += 1;
         Ok(())
     }
@@ -67,13 +67,13 @@
     }
 
     /// Gives up what was saved, after the service itself has refused a call.
-    pub fn drain(&mut self, now: Instant) {
+    pub fn empty(&mut self, now: Instant) {
         self.refill(now);
         self.tokens = 0.0;
     }
 
     /// Returns the number of calls that wait.
-    pub fn held(&self) -> u32 {
+    pub fn waiting_calls(&self) -> u32 {
         self.held
     }
 
--- a/laburnumcart_platform/src/client.rs
+++ b/laburnumcart_platform/src/client.rs
@@ -21,8 +21,8 @@
 use laburnumcart::unit;
 
 use crate::{
+    breaker,
     budget,
-    outage,
     store, //
 };
 
@@ -40,7 +40,7 @@
 /// What is decided before a call is sent.
 #[derive(Debug)]
 struct Control {
-    outage: outage::Outage,
+    outage: breaker::CircuitBreaker,
     budget: budget::Budget,
 }
 
@@ -138,7 +138,7 @@
         let (_slot, limit) = match cost {
             Cost::Read | Cost::Write => (Some(self.slot().await?), self.timeout),
             // A watch that waits tells only at its end that the service is back.
-            Cost::Wait(_) if admission == outage::Admission::Probe => {
+            Cost::Wait(_) if admission == breaker::Admission::Probe => {
                 request.wait = Some(time::Duration::ZERO);
                 (None, self.timeout)
             }
@@ -162,7 +162,7 @@
         &self,
         cost: Cost,
         start: Instant,
-    ) -> Result<outage::Admission, store::Failure> {
+    ) -> Result<breaker::Admission, store::Failure> {
         loop {
             let now = Instant::now();
             let retry = match self.admit(cost, now) {
@@ -177,17 +177,17 @@
         }
     }
 
-    fn admit(&self, cost: Cost, now: Instant) -> Result<outage::Admission, Refused> {
+    fn admit(&self, cost: Cost, now: Instant) -> Result<breaker::Admission, Refused> {
         let mut control = self.control();
         // The budget goes first: a call that it refuses must not count as the probe.
         match cost {
-            Cost::Read => control.budget.reads.take(now),
-            Cost::Write => control.budget.writes.take(now),
-            Cost::Wait(_) => control.budget.reads.hold(now),
+            Cost::Read => control.budget.reads.try_take(now),
+            Cost::Write => control.budget.writes.try_take(now),
+            Cost::Wait(_) => control.budget.reads.try_hold(now),
         }
         .map_err(Refused::Budget)?;
         let admission = control.outage.admit(now);
-        if let outage::Admission::Refuse(retry) = admission {
+        if let breaker::Admission::Refuse(retry) = admission {
             if matches!(cost, Cost::Wait(_)) {
                 control.budget.reads.release(now);
             }
@@ -210,16 +210,16 @@
         let mut control = self.control();
         let before = control.outage.is_open();
         match result {
-            Ok(answer) if answer.is_working() => control.outage.succeeded(),
+            Ok(answer) if answer.is_working() => control.outage.record_success(),
             _ => {
-                control.outage.failed(now, rand::random());
+                control.outage.record_failure(now, rand::random());
                 self.rotate(index);
             }
         }
         if result.as_ref().is_ok_and(answer::Answer::is_limited) {
             match cost {
-                Cost::Write => control.budget.writes.drain(now),
-                Cost::Read | Cost::Wait(_) => control.budget.reads.drain(now),
+                Cost::Write => control.budget.writes.empty(now),
+                Cost::Read | Cost::Wait(_) => control.budget.reads.empty(now),
             }
         }
         let open = control.outage.is_open();
--- a/laburnumcart_platform/src/client/builder.rs
+++ b/laburnumcart_platform/src/client/builder.rs
@@ -31,8 +31,8 @@
     metrics, //
 };
 use crate::{
+    breaker, //
     budget,
-    outage, //
 };
 
 /// Settings that no client can be built from.
@@ -56,7 +56,7 @@
     answer_max: unit::Size,
     rates: budget::Rates,
     patience: unit::Period,
-    outage: outage::Limits,
+    outage: breaker::Limits,
 }
 
 impl Builder {
@@ -71,7 +71,7 @@
             answer_max: unit::Size(64 << 20),
             rates: budget::Rates::default(),
             patience: unit::Period::default(),
-            outage: outage::Limits::default(),
+            outage: breaker::Limits::default(),
         }
     }
 
@@ -106,13 +106,13 @@
     }
 
     /// Sets how long a call waits for this process's share of the rates; not at all unless set.
-    pub fn patience(mut self, patience: unit::Period) -> Self {
+    pub fn budget_wait(mut self, patience: unit::Period) -> Self {
         self.patience = patience;
         self
     }
 
     /// Sets how failures of the service are met.
-    pub fn outage(mut self, limits: outage::Limits) -> Self {
+    pub fn outage(mut self, limits: breaker::Limits) -> Self {
         self.outage = limits;
         self
     }
@@ -127,7 +127,7 @@
         }
         let now = Instant::now();
         let control = Control {
-            outage: outage::Outage::new(self.outage),
+            outage: breaker::CircuitBreaker::new(self.outage),
             budget: budget::Budget::new(self.rates, now),
         };
         let inner = Inner {
--- a/laburnumcart_platform/src/follow.rs
+++ b/laburnumcart_platform/src/follow.rs
@@ -18,7 +18,7 @@
 use laburnumcart::unit;
 
 use crate::{
-    pause,
+    backoff,
     store, //
 };
 
@@ -107,9 +107,9 @@
     /// Least time between two watches, so that a burst of changes is fetched in few calls.
     pub interval: unit::Period,
     /// The same time while changes go on; it grows to this with each watch that brings some.
-    pub spread: unit::Period,
+    pub longest_interval: unit::Period,
     /// Longest pause while the service is down.
-    pub longest: unit::Period,
+    pub longest_pause: unit::Period,
 }
 
 impl Default for Settings {
@@ -117,8 +117,8 @@
         Self {
             wait: unit::Period::from_secs(4),
             interval: unit::Period::from_millis(500),
-            spread: unit::Period::from_millis(500),
-            longest: unit::Period::from_secs(5),
+            longest_interval: unit::Period::from_millis(500),
+            longest_pause: unit::Period::from_secs(5),
         }
     }
 }
@@ -139,9 +139,9 @@
 /// One of them asks often while the service is down, the others seldom. Each call is paid for, and
 /// three followers that ask alike pay three times for one thing to know.
 #[derive(Clone, Debug)]
-pub struct Returns(watch::Sender<()>);
+pub struct Recovery(watch::Sender<()>);
 
-impl Default for Returns {
+impl Default for Recovery {
     fn default() -> Self {
         Self(watch::Sender::new(()))
     }
@@ -150,12 +150,12 @@
 /// Hears of each read of a [`Follower`], so that it can tell how old its knowledge is.
 pub trait Observer: Send + Sync {
     /// A call is about to be sent.
-    fn ask(&mut self);
+    fn before_call(&mut self);
 
     /// The call has succeeded; `snapshot` is what is known now, changed or not.
     ///
     /// It holds for a moment that is `age` before the call was sent, or later.
-    fn read(&mut self, snapshot: &Snapshot, age: unit::Period);
+    fn after_read(&mut self, snapshot: &Snapshot, age: unit::Period);
 }
 
 /// Follows a prefix by a listing and watches.
@@ -165,13 +165,13 @@
     settings: Settings,
     snapshot: Snapshot,
     sender: watch::Sender<sync::Arc<Snapshot>>,
-    pause: pause::Pause,
+    pause: backoff::Backoff,
     /// Whether the changes since the snapshot are out of reach.
     lost: bool,
     /// Whether the last call failed.
     behind: bool,
     observer: Option<Box<dyn Observer>>,
-    returns: Returns,
+    returns: Recovery,
     /// Time after which another call is sent beside one that is not answered.
     probe: Option<time::Duration>,
     /// Least time to the next watch.
@@ -198,11 +198,11 @@
         settings,
         snapshot: Snapshot::default(),
         sender,
-        pause: pause::Pause::new(FIRST, settings.longest.0),
+        pause: backoff::Backoff::new(FIRST, settings.longest_pause.0),
         lost: true,
         behind: false,
         observer: None,
-        returns: Returns::default(),
+        returns: Recovery::default(),
         probe: None,
         interval: settings.interval.0,
     };
@@ -219,7 +219,7 @@
 
     /// Shares the news that the service answers again with other followers.
     #[must_use]
-    pub fn share(mut self, returns: &Returns) -> Self {
+    pub fn share_recovery(mut self, returns: &Recovery) -> Self {
         self.returns = returns.clone();
         self
     }
@@ -229,7 +229,7 @@
     /// A service that was silent answers no call from before its return, and each of these hides
     /// that return until its timeout.
     #[must_use]
-    pub fn probe(mut self, after: unit::Period) -> Self {
+    pub fn duplicate_after(mut self, after: unit::Period) -> Self {
         self.probe = Some(after.0);
         self
     }
@@ -248,7 +248,7 @@
         loop {
             let start = Instant::now();
             if let Some(observer) = &mut self.observer {
-                observer.ask();
+                observer.before_call();
             }
             returns.mark_unchanged();
             let Some((told, number)) = self.ask_until(&mut returns).await else {
@@ -261,7 +261,7 @@
             }
             self.report(result.is_err());
             if let (Some(observer), Ok(age)) = (&mut self.observer, &result) {
-                observer.read(&self.snapshot, *age);
+                observer.after_read(&self.snapshot, *age);
             }
             match result {
                 Ok(_) => {
@@ -376,7 +376,7 @@
                     self.publish();
                 }
                 self.interval = match differs {
-                    true => (self.interval * 2).min(self.settings.spread.0),
+                    true => (self.interval * 2).min(self.settings.longest_interval.0),
                     false => self.settings.interval.0,
                 };
                 Ok(age)
@@ -398,7 +398,7 @@
             store::Failure::Unavailable { retry: Some(retry) } => retry.0,
             _ => time::Duration::ZERO,
         };
-        self.pause.next(retry.min(self.settings.longest.0))
+        self.pause.next(retry.min(self.settings.longest_pause.0))
     }
 
     fn report(&mut self, behind: bool) {
--- a/laburnumcart_platform/src/lib.rs
+++ b/laburnumcart_platform/src/lib.rs
@@ -4,12 +4,12 @@
 //! HTTP, [`memory::Memory`] takes its place in tests; [`settle`] and [`follow`] work over both;
 //! [`replica`] passes on what was followed.
 
+mod backoff;
+pub mod breaker;
 pub mod budget;
 pub mod client;
 pub mod follow;
 pub mod memory;
-pub mod outage;
-mod pause;
 pub mod replica;
 pub mod settle;
 pub mod store;
--- a/laburnumcart_platform/src/settle.rs
+++ b/laburnumcart_platform/src/settle.rs
@@ -10,7 +10,7 @@
 use tokio::time::Instant;
 
 use crate::{
-    pause,
+    backoff,
     store, //
 };
 
@@ -56,7 +56,7 @@
 }
 
 /// Judges the write of a key that is never overwritten, nor deleted and created again.
-pub fn created<'a>(write: Write<'a>) -> impl Fn(&store::Object) -> Judgement + Copy + 'a {
+pub fn judge_created<'a>(write: Write<'a>) -> impl Fn(&store::Object) -> Judgement + Copy + 'a {
     move |found| match found.value == write.value {
         true => Judgement::Ours,
         false => Judgement::NotOurs,
@@ -64,7 +64,7 @@
 }
 
 /// Judges the write of a key that others may overwrite.
-pub fn replaced<'a>(write: Write<'a>) -> impl Fn(&store::Object) -> Judgement + Copy + 'a {
+pub fn judge_replaced<'a>(write: Write<'a>) -> impl Fn(&store::Object) -> Judgement + Copy + 'a {
     move |found| match found.value == write.value {
         true => Judgement::Ours,
         false => Judgement::Unclear,
@@ -99,7 +99,7 @@
     judge: impl Fn(&store::Object) -> Judgement,
 ) -> Outcome {
     let attempts = async {
-        let mut pause = pause::Pause::new(FIRST, LONGEST);
+        let mut pause = backoff::Backoff::new(FIRST, LONGEST);
         loop {
             if let Some(outcome) = attempt(store, write, &judge).await {
                 return outcome;
--- a/laburnumcart_platform/tests/outage.rs
+++ b/laburnumcart_platform/tests/breaker.rs
@@ -4,25 +4,25 @@
 
 use tokio::time::Instant;
 
-use laburnumcart_platform::outage;
+use laburnumcart_platform::breaker;
 
 const MS: time::Duration = time::Duration::from_millis(1);
 
-fn limits() -> outage::Limits {
-    outage::Limits {
+fn limits() -> breaker::Limits {
+    breaker::Limits {
         failures: 3,
-        first: MS * 100,
-        longest: MS * 1000,
-        probe: MS * 2000,
+        first_pause: MS * 100,
+        longest_pause: MS * 1000,
+        probe_timeout: MS * 2000,
     }
 }
 
 /// Returns the state after just enough failures to pause.
-fn paused(now: Instant, jitter: f64) -> outage::Outage {
-    let mut outage = outage::Outage::new(limits());
+fn paused(now: Instant, jitter: f64) -> breaker::CircuitBreaker {
+    let mut outage = breaker::CircuitBreaker::new(limits());
     for _ in 0..3 {
-        assert_eq!(outage.admit(now), outage::Admission::Pass);
-        outage.failed(now, jitter);
+        assert_eq!(outage.admit(now), breaker::Admission::Pass);
+        outage.record_failure(now, jitter);
     }
     outage
 }
@@ -30,13 +30,13 @@
 #[test]
 fn single_failures_do_not_stop_calls() {
     let now = Instant::now();
-    let mut outage = outage::Outage::new(limits());
+    let mut outage = breaker::CircuitBreaker::new(limits());
     for _ in 0..10 {
-        outage.failed(now, 1.0);
-        outage.failed(now, 1.0);
-        outage.succeeded();
+        outage.record_failure(now, 1.0);
+        outage.record_failure(now, 1.0);
+        outage.record_success();
     }
-    assert_eq!(outage.admit(now), outage::Admission::Pass);
+    assert_eq!(outage.admit(now), breaker::Admission::Pass);
 }
 
 #[test]
@@ -44,13 +44,13 @@
     let now = Instant::now();
     let mut outage = paused(now, 1.0);
     assert!(outage.is_open());
-    let refused = outage::Admission::Refuse(laburnumcart::unit::Period(MS));
+    let refused = breaker::Admission::Refuse(laburnumcart::unit::Period(MS));
     assert_eq!(outage.admit(now + MS * 99), refused);
-    assert_eq!(outage.admit(now + MS * 100), outage::Admission::Probe);
+    assert_eq!(outage.admit(now + MS * 100), breaker::Admission::Probe);
     let second = outage.admit(now + MS * 100);
-    assert!(matches!(second, outage::Admission::Refuse(_)));
-    outage.succeeded();
-    assert_eq!(outage.admit(now + MS * 101), outage::Admission::Pass);
+    assert!(matches!(second, breaker::Admission::Refuse(_)));
+    outage.record_success();
+    assert_eq!(outage.admit(now + MS * 101), breaker::Admission::Pass);
 }
 
 #[test]
@@ -59,10 +59,10 @@
     let mut outage = paused(now, 1.0);
     for pause in [100, 200, 400, 800, 1000, 1000] {
         let early = outage.admit(now + MS * (pause - 1));
-        assert!(matches!(early, outage::Admission::Refuse(_)));
+        assert!(matches!(early, breaker::Admission::Refuse(_)));
         now += MS * pause;
-        assert_eq!(outage.admit(now), outage::Admission::Probe);
-        outage.failed(now, 1.0);
+        assert_eq!(outage.admit(now), breaker::Admission::Probe);
+        outage.record_failure(now, 1.0);
     }
 }
 
@@ -71,10 +71,10 @@
     let now = Instant::now();
     let mut early = paused(now, 0.0);
     let mut late = paused(now, 1.0);
-    assert_eq!(early.admit(now + MS * 50), outage::Admission::Probe);
+    assert_eq!(early.admit(now + MS * 50), breaker::Admission::Probe);
     assert!(matches!(
         late.admit(now + MS * 50),
-        outage::Admission::Refuse(_)
+        breaker::Admission::Refuse(_)
     ));
 }
 
@@ -83,9 +83,9 @@
     let now = Instant::now();
     let mut outage = paused(now, 1.0);
     for _ in 0..50 {
-        outage.failed(now + MS * 10, 1.0);
+        outage.record_failure(now + MS * 10, 1.0);
     }
-    assert_eq!(outage.admit(now + MS * 100), outage::Admission::Probe);
+    assert_eq!(outage.admit(now + MS * 100), breaker::Admission::Probe);
 }
 
 // The caller sees every call refused although the service is back. The probe was made by a task
@@ -96,8 +96,8 @@
     let now = Instant::now();
     let mut outage = paused(now, 1.0);
     let first = now + MS * 100;
-    assert_eq!(outage.admit(first), outage::Admission::Probe);
+    assert_eq!(outage.admit(first), breaker::Admission::Probe);
     let waiting = outage.admit(first + MS * 1999);
-    assert!(matches!(waiting, outage::Admission::Refuse(_)));
-    assert_eq!(outage.admit(first + MS * 2000), outage::Admission::Probe);
+    assert!(matches!(waiting, breaker::Admission::Refuse(_)));
+    assert_eq!(outage.admit(first + MS * 2000), breaker::Admission::Probe);
 }
--- a/laburnumcart_platform/tests/budget.rs
+++ b/laburnumcart_platform/tests/budget.rs
@@ -12,7 +12,7 @@
 /// Takes until the bucket refuses.
 fn take_all(bucket: &mut budget::Bucket, now: Instant) -> u32 {
     let mut count = 0;
-    while bucket.take(now).is_ok() {
+    while bucket.try_take(now).is_ok() {
         count += 1;
     }
     count
@@ -34,9 +34,9 @@
     let start = Instant::now();
     let mut bucket = budget::Bucket::new(unit::Rate(40.0), start);
     take_all(&mut bucket, start);
-    let due = bucket.take(start).unwrap_err();
+    let due = bucket.try_take(start).unwrap_err();
     assert_eq!(due, unit::Period::from_millis(25));
-    assert!(bucket.take(start + due.0).is_ok());
+    assert!(bucket.try_take(start + due.0).is_ok());
 }
 
 #[test]
@@ -44,7 +44,7 @@
     let start = Instant::now();
     let mut bucket = budget::Bucket::new(unit::Rate(40.0), start);
     for _ in 0..10 {
-        bucket.hold(start).unwrap();
+        bucket.try_hold(start).unwrap();
     }
     let taken: u32 = (1..=100)
         .map(|tick| take_all(&mut bucket, start + SECOND / 10 * tick))
@@ -61,7 +61,7 @@
     let start = Instant::now();
     let mut bucket = budget::Bucket::new(unit::Rate(3.0), start);
     for tick in 0..100 {
-        let _ = bucket.hold(start + SECOND * tick);
+        let _ = bucket.try_hold(start + SECOND * tick);
     }
-    assert_eq!(bucket.held(), 3);
+    assert_eq!(bucket.waiting_calls(), 3);
 }
--- a/laburnumcart_platform/tests/follow.rs
+++ b/laburnumcart_platform/tests/follow.rs
@@ -210,7 +210,7 @@
     let replica = sync::Arc::new(Replica::default());
     let settings = follow::Settings {
         interval: unit::Period::from_millis(100),
-        spread: unit::Period::from_millis(1000),
+        longest_interval: unit::Period::from_millis(1000),
         ..Default::default()
     };
     let (follower, mut mirror) = follow::follower(replica.clone(), "p/", settings);
@@ -232,14 +232,14 @@
 #[tokio::test(start_paused = true)]
 async fn a_return_is_shared() {
     let memory = memory::Memory::new();
-    let returns = follow::Returns::default();
+    let returns = follow::Recovery::default();
     let start = |longest| {
         let settings = follow::Settings {
-            longest,
+            longest_pause: longest,
             ..Default::default()
         };
         let (follower, mirror) = follow::follower(memory.clone(), "p/", settings);
-        tokio::spawn(follower.share(&returns).run());
+        tokio::spawn(follower.share_recovery(&returns).run());
         mirror
     };
     let mut often = start(unit::Period::from_millis(400));
--- a/laburnumcart_platform/tests/returns.rs
+++ b/laburnumcart_platform/tests/returns.rs
@@ -98,19 +98,19 @@
         until,
         calls: sync::Arc::default(),
     };
-    let returns = follow::Returns::default();
+    let returns = follow::Recovery::default();
     let settings = follow::Settings {
-        longest: unit::Period::from_millis(1500),
+        longest_pause: unit::Period::from_millis(1500),
         ..follow::Settings::default()
     };
     let mut mirrors = Vec::new();
     for prefix in ["p/", "q/", "r/"] {
         let (follower, mirror) = follow::follower(store.clone(), prefix, settings);
         let follower = match prefix {
-            "p/" => follower.probe(PROBE),
+            "p/" => follower.duplicate_after(PROBE),
             _ => follower,
         };
-        tokio::spawn(follower.share(&returns).run());
+        tokio::spawn(follower.share_recovery(&returns).run());
         mirrors.push(mirror);
     }
     for mirror in &mut mirrors {
@@ -198,7 +198,7 @@
         },
         Trouble::Stuck,
     );
-    let returns = follow::Returns::default();
+    let returns = follow::Recovery::default();
     let mut mirrors = Vec::new();
     for (prefix, wait) in [("short/", 750), ("long/", 5000)] {
         let settings = follow::Settings {
@@ -206,7 +206,7 @@
             ..follow::Settings::default()
         };
         let (follower, mirror) = follow::follower(store.clone(), prefix, settings);
-        tokio::spawn(follower.share(&returns).run());
+        tokio::spawn(follower.share_recovery(&returns).run());
         mirrors.push(mirror);
     }
     for mirror in &mut mirrors {
@@ -237,7 +237,7 @@
         },
         Trouble::Flapping,
     );
-    let returns = follow::Returns::default();
+    let returns = follow::Recovery::default();
     let mut mirrors = Vec::new();
     for prefix in ["flapping/", "slow/"] {
         let settings = follow::Settings {
@@ -246,7 +246,7 @@
             ..follow::Settings::default()
         };
         let (follower, mirror) = follow::follower(store.clone(), prefix, settings);
-        tokio::spawn(follower.share(&returns).run());
+        tokio::spawn(follower.share_recovery(&returns).run());
         mirrors.push(mirror);
     }
     mirrors[1].wait_for(|m| m.listed).await.unwrap();
--- a/laburnumcart_platform/tests/settle.rs
+++ b/laburnumcart_platform/tests/settle.rs
@@ -47,7 +47,7 @@
         faults.lose_answers = 1;
         faults.stale = unit::Period::from_secs(stale);
     });
-    let outcome = settle::put(&memory, OURS, soon(), settle::created(OURS)).await;
+    let outcome = settle::put(&memory, OURS, soon(), settle::judge_created(OURS)).await;
     faults(&memory, |_| ());
     let (version, text) = value(&memory).await;
     assert_eq!(outcome, Ok(settle::Outcome::Written(version)));
@@ -61,7 +61,7 @@
 async fn lost_call_is_sent_again() {
     let memory = memory::Memory::new();
     faults(&memory, |faults| faults.lose_calls = 3);
-    let outcome = settle::put(&memory, OURS, soon(), settle::created(OURS)).await;
+    let outcome = settle::put(&memory, OURS, soon(), settle::judge_created(OURS)).await;
     let (version, _) = value(&memory).await;
     assert_eq!(outcome, Ok(settle::Outcome::Written(version)));
     assert_eq!(memory.revision(), store::Revision(1));
@@ -76,7 +76,7 @@
     let first = memory.put(OURS.key, OURS.expect, OURS.value).await;
     assert_eq!(first, Err(store::Failure::Unanswered));
     memory.put("a", store::Expect::Absent, "2").await.unwrap();
-    let outcome = settle::resolve(&memory, OURS, soon(), settle::created(OURS)).await;
+    let outcome = settle::resolve(&memory, OURS, soon(), settle::judge_created(OURS)).await;
     assert_eq!(outcome, settle::Outcome::NotWritten);
     assert_eq!(value(&memory).await.1, "2");
 }
@@ -91,7 +91,7 @@
     let expect = store::Expect::Version(version);
     let write = settle::Write { expect, ..OURS };
     memory.put("a", expect, "{\"nonce\":2}").await.unwrap();
-    let outcome = settle::resolve(&memory, write, soon(), settle::replaced(write)).await;
+    let outcome = settle::resolve(&memory, write, soon(), settle::judge_replaced(write)).await;
     assert_eq!(outcome, settle::Outcome::Unclear);
     let judge = |_: &store::Object| settle::Judgement::NotOurs;
     let outcome = settle::resolve(&memory, write, soon(), judge).await;
@@ -105,7 +105,7 @@
     let memory = memory::Memory::new();
     faults(&memory, |faults| faults.down = true);
     let until = soon();
-    let outcome = settle::resolve(&memory, OURS, until, settle::created(OURS)).await;
+    let outcome = settle::resolve(&memory, OURS, until, settle::judge_created(OURS)).await;
     assert_eq!(outcome, settle::Outcome::Unclear);
     assert!(Instant::now() <= until + time::Duration::from_millis(1));
 }
@@ -121,7 +121,7 @@
         tokio::time::sleep(time::Duration::from_secs(3)).await;
         faults(&memory, |_| ());
     };
-    let settled = settle::resolve(&memory, OURS, soon(), settle::created(OURS));
+    let settled = settle::resolve(&memory, OURS, soon(), settle::judge_created(OURS));
     let (outcome, ()) = tokio::join!(settled, back);
     assert_eq!(outcome, settle::Outcome::Written(store::Version(1)));
 }
@@ -130,9 +130,9 @@
 async fn conflict_and_refusal_are_final_at_once() {
     let memory = memory::Memory::new();
     memory.put("a", store::Expect::Absent, "0").await.unwrap();
-    let outcome = settle::put(&memory, OURS, soon(), settle::created(OURS)).await;
+    let outcome = settle::put(&memory, OURS, soon(), settle::judge_created(OURS)).await;
     assert_eq!(outcome, Ok(settle::Outcome::NotWritten));
     faults(&memory, |faults| faults.down = true);
-    let outcome = settle::put(&memory, OURS, soon(), settle::created(OURS)).await;
+    let outcome = settle::put(&memory, OURS, soon(), settle::judge_created(OURS)).await;
     assert!(matches!(outcome, Err(store::Failure::Unavailable { .. })));
 }
--- a/laburnumcart_system/src/slopes/agents.rs
+++ b/laburnumcart_system/src/slopes/agents.rs
@@ -111,7 +111,7 @@
         Ok(self.report())
     }
 
-    async fn beat(&self, _: agent::Beat) -> RpcResult<agent::Report> {
+    async fn beat(&self, _: agent::Heartbeat) -> RpcResult<agent::Report> {
         Ok(self.report())
     }
 
@@ -131,7 +131,7 @@
         Ok(())
     }
 
-    async fn bundle(&self, _: id::Generation) -> RpcResult<Option<agent::Shown>> {
+    async fn bundle(&self, _: id::Generation) -> RpcResult<Option<agent::SignedBundle>> {
         Ok(None)
     }
 
--- a/laburnumcart_system/src/slopes/lanes.rs
+++ b/laburnumcart_system/src/slopes/lanes.rs
@@ -59,7 +59,7 @@
         ticks.tick().await;
         let facts = None;
         let answer = client
-            .beat(agent::Beat {
+            .beat(agent::Heartbeat {
                 session,
                 peer: None,
                 facts,
--- a/laburnumcart_wire/src/agent.rs
+++ b/laburnumcart_wire/src/agent.rs
@@ -82,7 +82,7 @@
 
 /// Heartbeat.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Beat {
+pub struct Heartbeat {
     /// This connection.
     pub session: lane::Session,
     /// Address at which the caller shows its bundle; goes with the facts.
@@ -97,7 +97,7 @@
 
 /// A signed bundle as processes pass it on.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Shown {
+pub struct SignedBundle {
     /// Generation under which it was accepted.
     pub generation: id::Generation,
     /// The head object and the signed envelope, as stored.
@@ -115,7 +115,7 @@
 
     /// Carries facts both ways and shows that the connection is alive.
     #[method(name = "beat")]
-    async fn beat(&self, beat: Beat) -> RpcResult<Report>;
+    async fn beat(&self, beat: Heartbeat) -> RpcResult<Report>;
 
     /// Executes a stage; answers with the first chunks or the end.
     #[method(name = "start")]
@@ -135,7 +135,7 @@
 
     /// Shows the bundle in force, if its generation is at least `least`.
     #[method(name = "bundle")]
-    async fn bundle(&self, least: id::Generation) -> RpcResult<Option<Shown>>;
+    async fn bundle(&self, least: id::Generation) -> RpcResult<Option<SignedBundle>>;
 
     /// Stops accepting work, as SIGTERM does, and exits when all that runs has finished.
     #[method(name = "drain")]
--- a/laburnumcart_wire/src/entry.rs
+++ b/laburnumcart_wire/src/entry.rs
@@ -146,5 +146,5 @@
 
     /// Shows the bundle in force, if its generation is at least `least`.
     #[method(name = "bundle")]
-    async fn bundle(&self, least: id::Generation) -> RpcResult<Option<agent::Shown>>;
+    async fn bundle(&self, least: id::Generation) -> RpcResult<Option<agent::SignedBundle>>;
 }
--- a/laburnumcart_wire/src/gateway.rs
+++ b/laburnumcart_wire/src/gateway.rs
@@ -37,7 +37,7 @@
     /// Queues of stages.
     pub queues: Vec<Queue>,
     /// Targets that get less than others, or nothing.
-    pub held: Vec<Held>,
+    pub held: Vec<Restricted>,
     /// Number of all targets.
     pub targets: usize,
 }
@@ -64,7 +64,7 @@
 
 /// A target that gets less than others.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Held {
+pub struct Restricted {
     /// Its name.
     pub target: id::TargetName,
     /// Service that it belongs to.
--- a/laburnumcart_wire/src/stage.rs
+++ b/laburnumcart_wire/src/stage.rs
@@ -15,7 +15,7 @@
 
 use crate::lane;
 
-mod visit;
+mod visitor;
 
 /// Most chunks that one message carries.
 pub const CHUNKS_MAX: usize = 4096;
@@ -147,14 +147,14 @@
 
 /// Checks the chunks of one result as they arrive and joins them.
 #[derive(Debug, Default)]
-pub struct Joiner {
+pub struct Assembler {
     text: String,
     next: u32,
 }
 
 /// A result that cannot be whole.
 #[derive(Clone, Copy, Debug, derive_more::Display, derive_more::Error, Eq, PartialEq)]
-pub enum Broken {
+pub enum IntegrityError {
     /// A chunk is missing before the one that arrived.
     #[display("chunk missing")]
     Gap,
@@ -166,9 +166,9 @@
     Checksum,
 }
 
-impl Joiner {
+impl Assembler {
     /// Returns the number of the next chunk wanted.
-    pub fn next(&self) -> u32 {
+    pub fn next_number(&self) -> u32 {
         self.next
     }
 
@@ -178,12 +178,12 @@
     }
 
     /// Adds a chunk; one that was seen before is skipped.
-    pub fn push(&mut self, chunk: &Chunk) -> Result<bool, Broken> {
+    pub fn push(&mut self, chunk: &Chunk) -> Result<bool, IntegrityError> {
         if chunk.number < self.next {
             return Ok(false);
         }
         if chunk.number > self.next {
-            return Err(Broken::Gap);
+            return Err(IntegrityError::Gap);
         }
         self.text.push_str(&chunk.text);
         self.next += 1;
@@ -191,12 +191,12 @@
     }
 
     /// Checks the end mark and returns the whole text.
-    pub fn finish(self, end: &End) -> Result<String, Broken> {
+    pub fn finish(self, end: &End) -> Result<String, IntegrityError> {
         if self.next != end.count {
-            return Err(Broken::Count);
+            return Err(IntegrityError::Count);
         }
         if checksum(&self.text) != end.checksum {
-            return Err(Broken::Checksum);
+            return Err(IntegrityError::Checksum);
         }
         Ok(self.text)
     }
