--- a/laburnumcart_platform/src/budget.rs
+++ b/laburnumcart_platform/src/budget.rs
@@ -1,7 +1,7 @@
-//! Limits on how often a process calls the object service.
+//! Rate limits of one process for calls to the object service.
 //!
-//! The service counts each call of all processes against one rate. A process that could take any
-//! part of it would starve the others, so each has its own share and is refused beyond it at once.
+//! The service applies one rate limit to all processes together. Each process has a fixed share of
+//! it, so that none can starve the others; calls beyond the share are refused at once.
 
 use std::time;
 
@@ -9,16 +9,16 @@
 
 use laburnumcart::unit;
 
-/// Time for which an unused rate is saved up.
-const SAVED: f64 = 0.25;
+/// Burst of a bucket, as seconds of its rate.
+const BURST_SECS: f64 = 0.25;
 
-/// A token bucket in which some calls take a token a second for as long as they last.
+/// A token bucket in which waiting calls take one token a second for as long as they last.
 #[derive(Debug)]
 pub struct Bucket {
     rate: f64,
     burst: f64,
     tokens: f64,
-    held: u32,
+    waiting: u32,
     last: Instant,
 }
 
@@ -26,80 +26,80 @@
     /// Creates a full bucket.
     pub fn new(rate: unit::Rate, now: Instant) -> Self {
         let rate = rate.0.max(0.0);
-        let burst = (rate * SAVED).max(1.0);
+        let burst = (rate * BURST_SECS).max(1.0);
         Self {
             rate,
             burst,
             tokens: burst,
-            held: 0,
+            waiting: 0,
             last: now,
         }
     }
 
-    /// Takes a token for one call; an error tells when the next token is due.
+    /// Takes a token for one call; the error is the time until the next token.
     pub fn take(&mut self, now: Instant) -> Result<(), unit::Period> {
         self.refill(now);
         if self.tokens < 1.0 {
-            return Err(self.due());
+            return Err(self.wait_time());
         }
         self.tokens -= 1.0;
         Ok(())
     }
 
-    /// Takes a token for a call that waits, and one more each second until [`Bucket::release`].
+    /// Takes a token for a waiting call, and one more each second until [`Bucket::release`].
     ///
-    /// Calls that wait can take the whole rate; they are then refused, so that the bucket never
-    /// runs into debt.
+    /// A waiting call is refused if all of them together would exceed the rate, so that the bucket
+    /// never goes into debt. The error is the time after which to try again.
     pub fn hold(&mut self, now: Instant) -> Result<(), unit::Period> {
         self.refill(now);
-        if f64::from(self.held + 1) > self.rate {
+        if f64::from(self.waiting + 1) > self.rate {
             return Err(unit::Period::from_secs(1));
         }
         self.take(now)?;
-        self.held += 1;
+        self.waiting += 1;
         Ok(())
     }
 
-    /// Ends one call that waited.
+    /// Ends one waiting call.
     pub fn release(&mut self, now: Instant) {
         self.refill(now);
-        self.held = self.held.saturating_sub(1);
+        self.waiting = self.waiting.saturating_sub(1);
     }
 
-    /// Gives up what was saved, after the service itself has refused a call.
+    /// Drops all tokens, after the service itself has refused a call because of its rate limit.
     pub fn drain(&mut self, now: Instant) {
         self.refill(now);
         self.tokens = 0.0;
     }
 
-    /// Returns the number of calls that wait.
+    /// Returns the number of waiting calls.
     pub fn held(&self) -> u32 {
-        self.held
+        self.waiting
     }
 
-    fn free(&self) -> f64 {
-        self.rate - f64::from(self.held)
+    fn free_rate(&self) -> f64 {
+        self.rate - f64::from(self.waiting)
     }
 
     fn refill(&mut self, now: Instant) {
         let passed = now.saturating_duration_since(self.last).as_secs_f64();
         self.last = self.last.max(now);
-        self.tokens = (self.tokens + passed * self.free()).clamp(0.0, self.burst);
+        self.tokens = (self.tokens + passed * self.free_rate()).clamp(0.0, self.burst);
     }
 
-    fn due(&self) -> unit::Period {
-        let free = self.free().max(0.1);
+    fn wait_time(&self) -> unit::Period {
+        let free = self.free_rate().max(0.1);
         let wait = (1.0 - self.tokens) / free;
         unit::Period(time::Duration::from_secs_f64(wait.min(1.0)))
     }
 }
 
-/// Rates at which one process may call.
+/// Rate limits of one process.
 #[derive(Clone, Copy, Debug)]
 pub struct Rates {
-    /// Reads, lists and watches; a waiting watch counts as one a second.
+    /// Rate of reads, lists and watches; a waiting watch counts as one call a second.
     pub reads: unit::Rate,
-    /// Conditional writes and deletions.
+    /// Rate of conditional writes and deletions.
     pub writes: unit::Rate,
 }
 
@@ -112,12 +112,12 @@
     }
 }
 
-/// Buckets of one process.
+/// Token buckets of one process.
 #[derive(Debug)]
 pub struct Budget {
-    /// Reads, lists and watches.
+    /// Bucket of reads, lists and watches.
     pub reads: Bucket,
-    /// Conditional writes and deletions.
+    /// Bucket of conditional writes and deletions.
     pub writes: Bucket,
 }
 
--- a/laburnumcart_platform/src/client.rs
+++ b/laburnumcart_platform/src/client.rs
@@ -1,4 +1,4 @@
-//! The object service over HTTP.
+//! HTTP client of the object service.
 
 use std::{
     net,
@@ -26,9 +26,9 @@
     store, //
 };
 
-mod answer;
 mod builder;
 mod metrics;
+mod protocol;
 
 pub use builder::{
     BuildError,
@@ -37,10 +37,10 @@
 
 type Http = legacy::Client<legacy::connect::HttpConnector, Full<Bytes>>;
 
-/// What is decided before a call is sent.
+/// State that decides whether a call may be sent.
 #[derive(Debug)]
 struct Control {
-    outage: outage::Outage,
+    breaker: outage::Outage,
     budget: budget::Budget,
 }
 
@@ -48,81 +48,82 @@
 struct Inner {
     http: Http,
     addrs: Vec<net::SocketAddr>,
-    /// Index of the address in use.
+    /// Index of the address in use, modulo the number of addresses.
     current: atomic::AtomicUsize,
-    /// Connections for calls that do not wait.
+    /// Limits the calls in flight, apart from watches.
     slots: Semaphore,
     timeout: time::Duration,
-    /// Longest wait for the own budget.
-    patience: time::Duration,
+    /// Longest time that a call waits for the budget.
+    budget_wait: time::Duration,
     answer_max: usize,
     control: sync::Mutex<Control>,
     metrics: metrics::Metrics,
 }
 
-/// HTTP client of the object service; clones share connections, budget and outage state.
+/// HTTP client of the object service; clones share connections, budget and circuit breaker.
 #[derive(Clone, Debug)]
 pub struct Client {
     inner: sync::Arc<Inner>,
 }
 
-/// Kind of a call, which decides about its budget and its timeout.
+/// Cost of a call, which decides on its budget and timeout.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum Cost {
     Read,
     Write,
-    Wait(time::Duration),
+    /// A watch that waits for this time.
+    Watch(time::Duration),
 }
 
-/// Why a call is not sent.
+/// Why a call is not sent, with the time after which to try again.
 enum Refused {
-    /// This process has used up its own rate.
+    /// The process has used up its rate.
     Budget(unit::Period),
-    /// The service is held to be down.
-    Outage(unit::Period),
+    /// The circuit breaker is open.
+    Breaker(unit::Period),
 }
 
-/// Counts a waiting watch against the budget until it ends, also when its task is dropped.
-struct Held<'a>(&'a Inner);
+/// Guard that releases the budget of a watch when it ends, also if its future is dropped.
+struct WatchGuard<'a>(&'a Inner);
 
-impl Drop for Held<'_> {
+impl Drop for WatchGuard<'_> {
     fn drop(&mut self) {
         self.0.control().budget.reads.release(Instant::now());
     }
 }
 
 impl Client {
-    /// Starts the settings of a client of the service at `addrs`, the first being preferred.
+    /// Returns a builder for a client of the service at `addrs`, of which the first is tried first.
     pub fn builder(addrs: impl IntoIterator<Item = net::SocketAddr>) -> Builder {
         Builder::new(addrs.into_iter().collect())
     }
 
-    /// Adds the client's counters to a registry.
+    /// Registers the client's metrics.
     pub fn register(&self, registry: &mut registry::Registry) {
         self.inner.metrics.register(registry);
     }
 
-    /// Reports whether the service is held to be down.
+    /// Reports whether the circuit breaker is open or half-open.
     pub fn is_down(&self) -> bool {
-        self.inner.control().outage.is_open()
+        self.inner.control().breaker.is_open()
     }
 
-    /// Makes one call and counts its outcome.
+    /// Makes one call and records its outcome in the metrics.
     async fn call(
         &self,
         kind: metrics::Kind,
         cost: Cost,
-        request: answer::Request<'_>,
-    ) -> Result<answer::Answer, store::Failure> {
+        request: protocol::Request<'_>,
+    ) -> Result<protocol::Response, store::Failure> {
         let result = self.inner.call(cost, request).await;
-        self.inner.metrics.count(kind, &result);
+        self.inner.metrics.record_call(kind, &result);
         result
     }
 }
 
 impl Inner {
     fn control(&self) -> sync::MutexGuard<'_, Control> {
-        // Nothing in a locked section panics between two changes that belong together.
+        // No locked section panics halfway through an update, so the state is consistent.
         let poisoned = sync::PoisonError::into_inner;
         self.control.lock().unwrap_or_else(poisoned)
     }
@@ -130,35 +131,37 @@
     async fn call(
         &self,
         cost: Cost,
-        mut request: answer::Request<'_>,
-    ) -> Result<answer::Answer, store::Failure> {
+        mut request: protocol::Request<'_>,
+    ) -> Result<protocol::Response, store::Failure> {
         let start = Instant::now();
-        let admission = self.admitted(cost, start).await?;
-        let _held = matches!(cost, Cost::Wait(_)).then_some(Held(self));
+        let admission = self.wait_for_budget(cost, start).await?;
+        let _guard = matches!(cost, Cost::Watch(_)).then_some(WatchGuard(self));
         let (_slot, limit) = match cost {
-            Cost::Read | Cost::Write => (Some(self.slot().await?), self.timeout),
-            // A watch that waits tells only at its end that the service is back.
-            Cost::Wait(_) if admission == outage::Admission::Probe => {
+            Cost::Read | Cost::Write => (Some(self.acquire_slot().await?), self.timeout),
+            // A probe must not wait: a waiting watch would show only at its end that the service
+            // has recovered.
+            Cost::Watch(_) if admission == outage::Admission::Probe => {
                 request.wait = Some(time::Duration::ZERO);
                 (None, self.timeout)
             }
-            Cost::Wait(wait) => (None, self.timeout + wait),
+            Cost::Watch(wait) => (None, self.timeout + wait),
         };
         let index = self.current.load(atomic::Ordering::Relaxed) % self.addrs.len();
-        let sent = answer::send(&self.http, self.addrs[index], request, self.answer_max);
+        let sent = protocol::send(&self.http, self.addrs[index], request, self.answer_max);
         let result = match tokio::time::timeout(limit, sent).await {
             Ok(result) => result,
             Err(_) => Err(store::Failure::Unanswered),
         };
-        self.settle(cost, index, &result);
-        result.and_then(answer::Answer::check)
+        self.record_result(cost, index, &result);
+        result.and_then(protocol::Response::into_result)
     }
 
-    /// Waits for the own budget as long as that is worth it.
+    /// Admits a call, waiting for the budget up to the configured time.
     ///
-    /// A burst of calls, such as taking over several shards, exceeds the budget for milliseconds.
-    /// Refused at once, it would look like an outage. The wait is bounded, so calls cannot pile up.
-    async fn admitted(
+    /// A burst of calls, such as a takeover of several shards, exceeds the budget for milliseconds;
+    /// refused at once, it would look like an outage. The wait is bounded so that calls cannot pile
+    /// up.
+    async fn wait_for_budget(
         &self,
         cost: Cost,
         start: Instant,
@@ -167,10 +170,10 @@
             let now = Instant::now();
             let retry = match self.admit(cost, now) {
                 Ok(admission) => return Ok(admission),
-                Err(Refused::Outage(retry)) => return Err(unavailable(retry)),
+                Err(Refused::Breaker(retry)) => return Err(unavailable(retry)),
                 Err(Refused::Budget(retry)) => retry,
             };
-            if now + retry.0 > start + self.patience || self.control().outage.is_open() {
+            if now + retry.0 > start + self.budget_wait || self.control().breaker.is_open() {
                 return Err(unavailable(retry));
             }
             tokio::time::sleep(retry.0).await;
@@ -179,61 +182,69 @@
 
     fn admit(&self, cost: Cost, now: Instant) -> Result<outage::Admission, Refused> {
         let mut control = self.control();
-        // The budget goes first: a call that it refuses must not count as the probe.
+        // The budget is checked first: a call that it refuses must not be taken as the probe.
         match cost {
             Cost::Read => control.budget.reads.take(now),
             Cost::Write => control.budget.writes.take(now),
-            Cost::Wait(_) => control.budget.reads.hold(now),
+            Cost::Watch(_) => control.budget.reads.hold(now),
         }
         .map_err(Refused::Budget)?;
-        let admission = control.outage.admit(now);
+        let admission = control.breaker.admit(now);
         if let outage::Admission::Refuse(retry) = admission {
-            if matches!(cost, Cost::Wait(_)) {
+            if matches!(cost, Cost::Watch(_)) {
                 control.budget.reads.release(now);
             }
-            return Err(Refused::Outage(retry));
+            return Err(Refused::Breaker(retry));
         }
         Ok(admission)
     }
 
-    /// Waits for a connection; nothing has been sent when none comes free in time.
-    async fn slot(&self) -> Result<tokio::sync::SemaphorePermit<'_>, store::Failure> {
+    /// Waits for a slot up to the timeout; an error means that nothing was sent.
+    async fn acquire_slot(&self) -> Result<tokio::sync::SemaphorePermit<'_>, store::Failure> {
         let slot = tokio::time::timeout(self.timeout, self.slots.acquire()).await;
         slot.ok()
             .and_then(Result::ok)
             .ok_or(store::Failure::Unavailable { retry: None })
     }
 
-    /// Records what an answer, or its absence, says of the service.
-    fn settle(&self, cost: Cost, index: usize, result: &Result<answer::Answer, store::Failure>) {
+    /// Records the result of a call in the circuit breaker, the budget and the metrics.
+    fn record_result(
+        &self,
+        cost: Cost,
+        index: usize,
+        result: &Result<protocol::Response, store::Failure>,
+    ) {
         let now = Instant::now();
         let mut control = self.control();
-        let before = control.outage.is_open();
+        let before = control.breaker.is_open();
         match result {
-            Ok(answer) if answer.is_working() => control.outage.succeeded(),
+            Ok(response) if response.is_available() => control.breaker.succeeded(),
             _ => {
-                control.outage.failed(now, rand::random());
-                self.rotate(index);
+                control.breaker.failed(now, rand::random());
+                self.select_next(index);
             }
         }
-        if result.as_ref().is_ok_and(answer::Answer::is_limited) {
+        if result
+            .as_ref()
+            .is_ok_and(protocol::Response::is_rate_limited)
+        {
             match cost {
                 Cost::Write => control.budget.writes.drain(now),
-                Cost::Read | Cost::Wait(_) => control.budget.reads.drain(now),
+                Cost::Read | Cost::Watch(_) => control.budget.reads.drain(now),
             }
         }
-        let open = control.outage.is_open();
-        self.metrics.down(open);
+        let open = control.breaker.is_open();
+        self.metrics.set_down(open);
         if before != open {
-            laburnumcart::event!(Warn, "object-service", state = state(open));
+            laburnumcart::event!(Warn, "object-service", state = state_name(open));
         }
     }
 
-    /// Turns from a failed address to the next one.
-    fn rotate(&self, failed: usize) {
+    /// Selects the address after a failed one.
+    fn select_next(&self, failed: usize) {
         let next = (failed + 1) % self.addrs.len();
         let order = atomic::Ordering::Relaxed;
-        // Another call may have turned already; its choice stands.
+        // An error means that another call has already selected a new address.
         let _ = self.current.compare_exchange(failed, next, order, order);
     }
 }
@@ -242,15 +253,15 @@
     store::Failure::Unavailable { retry: Some(retry) }
 }
 
-fn state(open: bool) -> &'static str {
+fn state_name(open: bool) -> &'static str {
     if open { "down" } else { "working" }
 }
 
 impl store::Store for Client {
     async fn get(&self, key: &str) -> Result<Option<store::Object>, store::Failure> {
-        let request = answer::Request::object(http::Method::GET, key)?;
-        let answer = self.call(metrics::Kind::Get, Cost::Read, request).await?;
-        answer.object(key)
+        let request = protocol::Request::object(http::Method::GET, key)?;
+        let response = self.call(metrics::Kind::Get, Cost::Read, request).await?;
+        response.parse_object(key)
     }
 
     async fn put(
@@ -262,24 +273,24 @@
         if value.len() > store::VALUE_MAX {
             return Err(store::Failure::Invalid);
         }
-        let mut request = answer::Request::object(http::Method::PUT, key)?;
+        let mut request = protocol::Request::object(http::Method::PUT, key)?;
         request.expect = Some(expect);
         request.body = Bytes::copy_from_slice(value.as_bytes());
-        let answer = self.call(metrics::Kind::Put, Cost::Write, request).await?;
-        answer.version()
+        let response = self.call(metrics::Kind::Put, Cost::Write, request).await?;
+        response.parse_version()
     }
 
     async fn delete(&self, key: &str, version: store::Version) -> Result<(), store::Failure> {
-        let mut request = answer::Request::object(http::Method::DELETE, key)?;
+        let mut request = protocol::Request::object(http::Method::DELETE, key)?;
         request.expect = Some(store::Expect::Version(version));
-        let answer = self.call(metrics::Kind::Delete, Cost::Write, request).await;
-        answer.map(|_| ())
+        let response = self.call(metrics::Kind::Delete, Cost::Write, request).await;
+        response.map(|_| ())
     }
 
     async fn list(&self, prefix: &str) -> Result<store::Listing, store::Failure> {
-        let request = answer::Request::list(prefix)?;
-        let answer = self.call(metrics::Kind::List, Cost::Read, request).await?;
-        answer.parse()
+        let request = protocol::Request::list(prefix)?;
+        let response = self.call(metrics::Kind::List, Cost::Read, request).await?;
+        response.parse()
     }
 
     async fn watch(
@@ -288,14 +299,14 @@
         after: store::Revision,
         wait: time::Duration,
     ) -> Result<store::Changes, store::Failure> {
-        let request = answer::Request::watch(prefix, after, wait)?;
+        let request = protocol::Request::watch(prefix, after, wait)?;
         let kind = metrics::Kind::Watch;
-        let answer = self.call(kind, Cost::Wait(wait), request).await?;
-        answer.parse()
+        let response = self.call(kind, Cost::Watch(wait), request).await?;
+        response.parse()
     }
 }
 
-/// Reads the period of a `retry-after` header in seconds.
+/// Parses a `retry-after` header in seconds.
 fn retry_after(headers: &http::HeaderMap) -> Option<unit::Period> {
     let text = headers.get(http::header::RETRY_AFTER)?.to_str().ok()?;
     text.trim().parse().ok().map(unit::Period::from_secs)
--- a/laburnumcart_platform/src/client/builder.rs
+++ b/laburnumcart_platform/src/client/builder.rs
@@ -1,4 +1,4 @@
-//! Settings of a client.
+//! Builder of the HTTP client.
 
 use std::{
     net,
@@ -35,18 +35,18 @@
     outage, //
 };
 
-/// Settings that no client can be built from.
+/// Settings with which no client can be built.
 #[derive(Clone, Copy, Debug, Display, Error, Eq, PartialEq)]
 pub enum BuildError {
-    /// There is no address of the service.
-    #[display("no address of the object service")]
+    /// No address of the service is given.
+    #[display("no address of the object service is configured")]
     Addresses,
-    /// No connection is allowed.
-    #[display("object service client without connections")]
+    /// The number of connections is zero.
+    #[display("object service client has a limit of 0 connections")]
     Connections,
 }
 
-/// Settings of a [`Client`].
+/// Builder of a [`Client`].
 #[derive(Clone, Debug)]
 pub struct Builder {
     addrs: Vec<net::SocketAddr>,
@@ -55,8 +55,8 @@
     connections: usize,
     answer_max: unit::Size,
     rates: budget::Rates,
-    patience: unit::Period,
-    outage: outage::Limits,
+    budget_wait: unit::Period,
+    breaker: outage::Limits,
 }
 
 impl Builder {
@@ -64,18 +64,18 @@
         Self {
             addrs,
             timeout: unit::Period::from_secs(2),
-            // The service may close an idle connection just as a write is sent on it, which leaves
-            // the write in doubt. Closing first makes that rare.
+            // If the service closes an idle connection while a write is sent on it, the outcome of
+            // the write is unknown. Closing idle connections first makes that rare.
             idle: unit::Period::from_secs(3),
             connections: 8,
             answer_max: unit::Size(64 << 20),
             rates: budget::Rates::default(),
-            patience: unit::Period::default(),
-            outage: outage::Limits::default(),
+            budget_wait: unit::Period::default(),
+            breaker: outage::Limits::default(),
         }
     }
 
-    /// Sets the longest time of a call, beside the time that a watch waits; 2 s unless set.
+    /// Sets the timeout of a call, to which a watch adds its wait; 2 s unless set.
     pub fn timeout(mut self, timeout: unit::Period) -> Self {
         self.timeout = timeout;
         self
@@ -87,33 +87,33 @@
         self
     }
 
-    /// Sets the most calls under way at once, beside watches; 8 unless set.
+    /// Sets the maximum number of calls in flight, apart from watches; 8 unless set.
     pub fn connections(mut self, connections: usize) -> Self {
         self.connections = connections;
         self
     }
 
-    /// Sets the largest answer of a list or a watch; 64 MiB unless set.
+    /// Sets the maximum size of a response; 64 MiB unless set.
     pub fn answer_max(mut self, size: unit::Size) -> Self {
         self.answer_max = size;
         self
     }
 
-    /// Sets this process's share of the service's rates.
+    /// Sets this process's share of the service's rate limits.
     pub fn rates(mut self, rates: budget::Rates) -> Self {
         self.rates = rates;
         self
     }
 
-    /// Sets how long a call waits for this process's share of the rates; not at all unless set.
+    /// Sets how long a call waits for the process's own budget; not at all unless set.
     pub fn patience(mut self, patience: unit::Period) -> Self {
-        self.patience = patience;
+        self.budget_wait = patience;
         self
     }
 
-    /// Sets how failures of the service are met.
+    /// Sets the limits of the circuit breaker.
     pub fn outage(mut self, limits: outage::Limits) -> Self {
-        self.outage = limits;
+        self.breaker = limits;
         self
     }
 
@@ -127,15 +127,15 @@
         }
         let now = Instant::now();
         let control = Control {
-            outage: outage::Outage::new(self.outage),
+            breaker: outage::Outage::new(self.breaker),
             budget: budget::Budget::new(self.rates, now),
         };
         let inner = Inner {
-            http: http(self.timeout.0 / 2, self.idle.0, self.connections),
+            http: http_client(self.timeout.0 / 2, self.idle.0, self.connections),
             current: atomic::AtomicUsize::new(0),
             slots: Semaphore::new(self.connections),
             timeout: self.timeout.0,
-            patience: self.patience.0,
+            budget_wait: self.budget_wait.0,
             answer_max: self.answer_max.0.try_into().unwrap_or(usize::MAX),
             control: sync::Mutex::new(control),
             metrics: metrics::Metrics::default(),
@@ -147,11 +147,11 @@
     }
 }
 
-/// Creates the pool of connections.
+/// Creates the HTTP client with its connection pool.
 ///
-/// A call that is dropped before its answer is complete takes its connection with it, so that no
-/// later call meets a connection that went silent or holds the rest of an older answer.
-fn http(connect: time::Duration, idle: time::Duration, connections: usize) -> super::Http {
+/// A call that is dropped before its response is complete closes its connection, so that no later
+/// call gets a silent connection or the rest of an earlier response.
+fn http_client(connect: time::Duration, idle: time::Duration, connections: usize) -> super::Http {
     let mut connector = legacy::connect::HttpConnector::new();
     connector.set_nodelay(true);
     connector.set_connect_timeout(Some(connect));
--- a/laburnumcart_platform/src/client/metrics.rs
+++ b/laburnumcart_platform/src/client/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters of the calls to the object service.
+//! Metrics of the calls to the object service.
 
 use std::{
     fmt,
@@ -33,7 +33,7 @@
     Watch,
 }
 
-/// How a call ended.
+/// Outcome of a call.
 #[derive(Clone, Copy, Debug, Display, Eq, Hash, PartialEq)]
 #[display(rename_all = "lowercase")]
 enum Outcome {
@@ -73,17 +73,17 @@
     pub(super) fn register(&self, registry: &mut registry::Registry) {
         registry.register(
             "object_service_calls",
-            "Calls of the object service by kind and outcome",
+            "Calls to the object service by kind and outcome",
             self.calls.clone(),
         );
         registry.register(
             "object_service_down",
-            "Whether the object service is held to be down",
+            "1 while the circuit breaker of the object service is open or half-open, else 0",
             self.down.clone(),
         );
     }
 
-    pub(super) fn count<T>(&self, kind: Kind, result: &Result<T, store::Failure>) {
+    pub(super) fn record_call<T>(&self, kind: Kind, result: &Result<T, store::Failure>) {
         let outcome = match result {
             Ok(_) => Outcome::Done,
             Err(store::Failure::Conflict) => Outcome::Conflict,
@@ -95,7 +95,7 @@
         self.calls.get_or_create(&Labels { kind, outcome }).inc();
     }
 
-    pub(super) fn down(&self, down: bool) {
+    pub(super) fn set_down(&self, down: bool) {
         self.down.set(i64::from(down));
     }
 }
--- a/laburnumcart_platform/src/client/answer.rs
+++ b/laburnumcart_platform/src/client/protocol.rs
@@ -1,4 +1,4 @@
-//! Requests to the object service and what their answers prove.
+//! HTTP requests to the object service and the meaning of its responses.
 
 use std::{
     net,
@@ -21,13 +21,13 @@
 
 use crate::store;
 
-/// A call before it is sent.
+/// A request before it is sent.
 pub(super) struct Request<'a> {
     method: Method,
     path: Path<'a>,
-    /// State that a write depends on.
+    /// Precondition of a write.
     pub(super) expect: Option<store::Expect>,
-    /// Time that a watch waits.
+    /// Longest time that a watch waits for a change.
     pub(super) wait: Option<time::Duration>,
     /// JSON text of a write.
     pub(super) body: Bytes,
@@ -105,54 +105,54 @@
     }
 }
 
-/// A whole answer.
+/// A complete response.
 #[derive(Debug)]
-pub(super) struct Answer {
+pub(super) struct Response {
     status: StatusCode,
     headers: HeaderMap,
     body: Bytes,
 }
 
-/// Sends a request and reads the whole answer.
+/// Sends a request and reads the complete response, of at most `limit` bytes.
 ///
-/// An error is [`store::Failure::Unavailable`] only where no byte of the request has left.
+/// Fails with [`store::Failure::Unavailable`] only if no byte of the request was sent.
 pub(super) async fn send(
     http: &super::Http,
     addr: net::SocketAddr,
     request: Request<'_>,
     limit: usize,
-) -> Result<Answer, store::Failure> {
+) -> Result<Response, store::Failure> {
     let request = request.build(addr)?;
-    let answer = http.request(request).await.map_err(|error| {
+    let response = http.request(request).await.map_err(|error| {
         if error.is_connect() {
             store::Failure::Unavailable { retry: None }
         } else {
             store::Failure::Unanswered
         }
     })?;
-    let (parts, body) = answer.into_parts();
+    let (parts, body) = response.into_parts();
     let body = Limited::new(body, limit).collect().await;
     let body = body.map_err(|_| store::Failure::Unanswered)?;
-    Ok(Answer {
+    Ok(Response {
         status: parts.status,
         headers: parts.headers,
         body: body.to_bytes(),
     })
 }
 
-impl Answer {
-    /// Reports whether the service does its work, be it by refusing the call.
-    pub(super) fn is_working(&self) -> bool {
+impl Response {
+    /// Reports whether the service is available; it may still have refused the call.
+    pub(super) fn is_available(&self) -> bool {
         !self.status.is_server_error()
     }
 
-    /// Reports whether the service found the calls too many.
-    pub(super) fn is_limited(&self) -> bool {
+    /// Reports whether the service refused the call because of its rate limit.
+    pub(super) fn is_rate_limited(&self) -> bool {
         self.status == StatusCode::TOO_MANY_REQUESTS
     }
 
-    /// Tells what the status proves.
-    pub(super) fn check(self) -> Result<Self, store::Failure> {
+    /// Converts the status of an unsuccessful call to a failure.
+    pub(super) fn into_result(self) -> Result<Self, store::Failure> {
         match self.status {
             StatusCode::OK | StatusCode::NO_CONTENT | StatusCode::NOT_FOUND => Ok(self),
             StatusCode::PRECONDITION_FAILED => Err(store::Failure::Conflict),
@@ -162,24 +162,23 @@
                 Err(store::Failure::Unavailable { retry })
             }
             status if status.is_client_error() => Err(store::Failure::Invalid),
-            // Any other status may come from something between here and the service, after the
-            // service has done its work.
+            // Any other status may come from a proxy, after the service has executed the call.
             _ => Err(store::Failure::Unanswered),
         }
     }
 
-    /// Reads the answer of a write.
+    /// Returns the version created by a write.
     ///
-    /// A write that is answered with anything but a version may have taken effect.
-    pub(super) fn version(&self) -> Result<store::Version, store::Failure> {
+    /// A write may have taken effect if the response to it has no version.
+    pub(super) fn parse_version(&self) -> Result<store::Version, store::Failure> {
         if self.status != StatusCode::OK {
             return Err(store::Failure::Unanswered);
         }
         etag(&self.headers).ok_or(store::Failure::Unanswered)
     }
 
-    /// Reads the answer of a read of `key`.
-    pub(super) fn object(self, key: &str) -> Result<Option<store::Object>, store::Failure> {
+    /// Returns the object from the response to a read of `key`.
+    pub(super) fn parse_object(self, key: &str) -> Result<Option<store::Object>, store::Failure> {
         if self.status == StatusCode::NOT_FOUND {
             return Ok(None);
         }
@@ -192,7 +191,7 @@
         }))
     }
 
-    /// Reads a listing or changes.
+    /// Parses a listing or changes.
     pub(super) fn parse<T: de::DeserializeOwned>(&self) -> Result<T, store::Failure> {
         serde_json::from_slice(&self.body).map_err(|_| store::Failure::Invalid)
     }
--- a/laburnumcart_platform/src/follow.rs
+++ b/laburnumcart_platform/src/follow.rs
@@ -1,4 +1,4 @@
-//! Keeps the objects under a prefix mirrored in a process.
+//! Mirrors the objects under a prefix in memory, by a listing and then watches.
 
 use std::{
     collections,
@@ -22,22 +22,23 @@
     store, //
 };
 
-/// Objects under the prefix, as last heard of.
+/// Last known state of the objects under a prefix.
 #[derive(Clone, Debug, Default)]
 pub struct Snapshot {
-    /// Whether the service has been reached at all.
+    /// Whether a listing has been received; `false` until the service answers for the first time.
     pub listed: bool,
     /// Revision up to which the objects are complete.
     pub revision: store::Revision,
     /// Objects by key.
     pub objects: collections::BTreeMap<String, sync::Arc<store::Object>>,
-    /// Keys whose deletion the last changes told, also of objects that were not known.
+    /// Keys deleted by the last update, including keys that were not known here.
     ///
-    /// A listing of several pages can lack an object that was deleted after its revision.
+    /// A listing of several pages can lack an object that was deleted after the listing's revision.
+    /// The deletion still has to reach others that know the object.
     pub deleted: Vec<String>,
 }
 
-/// A listing that is older than what is known.
+/// Error for a listing that is older than the snapshot.
 #[derive(Clone, Copy, Debug, derive_more::Display, derive_more::Error, Eq, PartialEq)]
 #[display("stale listing")]
 pub struct Stale;
@@ -45,9 +46,9 @@
 impl Snapshot {
     /// Replaces the objects by those of a listing.
     ///
-    /// A stale read would bring back objects that were changed or deleted: an instance that has
-    /// left would get work again, or an accepted bundle would revert. Revisions only grow, so an
-    /// older listing shows itself by its revision.
+    /// A listing with a lower revision than the snapshot is rejected. Applying a stale read would
+    /// restore objects that have since been changed or deleted: an instance that has left would get
+    /// work again, or an accepted bundle would revert.
     pub fn apply(&mut self, listing: store::Listing) -> Result<(), Stale> {
         if self.listed && listing.revision < self.revision {
             return Err(Stale);
@@ -99,16 +100,17 @@
 /// Settings of a [`Follower`].
 #[derive(Clone, Copy, Debug)]
 pub struct Settings {
-    /// Time that one watch waits.
+    /// Longest time that one watch waits for a change.
     ///
-    /// A connection that has gone silent hides changes until the watch times out. The wait and the
-    /// client's timeout together stay below the 8 s in which a bundle must be in force.
+    /// Changes are missed on a silent connection until the watch times out. The wait plus the
+    /// client's timeout must be below 8 s, the time within which a bundle must be in force.
     pub wait: unit::Period,
-    /// Least time between two watches, so that a burst of changes is fetched in few calls.
+    /// Minimum time between the starts of two watches, so that a burst of changes takes few calls.
     pub interval: unit::Period,
-    /// The same time while changes go on; it grows to this with each watch that brings some.
+    /// Maximum time between two watches; the interval doubles up to it with each watch that returns
+    /// a change.
     pub spread: unit::Period,
-    /// Longest pause while the service is down.
+    /// Longest backoff while the service is down.
     pub longest: unit::Period,
 }
 
@@ -123,21 +125,22 @@
     }
 }
 
-/// Most calls of one follower that wait for an answer at once.
-const PROBES: usize = 3;
+/// Maximum number of unanswered calls of one follower.
+const CALLS_MAX: usize = 3;
 
-/// First pause after a failure.
-const FIRST: time::Duration = time::Duration::from_millis(100);
+/// First pause after a failure, and the age below which an unanswered call is not repeated.
+const FIRST_PAUSE: time::Duration = time::Duration::from_millis(100);
 
-/// Wait of a watch from which on it is asked again although it is not late.
+/// Wait above which a watch is restarted when another follower sees the service recover.
 ///
-/// Shorter ones find out by themselves; cut off by each return of another, they would never end.
-const LONG: time::Duration = time::Duration::from_secs(2);
+/// Shorter watches notice a silent connection by their own timeout. Restarted at each recovery seen
+/// by a follower whose calls keep failing, they would never complete.
+const LONG_WATCH: time::Duration = time::Duration::from_secs(2);
 
-/// Tells followers of one service that it has answered again.
+/// Signal shared by the followers of one service that it answers again.
 ///
-/// One of them asks often while the service is down, the others seldom. Each call is paid for, and
-/// three followers that ask alike pay three times for one thing to know.
+/// One follower retries often during an outage and the others rarely, because each call counts
+/// against the budget and all of them would only learn the same fact.
 #[derive(Clone, Debug)]
 pub struct Returns(watch::Sender<()>);
 
@@ -147,18 +150,18 @@
     }
 }
 
-/// Hears of each read of a [`Follower`], so that it can tell how old its knowledge is.
+/// Hooks around the calls of a [`Follower`], to track the age of its snapshot.
 pub trait Observer: Send + Sync {
-    /// A call is about to be sent.
+    /// Called before a call is sent.
     fn ask(&mut self);
 
-    /// The call has succeeded; `snapshot` is what is known now, changed or not.
+    /// Called when the call has succeeded, with the current snapshot, changed or not.
     ///
-    /// It holds for a moment that is `age` before the call was sent, or later.
+    /// The snapshot is at most `age` older than the time at which the call was sent.
     fn read(&mut self, snapshot: &Snapshot, age: unit::Period);
 }
 
-/// Follows a prefix by a listing and watches.
+/// Task that keeps a [`Snapshot`] of a prefix up to date.
 pub struct Follower<S> {
     store: S,
     prefix: String,
@@ -166,25 +169,26 @@
     snapshot: Snapshot,
     sender: watch::Sender<sync::Arc<Snapshot>>,
     pause: pause::Pause,
-    /// Whether the changes since the snapshot are out of reach.
-    lost: bool,
-    /// Whether the last call failed.
+    /// Whether the next call must be a listing, as the changes since the snapshot are not
+    /// available.
+    must_list: bool,
+    /// Whether the last call failed, so that the next watch must return at once.
     behind: bool,
     observer: Option<Box<dyn Observer>>,
-    returns: Returns,
-    /// Time after which another call is sent beside one that is not answered.
-    probe: Option<time::Duration>,
-    /// Least time to the next watch.
+    recovery: Returns,
+    /// Time after which an unanswered call is duplicated while the service is down.
+    duplicate_after: Option<time::Duration>,
+    /// Current time between two watches.
     interval: time::Duration,
 }
 
-/// Answer to a call.
-enum Told {
+/// Successful answer to a call.
+enum Answer {
     Listing(store::Listing),
     Changes(store::Changes),
 }
 
-/// Creates a follower and the receiver of its snapshots; nothing is called before
+/// Creates a follower and the receiver of its snapshots. No call is made before
 /// [`Follower::run`].
 pub fn follower<S: store::Store>(
     store: S,
@@ -198,43 +202,43 @@
         settings,
         snapshot: Snapshot::default(),
         sender,
-        pause: pause::Pause::new(FIRST, settings.longest.0),
-        lost: true,
+        pause: pause::Pause::new(FIRST_PAUSE, settings.longest.0),
+        must_list: true,
         behind: false,
         observer: None,
-        returns: Returns::default(),
-        probe: None,
+        recovery: Returns::default(),
+        duplicate_after: None,
         interval: settings.interval.0,
     };
     (follower, receiver)
 }
 
 impl<S: store::Store> Follower<S> {
-    /// Sets who hears of each read.
+    /// Sets the hooks that are called around each call.
     #[must_use]
     pub fn observe(mut self, observer: impl Observer + 'static) -> Self {
         self.observer = Some(Box::new(observer));
         self
     }
 
-    /// Shares the news that the service answers again with other followers.
+    /// Shares the recovery signal with other followers of the same service.
     #[must_use]
-    pub fn share(mut self, returns: &Returns) -> Self {
-        self.returns = returns.clone();
+    pub fn share(mut self, recovery: &Returns) -> Self {
+        self.recovery = recovery.clone();
         self
     }
 
-    /// Sends another call after this time beside one that is not answered, while the service is down.
+    /// Duplicates a call that is not answered within this time while the service is down.
     ///
-    /// A service that was silent answers no call from before its return, and each of these hides
-    /// that return until its timeout.
+    /// A service that was silent never answers calls sent before its recovery. Without a duplicate,
+    /// the recovery is noticed only when such a call times out.
     #[must_use]
     pub fn probe(mut self, after: unit::Period) -> Self {
-        self.probe = Some(after.0);
+        self.duplicate_after = Some(after.0);
         self
     }
 
-    /// Follows until the last receiver is gone.
+    /// Runs until the last receiver is dropped.
     pub async fn run(mut self) {
         let sender = self.sender.clone();
         tokio::select! {
@@ -244,69 +248,71 @@
     }
 
     async fn follow(&mut self) {
-        let mut returns = self.returns.0.subscribe();
+        let mut recovery = self.recovery.0.subscribe();
         loop {
             let start = Instant::now();
             if let Some(observer) = &mut self.observer {
                 observer.ask();
             }
-            returns.mark_unchanged();
-            let Some((told, number)) = self.ask_until(&mut returns).await else {
+            recovery.mark_unchanged();
+            let Some((answer, duplicates)) = self.call_until_recovery(&mut recovery).await else {
                 continue;
             };
             let was_down = self.is_down();
-            let result = self.take(told);
+            let result = self.apply_answer(answer);
             if was_down && result.is_ok() {
-                self.returns.0.send_replace(());
+                self.recovery.0.send_replace(());
             }
-            self.report(result.is_err());
+            self.set_behind(result.is_err());
             if let (Some(observer), Ok(age)) = (&mut self.observer, &result) {
                 observer.read(&self.snapshot, *age);
             }
             match result {
                 Ok(_) => {
                     self.pause.reset();
-                    if number > 0 {
-                        // The age counts from the first call, which was long ago.
+                    if duplicates > 0 {
+                        // The age counts from the first of the calls, which was sent long ago, so a
+                        // watch without a wait follows.
                         self.behind = true;
                         continue;
                     }
                     tokio::time::sleep_until(start + self.interval).await;
                 }
                 Err(failure) => {
-                    let pause = tokio::time::sleep(self.wait(&failure));
+                    let pause = tokio::time::sleep(self.next_pause(&failure));
                     tokio::select! {
                         () = pause => {}
-                        _ = returns.changed() => {}
+                        _ = recovery.changed() => {}
                     }
                 }
             }
         }
     }
 
-    /// Reports whether the service has not answered yet, or not lately.
+    /// Reports whether the service has never answered or the last call failed.
     fn is_down(&self) -> bool {
         self.behind || !self.snapshot.listed
     }
 
-    /// Asks, unless another follower is answered while this one's call is out.
+    /// Makes a call; returns `None` if another follower sees the service recover meanwhile.
     ///
-    /// Sent before the return of the service, the call may never be answered, also a long watch that
-    /// is not late yet: its connection can have fallen silent with the other's. One that was sent
-    /// just now is let be: many followers start in one moment.
-    async fn ask_until(
+    /// A call sent before the recovery may never be answered. That includes a long watch that has
+    /// not timed out yet, as its connection can have gone silent together with the other
+    /// follower's. A call sent within the last [`FIRST_PAUSE`] is not given up, because many
+    /// followers start at the same time.
+    async fn call_until_recovery(
         &self,
-        returns: &mut watch::Receiver<()>,
-    ) -> Option<(Result<Told, store::Failure>, u32)> {
-        let end = Instant::now() + FIRST;
-        let is_long = self.settings.wait.0 > LONG;
-        let asked = self.ask();
-        tokio::pin!(asked);
+        recovery: &mut watch::Receiver<()>,
+    ) -> Option<(Result<Answer, store::Failure>, u32)> {
+        let end = Instant::now() + FIRST_PAUSE;
+        let is_long = self.settings.wait.0 > LONG_WATCH;
+        let call = self.first_answer();
+        tokio::pin!(call);
         loop {
             tokio::select! {
-                asked = &mut asked => return Some(asked),
-                // The sender lives as long as this follower.
-                _ = returns.changed(), if self.is_down() || is_long => {
+                answer = &mut call => return Some(answer),
+                // Never an error, because this follower owns a sender.
+                _ = recovery.changed(), if self.is_down() || is_long => {
                     if Instant::now() >= end {
                         return None;
                     }
@@ -315,61 +321,63 @@
         }
     }
 
-    /// Returns the first answer to a call or to those that are sent after it, and the number of
-    /// these.
-    async fn ask(&self) -> (Result<Told, store::Failure>, u32) {
-        let Some(probe) = self.probe.filter(|_| self.is_down()) else {
-            return (self.call().await, 0);
+    /// Makes a call and, while the service is down, duplicates of it; returns the first answer and
+    /// the number of duplicates sent.
+    async fn first_answer(&self) -> (Result<Answer, store::Failure>, u32) {
+        let Some(delay) = self.duplicate_after.filter(|_| self.is_down()) else {
+            return (self.send_call().await, 0);
         };
         let mut calls = stream::FuturesUnordered::new();
-        calls.push(self.call());
-        let mut number = 0;
-        let mut next = Instant::now() + probe;
+        calls.push(self.send_call());
+        let mut duplicates = 0;
+        let mut next = Instant::now() + delay;
         loop {
             tokio::select! {
-                Some(told) = calls.next() => {
-                    let answered = matches!(told, Ok(_) | Err(store::Failure::Compacted));
+                Some(answer) = calls.next() => {
+                    let answered = matches!(answer, Ok(_) | Err(store::Failure::Compacted));
                     if answered || calls.is_empty() {
-                        return (told, number);
+                        return (answer, duplicates);
                     }
                 }
-                () = tokio::time::sleep_until(next), if calls.len() < PROBES => {
-                    calls.push(self.call());
-                    number += 1;
-                    next = Instant::now() + probe;
+                () = tokio::time::sleep_until(next), if calls.len() < CALLS_MAX => {
+                    calls.push(self.send_call());
+                    duplicates += 1;
+                    next = Instant::now() + delay;
                 }
             }
         }
     }
 
-    /// Makes one call.
-    async fn call(&self) -> Result<Told, store::Failure> {
-        if self.lost {
-            return self.store.list(&self.prefix).await.map(Told::Listing);
+    async fn send_call(&self) -> Result<Answer, store::Failure> {
+        if self.must_list {
+            return self.store.list(&self.prefix).await.map(Answer::Listing);
         }
-        // After a failure the first watch does not wait: only its answer tells that the service is
-        // back, and what depends on fresh knowledge would stand still for as long.
+        // The first watch after a failure does not wait: until it is answered, the service counts
+        // as down, and everything that needs a fresh snapshot is blocked.
         let wait = match self.behind {
             true => time::Duration::ZERO,
             false => self.settings.wait.0,
         };
         let after = self.snapshot.revision;
         let changes = self.store.watch(&self.prefix, after, wait).await;
-        changes.map(Told::Changes)
+        changes.map(Answer::Changes)
     }
 
-    /// Takes in an answer; returns the age of what it tells.
-    fn take(&mut self, told: Result<Told, store::Failure>) -> Result<unit::Period, store::Failure> {
-        match told {
-            Ok(Told::Listing(listing)) => {
+    /// Applies an answer to the snapshot; returns the age of the data in it.
+    fn apply_answer(
+        &mut self,
+        answer: Result<Answer, store::Failure>,
+    ) -> Result<unit::Period, store::Failure> {
+        match answer {
+            Ok(Answer::Listing(listing)) => {
                 let age = listing.age;
                 let applied = self.snapshot.apply(listing);
                 applied.map_err(|Stale| store::Failure::Unavailable { retry: None })?;
-                self.lost = false;
+                self.must_list = false;
                 self.publish();
                 Ok(age)
             }
-            Ok(Told::Changes(changes)) => {
+            Ok(Answer::Changes(changes)) => {
                 let age = changes.age;
                 let differs = self.snapshot.update(changes);
                 if differs {
@@ -382,7 +390,7 @@
                 Ok(age)
             }
             Err(failure) => {
-                self.lost |= failure == store::Failure::Compacted;
+                self.must_list |= failure == store::Failure::Compacted;
                 Err(failure)
             }
         }
@@ -393,7 +401,7 @@
         self.sender.send_replace(snapshot);
     }
 
-    fn wait(&mut self, failure: &store::Failure) -> time::Duration {
+    fn next_pause(&mut self, failure: &store::Failure) -> time::Duration {
         let retry = match failure {
             store::Failure::Unavailable { retry: Some(retry) } => retry.0,
             _ => time::Duration::ZERO,
@@ -401,7 +409,7 @@
         self.pause.next(retry.min(self.settings.longest.0))
     }
 
-    fn report(&mut self, behind: bool) {
+    fn set_behind(&mut self, behind: bool) {
         if self.behind != behind {
             let state = if behind { "behind" } else { "current" };
             laburnumcart::event!(Info, "mirror", prefix = self.prefix, state = state);
--- a/laburnumcart_platform/src/lib.rs
+++ b/laburnumcart_platform/src/lib.rs
@@ -1,8 +1,8 @@
 //! Client of the platform's object service.
 //!
-//! [`store::Store`] is what the system asks of the service. [`client::Client`] reaches it over
-//! HTTP, [`memory::Memory`] takes its place in tests; [`settle`] and [`follow`] work over both;
-//! [`replica`] passes on what was followed.
+//! [`store::Store`] is the interface of the service. [`client::Client`] implements it over HTTP and
+//! [`memory::Memory`] in memory, for tests; [`settle`] and [`follow`] work with any implementation.
+//! [`replica`] serves a followed prefix to other processes.
 
 pub mod budget;
 pub mod client;
--- a/laburnumcart_platform/src/memory.rs
+++ b/laburnumcart_platform/src/memory.rs
@@ -1,7 +1,7 @@
-//! An object service in memory, for tests and embedders without a platform.
+//! In-memory object service, for tests and for embedding without a platform.
 //!
-//! Versions are the revisions of the writes that made them, so that a key which is deleted and
-//! created again never has an old version again.
+//! The version of an object is the revision of the write that created it, so a key that is deleted
+//! and created again never gets an earlier version back.
 
 use std::{
     sync,
@@ -21,23 +21,23 @@
 
 mod history;
 
-/// What goes wrong at the service.
+/// Simulated faults of the service.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Faults {
-    /// Every call is refused.
+    /// Refuses every call.
     pub down: bool,
-    /// Delay of every call, before it takes effect.
+    /// Delay of every call before it takes effect.
     pub slow: unit::Period,
-    /// Number of writes to come that take effect and are not answered.
+    /// Number of next writes that take effect but are not answered.
     pub lose_answers: u32,
-    /// Number of writes to come that are lost before they take effect, and are not answered.
+    /// Number of next writes that are lost before they take effect, and are not answered.
     pub lose_calls: u32,
-    /// Age of what reads, lists and watches see.
+    /// Age of the state that reads, lists and watches return.
     pub stale: unit::Period,
 }
 
-/// Part of the keys whose reads always lag.
+/// Constant delay of reads under a prefix.
 #[derive(Clone, Debug)]
 struct Lag {
     prefix: String,
@@ -57,13 +57,13 @@
     lag: Option<Lag>,
 }
 
-/// The service; clones share its objects.
+/// In-memory object service; clones share its objects.
 #[derive(Clone, Debug)]
 pub struct Memory {
     shared: sync::Arc<Shared>,
 }
 
-/// Settings of a [`Memory`].
+/// Builder of a [`Memory`].
 #[derive(Clone, Debug)]
 pub struct Builder {
     history: usize,
@@ -74,7 +74,7 @@
 impl Default for Builder {
     fn default() -> Self {
         Self {
-            history: history::CHANGES,
+            history: history::DEFAULT_CHANGES,
             start: store::Revision(0),
             lag: None,
         }
@@ -82,7 +82,7 @@
 }
 
 impl Builder {
-    /// Sets the number of changes that a watch can still ask for.
+    /// Sets the number of changes kept for watches from an earlier revision.
     pub fn history(mut self, changes: usize) -> Self {
         self.history = changes;
         self
@@ -94,7 +94,7 @@
         self
     }
 
-    /// Makes reads, lists and watches of keys under `prefix` see what was `period` ago.
+    /// Makes reads, lists and watches of keys under `prefix` return the state of `period` ago.
     pub fn lag(mut self, prefix: impl Into<String>, period: unit::Period) -> Self {
         self.lag = Some(Lag {
             prefix: prefix.into(),
@@ -132,17 +132,17 @@
         Self::default()
     }
 
-    /// Starts the settings of a service.
+    /// Returns a builder for a service.
     pub fn builder() -> Builder {
         Builder::default()
     }
 
-    /// Returns the faults in force; the numbers of losses count down.
+    /// Returns the faults in force, with the numbers of lost writes that are left.
     pub fn faults(&self) -> Faults {
         self.lock().faults
     }
 
-    /// Replaces the faults; waiting watches see the change.
+    /// Replaces the faults, also for watches that are waiting.
     pub fn set_faults(&self, faults: Faults) {
         self.lock().faults = faults;
         self.shared.changed.send_modify(|_| ());
@@ -153,37 +153,37 @@
         self.lock().history.revision()
     }
 
-    /// Forgets all changes, so that a watch of any older revision must list again.
+    /// Drops the history, so that a watch from any earlier revision must list again.
     pub fn compact(&self) {
         self.lock().history.compact();
         self.shared.changed.send_modify(|_| ());
     }
 
-    /// Deletes an object as [`store::Store::delete`] does and tells whether it existed.
+    /// Deletes an object like [`store::Store::delete`]; returns whether it existed.
     pub async fn remove(&self, key: &str, version: store::Version) -> Result<bool, store::Failure> {
         check_key(key)?;
-        self.enter().await?;
+        self.apply_faults().await?;
         self.write(|history| history.delete(key, version, Instant::now()))
     }
 
     fn lock(&self) -> sync::MutexGuard<'_, Inner> {
-        // Nothing in a locked section panics between two changes that belong together.
+        // No locked section panics halfway through an update, so the state is consistent.
         let poisoned = sync::PoisonError::into_inner;
         self.shared.inner.lock().unwrap_or_else(poisoned)
     }
 
-    /// Applies outage and delay to a call.
-    async fn enter(&self) -> Result<(), store::Failure> {
-        self.check()?;
+    /// Refuses or delays a call according to the faults.
+    async fn apply_faults(&self) -> Result<(), store::Failure> {
+        self.check_available()?;
         let slow = self.faults().slow.0;
         if !slow.is_zero() {
             tokio::time::sleep(slow).await;
-            self.check()?;
+            self.check_available()?;
         }
         Ok(())
     }
 
-    fn check(&self) -> Result<(), store::Failure> {
+    fn check_available(&self) -> Result<(), store::Failure> {
         if self.faults().down {
             let retry = Some(unit::Period::from_secs(1));
             return Err(store::Failure::Unavailable { retry });
@@ -191,8 +191,8 @@
         Ok(())
     }
 
-    /// Returns the age of what a read of `key` sees.
-    fn age(&self, inner: &Inner, key: &str) -> time::Duration {
+    /// Returns the age of the state that a read of `key` returns.
+    fn state_age(&self, inner: &Inner, key: &str) -> time::Duration {
         let stale = inner.faults.stale.0;
         match &self.shared.lag {
             Some(lag) if key.starts_with(&lag.prefix) => stale.max(lag.period),
@@ -200,14 +200,14 @@
         }
     }
 
-    /// Returns the revision that a read of `key` sees.
-    fn seen(&self, inner: &Inner, key: &str) -> store::Revision {
-        let age = self.age(inner, key);
+    /// Returns the revision whose state a read of `key` returns.
+    fn visible_revision(&self, inner: &Inner, key: &str) -> store::Revision {
+        let age = self.state_age(inner, key);
         if age.is_zero() {
             return inner.history.revision();
         }
         match Instant::now().checked_sub(age) {
-            Some(then) => inner.history.at(then),
+            Some(then) => inner.history.revision_at(then),
             None => inner.history.floor(),
         }
     }
@@ -230,20 +230,22 @@
         Ok(result)
     }
 
-    /// Returns the changes that a watch can be answered with, or when to look again.
-    fn poll(&self, prefix: &str, after: store::Revision) -> Result<Poll, store::Failure> {
+    /// Returns the changes for a watch; if there are none yet, also the time to poll again, if
+    /// known.
+    fn poll_changes(&self, prefix: &str, after: store::Revision) -> Result<Poll, store::Failure> {
         let inner = self.lock();
-        let seen = self.seen(&inner, prefix);
-        let changes = inner.history.changes(prefix, after, seen)?;
+        let visible = self.visible_revision(&inner, prefix);
+        let changes = inner.history.changes(prefix, after, visible)?;
         if !changes.events.is_empty() {
             return Ok(Poll::Ready(changes));
         }
-        let age = self.age(&inner, prefix);
-        let next = inner.history.after(seen).map(|at| at + age);
+        let age = self.state_age(&inner, prefix);
+        let next = inner.history.next_change(visible).map(|at| at + age);
         Ok(Poll::Pending(changes, next))
     }
 }
 
+/// Result of one look for changes.
 enum Poll {
     Ready(store::Changes),
     Pending(store::Changes, Option<Instant>),
@@ -252,10 +254,10 @@
 impl store::Store for Memory {
     async fn get(&self, key: &str) -> Result<Option<store::Object>, store::Failure> {
         check_key(key)?;
-        self.enter().await?;
+        self.apply_faults().await?;
         let inner = self.lock();
-        let seen = self.seen(&inner, key);
-        Ok(inner.history.get(key, seen))
+        let visible = self.visible_revision(&inner, key);
+        Ok(inner.history.get(key, visible))
     }
 
     async fn put(
@@ -266,7 +268,7 @@
     ) -> Result<store::Version, store::Failure> {
         check_key(key)?;
         check_value(value)?;
-        self.enter().await?;
+        self.apply_faults().await?;
         self.write(|history| history.put(key, expect, value, Instant::now()))
     }
 
@@ -276,10 +278,10 @@
 
     async fn list(&self, prefix: &str) -> Result<store::Listing, store::Failure> {
         check_prefix(prefix)?;
-        self.enter().await?;
+        self.apply_faults().await?;
         let inner = self.lock();
-        let seen = self.seen(&inner, prefix);
-        Ok(inner.history.list(prefix, seen))
+        let visible = self.visible_revision(&inner, prefix);
+        Ok(inner.history.list(prefix, visible))
     }
 
     async fn watch(
@@ -289,13 +291,13 @@
         wait: time::Duration,
     ) -> Result<store::Changes, store::Failure> {
         check_prefix(prefix)?;
-        self.enter().await?;
+        self.apply_faults().await?;
         let end = Instant::now() + wait;
         let mut changed = self.shared.changed.subscribe();
         loop {
-            self.check()?;
+            self.check_available()?;
             changed.mark_unchanged();
-            let (changes, next) = match self.poll(prefix, after)? {
+            let (changes, next) = match self.poll_changes(prefix, after)? {
                 Poll::Ready(changes) => return Ok(changes),
                 Poll::Pending(changes, next) => (changes, next),
             };
--- a/laburnumcart_platform/src/memory/history.rs
+++ b/laburnumcart_platform/src/memory/history.rs
@@ -1,4 +1,4 @@
-//! Objects with the changes that led to them, which can be undone to see an older state.
+//! Objects with a bounded history of changes, from which earlier states can be restored.
 
 use std::{
     collections,
@@ -9,14 +9,14 @@
 
 use crate::store;
 
-/// Number of changes kept, unless set otherwise.
-pub(super) const CHANGES: usize = 8192;
+/// Default number of changes kept.
+pub(super) const DEFAULT_CHANGES: usize = 8192;
 
-/// Most bytes of values kept in changes.
-const BYTES: usize = 64 << 20;
+/// Maximum size of the changes kept, in bytes.
+const HISTORY_MAX: usize = 64 << 20;
 
-/// Most bytes of values in one answer of a watch; the rest follows with the next one.
-const ANSWER: usize = 4 << 20;
+/// Size of a watch's answer in bytes at which the rest is left to the next watch.
+const ANSWER_MAX: usize = 4 << 20;
 
 type Text = sync::Arc<str>;
 
@@ -76,27 +76,27 @@
         self.revision
     }
 
-    /// Returns the oldest revision that can be seen.
+    /// Returns the oldest revision whose state can be restored.
     pub(super) fn floor(&self) -> store::Revision {
         self.floor
     }
 
-    /// Returns the revision as of a past moment, or the oldest that can be seen.
-    pub(super) fn at(&self, then: Instant) -> store::Revision {
+    /// Returns the revision at a past time, or the oldest one that can be restored.
+    pub(super) fn revision_at(&self, then: Instant) -> store::Revision {
         let known = self.changes.iter().rev().find(|change| change.at <= then);
         known.map_or(self.floor, |change| change.revision)
     }
 
-    /// Returns when the first change after a revision was made.
-    pub(super) fn after(&self, revision: store::Revision) -> Option<Instant> {
+    /// Returns the time of the first change after a revision.
+    pub(super) fn next_change(&self, revision: store::Revision) -> Option<Instant> {
         let newer = self.changes.iter().rev();
         let newer = newer.take_while(|change| change.revision > revision);
         newer.last().map(|change| change.at)
     }
 
-    pub(super) fn get(&self, key: &str, seen: store::Revision) -> Option<store::Object> {
+    pub(super) fn get(&self, key: &str, visible: store::Revision) -> Option<store::Object> {
         let undone = self.changes.iter().rev();
-        let undone = undone.take_while(|change| change.revision > seen);
+        let undone = undone.take_while(|change| change.revision > visible);
         let first = undone.filter(|change| change.key == key).last();
         let entry = match first {
             Some(change) => change.before.as_ref(),
@@ -105,13 +105,13 @@
         entry.map(|entry| object(key, entry))
     }
 
-    pub(super) fn list(&self, prefix: &str, seen: store::Revision) -> store::Listing {
+    pub(super) fn list(&self, prefix: &str, visible: store::Revision) -> store::Listing {
         let range = self.objects.range(prefix.to_owned()..);
         let range = range.take_while(|(key, _)| key.starts_with(prefix));
         let mut view: collections::BTreeMap<&str, &Entry> =
             range.map(|(key, entry)| (key.as_str(), entry)).collect();
         let undone = self.changes.iter().rev();
-        let undone = undone.take_while(|change| change.revision > seen);
+        let undone = undone.take_while(|change| change.revision > visible);
         for change in undone.filter(|change| change.key.starts_with(prefix)) {
             match &change.before {
                 Some(entry) => view.insert(&change.key, entry),
@@ -120,29 +120,29 @@
         }
         let objects = view.iter().map(|(key, entry)| object(key, entry)).collect();
         store::Listing {
-            revision: seen,
+            revision: visible,
             objects,
             ..store::Listing::default()
         }
     }
 
-    /// Returns the changes under `prefix` after one revision, up to another.
+    /// Returns the changes under `prefix` after revision `after`, up to revision `visible`.
     pub(super) fn changes(
         &self,
         prefix: &str,
         after: store::Revision,
-        seen: store::Revision,
+        visible: store::Revision,
     ) -> Result<store::Changes, store::Failure> {
-        // A revision of the future comes from a service that has since lost its objects.
+        // A revision above the current one is from before the service lost its objects.
         if after < self.floor || after > self.revision {
             return Err(store::Failure::Compacted);
         }
         let mut answer = store::Changes {
-            revision: seen.max(after),
+            revision: visible.max(after),
             ..store::Changes::default()
         };
         let from = self.changes.partition_point(|c| c.revision <= after);
-        let to = self.changes.partition_point(|c| c.revision <= seen);
+        let to = self.changes.partition_point(|c| c.revision <= visible);
         let mut size = 0;
         for change in self.changes.range(from..to.max(from)) {
             if !change.key.starts_with(prefix) {
@@ -150,7 +150,7 @@
             }
             answer.events.push(change.event());
             size += change.size();
-            if size >= ANSWER {
+            if size >= ANSWER_MAX {
                 answer.revision = change.revision;
                 break;
             }
@@ -220,7 +220,7 @@
     }
 
     fn trim(&mut self) {
-        while self.changes.len() > self.limit || self.bytes > BYTES {
+        while self.changes.len() > self.limit || self.bytes > HISTORY_MAX {
             let Some(oldest) = self.changes.pop_front() else {
                 return;
             };
--- a/laburnumcart_platform/src/outage.rs
+++ b/laburnumcart_platform/src/outage.rs
@@ -1,8 +1,8 @@
-//! Decides when to call a service that has failed.
+//! Circuit breaker for calls to the object service.
 //!
-//! Without it, each of several hundred processes would call a service that is down as fast as its
-//! own work makes it, keep sockets and tasks waiting for a timeout each, and meet the service with
-//! all of that at its return.
+//! Without it, several hundred processes would keep calling a service that is down at their normal
+//! rate, each call holding a socket and a task until its timeout, and would hit the service with
+//! all of that load when it recovers.
 
 use std::time;
 
@@ -10,16 +10,16 @@
 
 use laburnumcart::unit;
 
-/// Thresholds and pauses of an [`Outage`].
+/// Settings of an [`Outage`].
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// Failures in a row after which calls are refused.
+    /// Consecutive failures that open the breaker.
     pub failures: u32,
-    /// First pause; each further one is twice as long.
+    /// First pause; each further pause is twice as long.
     pub first: time::Duration,
     /// Longest pause.
     pub longest: time::Duration,
-    /// Time after which a probe that has not reported is given up.
+    /// Time after which a probe without an outcome is given up.
     pub probe: time::Duration,
 }
 
@@ -34,25 +34,25 @@
     }
 }
 
-/// Whether a call may be made.
+/// Decision on a call.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Admission {
-    /// The service works as far as is known.
+    /// The breaker is closed; the call may be sent.
     Pass,
-    /// The service has failed; this one call finds out whether it is back.
+    /// The breaker is half-open; this single call tests whether the service has recovered.
     Probe,
-    /// The service has failed; ask again after the period.
+    /// The breaker is open; the call may be tried again after the period.
     Refuse(unit::Period),
 }
 
 #[derive(Clone, Copy, Debug)]
 enum State {
-    Working { failures: u32 },
-    Paused { until: Instant, pauses: u32 },
-    Probing { until: Instant, pauses: u32 },
+    Closed { failures: u32 },
+    Open { until: Instant, pauses: u32 },
+    HalfOpen { until: Instant, pauses: u32 },
 }
 
-/// What is known of the service: working, paused after failures, or being probed.
+/// Circuit breaker of one service: closed, open after failures, or half-open during a probe.
 #[derive(Debug)]
 pub struct Outage {
     limits: Limits,
@@ -60,60 +60,60 @@
 }
 
 impl Outage {
-    /// Creates the state of a service that works.
+    /// Creates a closed breaker.
     pub fn new(limits: Limits) -> Self {
         Self {
             limits,
-            state: State::Working { failures: 0 },
+            state: State::Closed { failures: 0 },
         }
     }
 
-    /// Reports whether calls are refused or probed.
+    /// Reports whether the breaker is open or half-open.
     pub fn is_open(&self) -> bool {
-        !matches!(self.state, State::Working { .. })
+        !matches!(self.state, State::Closed { .. })
     }
 
-    /// Decides on a call; every one that is admitted must report its outcome.
+    /// Decides on a call. The outcome of every admitted call must be recorded.
     pub fn admit(&mut self, now: Instant) -> Admission {
         match self.state {
-            State::Working { .. } => Admission::Pass,
-            State::Paused { until, .. } | State::Probing { until, .. } if now < until => {
+            State::Closed { .. } => Admission::Pass,
+            State::Open { until, .. } | State::HalfOpen { until, .. } if now < until => {
                 Admission::Refuse(unit::Period(until - now))
             }
-            State::Paused { pauses, .. } | State::Probing { pauses, .. } => {
-                // A probe whose task was dropped never reports. Without an end of its time, all
-                // calls would be refused for good.
+            State::Open { pauses, .. } | State::HalfOpen { pauses, .. } => {
+                // A probe whose task was dropped records no outcome. Without a time limit, all
+                // calls would be refused forever.
                 let until = now + self.limits.probe;
-                self.state = State::Probing { until, pauses };
+                self.state = State::HalfOpen { until, pauses };
                 Admission::Probe
             }
         }
     }
 
-    /// Records an answer of the service.
+    /// Records that the service answered; closes the breaker.
     pub fn succeeded(&mut self) {
-        self.state = State::Working { failures: 0 };
+        self.state = State::Closed { failures: 0 };
     }
 
-    /// Records that the service was down or did not answer.
+    /// Records that the service failed or did not answer.
     ///
-    /// `jitter`, from 0 to 1, spreads the pauses of many processes that failed together.
+    /// `jitter`, from 0 to 1, spreads the probes of processes that failed at the same time.
     pub fn failed(&mut self, now: Instant, jitter: f64) {
         self.state = match self.state {
-            State::Working { failures } if failures + 1 < self.limits.failures => State::Working {
+            State::Closed { failures } if failures + 1 < self.limits.failures => State::Closed {
                 failures: failures + 1,
             },
-            State::Working { .. } => self.pause(now, 0, jitter),
-            // Calls that were under way when the pause began fail as well and say nothing new.
-            State::Paused { .. } => self.state,
-            State::Probing { pauses, .. } => self.pause(now, pauses + 1, jitter),
+            State::Closed { .. } => self.open(now, 0, jitter),
+            // Calls in flight when the breaker opened fail too; they must not extend the pause.
+            State::Open { .. } => self.state,
+            State::HalfOpen { pauses, .. } => self.open(now, pauses + 1, jitter),
         };
     }
 
-    fn pause(&self, now: Instant, pauses: u32, jitter: f64) -> State {
+    fn open(&self, now: Instant, pauses: u32, jitter: f64) -> State {
         let factor = 1u32 << pauses.min(16);
         let full = (self.limits.first * factor).min(self.limits.longest);
         let until = now + full.mul_f64(0.5 + jitter.clamp(0.0, 1.0) / 2.0);
-        State::Paused { until, pauses }
+        State::Open { until, pauses }
     }
 }
--- a/laburnumcart_platform/src/pause.rs
+++ b/laburnumcart_platform/src/pause.rs
@@ -1,13 +1,13 @@
-//! Pauses between tries that grow and differ between processes.
+//! Exponential backoff with jitter.
 
 use std::time;
 
-/// Growing pauses; each is drawn from the upper half of its range.
+/// Exponential backoff; each pause is drawn at random from the upper half of its range.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Pause {
     first: time::Duration,
     longest: time::Duration,
-    tries: u32,
+    retries: u32,
 }
 
 impl Pause {
@@ -15,20 +15,20 @@
         Self {
             first,
             longest,
-            tries: 0,
+            retries: 0,
         }
     }
 
-    /// Returns the next pause, at least `least`.
+    /// Returns the next pause, at least `least`, and doubles the range up to the longest pause.
     pub(crate) fn next(&mut self, least: time::Duration) -> time::Duration {
-        let factor = 1u32 << self.tries.min(16);
-        self.tries += 1;
+        let factor = 1u32 << self.retries.min(16);
+        self.retries += 1;
         let full = (self.first * factor).min(self.longest);
         full.mul_f64(0.5 + rand::random::<f64>() / 2.0).max(least)
     }
 
     /// Starts over after a success.
     pub(crate) fn reset(&mut self) {
-        self.tries = 0;
+        self.retries = 0;
     }
 }
--- a/laburnumcart_platform/src/replica.rs
+++ b/laburnumcart_platform/src/replica.rs
@@ -1,7 +1,8 @@
-//! A mirrored prefix as other processes can follow it in place of the service.
+//! Replica of a mirrored prefix that other processes can list and watch instead of the service.
 //!
-//! A [`follow::Snapshot`] tells what there is, not what was deleted since a revision. The replica
-//! remembers deletions, so that it can answer a watch from any revision after its first listing.
+//! A [`follow::Snapshot`] holds the present objects but not the deletions since a given revision.
+//! The replica keeps these too, so that it can answer a watch from any revision since its first
+//! listing.
 
 use std::{
     collections,
@@ -13,21 +14,21 @@
     store, //
 };
 
-/// Most deletions that are remembered; whoever is further behind takes a listing.
+/// Maximum number of deletions kept; a watch from an earlier revision has to list again.
 const DELETIONS_MAX: usize = 1024;
 
-/// Objects under a prefix and the deletions among them.
+/// Objects under a prefix and the most recent deletions.
 #[derive(Clone, Debug, Default)]
 pub struct Replica {
     snapshot: follow::Snapshot,
-    /// Deleted keys by the revision at which they were missed.
+    /// Deleted keys by the revision at which the deletion was seen.
     deleted: collections::BTreeMap<store::Revision, Vec<String>>,
-    /// Revision from which on all deletions are known.
+    /// Oldest revision after which every deletion is known.
     floor: store::Revision,
 }
 
 impl Replica {
-    /// Takes in what the process knows now; returns whether anything has changed for others.
+    /// Replaces the state by a newer snapshot; returns whether any object has changed.
     pub fn apply(&mut self, snapshot: &follow::Snapshot) -> bool {
         if !self.snapshot.listed {
             self.floor = snapshot.revision;
@@ -35,24 +36,24 @@
             return false;
         }
         let known = self.snapshot.objects.keys().chain(&snapshot.deleted);
-        let gone = known.filter(|key| !snapshot.objects.contains_key(*key));
-        let gone: Vec<_> = gone.cloned().collect();
-        let same = |(key, object): (&String, &sync::Arc<store::Object>)| {
+        let missing = known.filter(|key| !snapshot.objects.contains_key(*key));
+        let missing: Vec<_> = missing.cloned().collect();
+        let is_unchanged = |(key, object): (&String, &sync::Arc<store::Object>)| {
             let known = self.snapshot.objects.get(key);
             known.is_some_and(|known| known.version == object.version)
         };
         let first = !self.snapshot.listed;
-        let changed = first || !gone.is_empty() || !snapshot.objects.iter().all(same);
-        if !gone.is_empty() {
-            self.deleted.insert(snapshot.revision, gone);
-            self.forget();
+        let changed = first || !missing.is_empty() || !snapshot.objects.iter().all(is_unchanged);
+        if !missing.is_empty() {
+            self.deleted.insert(snapshot.revision, missing);
+            self.trim_deletions();
         }
         self.snapshot = snapshot.clone();
         changed
     }
 
-    /// Forgets the oldest deletions where there are too many.
-    fn forget(&mut self) {
+    /// Drops the oldest deletions beyond [`DELETIONS_MAX`].
+    fn trim_deletions(&mut self) {
         while self.deleted.values().map(Vec::len).sum::<usize>() > DELETIONS_MAX
             && let Some((revision, _)) = self.deleted.pop_first()
         {
@@ -75,18 +76,21 @@
         })
     }
 
-    /// Returns what has changed after a revision, complete up to the replica's own.
+    /// Returns the changes after a revision, complete up to the replica's own revision.
     ///
-    /// It is told as the present state of what differs. Changes between that were undone again are
-    /// left out, and a key that was deleted and created anew comes with its new version alone.
+    /// There is at most one event for each key, with its present state: intermediate versions are
+    /// left out, and a key that was deleted and created again has only the event of its creation.
+    ///
+    /// Fails with [`store::Failure::Compacted`] before the first listing, and where deletions after
+    /// the revision are no longer known.
     pub fn changes(&self, after: store::Revision) -> Result<store::Changes, store::Failure> {
         if !self.snapshot.listed || after < self.floor {
             return Err(store::Failure::Compacted);
         }
         let later = self.deleted.range(after..).filter(|(at, _)| **at > after);
         let deletions = later.flat_map(|(at, keys)| keys.iter().map(move |key| (at, key)));
-        // The deletion's own version is not known. The revision at which it was missed is later than
-        // any version that the key had before it, and earlier than any that it gets afterwards.
+        // The version of the deletion itself is not known. The revision at which it was seen is
+        // higher than any earlier version of the key and lower than any later one.
         let deletions = deletions
             .filter(|(_, key)| !self.snapshot.objects.contains_key(*key))
             .map(|(at, key)| store::Event {
--- a/laburnumcart_platform/src/settle.rs
+++ b/laburnumcart_platform/src/settle.rs
@@ -1,9 +1,9 @@
-//! Settles writes whose answer was lost.
+//! Finds out the outcome of conditional writes whose answer was lost.
 //!
-//! A write in doubt may have taken effect, may be lost, or may still be under way and take effect
-//! after the object was read again. Reading alone can't tell the last two apart. The write is
-//! therefore sent again as it was: as both depend on the same version, at most one can succeed, and
-//! once either has, the other is refused for good.
+//! Such a write may have taken effect, may be lost, or may still be in flight and take effect after
+//! the object was read again. A read cannot tell the last two apart. The same write is therefore
+//! sent again: both depend on the same version, so at most one can succeed, and once one has
+//! succeeded the other always fails.
 
 use std::time;
 
@@ -14,48 +14,48 @@
     store, //
 };
 
-/// First pause before the object is read.
-const FIRST: time::Duration = time::Duration::from_millis(20);
+/// First pause before the object is read again.
+const FIRST_PAUSE: time::Duration = time::Duration::from_millis(20);
 
 /// Longest pause between two reads.
-const LONGEST: time::Duration = time::Duration::from_secs(1);
+const LONGEST_PAUSE: time::Duration = time::Duration::from_secs(1);
 
 /// A conditional write.
 ///
-/// The value must tell it from the writes of all others, for example by a random number.
+/// The value must be unique among all writers, for example by a random number in it.
 #[derive(Clone, Copy, Debug)]
 pub struct Write<'a> {
     /// Key of the object.
     pub key: &'a str,
-    /// State that the write depends on.
+    /// State of the object that the write depends on.
     pub expect: store::Expect,
     /// JSON text.
     pub value: &'a str,
 }
 
-/// What an object that has changed says of the write.
+/// Conclusion about a write from the changed object.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Judgement {
-    /// The write has made it.
+    /// The object is the result of the write.
     Ours,
-    /// It could not be as it is if the write had taken effect.
+    /// The object proves that the write did not take effect.
     NotOurs,
     /// The write may have taken effect and been overwritten since.
     Unclear,
 }
 
-/// What became of a write.
+/// Outcome of a write.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Outcome {
-    /// It took effect and made this version.
+    /// The write took effect and created this version.
     Written(store::Version),
-    /// It had no effect and never will.
+    /// The write had no effect and never will.
     NotWritten,
-    /// It cannot be told yet; it may still take effect.
+    /// The outcome is unknown; the write may still take effect.
     Unclear,
 }
 
-/// Judges the write of a key that is never overwritten, nor deleted and created again.
+/// Returns the judge for a key that is never overwritten, nor deleted and created again.
 pub fn created<'a>(write: Write<'a>) -> impl Fn(&store::Object) -> Judgement + Copy + 'a {
     move |found| match found.value == write.value {
         true => Judgement::Ours,
@@ -63,7 +63,7 @@
     }
 }
 
-/// Judges the write of a key that others may overwrite.
+/// Returns the judge for a key that other writers may overwrite.
 pub fn replaced<'a>(write: Write<'a>) -> impl Fn(&store::Object) -> Judgement + Copy + 'a {
     move |found| match found.value == write.value {
         true => Judgement::Ours,
@@ -71,12 +71,13 @@
     }
 }
 
-/// Writes, and settles the write if its answer is lost.
+/// Writes an object, and finds out the outcome if the answer is lost.
 ///
-/// `judge` is asked about an object that is no longer as expected. Where a key can be deleted and
-/// created again, it must reckon with a stale read of an object before the deletion. Doubt that
-/// lasts beyond `until` is returned as [`Outcome::Unclear`]. An error means that the write had no effect and is
-/// [`store::Failure::Unavailable`] or [`store::Failure::Invalid`].
+/// `judge` is called with an object that is no longer in the expected state. If the key can be
+/// deleted and created again, `judge` must allow for a stale read from before the deletion. An
+/// outcome that is still unknown at `until` is returned as [`Outcome::Unclear`]. An error means
+/// that the write had no effect; it is [`store::Failure::Unavailable`] or
+/// [`store::Failure::Invalid`].
 pub async fn put(
     store: &impl store::Store,
     write: Write<'_>,
@@ -91,7 +92,7 @@
     }
 }
 
-/// Settles a write that is in doubt already, such as one whose future was dropped.
+/// Finds out the outcome of a write that was sent before, such as one whose future was dropped.
 pub async fn resolve(
     store: &impl store::Store,
     write: Write<'_>,
@@ -99,9 +100,9 @@
     judge: impl Fn(&store::Object) -> Judgement,
 ) -> Outcome {
     let attempts = async {
-        let mut pause = pause::Pause::new(FIRST, LONGEST);
+        let mut pause = pause::Pause::new(FIRST_PAUSE, LONGEST_PAUSE);
         loop {
-            if let Some(outcome) = attempt(store, write, &judge).await {
+            if let Some(outcome) = resolve_once(store, write, &judge).await {
                 return outcome;
             }
             tokio::time::sleep(pause.next(time::Duration::ZERO)).await;
@@ -111,15 +112,15 @@
     settled.unwrap_or(Outcome::Unclear)
 }
 
-async fn attempt(
+async fn resolve_once(
     store: &impl store::Store,
     write: Write<'_>,
     judge: &impl Fn(&store::Object) -> Judgement,
 ) -> Option<Outcome> {
     let found = store.get(write.key).await.ok()?;
     let Some(object) = found.filter(|object| has_changed(write.expect, object)) else {
-        let again = store.put(write.key, write.expect, write.value).await;
-        return again.ok().map(Outcome::Written);
+        let resent = store.put(write.key, write.expect, write.value).await;
+        return resent.ok().map(Outcome::Written);
     };
     Some(match judge(&object) {
         Judgement::Ours => Outcome::Written(object.version),
@@ -128,9 +129,10 @@
     })
 }
 
-/// Reports whether the object has left the expected state for good.
+/// Reports whether the object is past the expected state.
 ///
-/// A stale read can show it in that state, or before it, although it has changed since.
+/// `false` proves nothing: a stale read can return the expected version, or an earlier one, of an
+/// object that has changed since.
 fn has_changed(expect: store::Expect, found: &store::Object) -> bool {
     match expect {
         store::Expect::Absent => true,
--- a/laburnumcart_platform/src/store.rs
+++ b/laburnumcart_platform/src/store.rs
@@ -1,4 +1,4 @@
-//! What the system asks of the object service, apart from how it is reached.
+//! Interface of the object service, independent of its transport.
 
 use std::{
     future,
@@ -23,22 +23,24 @@
 /// Longest key in bytes.
 pub const KEY_MAX: usize = 512;
 
-/// Reports whether `key` can name an object.
+/// Reports whether `key` is a valid key of an object.
 ///
-/// A key is 1 to [`KEY_MAX`] bytes of `A-Z a-z 0-9 . _ - ~ /`, which a URL carries as they are.
+/// A key is 1 to [`KEY_MAX`] bytes of `A-Z a-z 0-9 . _ - ~ /`, which need no escaping in a URL. Its
+/// segments, divided by `/`, are neither empty nor `.` or `..`.
 pub fn is_key(key: &str) -> bool {
-    let whole = !key.starts_with('/') && !key.ends_with('/') && !key.contains("//");
-    !key.is_empty() && whole && is_prefix(key)
+    let is_well_formed = !key.starts_with('/') && !key.ends_with('/') && !key.contains("//");
+    !key.is_empty() && is_well_formed && is_prefix(key)
 }
 
-/// Reports whether `prefix` can start a key.
+/// Reports whether `prefix` is a valid prefix of keys; it may be empty.
 pub fn is_prefix(prefix: &str) -> bool {
-    let plain = |b: u8| b.is_ascii_alphanumeric() || matches!(b, b'.' | b'_' | b'-' | b'~' | b'/');
-    let relative = |segment: &str| matches!(segment, "." | "..");
-    prefix.len() <= KEY_MAX && prefix.bytes().all(plain) && !prefix.split('/').any(relative)
+    let is_plain =
+        |b: u8| b.is_ascii_alphanumeric() || matches!(b, b'.' | b'_' | b'-' | b'~' | b'/');
+    let is_relative = |segment: &str| matches!(segment, "." | "..");
+    prefix.len() <= KEY_MAX && prefix.bytes().all(is_plain) && !prefix.split('/').any(is_relative)
 }
 
-/// Version of one object; grows with every write of it.
+/// Version of one object; increases with every write of the object.
 #[derive(
     Clone, Copy, Debug, Default, Display, Eq, Ord, PartialEq, PartialOrd, Serialize, Deserialize,
 )]
@@ -52,10 +54,10 @@
 #[serde(transparent)]
 pub struct Revision(pub u64);
 
-/// An object as read.
+/// An object with its version.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Object {
-    /// Key, segments divided by `/`.
+    /// Key, with segments divided by `/`.
     pub key: String,
     /// Version of the value.
     pub version: Version,
@@ -63,25 +65,25 @@
     pub value: String,
 }
 
-/// A change seen by a watch.
+/// A change of one object.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Event {
     /// Key of the object.
     pub key: String,
-    /// Version after the change.
+    /// Version of the object after the change.
     pub version: Version,
-    /// JSON text, `None` when the object was deleted.
+    /// JSON text; `None` if the object was deleted.
     pub value: Option<String>,
 }
 
 /// All objects under a prefix at one revision.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Listing {
-    /// Revision at which the listing holds.
+    /// Revision at which the objects were listed.
     pub revision: Revision,
-    /// Objects in the order of their keys.
+    /// Objects, sorted by key.
     pub objects: Vec<Object>,
-    /// How much older than the call the answer may be; zero from the service itself.
+    /// Upper bound on the age of the data when the call was sent; zero from the service itself.
     #[serde(default)]
     pub age: unit::Period,
 }
@@ -91,14 +93,14 @@
 pub struct Changes {
     /// Revision up to which the changes are complete.
     pub revision: Revision,
-    /// Changes in order; empty when the wait ended first.
+    /// Changes in order; empty if there were none until the end of the wait.
     pub events: Vec<Event>,
-    /// How much older than the call the answer may be; zero from the service itself.
+    /// Upper bound on the age of the data when the call was sent; zero from the service itself.
     #[serde(default)]
     pub age: unit::Period,
 }
 
-/// State of an object that a write depends on.
+/// Precondition of a write.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Expect {
     /// The object does not exist.
@@ -107,41 +109,41 @@
     Version(Version),
 }
 
-/// A call of the object service that did not succeed.
+/// Failure of a call to the object service.
 #[derive(Clone, Debug, Display, Error, Eq, PartialEq)]
 pub enum Failure {
-    /// The object was not as expected; the write had no effect.
+    /// The object was not in the expected state; the write had no effect.
     #[display("object changed by another writer")]
     Conflict,
-    /// The service refused the call or was not reached; a write had no effect.
+    /// The service refused the call or could not be reached; a write had no effect.
     #[display("object service unavailable")]
     Unavailable {
-        /// When the service asked to be called again.
+        /// Time after which the service can be called again, if known.
         retry: Option<unit::Period>,
     },
-    /// No answer came; a write may have taken effect.
+    /// The service did not answer; a write may have taken effect.
     #[display("object service did not answer")]
     Unanswered,
-    /// The revision is no longer in the history; list again.
-    #[display("revision too old")]
+    /// The history no longer reaches back to the revision; the caller has to list again.
+    #[display("revision is no longer in the history")]
     Compacted,
-    /// The call or the answer is malformed.
-    #[display("invalid call or answer")]
+    /// The request or the answer is malformed.
+    #[display("malformed request or answer")]
     Invalid,
 }
 
-/// The object service.
+/// Client of the object service.
 ///
-/// Dropping a future of [`Store::put`] or [`Store::delete`] leaves it open whether the write took
-/// effect, as [`Failure::Unanswered`] does.
+/// After a future of [`Store::put`] or [`Store::delete`] is dropped, the write may or may not take
+/// effect, as after [`Failure::Unanswered`].
 pub trait Store: Send + Sync + 'static {
-    /// Reads an object.
+    /// Returns an object, or `None` if it does not exist.
     fn get(
         &self,
         key: &str,
     ) -> impl future::Future<Output = Result<Option<Object>, Failure>> + Send;
 
-    /// Writes an object if it is as expected.
+    /// Writes an object if it is in the expected state; returns its new version.
     fn put(
         &self,
         key: &str,
@@ -149,17 +151,17 @@
         value: &str,
     ) -> impl future::Future<Output = Result<Version, Failure>> + Send;
 
-    /// Deletes an object if it has the version; succeeds when it does not exist.
+    /// Deletes an object if it has this version; succeeds if the object does not exist.
     fn delete(
         &self,
         key: &str,
         version: Version,
     ) -> impl future::Future<Output = Result<(), Failure>> + Send;
 
-    /// Lists the objects whose keys start with `prefix`, with their values.
+    /// Returns all objects whose keys start with `prefix`, with their values.
     fn list(&self, prefix: &str) -> impl future::Future<Output = Result<Listing, Failure>> + Send;
 
-    /// Waits for changes under `prefix` after `after`.
+    /// Returns the changes under `prefix` since revision `after`; waits up to `wait` for the first.
     fn watch(
         &self,
         prefix: &str,
--- a/laburnumcart_platform/tests/budget.rs
+++ b/laburnumcart_platform/tests/budget.rs
@@ -1,4 +1,4 @@
-//! Token buckets of calls to the object service.
+//! Token buckets for calls to the object service.
 
 use std::time;
 
@@ -9,7 +9,7 @@
 
 const SECOND: time::Duration = time::Duration::from_secs(1);
 
-/// Takes until the bucket refuses.
+/// Takes tokens until the bucket refuses; returns their number.
 fn take_all(bucket: &mut budget::Bucket, now: Instant) -> u32 {
     let mut count = 0;
     while bucket.take(now).is_ok() {
@@ -30,13 +30,13 @@
 }
 
 #[test]
-fn refusal_tells_when_the_next_call_is_due() {
+fn refusal_returns_the_time_until_the_next_token() {
     let start = Instant::now();
     let mut bucket = budget::Bucket::new(unit::Rate(40.0), start);
     take_all(&mut bucket, start);
-    let due = bucket.take(start).unwrap_err();
-    assert_eq!(due, unit::Period::from_millis(25));
-    assert!(bucket.take(start + due.0).is_ok());
+    let wait = bucket.take(start).unwrap_err();
+    assert_eq!(wait, unit::Period::from_millis(25));
+    assert!(bucket.take(start + wait.0).is_ok());
 }
 
 #[test]
--- a/laburnumcart_platform/tests/client.rs
+++ b/laburnumcart_platform/tests/client.rs
@@ -1,4 +1,4 @@
-//! Settings and counters of the client.
+//! Settings and metrics of the HTTP client.
 
 use std::net;
 
@@ -13,7 +13,7 @@
 };
 
 #[test]
-fn settings_without_effect_are_refused() {
+fn unusable_settings_are_rejected() {
     let none = client::Client::builder([]).build();
     assert_eq!(none.err(), Some(client::BuildError::Addresses));
     let addr = net::SocketAddr::from(([127, 0, 0, 1], 1));
--- a/laburnumcart_platform/tests/memory.rs
+++ b/laburnumcart_platform/tests/memory.rs
@@ -1,4 +1,4 @@
-//! The object service in memory: old states, bounded history and faults.
+//! In-memory object service: stale reads, bounded history and faults.
 
 use std::{
     collections,
@@ -23,20 +23,20 @@
     memory.put(key, store::Expect::Absent, value).await.unwrap()
 }
 
-fn faults(memory: &memory::Memory, set: impl FnOnce(&mut memory::Faults)) {
+fn set_faults(memory: &memory::Memory, set: impl FnOnce(&mut memory::Faults)) {
     let mut faults = memory::Faults::default();
     set(&mut faults);
     memory.set_faults(faults);
 }
 
 #[tokio::test(start_paused = true)]
-async fn stale_reads_show_the_older_version_for_a_while() {
+async fn stale_reads_return_the_older_version_until_their_age_has_passed() {
     let memory = memory::Memory::new();
     let first = create(&memory, "a", "1").await;
     tokio::time::sleep(SECOND).await;
     let expect = store::Expect::Version(first);
     let second = memory.put("a", expect, "2").await.unwrap();
-    faults(&memory, |faults| faults.stale = unit::Period::from_secs(5));
+    set_faults(&memory, |faults| faults.stale = unit::Period::from_secs(5));
     tokio::time::sleep(SECOND * 4).await;
     assert_eq!(memory.get("a").await.unwrap().unwrap().version, first);
     assert_eq!(memory.list("").await.unwrap().objects[0].value, "1");
@@ -65,7 +65,7 @@
     let start = Instant::now();
     let outage = async {
         tokio::time::sleep(SECOND).await;
-        faults(&memory, |faults| faults.down = true);
+        set_faults(&memory, |faults| faults.down = true);
     };
     let (watch, ()) = tokio::join!(memory.watch("", from, SECOND * 60), outage);
     assert!(matches!(watch, Err(store::Failure::Unavailable { .. })));
@@ -73,9 +73,9 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn slow_calls_take_their_time() {
+async fn slow_fault_delays_calls() {
     let memory = memory::Memory::new();
-    faults(&memory, |faults| faults.slow = unit::Period::from_secs(3));
+    set_faults(&memory, |faults| faults.slow = unit::Period::from_secs(3));
     let start = Instant::now();
     create(&memory, "a", "1").await;
     assert_eq!(start.elapsed(), SECOND * 3);
@@ -93,9 +93,9 @@
 }
 
 proptest! {
-    /// A stale list is exactly what a list was at that time, whatever was written since.
+    /// A stale listing equals the listing at that time, whatever was written since.
     #[test]
-    fn old_states_are_exact(keys in prop::collection::vec(0u8..4, 1..30), age in 0u64..30) {
+    fn stale_listings_are_exact(keys in prop::collection::vec(0u8..4, 1..30), age in 0u64..30) {
         let runtime = tokio::runtime::Builder::new_current_thread()
             .enable_time()
             .start_paused(true)
@@ -122,7 +122,7 @@
                 states.push_front(memory.list("").await.unwrap());
             }
             tokio::time::sleep(SECOND / 2).await;
-            faults(&memory, |faults| faults.stale = unit::Period::from_secs(age));
+            set_faults(&memory, |faults| faults.stale = unit::Period::from_secs(age));
             let expected = &states[(age as usize).min(states.len() - 1)];
             assert_eq!(&memory.list("").await.unwrap(), expected);
             let object = memory.get("0").await.unwrap();
--- a/laburnumcart_platform/tests/returns.rs
+++ b/laburnumcart_platform/tests/recovery.rs
@@ -1,4 +1,4 @@
-//! Followers of a service that comes back, and what each tells the others.
+//! Followers of a service that recovers, and the recovery signal that they share.
 
 use std::{
     sync::{
@@ -21,7 +21,7 @@
 
 const SECOND: time::Duration = time::Duration::from_secs(1);
 
-/// A service that was silent until a moment: calls sent before it fail after their timeout.
+/// A service that is silent until a given time: calls sent before it fail after [`TIMEOUT`].
 #[derive(Clone)]
 struct Silent {
     memory: memory::Memory,
@@ -30,7 +30,7 @@
 }
 
 impl Silent {
-    async fn pass(&self) -> Result<(), store::Failure> {
+    async fn wait_if_silent(&self) -> Result<(), store::Failure> {
         self.calls.fetch_add(1, atomic::Ordering::Relaxed);
         if Instant::now() >= self.until {
             return Ok(());
@@ -42,7 +42,7 @@
 
 impl Store for Silent {
     async fn get(&self, key: &str) -> Result<Option<store::Object>, store::Failure> {
-        self.pass().await?;
+        self.wait_if_silent().await?;
         self.memory.get(key).await
     }
 
@@ -52,17 +52,17 @@
         expect: store::Expect,
         value: &str,
     ) -> Result<store::Version, store::Failure> {
-        self.pass().await?;
+        self.wait_if_silent().await?;
         self.memory.put(key, expect, value).await
     }
 
     async fn delete(&self, key: &str, version: store::Version) -> Result<(), store::Failure> {
-        self.pass().await?;
+        self.wait_if_silent().await?;
         self.memory.delete(key, version).await
     }
 
     async fn list(&self, prefix: &str) -> Result<store::Listing, store::Failure> {
-        self.pass().await?;
+        self.wait_if_silent().await?;
         self.memory.list(prefix).await
     }
 
@@ -72,18 +72,19 @@
         after: store::Revision,
         wait: time::Duration,
     ) -> Result<store::Changes, store::Failure> {
-        self.pass().await?;
+        self.wait_if_silent().await?;
         self.memory.watch(prefix, after, wait).await
     }
 }
 
-/// Longest call of a silent service.
+/// Timeout of a call to the silent service.
 const TIMEOUT: time::Duration = time::Duration::from_millis(900);
 
-/// Time after which another call is sent beside one that is not answered.
-const PROBE: unit::Period = unit::Period::from_millis(300);
+/// Time after which an unanswered call is duplicated.
+const DUPLICATE_AFTER: unit::Period = unit::Period::from_millis(300);
 
-// Calls from before a silent service is back wait for their timeouts, and hide that it is back.
+// Calls sent before a silent service recovers wait for their timeouts and delay the discovery of
+// the recovery, unless they are duplicated and the signal is shared.
 #[rstest]
 #[case(5000)]
 #[case(5150)]
@@ -98,7 +99,7 @@
         until,
         calls: sync::Arc::default(),
     };
-    let returns = follow::Returns::default();
+    let recovery = follow::Returns::default();
     let settings = follow::Settings {
         longest: unit::Period::from_millis(1500),
         ..follow::Settings::default()
@@ -107,36 +108,36 @@
     for prefix in ["p/", "q/", "r/"] {
         let (follower, mirror) = follow::follower(store.clone(), prefix, settings);
         let follower = match prefix {
-            "p/" => follower.probe(PROBE),
+            "p/" => follower.probe(DUPLICATE_AFTER),
             _ => follower,
         };
-        tokio::spawn(follower.share(&returns).run());
+        tokio::spawn(follower.share(&recovery).run());
         mirrors.push(mirror);
     }
     for mirror in &mut mirrors {
         mirror.wait_for(|m| m.listed).await.unwrap();
     }
-    let taken = Instant::now() - until;
-    assert!(taken <= PROBE.0 + SECOND / 10, "{taken:?}");
-    // A call each 300 ms of one follower, and those of the two others.
+    let elapsed = Instant::now() - until;
+    assert!(elapsed <= DUPLICATE_AFTER.0 + SECOND / 10, "{elapsed:?}");
+    // One follower makes a call every 300 ms; the two others back off.
     let calls = store.calls.load(atomic::Ordering::Relaxed);
     assert!(calls < 40, "{calls}");
 }
 
-/// How watches fail.
+/// Fault of the watches.
 #[derive(Clone, Copy)]
-enum Trouble {
-    /// Open connections have fallen silent: those from before a moment wait, and then time out.
+enum Fault {
+    /// Connections opened before a given time are silent: their watches wait and then time out.
     Stuck,
-    /// All are slow, but every other one of one prefix fails at once.
+    /// All watches are slow, except under one prefix, where every other watch fails at once.
     Flapping,
 }
 
-/// A service whose watches are in trouble.
+/// A service with faulty watches.
 #[derive(Clone)]
-struct Troubled(Silent, Trouble);
+struct FaultyWatches(Silent, Fault);
 
-impl Store for Troubled {
+impl Store for FaultyWatches {
     async fn get(&self, key: &str) -> Result<Option<store::Object>, store::Failure> {
         self.0.memory.get(key).await
     }
@@ -165,8 +166,8 @@
         wait: time::Duration,
     ) -> Result<store::Changes, store::Failure> {
         match self.1 {
-            Trouble::Stuck if Instant::now() < self.0.until => tokio::time::sleep(wait).await,
-            Trouble::Flapping if prefix == "flapping/" => {
+            Fault::Stuck if Instant::now() < self.0.until => tokio::time::sleep(wait).await,
+            Fault::Flapping if prefix == "flapping/" => {
                 tokio::time::sleep(SECOND / 20).await;
                 if self
                     .0
@@ -178,27 +179,28 @@
                 }
                 return self.0.memory.watch(prefix, after, SECOND / 20).await;
             }
-            Trouble::Flapping => tokio::time::sleep(SECOND / 2).await,
-            Trouble::Stuck => {}
+            Fault::Flapping => tokio::time::sleep(SECOND / 2).await,
+            Fault::Stuck => {}
         }
         self.0.watch(prefix, after, wait).await
     }
 }
 
-// Connections fall silent, one follower finds out, and another one's long watch hides what changes.
+// All connections go silent. A follower with a short watch notices it; another one must not miss
+// changes until its own long watch times out.
 #[tokio::test(start_paused = true)]
 async fn a_long_watch_is_asked_again_when_a_short_one_has_failed() {
     let start = Instant::now();
     let memory = memory::Memory::new();
-    let store = Troubled(
+    let store = FaultyWatches(
         Silent {
             memory: memory.clone(),
             until: start + SECOND * 3 / 2,
             calls: sync::Arc::default(),
         },
-        Trouble::Stuck,
+        Fault::Stuck,
     );
-    let returns = follow::Returns::default();
+    let recovery = follow::Returns::default();
     let mut mirrors = Vec::new();
     for (prefix, wait) in [("short/", 750), ("long/", 5000)] {
         let settings = follow::Settings {
@@ -206,7 +208,7 @@
             ..follow::Settings::default()
         };
         let (follower, mirror) = follow::follower(store.clone(), prefix, settings);
-        tokio::spawn(follower.share(&returns).run());
+        tokio::spawn(follower.share(&recovery).run());
         mirrors.push(mirror);
     }
     for mirror in &mut mirrors {
@@ -221,23 +223,24 @@
         .wait_for(|m| !m.objects.is_empty())
         .await
         .unwrap();
-    let taken = start.elapsed();
-    assert!(taken <= SECOND * 5 / 2, "{taken:?}");
+    let elapsed = start.elapsed();
+    assert!(elapsed <= SECOND * 5 / 2, "{elapsed:?}");
 }
 
-// Each time that one follower is answered again cuts off the watch of another, which never ends.
+// One follower sees the service recover again and again. If each recovery restarted the watch of
+// the other, that watch would never complete.
 #[tokio::test(start_paused = true)]
 async fn a_short_watch_is_not_cut_off_by_each_return_of_another() {
     let memory = memory::Memory::new();
-    let store = Troubled(
+    let store = FaultyWatches(
         Silent {
             memory: memory.clone(),
             until: Instant::now(),
             calls: sync::Arc::default(),
         },
-        Trouble::Flapping,
+        Fault::Flapping,
     );
-    let returns = follow::Returns::default();
+    let recovery = follow::Returns::default();
     let mut mirrors = Vec::new();
     for prefix in ["flapping/", "slow/"] {
         let settings = follow::Settings {
@@ -246,7 +249,7 @@
             ..follow::Settings::default()
         };
         let (follower, mirror) = follow::follower(store.clone(), prefix, settings);
-        tokio::spawn(follower.share(&returns).run());
+        tokio::spawn(follower.share(&recovery).run());
         mirrors.push(mirror);
     }
     mirrors[1].wait_for(|m| m.listed).await.unwrap();
--- a/laburnumcart_platform/tests/replica.rs
+++ b/laburnumcart_platform/tests/replica.rs
@@ -1,4 +1,4 @@
-//! Processes that follow a prefix through others end where the service is.
+//! Convergence of processes that read the service through the replicas of others.
 
 use std::collections;
 
@@ -10,7 +10,7 @@
     store, //
 };
 
-/// The service: objects and every change, numbered by one counter.
+/// Model of the service: objects and all changes, numbered by one counter.
 #[derive(Default)]
 struct Service {
     revision: u64,
@@ -31,7 +31,7 @@
             return;
         };
         self.revision += 1;
-        // The service tells the version before the deletion, as which the client counts one more.
+        // The event of a deletion has the version that follows the object's last one.
         self.change(key, version + 1, None);
     }
 
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Lists in two pages, between which `key` is deleted; the revision is that of the first.
+    /// Lists in two pages with a deletion of `key` in between; the revision is that of the first.
     fn list_during_deletion(&mut self, key: &str) -> store::Listing {
         let revision = store::Revision(self.revision);
         self.delete(key);
@@ -75,7 +75,7 @@
     }
 }
 
-/// A process: what it knows, and what it tells others.
+/// A process: its own snapshot, and the replica that it serves to others.
 #[derive(Default)]
 struct Process {
     snapshot: follow::Snapshot,
@@ -83,7 +83,7 @@
 }
 
 impl Process {
-    fn read(&mut self, service: &Service) {
+    fn read_service(&mut self, service: &Service) {
         match self.snapshot.listed {
             true => {
                 self.snapshot.update(service.watch(self.snapshot.revision));
@@ -93,7 +93,7 @@
         self.replica.apply(&self.snapshot);
     }
 
-    fn ask(&mut self, other: &replica::Replica) {
+    fn read_from(&mut self, other: &replica::Replica) {
         let changes = match self.snapshot.listed {
             true => other.changes(self.snapshot.revision),
             false => Err(store::Failure::Compacted),
@@ -102,7 +102,7 @@
             (Ok(changes), _) => {
                 self.snapshot.update(changes);
             }
-            // One that is older than what is known is left aside.
+            // A stale listing is rejected.
             (Err(_), Some(listing)) => drop(self.snapshot.apply(listing)),
             (Err(_), None) => return,
         }
@@ -119,104 +119,105 @@
 enum Step {
     Write(u8),
     Delete(u8),
-    Read(usize),
-    Ask(usize, usize),
+    ReadService(usize),
+    ReadFrom(usize, usize),
 }
 
 fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
         (0u8..4).prop_map(Step::Write),
         (0u8..4).prop_map(Step::Delete),
-        (0usize..2).prop_map(Step::Read),
-        (0usize..4, 0usize..4).prop_map(|(who, whom)| Step::Ask(who, whom)),
+        (0usize..2).prop_map(Step::ReadService),
+        (0usize..4, 0usize..4).prop_map(|(to, from)| Step::ReadFrom(to, from)),
     ]
 }
 
 proptest! {
-    /// Two processes read the service, two others ask any process, in any order and however late.
-    /// Nobody ever goes back to an older version or finds an object again that it knew to be
-    /// deleted, and once all have heard all, all are where the service is.
+    /// Two processes read the service, and all four read from any other, in any order and at any
+    /// delay. No process ever reverts to an older version or restores an object that it knew to be
+    /// deleted, and after a last round all have the state of the service.
     #[test]
-    fn asking_others_ends_where_the_service_is(steps in prop::collection::vec(step(), 1..120)) {
+    fn processes_converge_to_the_service(steps in prop::collection::vec(step(), 1..120)) {
         let mut service = Service::default();
-        let mut all: [Process; 4] = Default::default();
+        let mut processes: [Process; 4] = Default::default();
         for step in steps {
             match step {
                 Step::Write(key) => service.write(&key.to_string()),
                 Step::Delete(key) => service.delete(&key.to_string()),
-                Step::Read(who) => all[who].read(&service),
-                Step::Ask(who, whom) if who != whom => {
-                    let (before, revision) = (all[who].versions(), all[who].snapshot.revision);
-                    let other = all[whom].replica.clone();
-                    all[who].ask(&other);
-                    prop_assert!(all[who].snapshot.revision >= revision);
-                    for (key, version) in all[who].versions() {
+                Step::ReadService(to) => processes[to].read_service(&service),
+                Step::ReadFrom(to, from) if to != from => {
+                    let before = processes[to].versions();
+                    let revision = processes[to].snapshot.revision;
+                    let other = processes[from].replica.clone();
+                    processes[to].read_from(&other);
+                    prop_assert!(processes[to].snapshot.revision >= revision);
+                    for (key, version) in processes[to].versions() {
                         let known = before.get(&key).copied().unwrap_or(revision.0);
-                        prop_assert!(version >= known, "{key} went back");
+                        prop_assert!(version >= known, "{key} reverted to an older version");
                     }
                 }
-                Step::Ask(..) => {}
+                Step::ReadFrom(..) => {}
             }
         }
-        all[0].read(&service);
-        let first = all[0].replica.clone();
-        for process in &mut all[1..] {
-            process.ask(&first);
+        processes[0].read_service(&service);
+        let first = processes[0].replica.clone();
+        for process in &mut processes[1..] {
+            process.read_from(&first);
             prop_assert_eq!(&process.versions(), &service.objects);
         }
     }
 }
 
-// A process lists the service in two pages while a target leaves: its listing lacks the target though
-// it is as of an earlier revision. Another one that knows the target asks it afterwards. Unless the
-// deletion is passed on although the reader never had the target, callers would be sent there for good.
+// An object is deleted between two pages of a reader's listing, so the reader never knows it. A
+// process that does know it reads from the reader. If the deletion weren't forwarded, the process
+// would keep the object, such as a target that has left, forever.
 #[test]
-fn a_deletion_between_two_pages_is_passed_on() {
+fn deletion_between_two_pages_is_forwarded() {
     let mut service = Service::default();
     service.write("a");
     service.write("b");
-    let mut asking = Process::default();
-    asking.read(&service);
+    let mut follower = Process::default();
+    follower.read_service(&service);
     let mut reader = Process::default();
     reader
         .snapshot
         .apply(service.list_during_deletion("b"))
         .unwrap();
     reader.replica.apply(&reader.snapshot);
-    asking.ask(&reader.replica);
-    assert!(asking.snapshot.objects.contains_key("b"), "not known yet");
-    reader.read(&service);
-    asking.ask(&reader.replica);
-    assert_eq!(asking.versions(), service.objects);
+    follower.read_from(&reader.replica);
+    assert!(follower.snapshot.objects.contains_key("b"), "not known yet");
+    reader.read_service(&service);
+    follower.read_from(&reader.replica);
+    assert_eq!(follower.versions(), service.objects);
 }
 
-// A process was paused while hundreds of targets came and went. The reader has forgotten the first
-// deletions, and must say so: told only the later ones, the process would keep the first targets.
+// A process was paused while thousands of objects were deleted, and the replica has dropped the
+// first of these deletions. Given only the later ones, the process would keep a deleted object.
 #[test]
-fn forgotten_deletions_are_told() {
+fn watch_from_before_the_kept_deletions_is_compacted() {
     let mut service = Service::default();
     service.write("a");
-    let mut asking = Process::default();
-    asking.read(&service);
+    let mut follower = Process::default();
+    follower.read_service(&service);
     let mut reader = Process::default();
-    reader.read(&service);
+    reader.read_service(&service);
     service.delete("a");
-    reader.read(&service);
+    reader.read_service(&service);
     for i in 0..3000 {
         let key = i.to_string();
         service.write(&key);
-        reader.read(&service);
+        reader.read_service(&service);
         service.delete(&key);
-        reader.read(&service);
+        reader.read_service(&service);
     }
-    let changes = reader.replica.changes(asking.snapshot.revision);
+    let changes = reader.replica.changes(follower.snapshot.revision);
     assert_eq!(changes, Err(store::Failure::Compacted));
-    asking.ask(&reader.replica);
-    assert!(asking.snapshot.objects.is_empty());
+    follower.read_from(&reader.replica);
+    assert!(follower.snapshot.objects.is_empty());
 }
 
 #[test]
-fn nothing_is_told_before_the_first_listing() {
+fn replica_returns_nothing_before_the_first_listing() {
     let replica = replica::Replica::default();
     let changes = replica.changes(store::Revision(0));
     assert_eq!(changes, Err(store::Failure::Compacted));
