--- a/laburnumcart_platform/tests/follow.rs
+++ b/laburnumcart_platform/tests/follow.rs
@@ -270,7 +270,10 @@
 proptest! {
     /// Listings of any age, in any order, never revert a key to an older version.
     #[test]
-    fn versions_never_decrease(writes in 1usize..20, ages in prop::collection::vec(0usize..20, 1..30)) {
+    fn versions_never_decrease(
+        writes in 1usize..20,
+        ages in prop::collection::vec(0usize..20, 1..30),
+    ) {
         let mut snapshot = follow::Snapshot::default();
         let mut last = store::Version(0);
         for age in ages {
--- a/laburnumcart_wire/src/agent.rs
+++ b/laburnumcart_wire/src/agent.rs
@@ -1,4 +1,4 @@
-//! What an agent offers to entries and operators.
+//! Remote interface of an agent for entries and operators.
 
 use std::net;
 
@@ -23,109 +23,110 @@
     stage, //
 };
 
-/// Error code: the call names a session that is fenced or unknown; nothing is said of any attempt.
+/// Error code: the session of the call is fenced or unknown. Proves nothing about any attempt.
 pub const FENCED: i32 = 1;
 
-/// Error code: the attempt is not known; unlike the answer to a query this proves nothing.
+/// Error code: the attempt is unknown. Unlike the answer to a query, this proves nothing.
 pub const UNKNOWN: i32 = 2;
 
-/// Error code: the call breaks the protocol.
+/// Error code: the call violates the protocol.
 pub const INVALID: i32 = 3;
 
-/// Opens a connection of a lane and fences the older ones.
+/// First call on a connection; fences all older sessions of the lane.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Hello {
-    /// Name of the process that calls.
+    /// Name of the calling process.
     pub instance: id::InstanceName,
-    /// This connection.
+    /// Session of this connection.
     pub session: lane::Session,
-    /// Address at which the caller shows its bundle.
+    /// Address at which the caller serves its bundle.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub peer: Option<net::SocketAddr>,
-    /// The caller's facts.
+    /// Facts known to the caller.
     pub facts: facts::Facts,
 }
 
 /// Answer to [`Hello`] and to every heartbeat.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Report {
-    /// Name of the target.
+    /// Target of the agent.
     pub target: id::TargetName,
-    /// Service that the target belongs to.
+    /// Service of the target.
     pub service: id::ServiceName,
-    /// Data centre of both.
+    /// Data centre of the agent and its target.
     pub data_centre: id::DataCentre,
-    /// Life of the agent.
+    /// Incarnation of the agent.
     pub incarnation: id::Incarnation,
-    /// Whether new work is refused.
+    /// Whether the agent refuses new work because it is draining.
     pub leaving: bool,
-    /// Whether the target answers.
+    /// Whether the target responds.
     pub ready: bool,
     /// Load of the target.
     pub load: Load,
-    /// The agent's facts.
+    /// Facts known to the agent.
     pub facts: facts::Facts,
 }
 
-/// Load of a target as its agent sees it.
+/// Load of a target as measured by its agent.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Load {
-    /// Attempts that the target executes.
+    /// Attempts in execution at the target.
     pub running: u32,
-    /// Attempts that wait at the agent.
+    /// Attempts queued at the agent.
     pub queued: u32,
-    /// Attempts that the target can execute at once without slowing down.
+    /// Concurrency limit: attempts that the target can execute at once without slowing down.
     pub limit: u32,
-    /// Mean time an attempt takes at the target.
+    /// Mean service time of an attempt at the target.
     pub service: unit::Period,
 }
 
-/// Heartbeat.
+/// Heartbeat of a caller.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Beat {
-    /// This connection.
+    /// Session of this connection.
     pub session: lane::Session,
-    /// Address at which the caller shows its bundle; goes with the facts.
+    /// Address at which the caller serves its bundle; sent together with the facts.
     ///
-    /// Without it an agent would see a higher generation and not know whom to ask for the bundle, so
-    /// that it stayed behind for as long as the object service is down.
+    /// Without it an agent that learns of a higher generation could not fetch the bundle from the
+    /// caller, and would keep the old bundle for as long as the object service is down.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub peer: Option<net::SocketAddr>,
-    /// The caller's facts, if they changed since the last beat.
+    /// Facts known to the caller, if they have changed since the last heartbeat.
     pub facts: Option<facts::Facts>,
 }
 
-/// A signed bundle as processes pass it on.
+/// A signed bundle as processes forward it to each other.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Shown {
-    /// Generation under which it was accepted.
+    /// Generation under which the bundle was accepted.
     pub generation: id::Generation,
-    /// The head object and the signed envelope, as stored.
+    /// Head object that names the envelope, as stored.
     pub head: Box<value::RawValue>,
     /// Signed envelope, as stored.
     pub envelope: Box<value::RawValue>,
 }
 
-/// Methods of an agent.
+/// Remote methods of an agent.
 #[rpc(server, client, namespace = "agent")]
 pub trait Agent {
-    /// Opens a connection of a lane; must be answered before any other call.
+    /// Starts a session of a lane; no other call may be sent before its answer.
     #[method(name = "hello")]
     async fn hello(&self, hello: Hello) -> RpcResult<Report>;
 
-    /// Carries facts both ways and shows that the connection is alive.
+    /// Exchanges facts and proves that the connection is alive.
     #[method(name = "beat")]
     async fn beat(&self, beat: Beat) -> RpcResult<Report>;
 
-    /// Executes a stage; answers with the first chunks or the end.
+    /// Executes a stage; returns the first chunks or the end of the result.
     #[method(name = "start")]
     async fn start(&self, call: stage::Call) -> RpcResult<stage::Progress>;
 
-    /// Waits for more of a result.
+    /// Waits for further chunks of a result.
     #[method(name = "next")]
     async fn next(&self, next: stage::Next) -> RpcResult<stage::Progress>;
 
-    /// Resolves doubt about an attempt; one that is unknown here can never start.
+    /// Returns the state of an attempt whose outcome is unknown to the caller; an attempt that is
+    /// unknown to the agent will never start.
     #[method(name = "query")]
     async fn query(&self, query: stage::Query) -> RpcResult<stage::Progress>;
 
@@ -133,11 +134,12 @@
     #[method(name = "cancel")]
     async fn cancel(&self, cancel: stage::Cancel) -> RpcResult<()>;
 
-    /// Shows the bundle in force, if its generation is at least `least`.
+    /// Returns the bundle in force if its generation is at least `least`.
     #[method(name = "bundle")]
     async fn bundle(&self, least: id::Generation) -> RpcResult<Option<Shown>>;
 
-    /// Stops accepting work, as SIGTERM does, and exits when all that runs has finished.
+    /// Starts a graceful shutdown, as SIGTERM does: refuses new work and exits after the work in
+    /// flight has finished.
     #[method(name = "drain")]
     async fn drain(&self) -> RpcResult<Report>;
 }
--- a/laburnumcart_wire/src/entry.rs
+++ b/laburnumcart_wire/src/entry.rs
@@ -1,4 +1,4 @@
-//! What an entry offers to other entries, agents and operators.
+//! Remote interface of an entry for other entries, agents and operators.
 
 use jsonrpsee::{
     core::RpcResult,
@@ -20,41 +20,41 @@
 
 pub use laburnumcart::claim::Holder;
 
-/// State of an entry.
+/// Status of an entry.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Status {
     /// Name of the entry.
     pub instance: id::InstanceName,
-    /// Its data centre.
+    /// Data centre of the entry.
     pub data_centre: id::DataCentre,
-    /// Its life.
+    /// Incarnation of the entry.
     pub incarnation: id::Incarnation,
-    /// Generation in force.
+    /// Generation of the bundle in force.
     pub generation: id::Generation,
-    /// Whether new requests are refused.
+    /// Whether the entry refuses new requests because it is draining.
     pub leaving: bool,
     /// Requests in flight.
     pub running: u32,
-    /// Agents that it has a live connection to.
+    /// Number of agents with a live connection.
     pub agents: u32,
-    /// The entry's facts.
+    /// Facts known to the entry.
     pub facts: facts::Facts,
 }
 
-/// Asks the owner of a shard to claim a key.
+/// Request to the owner of a shard to claim an idempotency key.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Claim {
     /// Shard of the key.
     pub shard: u16,
-    /// Team and key together.
+    /// Fingerprint of team and key.
     pub key: id::Fingerprint,
-    /// Content of the request; a key that comes back with another is refused.
+    /// Fingerprint of the request's content; reuse of the key with different content is refused.
     pub content: id::Fingerprint,
-    /// Request that will execute under the claim.
+    /// Request to be executed under the claim.
     pub request: id::RequestId,
-    /// Entry that will execute it.
+    /// Entry that executes the request.
     pub holder: Holder,
-    /// How long the claim must be kept.
+    /// Retention time of the claim.
     pub retention: unit::Period,
 }
 
@@ -62,45 +62,45 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", tag = "decision")]
 pub enum Decision {
-    /// Durable; the caller executes the request, once.
+    /// The claim is durable; the caller executes the request, at most once.
     Granted,
-    /// The key was claimed before.
+    /// The key is already claimed.
     Taken {
         /// Request that holds the claim.
         request: id::RequestId,
-        /// Content that was claimed.
+        /// Fingerprint of the claimed request's content.
         content: id::Fingerprint,
-        /// Process that executes it or keeps its answer.
+        /// Process that executes the request or keeps its answer.
         holder: Holder,
     },
-    /// Another entry owns the shard.
+    /// The shard is owned by another entry.
     Elsewhere {
         /// Owner, if known.
         owner: Option<Holder>,
     },
-    /// Not granted, and provably not in the log.
+    /// The claim was refused and is proven not to be in the log.
     Refused(verdict::Refusal),
 }
 
-/// Gives a claim back whose request provably never started.
+/// Releases a claim whose request is proven not executed.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Release {
     /// Shard of the key.
     pub shard: u16,
-    /// Team and key together.
+    /// Fingerprint of team and key.
     pub key: id::Fingerprint,
-    /// Request that held the claim.
+    /// Request that holds the claim.
     pub request: id::RequestId,
 }
 
-/// Asks the holder of a claim for the final answer of its request.
+/// Request to the holder of a claim for the final answer of the claimed request.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Fetch {
-    /// Life that must hold the answer.
+    /// Incarnation of the holder; another one does not have the answer.
     pub incarnation: id::Incarnation,
     /// Request that holds the claim.
     pub request: id::RequestId,
-    /// Longest time to wait while it runs.
+    /// Longest time to wait while the request is in flight.
     pub wait: unit::Period,
 }
 
@@ -108,35 +108,36 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", tag = "answer")]
 pub enum Answer {
-    /// Whole result, as JSON text.
+    /// Complete result.
     Whole {
-        /// JSON text of the answer's body.
+        /// Body of the answer, as JSON text.
         body: String,
     },
-    /// Refused or given up on.
+    /// The request was refused or given up.
     Refused(verdict::Refusal),
-    /// Still runs after the wait.
+    /// The request is still in flight after the wait.
     Running,
-    /// Not known here.
+    /// The request is unknown to this process.
     Unknown,
 }
 
-/// Methods of an entry.
+/// Remote methods of an entry.
 #[rpc(server, client, namespace = "entry")]
 pub trait Entry {
-    /// Returns its state.
+    /// Returns the status of the entry.
     #[method(name = "status")]
     async fn status(&self) -> RpcResult<Status>;
 
-    /// Stops accepting requests, as SIGTERM does, and exits when all that runs has finished.
+    /// Starts a graceful shutdown, as SIGTERM does: refuses new requests and exits after the
+    /// requests in flight have finished.
     #[method(name = "drain")]
     async fn drain(&self) -> RpcResult<Status>;
 
-    /// Claims a key in a shard that this entry owns.
+    /// Claims a key in a shard owned by this entry.
     #[method(name = "claim")]
     async fn claim(&self, claim: Claim) -> RpcResult<Decision>;
 
-    /// Gives back a claim that provably never started.
+    /// Releases a claim whose request is proven not executed.
     #[method(name = "release")]
     async fn release(&self, release: Release) -> RpcResult<bool>;
 
@@ -144,7 +145,7 @@
     #[method(name = "fetch")]
     async fn fetch(&self, fetch: Fetch) -> RpcResult<Answer>;
 
-    /// Shows the bundle in force, if its generation is at least `least`.
+    /// Returns the bundle in force if its generation is at least `least`.
     #[method(name = "bundle")]
     async fn bundle(&self, least: id::Generation) -> RpcResult<Option<agent::Shown>>;
 }
--- a/laburnumcart_wire/src/gateway.rs
+++ b/laburnumcart_wire/src/gateway.rs
@@ -1,4 +1,4 @@
-//! What a gateway tells operators of itself.
+//! State page of a gateway for operators.
 
 use laburnumcart::{
     id,
@@ -9,86 +9,86 @@
     Serialize, //
 };
 
-/// Path on a gateway's admin port.
+/// Path of the state page on a gateway's admin port.
 pub const STATE: &str = "/state";
 
-/// What one gateway knows and does.
+/// State of one gateway.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct State {
-    /// Name of its instance.
+    /// Instance name of the gateway.
     pub instance: id::InstanceName,
-    /// Its data centre.
+    /// Data centre of the gateway.
     pub data_centre: id::DataCentre,
-    /// Whether it is stopping.
+    /// Whether the gateway is draining.
     pub leaving: bool,
-    /// Version of the configuration in force.
+    /// Version of the configuration in force, if there is one.
     pub version: Option<u64>,
-    /// Age of the configuration.
+    /// Age of the configuration in force.
     pub age: Option<unit::Period>,
-    /// How late it gets to its work, in the mean.
+    /// Mean lateness of the gateway's timers.
     #[serde(default)]
     pub late: unit::Period,
-    /// Gateways that it knows, itself included.
+    /// Number of known gateways, including this one.
     pub members: usize,
-    /// Gateways that follow the store, as it sees them.
+    /// Gateways that are readers of the store, as known to this one.
     pub readers: Vec<id::InstanceName>,
-    /// Data centres that get no work; nothing before that is known.
+    /// Evacuated data centres; `None` until they are known.
     pub evacuated: Option<Vec<Evacuated>>,
-    /// Queues of stages.
+    /// Queues of pieces, one for each service with batching.
     pub queues: Vec<Queue>,
-    /// Targets that get less than others, or nothing.
+    /// Targets with restricted traffic.
     pub held: Vec<Held>,
-    /// Number of all targets.
+    /// Number of known targets.
     pub targets: usize,
 }
 
-/// A data centre that is evacuated.
+/// An evacuated data centre.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Evacuated {
-    /// Its name.
+    /// Name of the data centre.
     pub data_centre: id::DataCentre,
-    /// Time for which the gateway has known it.
+    /// Time since the gateway learned of the evacuation.
     pub known: unit::Period,
 }
 
-/// The queue of a service's pieces.
+/// Queue of pieces of one service.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Queue {
-    /// Service.
+    /// Service of the queue.
     pub service: id::ServiceName,
-    /// Gateway that jobs are sent to.
+    /// Queue owner: the gateway to which jobs are sent.
     pub owner: Option<id::InstanceName>,
-    /// Pieces that wait here.
+    /// Number of pieces waiting at this gateway.
     pub waiting: usize,
 }
 
-/// A target that gets less than others.
+/// A target with restricted traffic.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Held {
-    /// Its name.
+    /// Name of the target.
     pub target: id::TargetName,
-    /// Service that it belongs to.
+    /// Service of the target.
     pub service: id::ServiceName,
-    /// Its data centre.
+    /// Data centre of the target.
     pub data_centre: id::DataCentre,
-    /// Why.
+    /// Reasons for the restriction.
     pub causes: Vec<Cause>,
-    /// Requests in a second that this gateway may send to it; any number without one.
+    /// Requests per second that this gateway may send to the target; unlimited if `None`.
     pub part: Option<unit::Rate>,
 }
 
-/// Why a target gets less than others.
+/// Reason why a target's traffic is restricted.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Cause {
-    /// It takes no new work.
+    /// The target accepts no new work because it is draining.
     Leaving,
-    /// Its data centre is evacuated.
+    /// The data centre of the target is evacuated.
     Evacuated,
-    /// It has just started; for so long.
+    /// The target is warming up after its start; with the remaining time.
     Cold(unit::Period),
-    /// It has named a limit.
+    /// The target advertises this rate limit.
     Limit(unit::Rate),
-    /// It wants nothing from this process; for so long.
+    /// The target asked this process to back off; with the remaining time.
     Backoff(unit::Period),
 }
--- a/laburnumcart_wire/src/lib.rs
+++ b/laburnumcart_wire/src/lib.rs
@@ -1,7 +1,7 @@
-//! Messages between the system's own processes.
+//! Messages and connections between the processes of the system.
 //!
-//! An entry holds one lane to each agent that it routes to. A lane is a series of WebSocket
-//! connections, each with a higher session number; see [`lane`].
+//! An entry has one lane to each agent that it routes to: a series of WebSocket connections, each
+//! with a higher session number than the one before; see [`lane`].
 
 pub mod agent;
 pub mod entry;
--- a/laburnumcart_wire/src/peer.rs
+++ b/laburnumcart_wire/src/peer.rs
@@ -1,7 +1,7 @@
-//! Connections between the system's own processes.
+//! Connections between the processes of the system.
 //!
-//! A connection is a WebSocket without TLS that carries JSON-RPC. Each process proves with its first
-//! request that it knows a secret of the fleet.
+//! A connection is a WebSocket without TLS that carries JSON-RPC. The client authenticates with a
+//! shared secret of the fleet in the request that opens the connection.
 
 mod auth;
 mod bound;
@@ -36,12 +36,12 @@
 
 pub use self::bound::Bounded;
 
-/// A connection to a peer.
+/// Client end of a connection to a peer.
 ///
-/// A call that is larger than [`Limits::message`] fails alone and without being sent.
+/// A call larger than [`Limits::message`] fails without being sent and affects no other call.
 pub type Client = client::Client<Bounded<ws_client::RpcService>>;
 
-/// Bounds of a connection, the same at both ends.
+/// Limits of a connection, the same at both ends.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Limits {
     connect: unit::Period,
@@ -66,71 +66,71 @@
 }
 
 impl Limits {
-    /// Sets the longest time to open a connection.
+    /// Sets the timeout for opening a connection.
     #[must_use]
     pub fn connect(mut self, period: unit::Period) -> Self {
         self.connect = period;
         self
     }
 
-    /// Sets the longest time that a call waits for its answer.
+    /// Sets the timeout of a call.
     #[must_use]
     pub fn request(mut self, period: unit::Period) -> Self {
         self.request = period;
         self
     }
 
-    /// Sets the largest message in bytes, both ways.
+    /// Sets the maximum size of a message in either direction.
     #[must_use]
     pub fn message(mut self, size: unit::Size) -> Self {
         self.message = size;
         self
     }
 
-    /// Sets how many calls one connection carries at once.
+    /// Sets the maximum number of concurrent calls of a connection.
     #[must_use]
     pub fn concurrent(mut self, calls: u32) -> Self {
         self.concurrent = calls;
         self
     }
 
-    /// Sets how many connections a server holds.
+    /// Sets the maximum number of connections of a server.
     #[must_use]
     pub fn connections(mut self, connections: u32) -> Self {
         self.connections = connections;
         self
     }
 
-    /// Sets after which silence a server closes a connection.
+    /// Sets the time without a message after which a server closes a connection.
     #[must_use]
     pub fn idle(mut self, period: unit::Period) -> Self {
         self.idle = period;
         self
     }
 
-    fn bytes(&self) -> u32 {
+    fn message_bytes(&self) -> u32 {
         self.message.0.try_into().unwrap_or(u32::MAX)
     }
 }
 
-/// Why a connection was not opened.
+/// Error when opening a connection.
 #[derive(Debug, Display, Error)]
 pub enum ConnectError {
-    /// The peer does not accept the secret.
+    /// The peer rejected the secret.
     #[display("the peer refused the secret")]
     Unauthorized,
-    /// The peer did not answer in time.
+    /// The peer did not answer within the timeout.
     #[display("no answer within {_0}")]
     Timeout(#[error(not(source))] unit::Period),
-    /// The peer is not reachable or does not speak the protocol.
+    /// The peer is unreachable or does not speak the protocol.
     #[display("{_0}")]
     Failed(client::Error),
 }
 
 /// Opens a connection to the peer at `addr`.
 ///
-/// The WebSocket's own ping is off: the protocol's heartbeat tells a silent connection from a live
-/// one, and carries facts with it.
+/// WebSocket pings are disabled: the heartbeat of the protocol detects silent connections, and
+/// carries facts as well.
 pub async fn connect(
     addr: net::SocketAddr,
     secret: &secret::Secret,
@@ -138,24 +138,25 @@
 ) -> Result<Client, ConnectError> {
     let mut headers = header::HeaderMap::new();
     headers.insert(header::AUTHORIZATION, auth::credentials(secret));
-    // The transport refuses a message over its limit by closing the connection, and doubt falls
-    // on all its other calls. `Bounded` refuses earlier, so the transport gets room to spare.
-    let room = limits.bytes().saturating_add(bound::ENVELOPE);
-    let bounded = bound::Bound::new(limits.bytes() as usize);
-    let building = ws_client::WsClientBuilder::new()
+    // The transport closes the connection when a message exceeds its limit, which leaves the
+    // outcome of all other calls unknown. `Bounded` checks the size first, so the limit of the
+    // transport is set higher.
+    let transport_limit = limits.message_bytes().saturating_add(bound::ENVELOPE);
+    let bounded = bound::Bound::new(limits.message_bytes() as usize);
+    let connecting = ws_client::WsClientBuilder::new()
         .set_headers(headers)
         .connection_timeout(limits.connect.0)
         .request_timeout(limits.request.0)
-        .max_request_size(room)
-        .max_response_size(room)
+        .max_request_size(transport_limit)
+        .max_response_size(transport_limit)
         .max_concurrent_requests(limits.concurrent as usize)
         .set_tcp_no_delay(true)
         .disable_ws_ping()
         .set_rpc_middleware(middleware::RpcServiceBuilder::new().layer(bounded))
         .build(format!("ws://{addr}/"));
-    // The builder bounds each step; a peer that accepts and then stays silent needs one bound
-    // over all of them.
-    match tokio::time::timeout(limits.connect.0, building).await {
+    // The builder has a timeout for each step only. This one covers all steps, for a peer that
+    // accepts the connection and then stays silent.
+    match tokio::time::timeout(limits.connect.0, connecting).await {
         Ok(Ok(client)) => Ok(client),
         Ok(Err(error)) if auth::is_refusal(&error) => Err(ConnectError::Unauthorized),
         Ok(Err(error)) => Err(ConnectError::Failed(error)),
@@ -163,10 +164,10 @@
     }
 }
 
-/// Tells from a call's error whether the peer may have executed the call.
+/// Returns whether the peer may have executed a call that ended with this error.
 ///
-/// Methods answer refusals by value. An error of the protocol itself is a proof of "not run" only
-/// where the call was turned away before it reached a method.
+/// Methods return refusals as values. A protocol error proves that the call was not executed only
+/// if the server rejected the call before it reached a method.
 pub fn verdict(error: &client::Error) -> verdict::Verdict {
     use types::ErrorCode::{
         InvalidParams,
@@ -187,38 +188,38 @@
     }
 }
 
-/// Accepts connections of peers that know one of the secrets.
+/// Server for connections of peers that know one of the secrets.
 pub struct Server {
     secrets: Vec<secret::Secret>,
     limits: Limits,
-    refused: sync::Arc<dyn Fn() + Send + Sync>,
+    on_refused: sync::Arc<dyn Fn() + Send + Sync>,
 }
 
 impl Server {
-    /// Creates a server; several secrets are valid at once while they are rotated.
+    /// Creates a server; during a rotation several secrets are valid.
     pub fn new(secrets: &[secret::Secret]) -> Self {
         Self {
             secrets: secrets.to_vec(),
             limits: Limits::default(),
-            refused: sync::Arc::new(|| ()),
+            on_refused: sync::Arc::new(|| ()),
         }
     }
 
-    /// Sets the bounds.
+    /// Sets the limits of the connections.
     #[must_use]
     pub fn limits(mut self, limits: Limits) -> Self {
         self.limits = limits;
         self
     }
 
-    /// Sets what is called for each request without a valid secret, for a counter.
+    /// Sets a hook that is called for each request without a valid secret, such as a counter.
     #[must_use]
     pub fn on_refused(mut self, hook: impl Fn() + Send + Sync + 'static) -> Self {
-        self.refused = sync::Arc::new(hook);
+        self.on_refused = sync::Arc::new(hook);
         self
     }
 
-    /// Serves `methods` on `listener` from the current runtime until the handle stops it.
+    /// Serves `methods` on `listener` in the current runtime until the handle stops the server.
     pub fn serve(
         self,
         listener: net::TcpListener,
@@ -226,9 +227,9 @@
     ) -> io::Result<Handle> {
         listener.set_nonblocking(true)?;
         let addr = listener.local_addr()?;
-        let auth = auth::Auth::new(self.secrets, self.refused);
+        let auth = auth::Auth::new(self.secrets, self.on_refused);
         let running = server::Server::builder()
-            .set_config(config(&self.limits))
+            .set_config(server_config(&self.limits))
             .set_http_middleware(tower::ServiceBuilder::new().layer(auth))
             .build_from_tcp(listener)?
             .start(methods);
@@ -236,24 +237,24 @@
     }
 }
 
-fn config(limits: &Limits) -> server::ServerConfig {
-    let silence = server::PingConfig::new()
+fn server_config(limits: &Limits) -> server::ServerConfig {
+    let ping = server::PingConfig::new()
         .ping_interval(limits.idle.0 / 3)
         .inactive_limit(limits.idle.0);
     server::ServerConfig::builder()
         .ws_only()
-        .max_request_body_size(limits.bytes().saturating_add(bound::ENVELOPE))
-        .max_response_body_size(limits.bytes())
+        .max_request_body_size(limits.message_bytes().saturating_add(bound::ENVELOPE))
+        .max_response_body_size(limits.message_bytes())
         .max_connections(limits.connections)
         .max_subscriptions_per_connection(0)
         .set_batch_request_config(server::BatchRequestConfig::Disabled)
         .set_message_buffer_capacity(limits.concurrent)
         .set_tcp_no_delay(true)
-        .enable_ws_ping(silence)
+        .enable_ws_ping(ping)
         .build()
 }
 
-/// Serves `methods` on `listener` for peers that know one of `secrets`.
+/// Serves `methods` on `listener` to peers that know one of `secrets`.
 pub fn serve(
     listener: net::TcpListener,
     secrets: &[secret::Secret],
@@ -273,14 +274,15 @@
 }
 
 impl Handle {
-    /// Returns the address that it listens on.
+    /// Returns the address that the server listens on.
     pub fn addr(&self) -> net::SocketAddr {
         self.addr
     }
 
-    /// Accepts no more connections, and closes each one when its running calls have been answered.
+    /// Stops accepting connections, and closes each open one after its calls in flight are
+    /// answered.
     pub fn stop(&self) {
-        // An error says that it has stopped already.
+        // An error means that the server has already stopped.
         let _ = self.running.stop();
     }
 
--- a/laburnumcart_wire/src/peer/auth.rs
+++ b/laburnumcart_wire/src/peer/auth.rs
@@ -1,4 +1,4 @@
-//! Check of the fleet's secret on the request that opens a connection.
+//! Authentication by the fleet's secret on the request that opens a connection.
 
 use std::{
     future,
@@ -22,7 +22,7 @@
 
 const SCHEME: &str = "Bearer ";
 
-/// Returns the header value that proves `secret`; kept out of debug output.
+/// Returns the value of the authorization header; it is omitted from debug output.
 pub(super) fn credentials(secret: &secret::Secret) -> header::HeaderValue {
     let text = format!("{SCHEME}{}", secret.expose());
     let mut value = header::HeaderValue::from_str(&text).expect("secrets are visible ASCII");
@@ -30,7 +30,7 @@
     value
 }
 
-/// Reports whether the peer refused the secret.
+/// Reports whether the error means that the peer rejected the secret.
 pub(super) fn is_refusal(error: &client::Error) -> bool {
     let client::Error::Transport(cause) = error else {
         return false;
@@ -41,59 +41,62 @@
     )
 }
 
-/// Answers 401 to requests without a valid secret.
+/// Middleware that answers 401 to requests without a valid secret.
 #[derive(Clone)]
 pub(super) struct Auth {
     secrets: sync::Arc<[secret::Secret]>,
-    refused: sync::Arc<dyn Fn() + Send + Sync>,
+    on_refused: sync::Arc<dyn Fn() + Send + Sync>,
 }
 
 impl Auth {
     pub(super) fn new(
         secrets: Vec<secret::Secret>,
-        refused: sync::Arc<dyn Fn() + Send + Sync>,
+        on_refused: sync::Arc<dyn Fn() + Send + Sync>,
     ) -> Self {
         Self {
             secrets: secrets.into(),
-            refused,
+            on_refused,
         }
     }
 
-    /// Compares with every secret, so that the time does not tell which one came near.
+    /// Reports whether the request has a valid secret.
+    ///
+    /// Compares with every secret, so that the time taken does not depend on which one matches.
     fn accepts(&self, headers: &header::HeaderMap) -> bool {
-        let given = headers
+        let token = headers
             .get(header::AUTHORIZATION)
             .and_then(|v| v.as_bytes().strip_prefix(SCHEME.as_bytes()));
-        let Some(given) = given else {
+        let Some(token) = token else {
             return false;
         };
         self.secrets
             .iter()
-            .fold(false, |found, secret| found | secret.matches(given))
+            .fold(false, |found, secret| found | secret.matches(token))
     }
 }
 
 impl<S> Layer<S> for Auth {
-    type Service = Checked<S>;
+    type Service = Authenticated<S>;
 
-    fn layer(&self, inner: S) -> Checked<S> {
-        Checked {
+    fn layer(&self, inner: S) -> Authenticated<S> {
+        Authenticated {
             auth: self.clone(),
             inner,
         }
     }
 }
 
-/// A service behind the check.
+/// A service that checks the secret before the inner service.
 #[derive(Clone)]
-pub(super) struct Checked<S> {
+pub(super) struct Authenticated<S> {
     auth: Auth,
     inner: S,
 }
 
-type Answer<E> = pin::Pin<Box<dyn future::Future<Output = Result<server::HttpResponse, E>> + Send>>;
+type Response<E> =
+    pin::Pin<Box<dyn future::Future<Output = Result<server::HttpResponse, E>> + Send>>;
 
-impl<S> Service<server::HttpRequest> for Checked<S>
+impl<S> Service<server::HttpRequest> for Authenticated<S>
 where
     S: Service<server::HttpRequest, Response = server::HttpResponse>,
     S::Future: Send + 'static,
@@ -101,7 +104,7 @@
 {
     type Response = server::HttpResponse;
     type Error = S::Error;
-    type Future = Answer<S::Error>;
+    type Future = Response<S::Error>;
 
     fn poll_ready(&mut self, cx: &mut task::Context<'_>) -> task::Poll<Result<(), S::Error>> {
         self.inner.poll_ready(cx)
@@ -111,7 +114,7 @@
         if self.auth.accepts(request.headers()) {
             return Box::pin(self.inner.call(request));
         }
-        (self.auth.refused)();
+        (self.auth.on_refused)();
         Box::pin(future::ready(Ok(unauthorized())))
     }
 }
--- a/laburnumcart_wire/src/peer/bound.rs
+++ b/laburnumcart_wire/src/peer/bound.rs
@@ -1,4 +1,4 @@
-//! Bound on the size of a call, checked before it reaches the connection.
+//! Limit on the size of a call, checked before the call is sent.
 
 use std::future;
 
@@ -11,10 +11,10 @@
 };
 use tower::Layer;
 
-/// Room for what surrounds a call's parameters: method, id and braces.
+/// Bytes reserved for what surrounds the parameters of a call: method, id and braces.
 pub(super) const ENVELOPE: u32 = 1024;
 
-/// Puts the bound around a client's service.
+/// Layer that wraps a client's service in [`Bounded`].
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Bound {
     max: usize,
@@ -37,10 +37,10 @@
     }
 }
 
-/// A client's service that refuses calls over the bound.
+/// A client's service that refuses calls larger than a limit.
 ///
-/// The transport answers a message that is too large by closing the connection: all other calls
-/// on it would end as "may have run". Here the one call fails, and none of it has been sent.
+/// The transport closes the connection when a message is too large, and all other calls on it would
+/// end as "may have run". Here only the large call fails, before any of it is sent.
 #[derive(Clone, Debug)]
 pub struct Bounded<S> {
     max: usize,
@@ -48,7 +48,7 @@
 }
 
 impl<S> Bounded<S> {
-    fn check(&self, params: Option<&str>) -> Result<(), client::Error> {
+    fn check_size(&self, params: Option<&str>) -> Result<(), client::Error> {
         let len = params.map_or(0, str::len);
         if len <= self.max {
             return Ok(());
@@ -81,7 +81,7 @@
         &self,
         request: middleware::Request<'a>,
     ) -> impl future::Future<Output = Self::MethodResponse> + Send + 'a {
-        let checked = self.check(request.params.as_deref().map(|p| p.get()));
+        let checked = self.check_size(request.params.as_deref().map(|p| p.get()));
         let inner = self.inner.clone();
         async move {
             checked?;
@@ -93,7 +93,7 @@
         &self,
         requests: middleware::Batch<'a>,
     ) -> impl future::Future<Output = Self::BatchResponse> + Send + 'a {
-        // Peers do not send batches, and servers refuse them.
+        // Not checked: peers send no batches, and servers refuse them.
         self.inner.batch(requests)
     }
 
@@ -102,7 +102,7 @@
         n: middleware::Notification<'a>,
     ) -> impl future::Future<Output = Self::NotificationResponse> + Send + 'a {
         let params = n.params.as_ref().map(|p| p.get());
-        let checked = self.check(params);
+        let checked = self.check_size(params);
         let inner = self.inner.clone();
         async move {
             checked?;
--- a/laburnumcart_wire/src/secret.rs
+++ b/laburnumcart_wire/src/secret.rs
@@ -1,4 +1,4 @@
-//! Shared secrets that processes of one fleet prove to each other.
+//! Shared secrets by which the processes of a fleet authenticate to each other.
 
 use std::{
     fmt,
@@ -13,25 +13,25 @@
 
 use laburnumcart::id;
 
-/// Shortest secret in characters.
+/// Minimum length of a secret in characters.
 pub const SECRET_MIN: usize = 16;
 
-/// Longest secret in characters.
+/// Maximum length of a secret in characters.
 pub const SECRET_MAX: usize = 256;
 
 /// A secret of the fleet, 16 to 256 visible ASCII characters.
 ///
-/// It has no `Display` and its `Debug` shows nothing of it, so that it cannot reach a log line.
+/// It has no `Display` and its `Debug` omits the text, so that it cannot end up in a log.
 #[derive(Clone)]
 pub struct Secret(String);
 
 impl Secret {
-    /// Returns the text; for the wire only.
+    /// Returns the text; only for sending it over the wire.
     pub fn expose(&self) -> &str {
         &self.0
     }
 
-    /// Compares in a time that depends on the length of `other` only.
+    /// Compares with `other` in a time that depends only on the length of `other`.
     pub fn matches(&self, other: &[u8]) -> bool {
         self.0.as_bytes().ct_eq(other).into()
     }
@@ -47,11 +47,11 @@
     type Err = id::ParseError;
 
     fn from_str(text: &str) -> Result<Self, id::ParseError> {
-        let fits = (SECRET_MIN..=SECRET_MAX).contains(&text.len());
-        if fits && text.bytes().all(|b| b.is_ascii_graphic()) {
+        let is_valid_length = (SECRET_MIN..=SECRET_MAX).contains(&text.len());
+        if is_valid_length && text.bytes().all(|b| b.is_ascii_graphic()) {
             Ok(Self(text.into()))
         } else {
-            // The text is left out of the error, as it may be a secret with a slip in it.
+            // The error omits the text, as it may be a secret with a typing error.
             Err(id::ParseError::new(
                 "secret (16 to 256 visible characters)",
                 "",
--- a/laburnumcart_wire/src/stage.rs
+++ b/laburnumcart_wire/src/stage.rs
@@ -1,4 +1,4 @@
-//! Calls of a stage and their results.
+//! Messages for executing a stage, and the reassembly of its result.
 
 use serde::{
     Deserialize,
@@ -17,32 +17,32 @@
 
 mod visit;
 
-/// Most chunks that one message carries.
+/// Maximum number of chunks in one message.
 pub const CHUNKS_MAX: usize = 4096;
 
-/// Longest trace context in bytes.
+/// Maximum length of a trace context in bytes.
 pub const TRACEPARENT_MAX: usize = 256;
 
-/// Asks an agent to execute one stage on its target.
+/// Request to an agent to execute one stage on its target.
 #[derive(Clone, Debug, Serialize)]
 pub struct Call {
-    /// Connection that carries the call.
+    /// Session of the connection that carries the call.
     pub session: lane::Session,
-    /// Life of the agent that the call is meant for.
+    /// Incarnation of the agent that the call is addressed to.
     pub incarnation: id::Incarnation,
     /// Request that the stage belongs to.
     pub request: id::RequestId,
-    /// This dispatch.
+    /// Attempt that this call starts.
     pub attempt: id::AttemptId,
     /// Team that is charged.
     pub team: id::TeamName,
-    /// Pipeline, for accounts and traces.
+    /// Pipeline, for cost accounting and traces.
     pub pipeline: id::PipelineName,
     /// Stage within the pipeline.
     pub stage: id::StageName,
-    /// Bundle under which the request was admitted.
+    /// Generation of the bundle under which the request was admitted.
     pub generation: id::Generation,
-    /// Content of the whole request.
+    /// Fingerprint of the whole request's content.
     pub fingerprint: id::Fingerprint,
     /// Priority under contention.
     pub priority: bundle::Priority,
@@ -53,131 +53,131 @@
     /// W3C trace context of the sender's span.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub traceparent: Option<String>,
-    /// Text that an earlier attempt has already received; the engine goes on after it.
+    /// Text already received from an earlier attempt; the engine resumes after it.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub received: Option<String>,
     /// Request body for the target.
     pub body: Box<value::RawValue>,
 }
 
-/// Asks for more of an attempt's result.
+/// Request for further chunks of an attempt's result.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Next {
     /// Attempt to read.
     pub attempt: id::AttemptId,
-    /// Number of the first chunk wanted; all before it are acknowledged.
+    /// Number of the first chunk wanted; acknowledges all chunks before it.
     pub from: u32,
     /// Longest time to wait for a chunk.
     pub wait: unit::Period,
 }
 
-/// Asks over a new connection what became of an attempt.
+/// Query over a new connection for the state of an attempt sent over an earlier one.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Query {
-    /// The new connection; the agent must have fenced all older ones of the lane.
+    /// Session of the new connection; the agent must have fenced all older ones of the lane.
     pub session: lane::Session,
-    /// Life of the agent that the attempt was addressed to; another one knows nothing of it.
+    /// Incarnation of the agent that the attempt was addressed to; another one cannot know it.
     pub incarnation: id::Incarnation,
-    /// Number of the session that carried the attempt; lower than that of the new connection.
+    /// Number of the session that carried the attempt; lower than that of the new session.
     pub sent: u64,
-    /// Attempt in doubt.
+    /// Attempt whose outcome is unknown.
     pub attempt: id::AttemptId,
     /// Number of the first chunk wanted.
     pub from: u32,
 }
 
-/// What an agent knows of an attempt, with a part of its result.
+/// State of an attempt at its agent, with chunks of its result.
 #[derive(Clone, Debug, Serialize)]
 pub struct Progress {
-    /// Echo of the request.
+    /// Request of the attempt.
     pub request: id::RequestId,
-    /// Echo of the attempt.
+    /// Attempt that was asked about.
     pub attempt: id::AttemptId,
-    /// Chunks in order, starting with the number that was asked for.
+    /// Consecutive chunks, starting with the number that was asked for.
     pub chunks: Vec<Chunk>,
-    /// Where the attempt stands.
+    /// State of the attempt.
     pub state: State,
 }
 
-/// A numbered part of a result.
+/// Numbered part of the text of a result.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Chunk {
     /// Number within the attempt, from 0.
     pub number: u32,
-    /// Text of the part.
+    /// Text of the chunk.
     pub text: String,
 }
 
-/// Where an attempt stands at its agent.
+/// State of an attempt at its agent.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", tag = "state")]
 pub enum State {
-    /// Waits for a slot at the target.
+    /// The attempt waits for a slot at the target.
     Queued,
-    /// The target executes it.
+    /// The target executes the attempt.
     Running,
-    /// All of the result exists.
+    /// The result is complete.
     Done(End),
-    /// It failed; the verdict is proven by the agent.
+    /// The attempt failed; the agent has proof of the verdict.
     Refused(verdict::Refusal),
 }
 
 /// End mark of a result.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct End {
-    /// Number of chunks in all.
+    /// Total number of chunks.
     pub count: u32,
-    /// xxh3 over the text of all chunks in order.
+    /// 128-bit XXH3 hash of the text of all chunks in order.
     pub checksum: id::Checksum,
-    /// Time that the target spent on it.
+    /// Time that the target spent on the attempt.
     pub busy: unit::Period,
-    /// Time that it waited at the agent.
+    /// Time that the attempt was queued at the agent.
     pub queued: unit::Period,
 }
 
-/// Cancels an attempt, or gives up the result of one that has ended.
+/// Cancels an attempt, or discards the result of one that has ended.
 ///
-/// The sender has settled the attempt and asks no more about it. An answer is not needed, as the
-/// deadline and the retention time end it in any case.
+/// The sender has settled the attempt and sends no more queries for it. The sender needs no answer:
+/// if the message is lost, the deadline and the retention time have the same effect.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Cancel {
     /// Attempt to cancel.
     pub attempt: id::AttemptId,
 }
 
-/// Checks the chunks of one result as they arrive and joins them.
+/// Reassembles the chunks of one result and checks that it is complete.
 #[derive(Debug, Default)]
 pub struct Joiner {
     text: String,
     next: u32,
 }
 
-/// A result that cannot be whole.
+/// Integrity error of a result.
 #[derive(Clone, Copy, Debug, derive_more::Display, derive_more::Error, Eq, PartialEq)]
 pub enum Broken {
-    /// A chunk is missing before the one that arrived.
-    #[display("chunk missing")]
+    /// A chunk before the received one is missing.
+    #[display("a chunk of the result is missing")]
     Gap,
-    /// The end mark counts other chunks than arrived.
-    #[display("wrong number of chunks")]
+    /// The number of received chunks differs from the count in the end mark.
+    #[display("number of chunks differs from the end mark")]
     Count,
-    /// The text differs from what the agent sent.
-    #[display("checksum mismatch")]
+    /// The checksum of the text differs from that in the end mark.
+    #[display("checksum of the result does not match")]
     Checksum,
 }
 
 impl Joiner {
-    /// Returns the number of the next chunk wanted.
+    /// Returns the number of the next chunk expected.
     pub fn next(&self) -> u32 {
         self.next
     }
 
-    /// Returns the text so far.
+    /// Returns the text received so far.
     pub fn text(&self) -> &str {
         &self.text
     }
 
-    /// Adds a chunk; one that was seen before is skipped.
+    /// Appends a chunk; returns `false` for a duplicate, which is skipped.
     pub fn push(&mut self, chunk: &Chunk) -> Result<bool, Broken> {
         if chunk.number < self.next {
             return Ok(false);
@@ -190,7 +190,7 @@
         Ok(true)
     }
 
-    /// Checks the end mark and returns the whole text.
+    /// Checks the result against the end mark and returns its text.
     pub fn finish(self, end: &End) -> Result<String, Broken> {
         if self.next != end.count {
             return Err(Broken::Count);
@@ -202,7 +202,7 @@
     }
 }
 
-/// Digests the text of a whole result.
+/// Returns the checksum of the text of a complete result.
 pub fn checksum(text: &str) -> id::Checksum {
     id::Checksum(xxhash_rust::xxh3::xxh3_128(text.as_bytes()))
 }
--- a/laburnumcart_wire/src/stage/visit.rs
+++ b/laburnumcart_wire/src/stage/visit.rs
@@ -1,8 +1,8 @@
-//! Visitors of the messages that each stage of each request carries.
+//! Hand-written serde visitors for the messages of the request path.
 //!
-//! Fields that are not known are skipped, so that a newer process can talk to an older one while a
-//! fleet is upgraded. A field that is missing or stands twice is refused, and so is a message that
-//! counts more parts than a peer ever sends.
+//! Unknown fields are skipped, so that newer and older processes can work together during an
+//! upgrade of the fleet. Missing and duplicate fields are errors, and so are more chunks than a
+//! peer ever sends in one message.
 
 use std::fmt;
 
@@ -23,7 +23,7 @@
     TRACEPARENT_MAX, //
 };
 
-/// Declares the known fields of a message; all other names become `Other`.
+/// Declares an enum of the known fields of a message; all other names become `Other`.
 macro_rules! fields {
     ($name:ident { $($variant:ident = $text:literal,)* }) => {
         enum $name {
@@ -56,8 +56,12 @@
     };
 }
 
-/// Reads a field's value into its slot, once.
-fn put<'de, T, A>(slot: &mut Option<T>, name: &'static str, map: &mut A) -> Result<(), A::Error>
+/// Reads the value of a field into its slot; fails on a duplicate field.
+fn read_field<'de, T, A>(
+    slot: &mut Option<T>,
+    name: &'static str,
+    map: &mut A,
+) -> Result<(), A::Error>
 where
     T: Deserialize<'de>,
     A: de::MapAccess<'de>,
@@ -69,12 +73,12 @@
     Ok(())
 }
 
-/// Takes a field's value out of its slot.
-fn take<T, E: de::Error>(slot: Option<T>, name: &'static str) -> Result<T, E> {
+/// Returns the value of a required field; fails if it is missing.
+fn require<T, E: de::Error>(slot: Option<T>, name: &'static str) -> Result<T, E> {
     slot.ok_or_else(|| E::missing_field(name))
 }
 
-fn skip<'de, A: de::MapAccess<'de>>(map: &mut A) -> Result<(), A::Error> {
+fn skip_field<'de, A: de::MapAccess<'de>>(map: &mut A) -> Result<(), A::Error> {
     map.next_value::<de::IgnoredAny>().map(drop)
 }
 
@@ -123,22 +127,22 @@
         let mut body = None;
         while let Some(field) = map.next_key()? {
             match field {
-                CallField::Session => put(&mut session, "session", &mut map)?,
-                CallField::Incarnation => put(&mut incarnation, "incarnation", &mut map)?,
-                CallField::Request => put(&mut request, "request", &mut map)?,
-                CallField::Attempt => put(&mut attempt, "attempt", &mut map)?,
-                CallField::Team => put(&mut team, "team", &mut map)?,
-                CallField::Pipeline => put(&mut pipeline, "pipeline", &mut map)?,
-                CallField::Stage => put(&mut stage, "stage", &mut map)?,
-                CallField::Generation => put(&mut generation, "generation", &mut map)?,
-                CallField::Fingerprint => put(&mut fingerprint, "fingerprint", &mut map)?,
-                CallField::Priority => put(&mut priority, "priority", &mut map)?,
-                CallField::Idempotent => put(&mut idempotent, "idempotent", &mut map)?,
-                CallField::Remaining => put(&mut remaining, "remaining", &mut map)?,
-                CallField::Traceparent => put(&mut traceparent, "traceparent", &mut map)?,
-                CallField::Received => put(&mut received, "received", &mut map)?,
-                CallField::Body => put(&mut body, "body", &mut map)?,
-                CallField::Other => skip(&mut map)?,
+                CallField::Session => read_field(&mut session, "session", &mut map)?,
+                CallField::Incarnation => read_field(&mut incarnation, "incarnation", &mut map)?,
+                CallField::Request => read_field(&mut request, "request", &mut map)?,
+                CallField::Attempt => read_field(&mut attempt, "attempt", &mut map)?,
+                CallField::Team => read_field(&mut team, "team", &mut map)?,
+                CallField::Pipeline => read_field(&mut pipeline, "pipeline", &mut map)?,
+                CallField::Stage => read_field(&mut stage, "stage", &mut map)?,
+                CallField::Generation => read_field(&mut generation, "generation", &mut map)?,
+                CallField::Fingerprint => read_field(&mut fingerprint, "fingerprint", &mut map)?,
+                CallField::Priority => read_field(&mut priority, "priority", &mut map)?,
+                CallField::Idempotent => read_field(&mut idempotent, "idempotent", &mut map)?,
+                CallField::Remaining => read_field(&mut remaining, "remaining", &mut map)?,
+                CallField::Traceparent => read_field(&mut traceparent, "traceparent", &mut map)?,
+                CallField::Received => read_field(&mut received, "received", &mut map)?,
+                CallField::Body => read_field(&mut body, "body", &mut map)?,
+                CallField::Other => skip_field(&mut map)?,
             }
         }
         let traceparent = traceparent.flatten();
@@ -149,21 +153,21 @@
             return Err(A::Error::custom("traceparent is too long"));
         }
         Ok(Call {
-            session: take(session, "session")?,
-            incarnation: take(incarnation, "incarnation")?,
-            request: take(request, "request")?,
-            attempt: take(attempt, "attempt")?,
-            team: take(team, "team")?,
-            pipeline: take(pipeline, "pipeline")?,
-            stage: take(stage, "stage")?,
-            generation: take(generation, "generation")?,
-            fingerprint: take(fingerprint, "fingerprint")?,
-            priority: take(priority, "priority")?,
-            idempotent: take(idempotent, "idempotent")?,
-            remaining: take(remaining, "remaining")?,
+            session: require(session, "session")?,
+            incarnation: require(incarnation, "incarnation")?,
+            request: require(request, "request")?,
+            attempt: require(attempt, "attempt")?,
+            team: require(team, "team")?,
+            pipeline: require(pipeline, "pipeline")?,
+            stage: require(stage, "stage")?,
+            generation: require(generation, "generation")?,
+            fingerprint: require(fingerprint, "fingerprint")?,
+            priority: require(priority, "priority")?,
+            idempotent: require(idempotent, "idempotent")?,
+            remaining: require(remaining, "remaining")?,
             traceparent,
             received: received.flatten(),
-            body: take(body, "body")?,
+            body: require(body, "body")?,
         })
     }
 }
@@ -197,18 +201,18 @@
         let mut state = None;
         while let Some(field) = map.next_key()? {
             match field {
-                ProgressField::Request => put(&mut request, "request", &mut map)?,
-                ProgressField::Attempt => put(&mut attempt, "attempt", &mut map)?,
-                ProgressField::Chunks => put(&mut chunks, "chunks", &mut map)?,
-                ProgressField::State => put(&mut state, "state", &mut map)?,
-                ProgressField::Other => skip(&mut map)?,
+                ProgressField::Request => read_field(&mut request, "request", &mut map)?,
+                ProgressField::Attempt => read_field(&mut attempt, "attempt", &mut map)?,
+                ProgressField::Chunks => read_field(&mut chunks, "chunks", &mut map)?,
+                ProgressField::State => read_field(&mut state, "state", &mut map)?,
+                ProgressField::Other => skip_field(&mut map)?,
             }
         }
         Ok(Progress {
-            request: take(request, "request")?,
-            attempt: take(attempt, "attempt")?,
+            request: require(request, "request")?,
+            attempt: require(attempt, "attempt")?,
             chunks: chunks.map(|c| c.0).unwrap_or_default(),
-            state: take(state, "state")?,
+            state: require(state, "state")?,
         })
     }
 }
@@ -268,14 +272,14 @@
         let mut text = None;
         while let Some(field) = map.next_key()? {
             match field {
-                ChunkField::Number => put(&mut number, "number", &mut map)?,
-                ChunkField::Text => put(&mut text, "text", &mut map)?,
-                ChunkField::Other => skip(&mut map)?,
+                ChunkField::Number => read_field(&mut number, "number", &mut map)?,
+                ChunkField::Text => read_field(&mut text, "text", &mut map)?,
+                ChunkField::Other => skip_field(&mut map)?,
             }
         }
         Ok(Chunk {
-            number: take(number, "number")?,
-            text: take(text, "text")?,
+            number: require(number, "number")?,
+            text: require(text, "text")?,
         })
     }
 }
--- a/laburnumcart_wire/tests/peer.rs
+++ b/laburnumcart_wire/tests/peer.rs
@@ -1,4 +1,4 @@
-//! Connections between processes: secrets, bounds and malformed frames.
+//! Connections between processes: secrets, limits and malformed frames.
 
 use std::{
     net,
@@ -32,8 +32,8 @@
 const SECRET: &str = "a-secret-of-the-fleet";
 const OTHER: &str = "the-secret-after-next";
 
-/// Longest time that a test waits for what must happen.
-const BOUND: time::Duration = time::Duration::from_secs(20);
+/// Longest time that a test waits for an expected event.
+const TIMEOUT: time::Duration = time::Duration::from_secs(20);
 
 fn secret(text: &str) -> secret::Secret {
     text.parse().unwrap()
@@ -43,7 +43,7 @@
     net::TcpListener::bind((net::Ipv4Addr::LOCALHOST, 0)).unwrap()
 }
 
-/// Methods: `echo` answers at once, `held` when the gate opens.
+/// Returns the methods `echo`, which answers at once, and `held`, which waits for the gate.
 fn methods(gate: &sync::Arc<tokio::sync::Notify>) -> server::RpcModule<()> {
     let mut module = server::RpcModule::new(());
     module
@@ -80,19 +80,18 @@
 #[case::too_short("fifteen-letters")]
 #[case::space("a secret with spaces")]
 #[case::newline("a-secret-of-the-fleet\n")]
-fn bad_secret_is_refused_unseen(#[case] text: &str) {
+fn invalid_secret_is_rejected_without_showing_it(#[case] text: &str) {
     let error = text.parse::<secret::Secret>().unwrap_err();
     assert!(!format!("{error} {error:?}").contains(text));
 }
 
 #[test]
-fn secret_is_not_shown() {
+fn debug_output_omits_the_secret() {
     let shown = format!("{:?}", [secret(SECRET)]);
     assert_eq!(shown, "[Secret(..)]");
 }
 
-/// While secrets are rotated the caller sees no failure: a server with the old and the new one takes
-/// calls under both.
+/// During a rotation of secrets a server must accept both the old and the new one.
 #[tokio::test]
 async fn each_valid_secret_opens_a_connection() {
     let limits = peer::Limits::default();
@@ -127,10 +126,10 @@
     assert_eq!(count.load(atomic::Ordering::Relaxed), 1);
 }
 
-/// The peer accepts the connection and then says nothing, as one behind a failed switch does. The
-/// caller gets a timeout after the bound and can try another peer.
+/// The peer accepts the connection and then stays silent, as behind a failed switch. The caller
+/// must get an error after the timeout, so that it can try another peer.
 #[tokio::test]
-async fn silent_peer_is_a_timeout() {
+async fn connecting_to_a_silent_peer_times_out() {
     let listener = listener();
     let limits = peer::Limits::default().connect(unit::Period::from_millis(50));
     let addr = listener.local_addr().unwrap();
@@ -143,10 +142,10 @@
     ));
 }
 
-/// One call on the connection waits at the peer while another one is larger than the bound. The
-/// large one fails at once, unsent; the waiting one gets its answer over the same connection.
+/// A call over the size limit must fail without being sent, and must not close the connection on
+/// which another call waits for its answer.
 #[tokio::test]
-async fn large_call_fails_alone() {
+async fn oversized_call_affects_no_other_call() {
     let limits = peer::Limits::default().message(unit::Size(4096));
     let (handle, gate) = serve(&[SECRET], &limits);
     let client = peer::connect(handle.addr(), &secret(SECRET), &limits)
@@ -163,15 +162,15 @@
         assert_eq!(echo(&client, "small").await.unwrap(), "small");
         gate.notify_one();
     };
-    let (held, ()) = tokio::time::timeout(BOUND, async { tokio::join!(held, large) })
+    let (held, ()) = tokio::time::timeout(TIMEOUT, async { tokio::join!(held, large) })
         .await
         .unwrap();
     assert_eq!(held.unwrap(), "done");
 }
 
-/// A call fills the bound to the byte; it must pass, or what one end takes the other would refuse.
+/// A call of exactly the maximum size must not be rejected by the other end.
 #[tokio::test]
-async fn largest_call_passes() {
+async fn call_of_maximum_size_is_accepted() {
     let limits = peer::Limits::default().message(unit::Size(4096));
     let (handle, _) = serve(&[SECRET], &limits);
     let client = peer::connect(handle.addr(), &secret(SECRET), &limits)
@@ -187,7 +186,7 @@
     assert_eq!(echo(&client, "small").await.unwrap(), "small");
 }
 
-/// A raw WebSocket, to send what our own client never would.
+/// A raw WebSocket, to send frames that the client never sends.
 struct Raw {
     sender: soketto::Sender<Stream>,
     receiver: soketto::Receiver<Stream>,
@@ -220,7 +219,7 @@
     async fn receive(&mut self) -> serde_json::Value {
         let mut data = Vec::new();
         let receiving = self.receiver.receive_data(&mut data);
-        tokio::time::timeout(BOUND, receiving)
+        tokio::time::timeout(TIMEOUT, receiving)
             .await
             .unwrap()
             .unwrap();
@@ -228,8 +227,8 @@
     }
 }
 
-/// A peer sends a frame that is no call, while a call of its own waits. It gets a typed error for the
-/// frame, and later the answer to the call: one bad frame costs the connection nothing else.
+/// A malformed frame is answered with its own error code, and a call that waits on the same
+/// connection still gets its answer.
 #[rstest]
 #[case::no_json("{", -32700)]
 #[case::no_call(r#"{"id":9}"#, -32600)]
@@ -237,7 +236,7 @@
 #[case::bad_params(r#"{"jsonrpc":"2.0","id":9,"method":"echo","params":[1]}"#, -32602)]
 #[case::batch(r#"[{"jsonrpc":"2.0","id":9,"method":"echo","params":["a"]}]"#, -32005)]
 #[tokio::test]
-async fn malformed_frame_harms_no_other_call(#[case] frame: &str, #[case] code: i64) {
+async fn malformed_frame_affects_no_other_call(#[case] frame: &str, #[case] code: i64) {
     let (handle, gate) = serve(&[SECRET], &peer::Limits::default());
     let mut raw = Raw::open(handle.addr()).await;
     raw.send(r#"{"jsonrpc":"2.0","id":1,"method":"held"}"#)
@@ -251,32 +250,33 @@
     assert_eq!(answer["result"], "done");
 }
 
-/// A process stops while it executes a call. The caller still gets the answer; new connections are
-/// refused.
+/// A server that stops must answer its calls in flight and refuse new connections.
 #[tokio::test]
-async fn stop_answers_what_runs() {
+async fn stop_answers_calls_in_flight() {
     let limits = peer::Limits::default();
     let (handle, gate) = serve(&[SECRET], &limits);
     let addr = handle.addr();
     let client = peer::connect(addr, &secret(SECRET), &limits).await.unwrap();
     let held = client.request::<String, _>("held", rpc_params![]);
     let stop = async {
-        // The answer to a later call shows that the first one has arrived.
+        // The answer to a later call proves that the first one has arrived.
         echo(&client, "after").await.unwrap();
         handle.stop();
         gate.notify_one();
     };
-    let (held, ()) = tokio::time::timeout(BOUND, async { tokio::join!(held, stop) })
+    let (held, ()) = tokio::time::timeout(TIMEOUT, async { tokio::join!(held, stop) })
         .await
         .unwrap();
     assert_eq!(held.unwrap(), "done");
     drop(client);
-    tokio::time::timeout(BOUND, handle.stopped()).await.unwrap();
+    tokio::time::timeout(TIMEOUT, handle.stopped())
+        .await
+        .unwrap();
     assert!(peer::connect(addr, &secret(SECRET), &limits).await.is_err());
 }
 
-/// A peer's connection breaks while it executes a call. The caller must not take the error for a
-/// proof that the call did not run; neither an answer that was too large to send, nor a timeout.
+/// A timeout, an internal error or an answer too large to send does not prove that a call was not
+/// executed; the verdict must be that it may have run.
 #[tokio::test]
 async fn doubt_is_not_taken_for_proof() {
     let short = peer::Limits::default().request(unit::Period::from_millis(20));
@@ -289,7 +289,7 @@
         peer::verdict(&held.unwrap_err()),
         verdict::Verdict::MayHaveRun
     );
-    // A call that the peer turned away is proven, whatever the timeout.
+    // A call that the peer rejected before execution is proven not executed.
     let patient = peer::Limits::default();
     let client = peer::connect(handle.addr(), &secret(SECRET), &patient)
         .await
@@ -310,7 +310,7 @@
     }
 }
 
-/// A server holds as many connections as it may. One more is refused at once, and the others work on.
+/// A server at its limit of connections refuses a further one and keeps serving the others.
 #[tokio::test]
 async fn connections_are_bounded() {
     let limits = peer::Limits::default().connections(1);
@@ -326,19 +326,18 @@
     assert_eq!(echo(&client, "in").await.unwrap(), "in");
 }
 
-/// A peer opens the one connection that the server holds and goes silent, as behind a switch that lost
-/// track of it. Another one gets in once the server has noticed: silent connections do not fill the
-/// server for good.
+/// A silent connection, as behind a switch that dropped its state, must be closed after the idle
+/// time, or such connections would exhaust the server's limit forever.
 #[tokio::test]
-async fn silent_connection_makes_room() {
+async fn silent_connection_is_closed() {
     let limits = peer::Limits::default()
         .connections(1)
         .idle(unit::Period::from_millis(300));
     let (handle, _) = serve(&[SECRET], &limits);
-    // Nothing reads from this one, so it answers no ping.
+    // Nothing reads from this connection, so it answers no ping.
     let _silent = Raw::open(handle.addr()).await;
     let secret = secret(SECRET);
-    let entered = async {
+    let connected = async {
         loop {
             if let Ok(client) = peer::connect(handle.addr(), &secret, &limits).await {
                 return client;
@@ -346,6 +345,6 @@
             tokio::time::sleep(time::Duration::from_millis(20)).await;
         }
     };
-    let client = tokio::time::timeout(BOUND, entered).await.unwrap();
+    let client = tokio::time::timeout(TIMEOUT, connected).await.unwrap();
     assert_eq!(echo(&client, "in").await.unwrap(), "in");
 }
--- a/laburnumcart_wire/tests/stage.rs
+++ b/laburnumcart_wire/tests/stage.rs
@@ -1,4 +1,4 @@
-//! The hand-written visitors against what the derive macro does.
+//! Hand-written visitors compared with derived implementations.
 
 use laburnumcart::{
     bundle,
@@ -19,7 +19,7 @@
 };
 use serde_json::value;
 
-/// [`stage::Call`] as the derive macro would have it.
+/// [`stage::Call`] with a derived implementation.
 #[derive(Debug, Serialize, Deserialize)]
 struct Call {
     session: lane::Session,
@@ -41,7 +41,7 @@
     body: Box<value::RawValue>,
 }
 
-/// [`stage::Progress`] as the derive macro would have it.
+/// [`stage::Progress`] with a derived implementation.
 #[derive(Debug, Serialize, Deserialize)]
 struct Progress {
     request: id::RequestId,
@@ -51,7 +51,7 @@
     state: stage::State,
 }
 
-/// [`stage::Chunk`] as the derive macro would have it.
+/// [`stage::Chunk`] with a derived implementation.
 #[derive(Debug, Serialize, Deserialize)]
 struct Chunk {
     number: u32,
@@ -130,14 +130,14 @@
     }
 }
 
-/// Parses the derive's JSON by hand and returns it as written by hand.
-fn through<T: Serialize + de::DeserializeOwned>(json: &str) -> String {
+/// Parses a message and returns it serialized again.
+fn round_trip<T: Serialize + de::DeserializeOwned>(json: &str) -> String {
     let value: T = serde_json::from_str(json).unwrap();
     serde_json::to_string(&value).unwrap()
 }
 
-/// Checks that both accept or both refuse, and mean the same.
-fn agree<T, U>(json: &str) -> Result<(), TestCaseError>
+/// Checks that both types reject the text, or both accept it with the same result.
+fn check_same<T, U>(json: &str) -> Result<(), TestCaseError>
 where
     T: Serialize + de::DeserializeOwned,
     U: Serialize + de::DeserializeOwned,
@@ -150,34 +150,38 @@
 
 proptest! {
     #[test]
-    fn call_is_as_derived(call in call()) {
+    fn call_matches_the_derived_implementation(call in call()) {
         let json = serde_json::to_string(&call).unwrap();
-        prop_assert_eq!(through::<stage::Call>(&json), json);
+        prop_assert_eq!(round_trip::<stage::Call>(&json), json);
     }
 
     #[test]
-    fn progress_is_as_derived(progress in progress()) {
+    fn progress_matches_the_derived_implementation(progress in progress()) {
         let json = serde_json::to_string(&progress).unwrap();
-        prop_assert_eq!(through::<stage::Progress>(&json), json);
+        prop_assert_eq!(round_trip::<stage::Progress>(&json), json);
     }
 
-    /// A call with one field left out, doubled, null or added fares as with the derive.
+    /// A call with one field missing, duplicate, null or unknown is treated as by the derived one.
     #[test]
-    fn changed_calls_fare_as_derived(call in call(), place in 0usize..15, change in 0usize..4) {
+    fn changed_call_matches_the_derived_implementation(
+        call in call(),
+        index in 0usize..15,
+        mutation in 0usize..4,
+    ) {
         let json = serde_json::to_string(&call).unwrap();
         let value: serde_json::Map<String, serde_json::Value> =
             serde_json::from_str(&json).unwrap();
         let field = |(k, v): (&String, &serde_json::Value)| format!("{k:?}:{v}");
         let mut fields: Vec<String> = value.iter().map(field).collect();
-        let place = place % fields.len();
-        let name = value.keys().nth(place).unwrap();
-        match change {
-            0 => drop(fields.remove(place)),
-            1 => fields.push(fields[place].clone()),
-            2 => fields[place] = format!("{name:?}:null"),
-            _ => fields.insert(place, r#""later":{"a":[1,null]}"#.into()),
+        let index = index % fields.len();
+        let name = value.keys().nth(index).unwrap();
+        match mutation {
+            0 => drop(fields.remove(index)),
+            1 => fields.push(fields[index].clone()),
+            2 => fields[index] = format!("{name:?}:null"),
+            _ => fields.insert(index, r#""later":{"a":[1,null]}"#.into()),
         }
-        agree::<stage::Call, Call>(&format!("{{{}}}", fields.join(",")))?;
+        check_same::<stage::Call, Call>(&format!("{{{}}}", fields.join(",")))?;
     }
 
     #[test]
@@ -187,12 +191,12 @@
         let _ = serde_json::from_slice::<stage::Chunk>(&bytes);
     }
 
-    /// Bytes that differ from a valid message in one place reach far into the visitors.
+    /// Messages with a single wrong byte get past the checks that stop random bytes.
     #[test]
-    fn one_wrong_byte_never_panics(call in call(), place: usize, byte: u8) {
+    fn one_wrong_byte_never_panics(call in call(), index: usize, byte: u8) {
         let mut json = serde_json::to_vec(&call).unwrap();
-        let place = place % json.len();
-        json[place] = byte;
+        let index = index % json.len();
+        json[index] = byte;
         let _ = serde_json::from_slice::<stage::Call>(&json);
     }
 }
@@ -202,7 +206,7 @@
 #[case::doubled(r#"{"number":1,"text":"a","number":2}"#, "duplicate field `number`")]
 #[case::sequence(r#"[1,"a"]"#, "invalid type: sequence")]
 #[case::range(r#"{"number":4294967296,"text":"a"}"#, "invalid value")]
-fn wrong_chunk_is_refused(#[case] json: &str, #[case] message: &str) {
+fn invalid_chunk_is_rejected(#[case] json: &str, #[case] message: &str) {
     let error = serde_json::from_str::<stage::Chunk>(json)
         .unwrap_err()
         .to_string();
