--- a/laburnumcart_platform/src/pause.rs
+++ b/laburnumcart_platform/src/backoff.rs
@@ -4,13 +4,13 @@
 
 /// Exponential backoff; each pause is drawn at random from the upper half of its range.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Pause {
+pub(crate) struct Backoff {
     first: time::Duration,
     longest: time::Duration,
     retries: u32,
 }
 
-impl Pause {
+impl Backoff {
     pub(crate) fn new(first: time::Duration, longest: time::Duration) -> Self {
         Self {
             first,
--- a/laburnumcart_platform/src/outage.rs
+++ b/laburnumcart_platform/src/breaker.rs
@@ -10,26 +10,26 @@
 
 use laburnumcart::unit;
 
-/// Settings of an [`Outage`].
+/// Settings of a [`CircuitBreaker`].
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
     /// Consecutive failures that open the breaker.
     pub failures: u32,
     /// First pause; each further pause is twice as long.
-    pub first: time::Duration,
+    pub first_pause: time::Duration,
     /// Longest pause.
-    pub longest: time::Duration,
+    pub longest_pause: time::Duration,
     /// Time after which a probe without an outcome is given up.
-    pub probe: time::Duration,
+    pub probe_timeout: time::Duration,
 }
 
 impl Default for Limits {
     fn default() -> Self {
         Self {
             failures: 3,
-            first: time::Duration::from_millis(100),
-            longest: time::Duration::from_secs(5),
-            probe: time::Duration::from_secs(5),
+            first_pause: time::Duration::from_millis(100),
+            longest_pause: time::Duration::from_secs(5),
+            probe_timeout: time::Duration::from_secs(5),
         }
     }
 }
@@ -54,12 +54,12 @@
 
 /// Circuit breaker of one service: closed, open after failures, or half-open during a probe.
 #[derive(Debug)]
-pub struct Outage {
+pub struct CircuitBreaker {
     limits: Limits,
     state: State,
 }
 
-impl Outage {
+impl CircuitBreaker {
     /// Creates a closed breaker.
     pub fn new(limits: Limits) -> Self {
         Self {
@@ -83,7 +83,7 @@
             State::Open { pauses, .. } | State::HalfOpen { pauses, .. } => {
                 // A probe whose task was dropped records no outcome. Without a time limit, all
                 // calls would be refused forever.
-                let until = now + self.limits.probe;
+                let until = now + self.limits.probe_timeout;
                 self.state = State::HalfOpen { until, pauses };
                 Admission::Probe
             }
@@ -91,14 +91,14 @@
     }
 
     /// Records that the service answered; closes the breaker.
-    pub fn succeeded(&mut self) {
+    pub fn record_success(&mut self) {
         self.state = State::Closed { failures: 0 };
     }
 
     /// Records that the service failed or did not answer.
     ///
     /// `jitter`, from 0 to 1, spreads the probes of processes that failed at the same time.
-    pub fn failed(&mut self, now: Instant, jitter: f64) {
+    pub fn record_failure(&mut self, now: Instant, jitter: f64) {
         self.state = match self.state {
             State::Closed { failures } if failures + 1 < self.limits.failures => State::Closed {
                 failures: failures + 1,
@@ -112,7 +112,7 @@
 
     fn open(&self, now: Instant, pauses: u32, jitter: f64) -> State {
         let factor = 1u32 << pauses.min(16);
-        let full = (self.limits.first * factor).min(self.limits.longest);
+        let full = (self.limits.first_pause * factor).min(self.limits.longest_pause);
         let until = now + full.mul_f64(0.5 + jitter.clamp(0.0, 1.0) / 2.0);
         State::Open { until, pauses }
     }
--- a/laburnumcart_platform/src/budget.rs
+++ b/laburnumcart_platform/src/budget.rs
@@ -37,7 +37,7 @@
     }
 
     /// Takes a token for one call; the error is the time until the next token.
-    pub fn take(&mut self, now: Instant) -> Result<(), unit::Period> {
+    pub fn try_take(&mut self, now: Instant) -> Result<(), unit::Period> {
         self.refill(now);
         if self.tokens < 1.0 {
             return Err(self.wait_time());
@@ -50,12 +50,12 @@
     ///
     /// A waiting call is refused if all of them together would exceed the rate, so that the bucket
     /// never goes into debt. The error is the time after which to try again.
-    pub fn hold(&mut self, now: Instant) -> Result<(), unit::Period> {
+    pub fn try_hold(&mut self, now: Instant) -> Result<(), unit::Period> {
         self.refill(now);
         if f64::from(self.waiting + 1) > self.rate {
             return Err(unit::Period::from_secs(1));
         }
-        self.take(now)?;
+        self.try_take(now)?;
         self.waiting += 1;
         Ok(())
     }
@@ -67,13 +67,13 @@
     }
 
     /// Drops all tokens, after the service itself has refused a call because of its rate limit.
-    pub fn drain(&mut self, now: Instant) {
+    pub fn empty(&mut self, now: Instant) {
         self.refill(now);
         self.tokens = 0.0;
     }
 
     /// Returns the number of waiting calls.
-    pub fn held(&self) -> u32 {
+    pub fn waiting_calls(&self) -> u32 {
         self.waiting
     }
 
--- a/laburnumcart_platform/src/client.rs
+++ b/laburnumcart_platform/src/client.rs
@@ -21,8 +21,8 @@
 use laburnumcart::unit;
 
 use crate::{
+    breaker,
     budget,
-    outage,
     store, //
 };
 
@@ -40,7 +40,7 @@
 /// State that decides whether a call may be sent.
 #[derive(Debug)]
 struct Control {
-    breaker: outage::Outage,
+    breaker: breaker::CircuitBreaker,
     budget: budget::Budget,
 }
 
@@ -140,7 +140,7 @@
             Cost::Read | Cost::Write => (Some(self.acquire_slot().await?), self.timeout),
             // A probe must not wait: a waiting watch would show only at its end that the service
             // has recovered.
-            Cost::Watch(_) if admission == outage::Admission::Probe => {
+            Cost::Watch(_) if admission == breaker::Admission::Probe => {
                 request.wait = Some(time::Duration::ZERO);
                 (None, self.timeout)
             }
@@ -165,7 +165,7 @@
         &self,
         cost: Cost,
         start: Instant,
-    ) -> Result<outage::Admission, store::Failure> {
+    ) -> Result<breaker::Admission, store::Failure> {
         loop {
             let now = Instant::now();
             let retry = match self.admit(cost, now) {
@@ -180,17 +180,17 @@
         }
     }
 
-    fn admit(&self, cost: Cost, now: Instant) -> Result<outage::Admission, Refused> {
+    fn admit(&self, cost: Cost, now: Instant) -> Result<breaker::Admission, Refused> {
         let mut control = self.control();
         // The budget is checked first: a call that it refuses must not be taken as the probe.
         match cost {
-            Cost::Read => control.budget.reads.take(now),
-            Cost::Write => control.budget.writes.take(now),
-            Cost::Watch(_) => control.budget.reads.hold(now),
+            Cost::Read => control.budget.reads.try_take(now),
+            Cost::Write => control.budget.writes.try_take(now),
+            Cost::Watch(_) => control.budget.reads.try_hold(now),
         }
         .map_err(Refused::Budget)?;
         let admission = control.breaker.admit(now);
-        if let outage::Admission::Refuse(retry) = admission {
+        if let breaker::Admission::Refuse(retry) = admission {
             if matches!(cost, Cost::Watch(_)) {
                 control.budget.reads.release(now);
             }
@@ -218,9 +218,9 @@
         let mut control = self.control();
         let before = control.breaker.is_open();
         match result {
-            Ok(response) if response.is_available() => control.breaker.succeeded(),
+            Ok(response) if response.is_available() => control.breaker.record_success(),
             _ => {
-                control.breaker.failed(now, rand::random());
+                control.breaker.record_failure(now, rand::random());
                 self.select_next(index);
             }
         }
@@ -229,8 +229,8 @@
             .is_ok_and(protocol::Response::is_rate_limited)
         {
             match cost {
-                Cost::Write => control.budget.writes.drain(now),
-                Cost::Read | Cost::Watch(_) => control.budget.reads.drain(now),
+                Cost::Write => control.budget.writes.empty(now),
+                Cost::Read | Cost::Watch(_) => control.budget.reads.empty(now),
             }
         }
         let open = control.breaker.is_open();
--- a/laburnumcart_platform/src/client/builder.rs
+++ b/laburnumcart_platform/src/client/builder.rs
@@ -31,8 +31,8 @@
     metrics, //
 };
 use crate::{
-    budget,
-    outage, //
+    breaker,
+    budget, //
 };
 
 /// Settings with which no client can be built.
@@ -56,7 +56,7 @@
     answer_max: unit::Size,
     rates: budget::Rates,
     budget_wait: unit::Period,
-    breaker: outage::Limits,
+    breaker: breaker::Limits,
 }
 
 impl Builder {
@@ -71,7 +71,7 @@
             answer_max: unit::Size(64 << 20),
             rates: budget::Rates::default(),
             budget_wait: unit::Period::default(),
-            breaker: outage::Limits::default(),
+            breaker: breaker::Limits::default(),
         }
     }
 
@@ -106,13 +106,13 @@
     }
 
     /// Sets how long a call waits for the process's own budget; not at all unless set.
-    pub fn patience(mut self, patience: unit::Period) -> Self {
-        self.budget_wait = patience;
+    pub fn budget_wait(mut self, wait: unit::Period) -> Self {
+        self.budget_wait = wait;
         self
     }
 
     /// Sets the limits of the circuit breaker.
-    pub fn outage(mut self, limits: outage::Limits) -> Self {
+    pub fn breaker(mut self, limits: breaker::Limits) -> Self {
         self.breaker = limits;
         self
     }
@@ -127,7 +127,7 @@
         }
         let now = Instant::now();
         let control = Control {
-            breaker: outage::Outage::new(self.breaker),
+            breaker: breaker::CircuitBreaker::new(self.breaker),
             budget: budget::Budget::new(self.rates, now),
         };
         let inner = Inner {
--- a/laburnumcart_platform/src/follow.rs
+++ b/laburnumcart_platform/src/follow.rs
@@ -18,7 +18,7 @@
 use laburnumcart::unit;
 
 use crate::{
-    pause,
+    backoff,
     store, //
 };
 
@@ -109,9 +109,9 @@
     pub interval: unit::Period,
     /// Maximum time between two watches; the interval doubles up to it with each watch that returns
     /// a change.
-    pub spread: unit::Period,
+    pub longest_interval: unit::Period,
     /// Longest backoff while the service is down.
-    pub longest: unit::Period,
+    pub longest_pause: unit::Period,
 }
 
 impl Default for Settings {
@@ -119,8 +119,8 @@
         Self {
             wait: unit::Period::from_secs(4),
             interval: unit::Period::from_millis(500),
-            spread: unit::Period::from_millis(500),
-            longest: unit::Period::from_secs(5),
+            longest_interval: unit::Period::from_millis(500),
+            longest_pause: unit::Period::from_secs(5),
         }
     }
 }
@@ -142,9 +142,9 @@
 /// One follower retries often during an outage and the others rarely, because each call counts
 /// against the budget and all of them would only learn the same fact.
 #[derive(Clone, Debug)]
-pub struct Returns(watch::Sender<()>);
+pub struct Recovery(watch::Sender<()>);
 
-impl Default for Returns {
+impl Default for Recovery {
     fn default() -> Self {
         Self(watch::Sender::new(()))
     }
@@ -153,12 +153,12 @@
 /// Hooks around the calls of a [`Follower`], to track the age of its snapshot.
 pub trait Observer: Send + Sync {
     /// Called before a call is sent.
-    fn ask(&mut self);
+    fn before_call(&mut self);
 
     /// Called when the call has succeeded, with the current snapshot, changed or not.
     ///
     /// The snapshot is at most `age` older than the time at which the call was sent.
-    fn read(&mut self, snapshot: &Snapshot, age: unit::Period);
+    fn after_read(&mut self, snapshot: &Snapshot, age: unit::Period);
 }
 
 /// Task that keeps a [`Snapshot`] of a prefix up to date.
@@ -168,14 +168,14 @@
     settings: Settings,
     snapshot: Snapshot,
     sender: watch::Sender<sync::Arc<Snapshot>>,
-    pause: pause::Pause,
+    backoff: backoff::Backoff,
     /// Whether the next call must be a listing, as the changes since the snapshot are not
     /// available.
     must_list: bool,
     /// Whether the last call failed, so that the next watch must return at once.
     behind: bool,
     observer: Option<Box<dyn Observer>>,
-    recovery: Returns,
+    recovery: Recovery,
     /// Time after which an unanswered call is duplicated while the service is down.
     duplicate_after: Option<time::Duration>,
     /// Current time between two watches.
@@ -202,11 +202,11 @@
         settings,
         snapshot: Snapshot::default(),
         sender,
-        pause: pause::Pause::new(FIRST_PAUSE, settings.longest.0),
+        backoff: backoff::Backoff::new(FIRST_PAUSE, settings.longest_pause.0),
         must_list: true,
         behind: false,
         observer: None,
-        recovery: Returns::default(),
+        recovery: Recovery::default(),
         duplicate_after: None,
         interval: settings.interval.0,
     };
@@ -223,7 +223,7 @@
 
     /// Shares the recovery signal with other followers of the same service.
     #[must_use]
-    pub fn share(mut self, recovery: &Returns) -> Self {
+    pub fn share_recovery(mut self, recovery: &Recovery) -> Self {
         self.recovery = recovery.clone();
         self
     }
@@ -233,7 +233,7 @@
     /// A service that was silent never answers calls sent before its recovery. Without a duplicate,
     /// the recovery is noticed only when such a call times out.
     #[must_use]
-    pub fn probe(mut self, after: unit::Period) -> Self {
+    pub fn duplicate_after(mut self, after: unit::Period) -> Self {
         self.duplicate_after = Some(after.0);
         self
     }
@@ -252,7 +252,7 @@
         loop {
             let start = Instant::now();
             if let Some(observer) = &mut self.observer {
-                observer.ask();
+                observer.before_call();
             }
             recovery.mark_unchanged();
             let Some((answer, duplicates)) = self.call_until_recovery(&mut recovery).await else {
@@ -265,11 +265,11 @@
             }
             self.set_behind(result.is_err());
             if let (Some(observer), Ok(age)) = (&mut self.observer, &result) {
-                observer.read(&self.snapshot, *age);
+                observer.after_read(&self.snapshot, *age);
             }
             match result {
                 Ok(_) => {
-                    self.pause.reset();
+                    self.backoff.reset();
                     if duplicates > 0 {
                         // The age counts from the first of the calls, which was sent long ago, so a
                         // watch without a wait follows.
@@ -384,7 +384,7 @@
                     self.publish();
                 }
                 self.interval = match differs {
-                    true => (self.interval * 2).min(self.settings.spread.0),
+                    true => (self.interval * 2).min(self.settings.longest_interval.0),
                     false => self.settings.interval.0,
                 };
                 Ok(age)
@@ -406,7 +406,7 @@
             store::Failure::Unavailable { retry: Some(retry) } => retry.0,
             _ => time::Duration::ZERO,
         };
-        self.pause.next(retry.min(self.settings.longest.0))
+        self.backoff.next(retry.min(self.settings.longest_pause.0))
     }
 
     fn set_behind(&mut self, behind: bool) {
--- a/laburnumcart_platform/src/lib.rs
+++ b/laburnumcart_platform/src/lib.rs
@@ -4,12 +4,12 @@
 //! [`memory::Memory`] in memory, for tests; [`settle`] and [`follow`] work with any implementation.
 //! [`replica`] serves a followed prefix to other processes.
 
+mod backoff;
+pub mod breaker;
 pub mod budget;
 pub mod client;
 pub mod follow;
 pub mod memory;
-pub mod outage;
-mod pause;
 pub mod replica;
 pub mod settle;
 pub mod store;
--- a/laburnumcart_platform/src/settle.rs
+++ b/laburnumcart_platform/src/settle.rs
@@ -10,7 +10,7 @@
 use tokio::time::Instant;
 
 use crate::{
-    pause,
+    backoff,
     store, //
 };
 
@@ -56,7 +56,7 @@
 }
 
 /// Returns the judge for a key that is never overwritten, nor deleted and created again.
-pub fn created<'a>(write: Write<'a>) -> impl Fn(&store::Object) -> Judgement + Copy + 'a {
+pub fn judge_created<'a>(write: Write<'a>) -> impl Fn(&store::Object) -> Judgement + Copy + 'a {
     move |found| match found.value == write.value {
         true => Judgement::Ours,
         false => Judgement::NotOurs,
@@ -64,7 +64,7 @@
 }
 
 /// Returns the judge for a key that other writers may overwrite.
-pub fn replaced<'a>(write: Write<'a>) -> impl Fn(&store::Object) -> Judgement + Copy + 'a {
+pub fn judge_replaced<'a>(write: Write<'a>) -> impl Fn(&store::Object) -> Judgement + Copy + 'a {
     move |found| match found.value == write.value {
         true => Judgement::Ours,
         false => Judgement::Unclear,
@@ -100,12 +100,12 @@
     judge: impl Fn(&store::Object) -> Judgement,
 ) -> Outcome {
     let attempts = async {
-        let mut pause = pause::Pause::new(FIRST_PAUSE, LONGEST_PAUSE);
+        let mut backoff = backoff::Backoff::new(FIRST_PAUSE, LONGEST_PAUSE);
         loop {
             if let Some(outcome) = resolve_once(store, write, &judge).await {
                 return outcome;
             }
-            tokio::time::sleep(pause.next(time::Duration::ZERO)).await;
+            tokio::time::sleep(backoff.next(time::Duration::ZERO)).await;
         }
     };
     let settled = tokio::time::timeout_at(until, attempts).await;
--- a/laburnumcart_platform/tests/breaker.rs
+++ b/laburnumcart_platform/tests/breaker.rs
@@ -4,25 +4,25 @@
 
 use tokio::time::Instant;
 
-use laburnumcart_platform::outage;
+use laburnumcart_platform::breaker;
 
 const MS: time::Duration = time::Duration::from_millis(1);
 
-fn limits() -> outage::Limits {
-    outage::Limits {
+fn limits() -> breaker::Limits {
+    breaker::Limits {
         failures: 3,
-        first: MS * 100,
-        longest: MS * 1000,
-        probe: MS * 2000,
+        first_pause: MS * 100,
+        longest_pause: MS * 1000,
+        probe_timeout: MS * 2000,
     }
 }
 
 /// Returns a breaker that was opened by the minimum number of failures.
-fn open_breaker(now: Instant, jitter: f64) -> outage::Outage {
-    let mut breaker = outage::Outage::new(limits());
+fn open_breaker(now: Instant, jitter: f64) -> breaker::CircuitBreaker {
+    let mut breaker = breaker::CircuitBreaker::new(limits());
     for _ in 0..3 {
-        assert_eq!(breaker.admit(now), outage::Admission::Pass);
-        breaker.failed(now, jitter);
+        assert_eq!(breaker.admit(now), breaker::Admission::Pass);
+        breaker.record_failure(now, jitter);
     }
     breaker
 }
@@ -30,13 +30,13 @@
 #[test]
 fn isolated_failures_do_not_open_the_breaker() {
     let now = Instant::now();
-    let mut breaker = outage::Outage::new(limits());
+    let mut breaker = breaker::CircuitBreaker::new(limits());
     for _ in 0..10 {
-        breaker.failed(now, 1.0);
-        breaker.failed(now, 1.0);
-        breaker.succeeded();
+        breaker.record_failure(now, 1.0);
+        breaker.record_failure(now, 1.0);
+        breaker.record_success();
     }
-    assert_eq!(breaker.admit(now), outage::Admission::Pass);
+    assert_eq!(breaker.admit(now), breaker::Admission::Pass);
 }
 
 #[test]
@@ -44,13 +44,13 @@
     let now = Instant::now();
     let mut breaker = open_breaker(now, 1.0);
     assert!(breaker.is_open());
-    let refused = outage::Admission::Refuse(laburnumcart::unit::Period(MS));
+    let refused = breaker::Admission::Refuse(laburnumcart::unit::Period(MS));
     assert_eq!(breaker.admit(now + MS * 99), refused);
-    assert_eq!(breaker.admit(now + MS * 100), outage::Admission::Probe);
+    assert_eq!(breaker.admit(now + MS * 100), breaker::Admission::Probe);
     let second = breaker.admit(now + MS * 100);
-    assert!(matches!(second, outage::Admission::Refuse(_)));
-    breaker.succeeded();
-    assert_eq!(breaker.admit(now + MS * 101), outage::Admission::Pass);
+    assert!(matches!(second, breaker::Admission::Refuse(_)));
+    breaker.record_success();
+    assert_eq!(breaker.admit(now + MS * 101), breaker::Admission::Pass);
 }
 
 #[test]
@@ -59,10 +59,10 @@
     let mut breaker = open_breaker(now, 1.0);
     for pause in [100, 200, 400, 800, 1000, 1000] {
         let early = breaker.admit(now + MS * (pause - 1));
-        assert!(matches!(early, outage::Admission::Refuse(_)));
+        assert!(matches!(early, breaker::Admission::Refuse(_)));
         now += MS * pause;
-        assert_eq!(breaker.admit(now), outage::Admission::Probe);
-        breaker.failed(now, 1.0);
+        assert_eq!(breaker.admit(now), breaker::Admission::Probe);
+        breaker.record_failure(now, 1.0);
     }
 }
 
@@ -71,10 +71,10 @@
     let now = Instant::now();
     let mut early = open_breaker(now, 0.0);
     let mut late = open_breaker(now, 1.0);
-    assert_eq!(early.admit(now + MS * 50), outage::Admission::Probe);
+    assert_eq!(early.admit(now + MS * 50), breaker::Admission::Probe);
     assert!(matches!(
         late.admit(now + MS * 50),
-        outage::Admission::Refuse(_)
+        breaker::Admission::Refuse(_)
     ));
 }
 
@@ -83,9 +83,9 @@
     let now = Instant::now();
     let mut breaker = open_breaker(now, 1.0);
     for _ in 0..50 {
-        breaker.failed(now + MS * 10, 1.0);
+        breaker.record_failure(now + MS * 10, 1.0);
     }
-    assert_eq!(breaker.admit(now + MS * 100), outage::Admission::Probe);
+    assert_eq!(breaker.admit(now + MS * 100), breaker::Admission::Probe);
 }
 
 // The task of a probe was dropped, so its outcome is never recorded. After the probe's time limit
@@ -95,8 +95,8 @@
     let now = Instant::now();
     let mut breaker = open_breaker(now, 1.0);
     let first = now + MS * 100;
-    assert_eq!(breaker.admit(first), outage::Admission::Probe);
+    assert_eq!(breaker.admit(first), breaker::Admission::Probe);
     let waiting = breaker.admit(first + MS * 1999);
-    assert!(matches!(waiting, outage::Admission::Refuse(_)));
-    assert_eq!(breaker.admit(first + MS * 2000), outage::Admission::Probe);
+    assert!(matches!(waiting, breaker::Admission::Refuse(_)));
+    assert_eq!(breaker.admit(first + MS * 2000), breaker::Admission::Probe);
 }
--- a/laburnumcart_platform/tests/follow.rs
+++ b/laburnumcart_platform/tests/follow.rs
@@ -207,7 +207,7 @@
     let store = sync::Arc::new(StaleStore::default());
     let settings = follow::Settings {
         interval: unit::Period::from_millis(100),
-        spread: unit::Period::from_millis(1000),
+        longest_interval: unit::Period::from_millis(1000),
         ..Default::default()
     };
     let (follower, mut mirror) = follow::follower(store.clone(), "p/", settings);
@@ -229,14 +229,14 @@
 #[tokio::test(start_paused = true)]
 async fn recovery_is_shared() {
     let memory = memory::Memory::new();
-    let recovery = follow::Returns::default();
+    let recovery = follow::Recovery::default();
     let start = |longest| {
         let settings = follow::Settings {
-            longest,
+            longest_pause: longest,
             ..Default::default()
         };
         let (follower, mirror) = follow::follower(memory.clone(), "p/", settings);
-        tokio::spawn(follower.share(&recovery).run());
+        tokio::spawn(follower.share_recovery(&recovery).run());
         mirror
     };
     let mut frequent = start(unit::Period::from_millis(400));
--- a/laburnumcart_platform/tests/recovery.rs
+++ b/laburnumcart_platform/tests/recovery.rs
@@ -99,19 +99,19 @@
         until,
         calls: sync::Arc::default(),
     };
-    let recovery = follow::Returns::default();
+    let recovery = follow::Recovery::default();
     let settings = follow::Settings {
-        longest: unit::Period::from_millis(1500),
+        longest_pause: unit::Period::from_millis(1500),
         ..follow::Settings::default()
     };
     let mut mirrors = Vec::new();
     for prefix in ["p/", "q/", "r/"] {
         let (follower, mirror) = follow::follower(store.clone(), prefix, settings);
         let follower = match prefix {
-            "p/" => follower.probe(DUPLICATE_AFTER),
+            "p/" => follower.duplicate_after(DUPLICATE_AFTER),
             _ => follower,
         };
-        tokio::spawn(follower.share(&recovery).run());
+        tokio::spawn(follower.share_recovery(&recovery).run());
         mirrors.push(mirror);
     }
     for mirror in &mut mirrors {
@@ -200,7 +200,7 @@
         },
         Fault::Stuck,
     );
-    let recovery = follow::Returns::default();
+    let recovery = follow::Recovery::default();
     let mut mirrors = Vec::new();
     for (prefix, wait) in [("short/", 750), ("long/", 5000)] {
         let settings = follow::Settings {
@@ -208,7 +208,7 @@
             ..follow::Settings::default()
         };
         let (follower, mirror) = follow::follower(store.clone(), prefix, settings);
-        tokio::spawn(follower.share(&recovery).run());
+        tokio::spawn(follower.share_recovery(&recovery).run());
         mirrors.push(mirror);
     }
     for mirror in &mut mirrors {
@@ -240,7 +240,7 @@
         },
         Fault::Flapping,
     );
-    let recovery = follow::Returns::default();
+    let recovery = follow::Recovery::default();
     let mut mirrors = Vec::new();
     for prefix in ["flapping/", "slow/"] {
         let settings = follow::Settings {
@@ -249,7 +249,7 @@
             ..follow::Settings::default()
         };
         let (follower, mirror) = follow::follower(store.clone(), prefix, settings);
-        tokio::spawn(follower.share(&recovery).run());
+        tokio::spawn(follower.share_recovery(&recovery).run());
         mirrors.push(mirror);
     }
     mirrors[1].wait_for(|m| m.listed).await.unwrap();
--- a/laburnumcart_wire/src/agent.rs
+++ b/laburnumcart_wire/src/agent.rs
@@ -82,7 +82,7 @@
 
 /// Heartbeat of a caller.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Beat {
+pub struct Heartbeat {
     /// Session of this connection.
     pub session: lane::Session,
     /// Address at which the caller serves its bundle; sent together with the facts.
@@ -97,7 +97,7 @@
 
 /// A signed bundle as processes forward it to each other.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Shown {
+pub struct SignedBundle {
     /// Generation under which the bundle was accepted.
     pub generation: id::Generation,
     /// Head object that names the envelope, as stored.
@@ -115,7 +115,7 @@
 
     /// Exchanges facts and proves that the connection is alive.
     #[method(name = "beat")]
-    async fn beat(&self, beat: Beat) -> RpcResult<Report>;
+    async fn beat(&self, beat: Heartbeat) -> RpcResult<Report>;
 
     /// Executes a stage; returns the first chunks or the end of the result.
     #[method(name = "start")]
@@ -136,7 +136,7 @@
 
     /// Returns the bundle in force if its generation is at least `least`.
     #[method(name = "bundle")]
-    async fn bundle(&self, least: id::Generation) -> RpcResult<Option<Shown>>;
+    async fn bundle(&self, least: id::Generation) -> RpcResult<Option<SignedBundle>>;
 
     /// Starts a graceful shutdown, as SIGTERM does: refuses new work and exits after the work in
     /// flight has finished.
--- a/laburnumcart_wire/src/entry.rs
+++ b/laburnumcart_wire/src/entry.rs
@@ -147,5 +147,5 @@
 
     /// Returns the bundle in force if its generation is at least `least`.
     #[method(name = "bundle")]
-    async fn bundle(&self, least: id::Generation) -> RpcResult<Option<agent::Shown>>;
+    async fn bundle(&self, least: id::Generation) -> RpcResult<Option<agent::SignedBundle>>;
 }
--- a/laburnumcart_wire/src/gateway.rs
+++ b/laburnumcart_wire/src/gateway.rs
@@ -37,7 +37,7 @@
     /// Queues of pieces, one for each service with batching.
     pub queues: Vec<Queue>,
     /// Targets with restricted traffic.
-    pub held: Vec<Held>,
+    pub held: Vec<Restricted>,
     /// Number of known targets.
     pub targets: usize,
 }
@@ -64,7 +64,7 @@
 
 /// A target with restricted traffic.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Held {
+pub struct Restricted {
     /// Name of the target.
     pub target: id::TargetName,
     /// Service of the target.
--- a/laburnumcart_wire/src/stage.rs
+++ b/laburnumcart_wire/src/stage.rs
@@ -15,7 +15,7 @@
 
 use crate::lane;
 
-mod visit;
+mod visitor;
 
 /// Maximum number of chunks in one message.
 pub const CHUNKS_MAX: usize = 4096;
@@ -147,14 +147,14 @@
 
 /// Reassembles the chunks of one result and checks that it is complete.
 #[derive(Debug, Default)]
-pub struct Joiner {
+pub struct Assembler {
     text: String,
     next: u32,
 }
 
 /// Integrity error of a result.
 #[derive(Clone, Copy, Debug, derive_more::Display, derive_more::Error, Eq, PartialEq)]
-pub enum Broken {
+pub enum IntegrityError {
     /// A chunk before the received one is missing.
     #[display("a chunk of the result is missing")]
     Gap,
@@ -166,9 +166,9 @@
     Checksum,
 }
 
-impl Joiner {
+impl Assembler {
     /// Returns the number of the next chunk expected.
-    pub fn next(&self) -> u32 {
+    pub fn next_number(&self) -> u32 {
         self.next
     }
 
@@ -178,12 +178,12 @@
     }
 
     /// Appends a chunk; returns `false` for a duplicate, which is skipped.
-    pub fn push(&mut self, chunk: &Chunk) -> Result<bool, Broken> {
+    pub fn push(&mut self, chunk: &Chunk) -> Result<bool, IntegrityError> {
         if chunk.number < self.next {
             return Ok(false);
         }
         if chunk.number > self.next {
-            return Err(Broken::Gap);
+            return Err(IntegrityError::Gap);
         }
         self.text.push_str(&chunk.text);
         self.next += 1;
@@ -191,12 +191,12 @@
     }
 
     /// Checks the result against the end mark and returns its text.
-    pub fn finish(self, end: &End) -> Result<String, Broken> {
+    pub fn finish(self, end: &End) -> Result<String, IntegrityError> {
         if self.next != end.count {
-            return Err(Broken::Count);
+            return Err(IntegrityError::Count);
         }
         if checksum(&self.text) != end.checksum {
-            return Err(Broken::Checksum);
+            return Err(IntegrityError::Checksum);
         }
         Ok(self.text)
     }
