--- a/laburnumcart_fakes/tests/store_failures.rs
+++ b/laburnumcart_fakes/tests/store_failures.rs
@@ -221,7 +221,7 @@
         longest_pause: time::Duration::from_millis(200),
         ..breaker::Limits::default()
     };
-    let client = client::Client::builder([server.addr()]).outage(limits);
+    let client = client::Client::builder([server.addr()]).breaker(limits);
     let client = client.timeout(unit::Period(LONG)).build().unwrap();
     let down = memory::Faults {
         down: true,
