--- a/laburnumcart_gateway/src/admission.rs
+++ b/laburnumcart_gateway/src/admission.rs
@@ -49,7 +49,7 @@
 #[derive(Clone, Debug)]
 pub struct Request {
     /// What its head says.
-    pub call: dialect::Call,
+    pub call: dialect::RequestHead,
     /// Method.
     pub method: Method,
     /// Path and query, as they came.
@@ -115,7 +115,7 @@
 
     /// Returns the longest time that the request may take.
     pub fn limit(&self) -> time::Duration {
-        let patience = self.call.patience.unwrap_or(PATIENCE).min(PATIENCE);
+        let patience = self.call.timeout.unwrap_or(PATIENCE).min(PATIENCE);
         patience.min(self.route.timeout)
     }
 }
@@ -137,7 +137,7 @@
     bounds: &settings::Bounds,
     headers: &HeaderMap,
     path: &str,
-    call: &dialect::Call,
+    call: &dialect::RequestHead,
 ) -> Result<Admitted, verdict::Refusal> {
     let now = clock::now();
     let table = view.table.load_full().ok_or_else(unready)?;
@@ -149,7 +149,7 @@
     let host = headers.get(header::HOST).and_then(|h| h.to_str().ok());
     let route = host.and_then(|host| table.find(host, path));
     let route = route.ok_or_else(|| absent(verdict::Reason::UnknownPipeline))?;
-    let team = table.team(route, call.key.as_deref());
+    let team = table.team(route, call.api_key.as_deref());
     let team = team.map_err(|_| absent(verdict::Reason::Unauthorized))?;
     // A key that was revoked while this process could not read the store, or was suspended, would
     // work on. Nothing is honoured that was not confirmed within the bound.
--- a/laburnumcart_gateway/src/control.rs
+++ b/laburnumcart_gateway/src/control.rs
@@ -28,8 +28,8 @@
     dialect,
     relay::{
         Topic,
-        copies,
-        source, //
+        cache,
+        relayed_store, //
     },
     view, //
 };
@@ -78,13 +78,19 @@
     directory: Arc<dyn dialect::Directory>,
     view: Arc<view::View>,
     own: view::Member,
-    copies: Arc<copies::Copies>,
+    cache: Arc<cache::Cache>,
     evacuates: bool,
 ) {
     let key = format!("{}/{}", directory.members_prefix(), own.instance);
     let (direct, member) = (store.clone(), own.clone());
-    let signals = copies.signals.clone();
-    let store = source::Source::new(store, own.clone(), view.clone(), directory.clone(), signals);
+    let signals = cache.signals.clone();
+    let store = relayed_store::RelayedStore::new(
+        store,
+        own.clone(),
+        view.clone(),
+        directory.clone(),
+        signals,
+    );
     let settings = |wait, longest, spread| follow::Settings {
         wait,
         interval: INTERVAL,
@@ -101,10 +107,10 @@
     let targets = targets::Observer::new(view.clone(), directory.clone());
     let members = members::Observer::new(view.clone(), own);
     let evacuations = evacuations::Observer::new(view.clone());
-    let table = copies::Publisher::new(table, Topic::Table, &copies);
-    let targets = copies::Publisher::new(targets, Topic::Targets, &copies);
-    let members = copies::Publisher::new(members, Topic::Members, &copies);
-    let evacuations = copies::Publisher::new(evacuations, Topic::Evacuations, &copies);
+    let table = cache::Publisher::new(table, Topic::Table, &cache);
+    let targets = cache::Publisher::new(targets, Topic::Targets, &cache);
+    let members = cache::Publisher::new(members, Topic::Members, &cache);
+    let evacuations = cache::Publisher::new(evacuations, Topic::Evacuations, &cache);
     let follower = |topic: Topic, settings| {
         follow::follower(store.clone(), topic.prefix(&*directory), settings)
     };
@@ -129,8 +135,8 @@
         targets.run(),
         members.run(),
         evacuations,
-        store.catch_up(),
-        store.tell(),
+        store.sync_signals(),
+        store.publish_signals(),
         entry
     );
 }
@@ -188,7 +194,7 @@
         let object = snapshot.objects.values().next();
         if let Some(object) = object.filter(|o| o.version > self.version) {
             self.version = object.version;
-            match self.directory.table(&object.value) {
+            match self.directory.parse_table(&object.value) {
                 Ok(table) => {
                     let (version, routes) = (table.version, table.routes());
                     let taken = self.view.set_table(table);
@@ -217,7 +223,7 @@
 }
 
 /// Returns an entry for a new life of this process.
-pub fn member(settings: &crate::settings::Settings) -> view::Member {
+pub fn new_member(settings: &crate::settings::Settings) -> view::Member {
     let secret: u128 = rand::random();
     view::Member {
         instance: settings.instance.clone(),
--- a/laburnumcart_gateway/src/control/members.rs
+++ b/laburnumcart_gateway/src/control/members.rs
@@ -111,7 +111,8 @@
         // The own entry may not be written yet, or be one of an earlier life.
         members.retain(|m| m.instance != self.own.instance);
         let others = members.iter().map(|m| &m.instance);
-        self.view.allot(entry, others, self.asked.before(age.0));
+        self.view
+            .update_allotment(entry, others, self.asked.before(age.0));
         members.push(self.own.clone());
         members.sort_by(|a, b| a.instance.cmp(&b.instance));
         if **self.view.members.load() != members {
--- a/laburnumcart_gateway/src/control/targets.rs
+++ b/laburnumcart_gateway/src/control/targets.rs
@@ -131,19 +131,24 @@
             return false;
         }
         let name = key.rsplit_once('/').map_or(key.as_str(), |(_, name)| name);
-        match directory.target(name, &object.value) {
+        match directory.parse_target(name, &object.value) {
             Ok(entry) => self.accept(entry, object, now),
             Err(error) => self.refuse(object, error, now),
         }
     }
 
     /// Takes in a target.
-    fn accept(&mut self, entry: dialect::Entry, object: &store::Object, now: Instant) -> bool {
+    fn accept(
+        &mut self,
+        entry: dialect::TargetEntry,
+        object: &store::Object,
+        now: Instant,
+    ) -> bool {
         let key = &object.key;
         self.refused.remove(key);
         let known = self.known.get(key);
         let mut target = entry.target;
-        target.cold = cold(entry.cold, known.and_then(|k| k.target.cold), now);
+        target.cold_until = cold(entry.cold_for, known.and_then(|k| k.target.cold_until), now);
         if let Some(known) = known {
             // A write of an earlier life that took effect late tells nothing of the present one.
             if target.life < known.target.life {
@@ -172,7 +177,7 @@
                 service = target.service,
                 addr = target.addr,
                 leaving = target.leaving,
-                cold_ms = entry.cold.as_millis(),
+                cold_ms = entry.cold_for.as_millis(),
                 revision = object.version
             );
         }
--- a/laburnumcart_gateway/src/dialect.rs
+++ b/laburnumcart_gateway/src/dialect.rs
@@ -44,47 +44,47 @@
 
 /// What the head of a caller's request says.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
-pub struct Call {
+pub struct RequestHead {
     /// Identity of this attempt of the caller.
     pub attempt: String,
     /// How long the caller will wait.
-    pub patience: Option<time::Duration>,
+    pub timeout: Option<time::Duration>,
     /// Key that tells the caller's team.
-    pub key: Option<String>,
+    pub api_key: Option<String>,
     /// Last event that the caller has, when it continues a stream.
-    pub after: Option<u64>,
+    pub last_event: Option<u64>,
     /// Prompt, for model engines.
     pub prompt: Option<Prompt>,
     /// Number of pieces of each stage; 0 leaves the stage out.
     pub pieces: Vec<u32>,
     /// What the pieces of first stages work on.
-    pub key_input: Option<String>,
+    pub input_key: Option<String>,
 }
 
 /// What a target is told beside the caller's own request.
 #[derive(Clone, Copy, Debug)]
-pub struct Onward<'a> {
+pub struct TargetHeaders<'a> {
     /// Target that is meant; another one refuses.
     pub target: &'a id::TargetName,
     /// Team of the caller.
     pub team: Option<&'a id::TeamName>,
     /// Time left.
-    pub left: time::Duration,
+    pub remaining: time::Duration,
     /// Results of the last stages.
     pub inputs: Option<&'a [batch::Handle]>,
     /// Last event that was forwarded, when a stream is resumed.
-    pub after: Option<u64>,
+    pub last_event: Option<u64>,
     /// Rank of the request.
     pub rank: u8,
 }
 
 /// What the head of a target's answer says.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Reply {
+pub struct ResponseHead {
     /// Attempt that it answers.
     pub attempt: Option<String>,
     /// Whether the target vouches for the answer.
-    pub signed: bool,
+    pub stamped: bool,
     /// Whether the target proves that it has not run the request.
     pub not_run: bool,
     /// Whether another target has the address.
@@ -94,7 +94,7 @@
     /// Requests that the target runs at once.
     pub slots: Option<u32>,
     /// How long the target keeps an idle connection.
-    pub idle: Option<time::Duration>,
+    pub idle_timeout: Option<time::Duration>,
     /// Requests that the target takes.
     pub limit: quota::Limit,
     /// Whether the target says that it is leaving.
@@ -120,7 +120,7 @@
             return false;
         };
         handles.iter().any(|handle| {
-            let addr = dialect.holder(handle);
+            let addr = dialect.result_addr(handle);
             addr.is_some_and(|addr| targets.is_replaced(&addr, handle.life))
         })
     }
@@ -128,7 +128,7 @@
 
 /// A piece in a call of a target.
 #[derive(Clone, Debug)]
-pub struct Item<'a> {
+pub struct BatchItem<'a> {
     /// Attempt of the caller.
     pub attempt: &'a str,
     /// Number of the stage.
@@ -136,7 +136,7 @@
     /// Number of the piece.
     pub piece: u32,
     /// Time that is left.
-    pub left: time::Duration,
+    pub remaining: time::Duration,
     /// Input.
     pub input: &'a Input,
 }
@@ -144,21 +144,26 @@
 /// How the platform's callers and targets speak HTTP.
 pub trait Dialect: Send + Sync + 'static {
     /// Reads the head of a caller's request.
-    fn call(&self, headers: &HeaderMap) -> Result<Call, Malformed>;
+    fn parse_request(&self, headers: &HeaderMap) -> Result<RequestHead, Malformed>;
 
     /// Removes what only the system may set or what concerns only the caller's connection, and
     /// sets what the target is told.
-    fn onward(&self, headers: &mut HeaderMap, onward: &Onward<'_>);
+    fn rewrite_headers(&self, headers: &mut HeaderMap, onward: &TargetHeaders<'_>);
 
     /// Reads the head of a target's answer.
-    fn reply(&self, head: &response::Parts) -> Reply;
+    fn parse_response(&self, head: &response::Parts) -> ResponseHead;
 
     /// Writes a call of a batch; the target echoes `label`.
-    fn batch(&self, target: &id::TargetName, label: &str, items: &[Item<'_>]) -> Request<Bytes>;
+    fn encode_batch(
+        &self,
+        target: &id::TargetName,
+        label: &str,
+        items: &[BatchItem<'_>],
+    ) -> Request<Bytes>;
 
     /// Reads the answer to [`Dialect::batch`], which must tell of `count` pieces; `life` is that of
     /// the target.
-    fn outcomes(
+    fn decode_batch(
         &self,
         body: &[u8],
         count: usize,
@@ -166,19 +171,19 @@
     ) -> Result<Vec<batch::Outcome>, Malformed>;
 
     /// Writes the call that frees results.
-    fn free(&self, target: &id::TargetName, handles: &[batch::Handle]) -> Request<Bytes>;
+    fn encode_free(&self, target: &id::TargetName, handles: &[batch::Handle]) -> Request<Bytes>;
 
     /// Returns the address of the target that holds a result.
-    fn holder(&self, handle: &batch::Handle) -> Option<net::SocketAddr>;
+    fn result_addr(&self, handle: &batch::Handle) -> Option<net::SocketAddr>;
 }
 
 /// Entry of a target.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Entry {
+pub struct TargetEntry {
     /// The target that it names.
     pub target: view::Target,
     /// Time for which the target stays cold.
-    pub cold: time::Duration,
+    pub cold_for: time::Duration,
 }
 
 /// What the platform's store holds.
@@ -196,8 +201,8 @@
     fn evacuations_prefix(&self) -> &'static str;
 
     /// Reads the configuration.
-    fn table(&self, value: &str) -> Result<ingress::Table, Malformed>;
+    fn parse_table(&self, value: &str) -> Result<ingress::Table, Malformed>;
 
     /// Reads a target's entry; `name` is the last part of its key.
-    fn target(&self, name: &str, value: &str) -> Result<Entry, Malformed>;
+    fn parse_target(&self, name: &str, value: &str) -> Result<TargetEntry, Malformed>;
 }
--- a/laburnumcart_gateway/src/dispatcher.rs
+++ b/laburnumcart_gateway/src/dispatcher.rs
@@ -348,10 +348,10 @@
     fn bounds(&self, service: &id::ServiceName) -> pool::Bounds {
         let table = self.view.table.load();
         let known = table.as_ref().and_then(|t| t.service(service));
-        let connections = known.map_or(1, |s| s.connections / self.view.share());
+        let connections = known.map_or(1, |s| s.connections / self.view.member_count());
         pool::Bounds {
-            connections: connections.max(2),
-            idle: time::Duration::from_secs(60),
+            max_connections: connections.max(2),
+            max_idle: time::Duration::from_secs(60),
         }
     }
 }
--- a/laburnumcart_gateway/src/dispatcher/call.rs
+++ b/laburnumcart_gateway/src/dispatcher/call.rs
@@ -94,11 +94,11 @@
             return;
         };
         let waiter = |piece: &batch::Piece| &line.waiters[piece.job];
-        let item = |piece: &batch::Piece| dialect::Item {
+        let item = |piece: &batch::Piece| dialect::BatchItem {
             attempt: &waiter(piece).attempt,
             stage: waiter(piece).stage,
             piece: piece.index,
-            left: waiter(piece).deadline.saturating_duration_since(now),
+            remaining: waiter(piece).deadline.saturating_duration_since(now),
             input: &waiter(piece).input,
         };
         let items: Vec<_> = call.pieces.iter().map(item).collect();
@@ -118,7 +118,7 @@
         // Drawn for each call: a late second answer to an earlier one on the connection, perhaps of
         // the same request, must not be taken for this one's results.
         let label = format!("{:016x}", rand::random::<u64>());
-        let request = self.dialect.batch(&target.name, &label, &items);
+        let request = self.dialect.encode_batch(&target.name, &label, &items);
         let expected = line.queue.engines.expected(call.engine, call.pieces.len());
         self.metrics.calls.inc();
         self.metrics.pieces.inc_by(call.pieces.len() as u64);
@@ -247,7 +247,10 @@
             .outbound
             .send(target, request, bounds, Some(label))
             .await;
-        let outbound::Received { answer, reply } = sent.map_err(|failure| match failure {
+        let outbound::Received {
+            response: answer,
+            head: reply,
+        } = sent.map_err(|failure| match failure {
             pool::Failure::Unreached | pool::Failure::Exhausted => Failed::Unsent("unreached"),
             pool::Failure::Closed => Failed::Unsent("closed"),
             failure => Failed::Lost(failure),
@@ -258,16 +261,19 @@
             Some(_) => return Err(Failed::Lost(pool::Failure::Malformed)),
             // Nothing tells a late second answer on this connection from the next one's, which
             // would give a request the results of another; so there is no next one.
-            None => answer.last(),
+            None => answer.close_after(),
         };
-        let (head, body) = answer.whole(reply.idle).await.map_err(Failed::Lost)?;
+        let (head, body) = answer
+            .read_all(reply.idle_timeout)
+            .await
+            .map_err(Failed::Lost)?;
         if reply.not_run || reply.misdirected {
             return Err(Failed::NotRun("refused"));
         }
         if head.status != StatusCode::OK {
             return Err(Failed::Lost(pool::Failure::Malformed));
         }
-        let outcomes = self.dialect.outcomes(&body, count, target.life);
+        let outcomes = self.dialect.decode_batch(&body, count, target.life);
         outcomes.map_err(|_| Failed::Lost(pool::Failure::Malformed))
     }
 }
--- a/laburnumcart_gateway/src/dispatcher/frees.rs
+++ b/laburnumcart_gateway/src/dispatcher/frees.rs
@@ -53,7 +53,7 @@
         let now = Instant::now();
         for (holder, handles) in std::mem::take(&mut line.frees) {
             let (addr, life) = holder;
-            let Some(target) = targets.at(&addr, life) else {
+            let Some(target) = targets.find(&addr, life) else {
                 // Its results have gone with that life of the target.
                 continue;
             };
@@ -88,14 +88,17 @@
     handles: Vec<batch::Handle>,
     bounds: pool::Bounds,
 ) {
-    let request = dispatcher.dialect.free(&target.name, &handles);
+    let request = dispatcher.dialect.encode_free(&target.name, &handles);
     let sent = async {
         let sent = dispatcher
             .outbound
             .send(&target, request, &bounds, None)
             .await;
-        let outbound::Received { answer, reply } = sent?;
-        answer.whole(reply.idle).await
+        let outbound::Received {
+            response: answer,
+            head: reply,
+        } = sent?;
+        answer.read_all(reply.idle_timeout).await
     };
     let result = tokio::time::timeout(FREE_LIMIT, sent).await;
     if !matches!(result, Ok(Ok(_))) {
--- a/laburnumcart_gateway/src/dispatcher/line.rs
+++ b/laburnumcart_gateway/src/dispatcher/line.rs
@@ -203,7 +203,7 @@
     /// Its room counts as taken until the target has freed it, or the next call could come first
     /// and find no room.
     pub(super) fn free(&mut self, handle: batch::Handle, dialect: &dyn dialect::Dialect) {
-        if let Some(addr) = dialect.holder(&handle) {
+        if let Some(addr) = dialect.result_addr(&handle) {
             let holder = (addr, handle.life);
             self.frees.entry(holder).or_default().push(handle);
         }
--- a/laburnumcart_gateway/src/forward.rs
+++ b/laburnumcart_gateway/src/forward.rs
@@ -39,11 +39,11 @@
 /// An answer whose head has come.
 pub struct Opened {
     /// Place at the target.
-    pub seat: gateway::Seat,
+    pub seat: gateway::Assignment,
     /// Answer.
-    pub answer: pool::Answer,
+    pub answer: pool::Response,
     /// What its head says.
-    pub reply: dialect::Reply,
+    pub reply: dialect::ResponseHead,
 }
 
 /// Why a send brought no answer.
@@ -146,13 +146,13 @@
     ) -> Result<Opened, Failure> {
         let request = self.request.clone();
         let mut handles = inputs.iter().flat_map(|inputs| &inputs.handles);
-        if handles.any(|handle| self.gateway.is_lost(handle)) {
+        if handles.any(|handle| self.gateway.is_result_lost(handle)) {
             return Err(Failure::InputsGone);
         }
         let places = inputs.map_or(&[][..], |inputs| &inputs.places);
         let seat = self
             .gateway
-            .seat(&request, &self.service, places, &self.tried);
+            .assign_target(&request, &self.service, places, &self.tried);
         let Some(mut seat) = seat else {
             self.exhausted = true;
             return Err(Failure::Refused(not_run(verdict::Reason::NoTarget)));
@@ -193,7 +193,7 @@
                 }
                 let is_own = [pool::Failure::Exhausted, pool::Failure::Closed].contains(&failure);
                 if !is_own {
-                    seat.fail();
+                    seat.record_failure();
                 }
                 let verdict = failure.verdict();
                 if verdict == verdict::Verdict::MayHaveRun {
@@ -239,7 +239,9 @@
         });
         self.note(&decision, way);
         if let retry::Decision::GiveUp(refusal) = decision {
-            let refusal = self.gateway.advise(&self.request, &self.service, refusal);
+            let refusal = self
+                .gateway
+                .add_retry_after(&self.request, &self.service, refusal);
             return retry::Decision::GiveUp(refusal);
         }
         self.gateway.metrics.resent.inc();
@@ -256,7 +258,11 @@
             sent,
             failed: Instant::now(),
         };
-        self.gateway.outbound.quotas.signals.fail(&target, strike);
+        self.gateway
+            .outbound
+            .quotas
+            .signals
+            .record_failure(&target, strike);
     }
 
     /// Logs a decision on what would reach a target once more.
@@ -280,7 +286,7 @@
 
     fn onward(
         &self,
-        seat: &gateway::Seat,
+        seat: &gateway::Assignment,
         inputs: Option<&Inputs>,
         after: Option<u64>,
     ) -> Request<bytes::Bytes> {
@@ -289,26 +295,31 @@
         *onward.method_mut() = request.method.clone();
         *onward.uri_mut() = request.path.parse().expect("it was a path before");
         *onward.headers_mut() = request.headers.clone();
-        let told = dialect::Onward {
+        let told = dialect::TargetHeaders {
             target: &seat.target.name,
             team: request.team.as_ref(),
-            left: request.left(),
+            remaining: request.left(),
             inputs: inputs.map(|i| i.handles.as_slice()),
-            after,
+            last_event: after,
             rank: request.rank,
         };
-        self.gateway.dialect.onward(onward.headers_mut(), &told);
+        self.gateway
+            .dialect
+            .rewrite_headers(onward.headers_mut(), &told);
         onward
     }
 
     /// Tells an answer of the target from its refusals.
     fn judge(
         &mut self,
-        mut seat: gateway::Seat,
+        mut seat: gateway::Assignment,
         received: outbound::Received,
         start: Instant,
     ) -> Result<Opened, Failure> {
-        let outbound::Received { answer, reply } = received;
+        let outbound::Received {
+            response: answer,
+            head: reply,
+        } = received;
         let status = answer.head.status;
         event!(
             Info,
@@ -323,11 +334,11 @@
         // An answer to an earlier request on this connection, or none that the target vouches for,
         // must not reach the caller, and its refusal proves nothing of this request. What became of
         // this one is not known then.
-        if !own || status.is_success() && !reply.signed {
-            seat.fail();
+        if !own || status.is_success() && !reply.stamped {
+            seat.record_failure();
             return Err(self.failed(&seat, may_have_run(verdict::Reason::Corrupt)));
         }
-        seat.report(&reply);
+        seat.report_load(&reply);
         if reply.misdirected {
             self.sent -= 1;
             self.refused += 1;
@@ -348,7 +359,7 @@
             StatusCode::SERVICE_UNAVAILABLE,
         ];
         if promises.contains(&status) {
-            seat.fail();
+            seat.record_failure();
             return Err(self.failed(&seat, may_have_run(verdict::Reason::TargetFailed)));
         }
         Ok(Opened {
@@ -358,7 +369,7 @@
         })
     }
 
-    fn failed(&self, seat: &gateway::Seat, refusal: verdict::Refusal) -> Failure {
+    fn failed(&self, seat: &gateway::Assignment, refusal: verdict::Refusal) -> Failure {
         event!(
             Info,
             "send-failed",
--- a/laburnumcart_gateway/src/gateway.rs
+++ b/laburnumcart_gateway/src/gateway.rs
@@ -75,7 +75,7 @@
 }
 
 /// A request's place at a target, given up when dropped.
-pub struct Seat {
+pub struct Assignment {
     gateway: Arc<Gateway>,
     service: id::ServiceName,
     /// Target.
@@ -126,7 +126,7 @@
     }
 
     /// Takes in changes of targets until the process ends.
-    pub async fn follow(self: Arc<Self>) {
+    pub async fn follow_changes(self: Arc<Self>) {
         let mut changes = self.view.subscribe();
         let mut signals = self.outbound.quotas.signals.subscribe();
         let mut sweep = tokio::time::interval(time::Duration::from_secs(1));
@@ -142,7 +142,7 @@
                 }
                 _ = changes.changed() => self.refresh(),
                 _ = signals.changed() => {
-                    self.view.set_leaving(self.outbound.quotas.signals.leaving());
+                    self.view.set_leaving_targets(self.outbound.quotas.signals.leaving_targets());
                     self.outbound.quotas.refresh();
                 }
             }
@@ -155,25 +155,25 @@
             let targets = self.view.targets.load_full();
             let mut owned: collections::HashMap<_, Vec<_>> = collections::HashMap::new();
             for handle in handles {
-                let holder = self.dialect.holder(&handle);
+                let holder = self.dialect.result_addr(&handle);
                 // A result whose target has gone is gone with it.
-                if let Some(target) = holder.and_then(|addr| targets.at(&addr, handle.life)) {
+                if let Some(target) = holder.and_then(|addr| targets.find(&addr, handle.life)) {
                     owned.entry(&target.service).or_default().push(handle);
                 }
             }
             for (service, handles) in owned {
-                self.peers.read(service, handles);
+                self.peers.report_read(service, handles);
             }
         }
     }
 
     fn refresh(&self) {
         self.dispatcher
-            .consolidate(|service| self.peers.is_first(service));
+            .consolidate(|service| self.peers.is_first_owner(service));
         self.outbound.quotas.refresh();
         let targets = self.view.targets.load();
         let signals = &self.outbound.quotas.signals;
-        signals.list_targets(|life| targets.all().any(|target| target.key() == *life));
+        signals.update_listed(|life| targets.all().any(|target| target.key() == *life));
         for (service, engines) in view::lock(&self.engines).iter_mut() {
             engines.update(targets.service(service), |t| self.gate(t));
         }
@@ -189,7 +189,7 @@
     }
 
     /// Returns where the inputs of a request are best made.
-    pub fn near(&self, request: &admission::Request) -> Option<id::DataCentre> {
+    pub fn preferred_data_centre(&self, request: &admission::Request) -> Option<id::DataCentre> {
         let service = request.route.backend(0)?;
         let prompt = request.call.prompt.as_ref()?;
         let mut engines = view::lock(&self.engines);
@@ -200,20 +200,20 @@
     /// Reports whether the target that holds a result is known to have started again since.
     ///
     /// Its next life knows nothing of the result, and might give it out for one of its own.
-    pub fn is_lost(&self, handle: &batch::Handle) -> bool {
-        let addr = self.dialect.holder(handle);
+    pub fn is_result_lost(&self, handle: &batch::Handle) -> bool {
+        let addr = self.dialect.result_addr(handle);
         let targets = self.view.targets.load();
         addr.is_some_and(|addr| targets.is_replaced(&addr, handle.life))
     }
 
     /// Chooses a target of a service for a request, whose inputs lie in these data centres.
-    pub fn seat(
+    pub fn assign_target(
         self: &Arc<Self>,
         request: &admission::Request,
         service: &id::ServiceName,
         inputs: &[(id::DataCentre, unit::Size)],
         tried: &[id::TargetName],
-    ) -> Option<Seat> {
+    ) -> Option<Assignment> {
         let now = Instant::now();
         let mut engines = view::lock(&self.engines);
         let known = self.engines_of(&mut engines, &request.table, service);
@@ -228,7 +228,7 @@
                 (None, target)
             }
         };
-        Some(Seat {
+        Some(Assignment {
             gateway: self.clone(),
             service: service.clone(),
             target,
@@ -275,7 +275,7 @@
     /// Returns how much of its time a caller had spent on a request before this attempt.
     ///
     /// The objective counts from the first attempt.
-    pub fn spent(
+    pub fn spent_before(
         &self,
         route: &ingress::Route,
         patience: Option<time::Duration>,
@@ -296,12 +296,12 @@
         let known = request.table.service(service);
         let all = known.map_or(1, |s| s.connections);
         let idle = match request.route.repeat {
-            ingress::Repeat::Never => pool::FRESH,
+            ingress::Repeat::Never => pool::FRESH_IDLE_MAX,
             _ => time::Duration::from_secs(60),
         };
         pool::Bounds {
-            connections: (all / self.view.share()).max(1),
-            idle,
+            max_connections: (all / self.view.member_count()).max(1),
+            max_idle: idle,
         }
     }
 }
@@ -325,9 +325,9 @@
     engines.start(&ask, now)
 }
 
-impl Seat {
+impl Assignment {
     /// Records the load that the target reports.
-    pub fn report(&self, reply: &dialect::Reply) {
+    pub fn report_load(&self, reply: &dialect::ResponseHead) {
         let Some(report) = reply.load else {
             return;
         };
@@ -339,7 +339,7 @@
     }
 
     /// Records that the target has begun to answer.
-    pub fn begin(&mut self) {
+    pub fn record_first_byte(&mut self) {
         self.read = true;
         if let Some(place) = self.place {
             self.with_engines(|e| e.fleet.first_token(place));
@@ -347,13 +347,13 @@
     }
 
     /// Records a whole answer.
-    pub fn succeed(&mut self) {
+    pub fn record_success(&mut self) {
         let taken = Instant::now() - self.start;
         self.outcome = Some(eject::Outcome::Success(taken));
     }
 
     /// Records a failure of the target.
-    pub fn fail(&mut self) {
+    pub fn record_failure(&mut self) {
         self.outcome = Some(eject::Outcome::Failure);
     }
 
@@ -370,7 +370,7 @@
     }
 }
 
-impl Drop for Seat {
+impl Drop for Assignment {
     fn drop(&mut self) {
         let now = Instant::now();
         let failed = self.outcome == Some(eject::Outcome::Failure);
--- a/laburnumcart_gateway/src/gateway/availability.rs
+++ b/laburnumcart_gateway/src/gateway/availability.rs
@@ -54,7 +54,7 @@
     /// Tells the caller of a refused request when to come again, where no target takes requests now.
     ///
     /// Those that are told of one moment come at different ones.
-    pub fn advise(
+    pub fn add_retry_after(
         &self,
         request: &admission::Request,
         service: &id::ServiceName,
@@ -76,7 +76,7 @@
     /// Refuses a request whose content has crashed one target after the other.
     pub fn check_content(&self, request: &admission::Request) -> Result<(), verdict::Refusal> {
         let signals = &self.outbound.quotas.signals;
-        let Some(until) = signals.refused(|| request.content()) else {
+        let Some(until) = signals.quarantined_until(|| request.content()) else {
             return Ok(());
         };
         let wait = unit::Period(until.saturating_duration_since(Instant::now()));
@@ -100,7 +100,7 @@
         }
         let refusal = verdict::Refusal::not_run(verdict::Reason::NoTarget);
         Err(match services.first() {
-            Some(service) => self.advise(request, service, refusal),
+            Some(service) => self.add_retry_after(request, service, refusal),
             None => refusal,
         })
     }
--- a/laburnumcart_gateway/src/lib.rs
+++ b/laburnumcart_gateway/src/lib.rs
@@ -6,7 +6,6 @@
 pub mod admission;
 pub mod balancer;
 pub mod budgets;
-pub mod callers;
 pub mod clock;
 pub mod control;
 pub mod dialect;
@@ -14,6 +13,7 @@
 pub mod engines;
 pub mod forward;
 pub mod gateway;
+pub mod http_server;
 pub mod metrics;
 pub mod outbound;
 pub mod peers;
--- a/laburnumcart_gateway/src/metrics.rs
+++ b/laburnumcart_gateway/src/metrics.rs
@@ -34,11 +34,11 @@
 
 /// What is counted of targets that get less than others.
 #[derive(Clone, Debug, Default)]
-pub struct Held {
+pub struct TargetGauges {
     /// Targets that have named a limit.
     pub limited: gauge::Gauge<i64>,
     /// Sends to them.
-    pub sends: counter::Counter<u64>,
+    pub limited_sends: counter::Counter<u64>,
     /// Targets that are cold.
     pub cold: gauge::Gauge<i64>,
     /// Targets that want nothing from this process for a while.
@@ -59,9 +59,9 @@
     /// Requests that were refused or given up.
     pub refused: family::Family<Refused, counter::Counter<u64>>,
     /// Streams that broke off.
-    pub broken: counter::Counter<u64>,
+    pub streams_broken: counter::Counter<u64>,
     /// Streams that went on at another target.
-    pub resumed: counter::Counter<u64>,
+    pub streams_resumed: counter::Counter<u64>,
     /// Sends to another target after a failure.
     pub resent: counter::Counter<u64>,
     /// Arrivals at targets beyond the first of each request, by what was decided.
@@ -73,13 +73,13 @@
     /// Jobs that were refused because they would have been late.
     pub refused_early: counter::Counter<u64>,
     /// How late a timer of the process is in the mean, in seconds.
-    pub late: gauge::Gauge<f64, atomic::AtomicU64>,
+    pub timer_lag: gauge::Gauge<f64, atomic::AtomicU64>,
     /// Targets that get less than others.
-    pub held: Held,
+    pub targets: TargetGauges,
     /// Time until the stages were done.
     pub stages: histogram::Histogram,
     /// Time until the first byte of an answer.
-    pub first: histogram::Histogram,
+    pub first_byte: histogram::Histogram,
 }
 
 impl Default for Metrics {
@@ -88,17 +88,17 @@
             requests: counter::Counter::default(),
             answered: counter::Counter::default(),
             refused: family::Family::default(),
-            broken: counter::Counter::default(),
-            resumed: counter::Counter::default(),
+            streams_broken: counter::Counter::default(),
+            streams_resumed: counter::Counter::default(),
             resent: counter::Counter::default(),
             repeats: family::Family::default(),
             calls: counter::Counter::default(),
             pieces: counter::Counter::default(),
             refused_early: counter::Counter::default(),
-            late: gauge::Gauge::default(),
-            held: Held::default(),
+            timer_lag: gauge::Gauge::default(),
+            targets: TargetGauges::default(),
             stages: histogram::Histogram::new(BUCKETS),
-            first: histogram::Histogram::new(BUCKETS),
+            first_byte: histogram::Histogram::new(BUCKETS),
         }
     }
 }
@@ -121,12 +121,12 @@
             r.register(
                 "streams_broken",
                 "Streams that broke off",
-                self.broken.clone(),
+                self.streams_broken.clone(),
             );
             r.register(
                 "streams_resumed",
                 "Streams resumed elsewhere",
-                self.resumed.clone(),
+                self.streams_resumed.clone(),
             );
             r.register("resent", "Sends after a failure", self.resent.clone());
             r.register(
@@ -144,43 +144,43 @@
             r.register(
                 "late_seconds",
                 "Mean lateness of a timer of the process",
-                self.late.clone(),
+                self.timer_lag.clone(),
             );
             r.register(
                 "targets_limited",
                 "Targets that have named a limit",
-                self.held.limited.clone(),
+                self.targets.limited.clone(),
             );
             r.register(
                 "limited_sends",
                 "Sends to targets that have named a limit",
-                self.held.sends.clone(),
+                self.targets.limited_sends.clone(),
             );
             r.register(
                 "targets_cold",
                 "Targets that are cold",
-                self.held.cold.clone(),
+                self.targets.cold.clone(),
             );
             r.register(
                 "targets_backing_off",
                 "Targets that want nothing for a while",
-                self.held.backing_off.clone(),
+                self.targets.backing_off.clone(),
             );
             r.register(
                 "targets_leaving",
                 "Targets that are leaving",
-                self.held.leaving.clone(),
+                self.targets.leaving.clone(),
             );
             r.register(
                 "data_centres_evacuated",
                 "Data centres that get no work",
-                self.held.evacuated.clone(),
+                self.targets.evacuated.clone(),
             );
             r.register("stages_seconds", "Time of the stages", self.stages.clone());
             r.register(
                 "first_byte_seconds",
                 "Time to the first byte",
-                self.first.clone(),
+                self.first_byte.clone(),
             );
             r.register(
                 "connections_opened",
--- a/laburnumcart_gateway/src/outbound.rs
+++ b/laburnumcart_gateway/src/outbound.rs
@@ -29,9 +29,9 @@
 /// An answer whose head has come.
 pub struct Received {
     /// Answer.
-    pub answer: pool::Answer,
+    pub response: pool::Response,
     /// What its head says.
-    pub reply: dialect::Reply,
+    pub head: dialect::ResponseHead,
 }
 
 /// Sends to targets.
@@ -68,7 +68,7 @@
         self.quotas.count(target);
         let is_open = || !self.quotas.is_closed(target);
         let answer = self.pool.send_if(target, request, bounds, is_open).await?;
-        let reply = self.dialect.reply(&answer.head);
+        let reply = self.dialect.parse_response(&answer.head);
         // Another target's answer, from an address that it has taken over, says nothing of this one but
         // that it is not there.
         if reply.misdirected {
@@ -88,6 +88,9 @@
                 self.quotas.back_off(target, wait);
             }
         }
-        Ok(Received { answer, reply })
+        Ok(Received {
+            response: answer,
+            head: reply,
+        })
     }
 }
--- a/laburnumcart_gateway/src/peers.rs
+++ b/laburnumcart_gateway/src/peers.rs
@@ -53,7 +53,8 @@
     /// The job failed.
     Failed(batch::Failure),
     /// The process does not know the service yet.
-    Elsewhere,
+    #[serde(rename = "elsewhere")]
+    Unavailable,
     /// Another process is to execute the rest; some pieces were sent.
     Moved,
     /// The process is leaving.
@@ -63,7 +64,7 @@
 impl From<batch::Failure> for Answer {
     fn from(failure: batch::Failure) -> Self {
         match failure {
-            batch::Failure::Unavailable => Self::Elsewhere,
+            batch::Failure::Unavailable => Self::Unavailable,
             batch::Failure::Moved => Self::Moved,
             failure => Self::Failed(failure),
         }
@@ -81,7 +82,7 @@
 
 /// Results of a job, and the process that accounts for their room.
 #[derive(Clone, Debug)]
-pub struct Made {
+pub struct JobResults {
     /// Results, in the order of the pieces.
     pub handles: Vec<batch::Handle>,
     /// Owner of the queue that executed the job.
@@ -121,7 +122,7 @@
 }
 
 /// Serves other processes.
-pub struct Served {
+pub struct PeerService {
     /// Queues of this process.
     pub dispatcher: Arc<dispatcher::Dispatcher>,
     /// State of this process.
@@ -129,13 +130,13 @@
 }
 
 #[async_trait]
-impl PeerServer for Served {
+impl PeerServer for PeerService {
     async fn submit(&self, job: dispatcher::Job) -> RpcResult<Answer> {
         if self.view.is_leaving() && !job.last {
             return Ok(Answer::Leaving);
         }
-        if !self.view.is_complete() {
-            return Ok(Answer::Elsewhere);
+        if !self.view.is_loaded() {
+            return Ok(Answer::Unavailable);
         }
         Ok(match self.dispatcher.submit(job).await {
             Ok(handles) => Answer::Done(handles),
@@ -205,7 +206,7 @@
     ///
     /// When the owner fails, the job goes to the next one. Its pieces may have been executed then,
     /// which wastes them and nothing else.
-    pub async fn submit(&self, job: dispatcher::Job) -> Result<Made, batch::Failure> {
+    pub async fn submit(&self, job: dispatcher::Job) -> Result<JobResults, batch::Failure> {
         let start = Instant::now();
         let (due, deadline) = (start + job.due.0, start + job.deadline.0);
         let mut arrival = job.arrival;
@@ -219,12 +220,12 @@
                     job.due.0 = due.saturating_duration_since(now);
                     job.deadline.0 = deadline.saturating_duration_since(now);
                     match self.offer(&owner, job).await {
-                        Ok(Answer::Done(handles)) => return Ok(Made { handles, owner }),
+                        Ok(Answer::Done(handles)) => return Ok(JobResults { handles, owner }),
                         Ok(Answer::Failed(failure)) => return Err(failure),
                         Ok(Answer::Moved) | Err(Unanswered::Lost) => {
                             arrival = dispatcher::Arrival::Repeated;
                         }
-                        Ok(Answer::Elsewhere | Answer::Leaving) | Err(Unanswered::Unsent) => {}
+                        Ok(Answer::Unavailable | Answer::Leaving) | Err(Unanswered::Unsent) => {}
                     }
                 }
             }
@@ -296,7 +297,7 @@
     /// Tells the owner of a service's queue that results have been read.
     ///
     /// Lost on the way, it only means that they are freed later.
-    pub fn read(&self, service: &id::ServiceName, handles: Vec<batch::Handle>) {
+    pub fn report_read(&self, service: &id::ServiceName, handles: Vec<batch::Handle>) {
         let Some(owner) = self.owner(service) else {
             return;
         };
@@ -311,12 +312,12 @@
     }
 
     /// Returns the process that jobs of a service are sent to.
-    pub fn owner_of(&self, service: &id::ServiceName) -> Option<id::InstanceName> {
+    pub fn owner_name(&self, service: &id::ServiceName) -> Option<id::InstanceName> {
         self.owner(service).map(|owner| owner.instance.clone())
     }
 
     /// Reports whether this process is the first choice of owner of a service's queue.
-    pub fn is_first(&self, service: &id::ServiceName) -> bool {
+    pub fn is_first_owner(&self, service: &id::ServiceName) -> bool {
         let owner = self.owner(service);
         owner.is_none_or(|owner| owner.instance == self.own)
     }
--- a/laburnumcart_gateway/src/peers/link.rs
+++ b/laburnumcart_gateway/src/peers/link.rs
@@ -219,7 +219,10 @@
     ///
     /// The answer is due when the wait ends. A connection that went silent is given up soon after, as
     /// it hides changes.
-    pub(crate) async fn follow(self: &Arc<Self>, ask: relay::Ask) -> Option<relay::Reply> {
+    pub(crate) async fn follow(
+        self: &Arc<Self>,
+        ask: relay::FollowRequest,
+    ) -> Option<relay::FollowReply> {
         let mut open = self.client().await?;
         let limit = ask.wait.0 + SILENCE;
         let call = async {
@@ -246,7 +249,7 @@
     }
 
     /// Tells what targets have said of themselves.
-    pub(crate) async fn tell(self: &Arc<Self>, signals: Vec<relay::signals::Told>) {
+    pub(crate) async fn tell(self: &Arc<Self>, signals: Vec<relay::signals::TargetSignal>) {
         if let Some(open) = self.client().await {
             // Without an answer others hear of them from their own requests' answers.
             let _ = tokio::time::timeout(SILENCE, open.client.tell(signals)).await;
--- a/laburnumcart_gateway/src/pipeline.rs
+++ b/laburnumcart_gateway/src/pipeline.rs
@@ -113,7 +113,7 @@
     let run = Run {
         gateway,
         request,
-        near: gateway.near(request),
+        near: gateway.preferred_data_centre(request),
         results: request.route.stages.iter().map(|_| None).collect(),
         notices: Notices::new(request.route.stages.len()),
         again,
@@ -124,7 +124,7 @@
     let result = tokio::select! {
         result = finish => result,
         // A request that waits when the process must exit is refused while there is time.
-        () = gateway.view.exiting() => {
+        () = gateway.view.wait_for_exit() => {
             return Err(verdict::Refusal::not_run(verdict::Reason::Leaving));
         }
     };
@@ -215,7 +215,7 @@
 
     fn is_lost(&self, i: usize) -> bool {
         let mut handles = self.results[i].iter().flat_map(|held| &held.handles);
-        handles.any(|handle| self.gateway.is_lost(handle))
+        handles.any(|handle| self.gateway.is_result_lost(handle))
     }
 
     /// Reports whether a stage alone reads the results that it takes.
@@ -272,7 +272,7 @@
     fn job(&mut self, i: usize, stage: &ingress::Stage) -> dispatcher::Job {
         let request = self.request;
         let input = match stage.after.is_empty() {
-            true => dialect::Input::Key(request.call.key_input.clone().unwrap_or_default()),
+            true => dialect::Input::Key(request.call.input_key.clone().unwrap_or_default()),
             false => dialect::Input::Results(self.handles(&stage.after)),
         };
         // A request that will be late in any case must not delay those that can be on time.
@@ -370,8 +370,8 @@
     }
 
     fn place(&self, handle: &batch::Handle) -> Option<id::DataCentre> {
-        let addr = self.gateway.dialect.holder(handle)?;
+        let addr = self.gateway.dialect.result_addr(handle)?;
         let targets = self.gateway.view.targets.load();
-        Some(targets.at(&addr, handle.life)?.data_centre.clone())
+        Some(targets.find(&addr, handle.life)?.data_centre.clone())
     }
 }
--- a/laburnumcart_gateway/src/pool.rs
+++ b/laburnumcart_gateway/src/pool.rs
@@ -55,7 +55,7 @@
 ///
 /// Some targets drop idle connections without notice and sooner than they say. What is sent next
 /// is reset, which proves nothing, so such a request takes a connection that was just in use.
-pub const FRESH: time::Duration = time::Duration::from_millis(1500);
+pub const FRESH_IDLE_MAX: time::Duration = time::Duration::from_millis(1500);
 
 /// Longest time in which a connection that has just ended an exchange becomes ready again.
 const SETTLE: time::Duration = time::Duration::from_millis(5);
@@ -114,14 +114,14 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Bounds {
     /// Most connections of this process to the target.
-    pub connections: usize,
+    pub max_connections: usize,
     /// Longest idle time of a connection that is used again.
-    pub idle: time::Duration,
+    pub max_idle: time::Duration,
 }
 
 /// Head of an answer, and the connection on which its body follows.
 #[derive(Debug)]
-pub struct Answer {
+pub struct Response {
     /// Head.
     pub head: response::Parts,
     /// Body.
@@ -171,7 +171,7 @@
         target: &view::Target,
         request: Request<Bytes>,
         bounds: &Bounds,
-    ) -> Result<Answer, Failure> {
+    ) -> Result<Response, Failure> {
         self.send_if(target, request, bounds, || true).await
     }
 
@@ -185,19 +185,19 @@
         request: Request<Bytes>,
         bounds: &Bounds,
         is_open: impl Fn() -> bool,
-    ) -> Result<Answer, Failure> {
+    ) -> Result<Response, Failure> {
         let mut request = request.map(Full::new);
         for _ in 0..TRIES {
             let mut lease = self.lease(target, bounds).await?;
             if !is_open() {
-                lease.give_back(None);
+                lease.release(None);
                 return Err(Failure::Closed);
             }
             let connection = lease.connection.as_mut().expect("a new lease has one");
             match connection.sender.try_send_request(request).await {
                 Ok(response) => {
                     let (head, body) = response.into_parts();
-                    return Ok(Answer { head, body, lease });
+                    return Ok(Response { head, body, lease });
                 }
                 // The library hands a request back only when none of it was written.
                 Err(mut error) => match error.take_message() {
@@ -225,14 +225,14 @@
         target: &view::Target,
         bounds: &Bounds,
     ) -> Result<Lease, Failure> {
-        while let Some(mut connection) = self.idle(target, bounds.idle) {
+        while let Some(mut connection) = self.idle(target, bounds.max_idle) {
             let ready = tokio::time::timeout(SETTLE, connection.sender.ready()).await;
             if matches!(ready, Ok(Ok(()))) {
                 self.counters.reused.inc();
                 return Ok(self.hold(connection));
             }
         }
-        let open = self.open(target, bounds.connections)?;
+        let open = self.open(target, bounds.max_connections)?;
         let connection = connection::open(target, open).await?;
         self.counters.opened.inc();
         Ok(self.hold(connection))
@@ -277,7 +277,7 @@
 
 impl Lease {
     /// Gives the connection back after a whole answer; `idle` is the target's own idle time.
-    pub fn give_back(mut self, idle: Option<time::Duration>) {
+    pub fn release(mut self, idle: Option<time::Duration>) {
         let Some(mut connection) = self.connection.take().filter(|_| !self.last) else {
             return;
         };
@@ -292,16 +292,16 @@
     }
 }
 
-impl Answer {
+impl Response {
     /// Sees to it that the connection is closed after this answer.
     #[must_use]
-    pub fn last(mut self) -> Self {
+    pub fn close_after(mut self) -> Self {
         self.lease.last = true;
         self
     }
 
     /// Reads the whole body and gives the connection back.
-    pub async fn whole(
+    pub async fn read_all(
         mut self,
         idle: Option<time::Duration>,
     ) -> Result<(response::Parts, Bytes), Failure> {
@@ -315,7 +315,7 @@
                 return Err(Failure::Malformed);
             }
         }
-        self.lease.give_back(idle);
+        self.lease.release(idle);
         Ok((self.head, bytes.freeze()))
     }
 }
--- a/laburnumcart_gateway/src/quotas.rs
+++ b/laburnumcart_gateway/src/quotas.rs
@@ -78,7 +78,7 @@
     /// What targets have said of themselves.
     pub signals: Arc<signals::Signals>,
     known: Mutex<collections::HashMap<id::TargetLife, Known>>,
-    metrics: metrics::Held,
+    metrics: metrics::TargetGauges,
 }
 
 impl Quotas {
@@ -93,7 +93,7 @@
             view,
             signals: Arc::default(),
             known: Mutex::default(),
-            metrics: metrics.held.clone(),
+            metrics: metrics.targets.clone(),
         })
     }
 
@@ -109,13 +109,13 @@
         let known = known.get_mut(&target.key());
         if let Some(known) = known.filter(|known| known.limit != quota::Limit::None) {
             known.sends += 1;
-            self.metrics.sends.inc();
+            self.metrics.limited_sends.inc();
         }
     }
 
     /// Takes in that an answer of a target says that it is leaving.
     pub fn leave(&self, target: &view::Target) {
-        if self.signals.leave(&target.key()) {
+        if self.signals.record_leaving(&target.key()) {
             // Work that is placed before the list of targets has changed must not go there either.
             let mut all = view::lock(&self.known);
             let known = self.known(&mut all, target);
@@ -162,7 +162,7 @@
 
     /// Takes in what an answer of a target says of its limit.
     pub fn note(&self, target: &view::Target, word: quota::Word) {
-        if !self.signals.answer(&target.key(), word) {
+        if !self.signals.record_limit(&target.key(), word) {
             return;
         }
         let mut all = view::lock(&self.known);
@@ -190,7 +190,7 @@
     fn measure(&self, all: &collections::HashMap<id::TargetLife, Known>, now: Instant) {
         let limited = all.values().filter(|k| k.limit != quota::Limit::None);
         self.metrics.limited.set(limited.count() as i64);
-        let is_cold = |known: &&Known| known.target.cold.is_some_and(|until| now < until);
+        let is_cold = |known: &&Known| known.target.cold_until.is_some_and(|until| now < until);
         let cold = all.values().filter(is_cold);
         self.metrics.cold.set(cold.count() as i64);
         let is_backing_off = |known: &&Known| known.is_backing_off(now);
@@ -230,7 +230,7 @@
 
     /// Sets the gates of a target by what is known of it.
     fn bind(&self, known: &mut Known, now: Instant) {
-        let heard = self.signals.heard(&known.target.key());
+        let heard = self.signals.get(&known.target.key());
         let (mut requests, mut calls) = self.shares(&known.target, heard.named(), now);
         let closed = known.closed(&heard);
         requests.closed = closed;
@@ -265,7 +265,7 @@
         now: Instant,
     ) -> (quota::Bounds, quota::Bounds) {
         let (mut requests, mut calls) = (quota::Bounds::default(), quota::Bounds::default());
-        let until = target.cold.filter(|until| *until > now);
+        let until = target.cold_until.filter(|until| *until > now);
         if until.is_none() && named.is_none() {
             return (requests, calls);
         }
--- a/laburnumcart_gateway/src/relay.rs
+++ b/laburnumcart_gateway/src/relay.rs
@@ -11,9 +11,9 @@
 //! link or a chain of processes makes knowledge older and never younger. Nobody has to be right
 //! about who reads: an answer is as good as its age.
 
-pub mod copies;
+pub mod cache;
+pub mod relayed_store;
 pub mod signals;
-pub mod source;
 
 use derive_more::Display;
 use jsonrpsee::{
@@ -59,7 +59,7 @@
 
 /// A question about a topic.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Ask {
+pub struct FollowRequest {
     /// Topic.
     pub topic: Topic,
     /// Revision that the asking process has; without one it wants all objects.
@@ -67,11 +67,14 @@
     /// Longest wait for a change.
     pub wait: unit::Period,
     /// Greatest age that it takes.
-    pub limit: unit::Period,
+    #[serde(rename = "limit")]
+    pub max_age: unit::Period,
     /// Whether to wait for younger knowledge where it is older than that.
-    pub hold: bool,
+    #[serde(rename = "hold")]
+    pub wait_fresh: bool,
     /// Whether an answer may be of any size.
-    pub large: bool,
+    #[serde(rename = "large")]
+    pub allow_large: bool,
     /// Version of the signals of targets that the asking process has; without one it wants none.
     pub signals: Option<u64>,
 }
@@ -87,18 +90,20 @@
     /// The revision is older than all that is remembered.
     Compacted,
     /// What is known is older than the limit.
-    Behind,
+    #[serde(rename = "behind")]
+    Stale,
     /// The answer is large; the store has the better connection for it.
-    Large,
+    #[serde(rename = "large")]
+    TooLarge,
 }
 
 /// Answer to a question, with the signals of targets if there is more than the asking process has.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Reply {
+pub struct FollowReply {
     /// Answer.
     pub answer: Answer,
     /// What targets have said of themselves.
-    pub signals: Option<signals::News>,
+    pub signals: Option<signals::SignalUpdate>,
 }
 
 /// What a process tells others of the store, and what it is told of targets.
@@ -106,9 +111,9 @@
 pub trait Relay {
     /// Answers a question.
     #[method(name = "follow")]
-    async fn follow(&self, ask: Ask) -> RpcResult<Reply>;
+    async fn follow(&self, ask: FollowRequest) -> RpcResult<FollowReply>;
 
     /// Takes in what targets have said of themselves.
     #[method(name = "tell")]
-    async fn tell(&self, signals: Vec<signals::Told>) -> RpcResult<()>;
+    async fn tell(&self, signals: Vec<signals::TargetSignal>) -> RpcResult<()>;
 }
--- a/laburnumcart_gateway/src/relay/copies.rs
+++ b/laburnumcart_gateway/src/relay/cache.rs
@@ -28,9 +28,9 @@
     clock,
     relay::{
         Answer,
-        Ask,
+        FollowReply,
+        FollowRequest,
         RelayServer,
-        Reply,
         Topic,
         signals, //
     },
@@ -50,13 +50,13 @@
 
 /// A topic as last read.
 #[derive(Clone, Debug, Default)]
-pub struct Copy {
+pub struct CachedTopic {
     replica: replica::Replica,
     /// The moment for which it holds; `None` before the first read.
     read: Option<freshness::Moment>,
 }
 
-impl Copy {
+impl CachedTopic {
     /// Takes in a read that holds for `read`; returns whether others have to know at once.
     pub fn update(
         &mut self,
@@ -73,13 +73,13 @@
     /// Returns the answer to a question that came at `arrived`, or `None` while it may wait.
     pub fn answer(
         &self,
-        ask: &Ask,
+        ask: &FollowRequest,
         arrived: freshness::Moment,
         now: freshness::Moment,
     ) -> Option<Answer> {
         let age = self.read.map(|read| now.since(read));
-        let Some(age) = age.filter(|age| *age <= ask.limit.0) else {
-            return (!ask.hold).then_some(Answer::Behind);
+        let Some(age) = age.filter(|age| *age <= ask.max_age.0) else {
+            return (!ask.wait_fresh).then_some(Answer::Stale);
         };
         // The asking process counts from when it asked, which was before the question came here.
         let age = unit::Period(age.saturating_sub(now.since(arrived)));
@@ -89,16 +89,21 @@
         }
     }
 
-    fn listing(&self, ask: &Ask, age: unit::Period) -> Option<Answer> {
+    fn listing(&self, ask: &FollowRequest, age: unit::Period) -> Option<Answer> {
         let listing = self.replica.listing()?;
         let size = listing.objects.iter().map(|o| o.value.len()).sum();
         if is_large(ask, size) {
-            return Some(Answer::Large);
+            return Some(Answer::TooLarge);
         }
         Some(Answer::Listing(store::Listing { age, ..listing }))
     }
 
-    fn changes(&self, ask: &Ask, after: store::Revision, age: unit::Period) -> Option<Answer> {
+    fn changes(
+        &self,
+        ask: &FollowRequest,
+        after: store::Revision,
+        age: unit::Period,
+    ) -> Option<Answer> {
         let Ok(changes) = self.replica.changes(after) else {
             return Some(Answer::Compacted);
         };
@@ -107,50 +112,55 @@
         }
         let values = changes.events.iter().filter_map(|e| e.value.as_ref());
         if is_large(ask, values.map(String::len).sum()) {
-            return Some(Answer::Large);
+            return Some(Answer::TooLarge);
         }
         Some(Answer::Changes(store::Changes { age, ..changes }))
     }
 
     /// Returns the answer to a question whose wait has ended.
-    fn ended(&self, ask: &Ask, arrived: freshness::Moment, now: freshness::Moment) -> Answer {
+    fn ended(
+        &self,
+        ask: &FollowRequest,
+        arrived: freshness::Moment,
+        now: freshness::Moment,
+    ) -> Answer {
         let age = self.read.map(|read| now.since(read));
         match (age, ask.after) {
-            (Some(age), Some(after)) if age <= ask.limit.0 => Answer::Changes(store::Changes {
+            (Some(age), Some(after)) if age <= ask.max_age.0 => Answer::Changes(store::Changes {
                 revision: after.max(self.replica.revision()),
                 age: unit::Period(age.saturating_sub(now.since(arrived))),
                 events: Vec::new(),
             }),
-            _ => Answer::Behind,
+            _ => Answer::Stale,
         }
     }
 
     /// Returns how long the copy stays within the limit of a question.
-    fn lasts(&self, ask: &Ask, now: freshness::Moment) -> time::Duration {
-        let age = self.read.map_or(ask.limit.0, |read| now.since(read));
-        match ask.hold {
+    fn lasts(&self, ask: &FollowRequest, now: freshness::Moment) -> time::Duration {
+        let age = self.read.map_or(ask.max_age.0, |read| now.since(read));
+        match ask.wait_fresh {
             true => time::Duration::MAX,
-            false => ask.limit.0.saturating_sub(age),
+            false => ask.max_age.0.saturating_sub(age),
         }
     }
 }
 
-fn is_large(ask: &Ask, size: usize) -> bool {
-    !ask.large && size > SMALL
+fn is_large(ask: &FollowRequest, size: usize) -> bool {
+    !ask.allow_large && size > SMALL
 }
 
 /// The copies of all topics, and the signals of targets.
 #[derive(Debug, Default)]
-pub struct Copies {
+pub struct Cache {
     /// Limits that targets have named.
     pub signals: Arc<signals::Signals>,
-    table: watch::Sender<Copy>,
-    targets: watch::Sender<Copy>,
-    members: watch::Sender<Copy>,
-    evacuations: watch::Sender<Copy>,
+    table: watch::Sender<CachedTopic>,
+    targets: watch::Sender<CachedTopic>,
+    members: watch::Sender<CachedTopic>,
+    evacuations: watch::Sender<CachedTopic>,
 }
 
-impl Copies {
+impl Cache {
     /// Creates empty copies beside what is known of signals.
     pub fn new(signals: Arc<signals::Signals>) -> Self {
         Self {
@@ -159,7 +169,7 @@
         }
     }
 
-    fn topic(&self, topic: Topic) -> &watch::Sender<Copy> {
+    fn topic(&self, topic: Topic) -> &watch::Sender<CachedTopic> {
         match topic {
             Topic::Table => &self.table,
             Topic::Targets => &self.targets,
@@ -169,28 +179,28 @@
     }
 
     /// Answers a question, at once if there is something to tell of the topic or of signals.
-    pub async fn reply(&self, ask: &Ask) -> Reply {
+    pub async fn follow(&self, ask: &FollowRequest) -> FollowReply {
         let Some(known) = ask.signals else {
-            let answer = self.answer(ask).await;
-            return Reply {
+            let answer = self.wait_for_answer(ask).await;
+            return FollowReply {
                 answer,
                 signals: None,
             };
         };
         let mut version = self.signals.subscribe();
         let answer = tokio::select! {
-            answer = self.answer(ask) => answer,
+            answer = self.wait_for_answer(ask) => answer,
             // The sender lives as long as these signals.
             _ = version.wait_for(|version| version.all > known) => self.present(ask),
         };
-        Reply {
+        FollowReply {
             answer,
-            signals: self.signals.since(known),
+            signals: self.signals.updates_since(known),
         }
     }
 
     /// Answers a question without a wait.
-    fn present(&self, ask: &Ask) -> Answer {
+    fn present(&self, ask: &FollowRequest) -> Answer {
         let now = clock::now();
         let copy = self.topic(ask.topic).borrow();
         let answer = copy.answer(ask, now, now);
@@ -198,7 +208,7 @@
     }
 
     /// Answers a question, at once if there is something to tell.
-    pub async fn answer(&self, ask: &Ask) -> Answer {
+    pub async fn wait_for_answer(&self, ask: &FollowRequest) -> Answer {
         let arrived = clock::now();
         let end = Instant::now() + ask.wait.0.min(WAIT_MAX);
         let mut copy = self.topic(ask.topic).subscribe();
@@ -228,18 +238,18 @@
 pub struct Publisher<O> {
     observer: O,
     topic: Topic,
-    copies: Arc<Copies>,
+    cache: Arc<Cache>,
     /// When the call in progress was sent.
     asked: freshness::Moment,
 }
 
 impl<O> Publisher<O> {
     /// Wraps the observer of a topic.
-    pub fn new(observer: O, topic: Topic, copies: &Arc<Copies>) -> Self {
+    pub fn new(observer: O, topic: Topic, cache: &Arc<Cache>) -> Self {
         Self {
             observer,
             topic,
-            copies: copies.clone(),
+            cache: cache.clone(),
             asked: freshness::Moment::default(),
         }
     }
@@ -254,21 +264,21 @@
     fn read(&mut self, snapshot: &follow::Snapshot, age: unit::Period) {
         self.observer.read(snapshot, age);
         let read = self.asked.before(age.0);
-        let update = |copy: &mut Copy| copy.update(snapshot, read, clock::now());
-        self.copies.topic(self.topic).send_if_modified(update);
+        let update = |copy: &mut CachedTopic| copy.update(snapshot, read, clock::now());
+        self.cache.topic(self.topic).send_if_modified(update);
     }
 }
 
 /// Serves the copies to other processes.
-pub struct Served(pub Arc<Copies>);
+pub struct RelayService(pub Arc<Cache>);
 
 #[async_trait]
-impl RelayServer for Served {
-    async fn follow(&self, ask: Ask) -> RpcResult<Reply> {
-        Ok(self.0.reply(&ask).await)
+impl RelayServer for RelayService {
+    async fn follow(&self, ask: FollowRequest) -> RpcResult<FollowReply> {
+        Ok(self.0.follow(&ask).await)
     }
 
-    async fn tell(&self, signals: Vec<signals::Told>) -> RpcResult<()> {
+    async fn tell(&self, signals: Vec<signals::TargetSignal>) -> RpcResult<()> {
         self.0.signals.merge(&signals);
         Ok(())
     }
--- a/laburnumcart_gateway/src/relay/source.rs
+++ b/laburnumcart_gateway/src/relay/relayed_store.rs
@@ -26,8 +26,8 @@
     peers::links,
     relay::{
         Answer,
-        Ask,
-        Reply,
+        FollowReply,
+        FollowRequest,
         Topic,
         signals, //
     },
@@ -85,9 +85,9 @@
 }
 
 /// The store, through others where they read it.
-pub struct Source<S>(Arc<Shared<S>>);
+pub struct RelayedStore<S>(Arc<Shared<S>>);
 
-impl<S> Clone for Source<S> {
+impl<S> Clone for RelayedStore<S> {
     fn clone(&self) -> Self {
         Self(self.0.clone())
     }
@@ -104,7 +104,7 @@
     Unknown,
 }
 
-impl<S: store::Store> Source<S> {
+impl<S: store::Store> RelayedStore<S> {
     /// Creates the view of `store` of the process `own`.
     pub fn new(
         store: S,
@@ -129,22 +129,22 @@
     /// Takes in what others know of targets.
     ///
     /// A process that reads the store itself asks them nothing more.
-    pub async fn catch_up(&self) {
+    pub async fn sync_signals(&self) {
         while !self.0.take_over().await {
             tokio::time::sleep(CATCH_UP).await;
         }
     }
 
     /// Tells the readers what answers to this process say of targets, until the process ends.
-    pub async fn tell(&self) {
+    pub async fn publish_signals(&self) {
         let mut version = self.0.signals.subscribe();
-        let mut told = version.borrow().own;
+        let mut told = version.borrow().local;
         loop {
             // The sender lives as long as these signals.
-            if let Ok(version) = version.wait_for(|version| version.own > told).await {
-                told = version.own;
+            if let Ok(version) = version.wait_for(|version| version.local > told).await {
+                told = version.local;
             }
-            let signals = self.0.signals.told();
+            let signals = self.0.signals.recent();
             let (readers, _) = self.0.sources();
             let links = readers.iter().filter_map(|r| self.0.links.link(r));
             let calls = links.map(|link| {
@@ -190,7 +190,7 @@
         if !reads && self.standing().is_served(Instant::now()) {
             return Told::Nothing;
         }
-        ask.limit = ask.limit.max(unit::Period(AGE_OTHERS));
+        ask.max_age = ask.max_age.max(unit::Period(AGE_OTHERS));
         if let Some(told) = self.ask_each(&others, &ask).await {
             return told;
         }
@@ -200,13 +200,13 @@
         if reads || tries {
             return Told::Nothing;
         }
-        ask.hold = true;
+        ask.wait_fresh = true;
         let first = readers.get(..1).unwrap_or_default();
         self.ask_each(first, &ask).await.unwrap_or(Told::Unknown)
     }
 
     /// Asks one process after another until one knows something that is young enough.
-    async fn ask_each(&self, members: &[view::Member], ask: &Ask) -> Option<Told> {
+    async fn ask_each(&self, members: &[view::Member], ask: &FollowRequest) -> Option<Told> {
         for member in members {
             if let Some(told) = self.exchange(member, ask).await {
                 return Some(told);
@@ -249,20 +249,20 @@
     }
 
     /// Asks one process; `None` if it knows nothing that is young enough.
-    async fn exchange(&self, member: &view::Member, ask: &Ask) -> Option<Told> {
+    async fn exchange(&self, member: &view::Member, ask: &FollowRequest) -> Option<Told> {
         let link = self.links.link(member)?;
-        let wants = ask.topic == Topic::Targets && !ask.hold;
-        let mut ask = Ask {
+        let wants = ask.topic == Topic::Targets && !ask.wait_fresh;
+        let mut ask = FollowRequest {
             signals: wants.then(|| self.heard_of(member)),
             ..ask.clone()
         };
-        let Reply {
+        let FollowReply {
             mut answer,
             signals,
         } = link.follow(ask.clone()).await?;
         self.take_in(member, signals.as_ref());
-        if answer == Answer::Large && self.standing().is_failing() {
-            ask.large = true;
+        if answer == Answer::TooLarge && self.standing().is_failing() {
+            ask.allow_large = true;
             ask.signals = None;
             answer = link.follow(ask.clone()).await?.answer;
         }
@@ -270,8 +270,8 @@
             Answer::Listing(listing) => (listing.age, Told::Listing(listing)),
             Answer::Changes(changes) => (changes.age, Told::Changes(changes)),
             Answer::Compacted => return Some(Told::Compacted),
-            Answer::Large => return Some(Told::Nothing),
-            Answer::Behind => return None,
+            Answer::TooLarge => return Some(Told::Nothing),
+            Answer::Stale => return None,
         };
         self.note_teller(ask.topic, Some(&member.instance), age);
         Some(told)
@@ -283,7 +283,7 @@
         let asked = readers.iter().chain(&others);
         let asked = asked.filter_map(|member| Some((member, self.links.link(member)?)));
         let replies = asked.map(|(member, link)| async move {
-            let ask = Ask {
+            let ask = FollowRequest {
                 signals: Some(self.heard_of(member)),
                 ..question(Topic::Targets, None, time::Duration::ZERO)
             };
@@ -296,9 +296,9 @@
     }
 
     /// Takes in what a process has told of targets.
-    fn take_in(&self, member: &view::Member, news: Option<&signals::News>) {
+    fn take_in(&self, member: &view::Member, news: Option<&signals::SignalUpdate>) {
         if let Some(news) = news {
-            self.signals.merge(&news.told);
+            self.signals.merge(&news.signals);
             let heard = (member.incarnation, news.version);
             view::lock(&self.heard).insert(member.instance.clone(), heard);
         }
@@ -362,18 +362,18 @@
 }
 
 /// Returns a question for a reader.
-fn question(topic: Topic, after: Option<store::Revision>, wait: time::Duration) -> Ask {
+fn question(topic: Topic, after: Option<store::Revision>, wait: time::Duration) -> FollowRequest {
     let (longest, age) = match topic {
         Topic::Members => (MEMBERS_WAIT, MEMBERS_AGE),
         Topic::Table | Topic::Targets | Topic::Evacuations => (WAIT, AGE),
     };
-    Ask {
+    FollowRequest {
         topic,
         after,
         wait: unit::Period(wait.min(longest)),
-        limit: unit::Period(age),
-        hold: false,
-        large: false,
+        max_age: unit::Period(age),
+        wait_fresh: false,
+        allow_large: false,
         signals: None,
     }
 }
@@ -382,7 +382,7 @@
     store::Failure::Unavailable { retry: None }
 }
 
-impl<S: store::Store> store::Store for Source<S> {
+impl<S: store::Store> store::Store for RelayedStore<S> {
     async fn get(&self, key: &str) -> Result<Option<store::Object>, store::Failure> {
         self.0.store.get(key).await
     }
--- a/laburnumcart_gateway/src/relay/signals.rs
+++ b/laburnumcart_gateway/src/relay/signals.rs
@@ -57,7 +57,7 @@
 
 /// What one process tells another of a target.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Told {
+pub struct TargetSignal {
     /// Name of the target.
     pub target: id::TargetName,
     /// Its start.
@@ -70,11 +70,12 @@
 
 /// What one process knows of all targets.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct News {
+pub struct SignalUpdate {
     /// Version of its knowledge.
     pub version: u64,
     /// What targets have said.
-    pub told: Vec<Told>,
+    #[serde(rename = "told")]
+    pub signals: Vec<TargetSignal>,
 }
 
 /// Counts of changes.
@@ -83,7 +84,7 @@
     /// All changes.
     pub all: u64,
     /// Those that the own requests' answers have brought.
-    pub own: u64,
+    pub local: u64,
 }
 
 /// What is known of one target.
@@ -121,13 +122,13 @@
 
 impl Signals {
     /// Returns what is known of one target.
-    pub fn heard(&self, target: &id::TargetLife) -> quota::Heard {
+    pub fn get(&self, target: &id::TargetLife) -> quota::Heard {
         let known = view::lock(&self.known).get(target).copied();
         known.unwrap_or_default().heard
     }
 
     /// Takes in what an answer of a target says of its limit; returns whether it is news.
-    pub fn answer(&self, target: &id::TargetLife, word: quota::Word) -> bool {
+    pub fn record_limit(&self, target: &id::TargetLife, word: quota::Word) -> bool {
         let mut all = view::lock(&self.known);
         if word.limit == quota::Limit::None && !all.contains_key(target) {
             return false;
@@ -141,7 +142,7 @@
     }
 
     /// Takes in that an answer of a target says that it is leaving; returns whether it is news.
-    pub fn leave(&self, target: &id::TargetLife) -> bool {
+    pub fn record_leaving(&self, target: &id::TargetLife) -> bool {
         let mut all = view::lock(&self.known);
         let known = all.entry(target.clone()).or_default();
         let news = known.heard.leave(Instant::now());
@@ -152,14 +153,14 @@
     }
 
     /// Takes in that a request has failed at a target.
-    pub fn fail(&self, target: &id::TargetLife, strike: strikes::Strike) {
+    pub fn record_failure(&self, target: &id::TargetLife, strike: strikes::Strike) {
         let mut struck = view::lock(&self.struck);
         struck.strikes.add(target.clone(), strike);
     }
 
     /// Takes in which targets are still there; others are told of what failed at those that are
     /// not.
-    pub fn list_targets(&self, is_listed: impl Fn(&id::TargetLife) -> bool) {
+    pub fn update_listed(&self, is_listed: impl Fn(&id::TargetLife) -> bool) {
         let now = Instant::now();
         let mut struck = view::lock(&self.struck);
         let Struck { strikes, gone } = &mut *struck;
@@ -176,7 +177,7 @@
 
     /// Returns until when content is refused, as it has crashed targets; `content` is asked only if
     /// any target has crashed.
-    pub fn refused(&self, content: impl FnOnce() -> id::Fingerprint) -> Option<Instant> {
+    pub fn quarantined_until(&self, content: impl FnOnce() -> id::Fingerprint) -> Option<Instant> {
         let Struck { strikes, gone } = &*view::lock(&self.struck);
         match gone.is_empty() {
             true => None,
@@ -185,7 +186,7 @@
     }
 
     /// Returns the targets that have said that they are leaving.
-    pub fn leaving(&self) -> collections::HashSet<id::TargetLife> {
+    pub fn leaving_targets(&self) -> collections::HashSet<id::TargetLife> {
         let all = view::lock(&self.known);
         let leaving = all.iter().filter(|(_, known)| known.heard.left().is_some());
         leaving.map(|(target, _)| target.clone()).collect()
@@ -195,13 +196,13 @@
     fn count(&self, own: bool) -> u64 {
         self.version.send_modify(|version| {
             version.all += 1;
-            version.own += u64::from(own);
+            version.local += u64::from(own);
         });
         self.version.borrow().all
     }
 
     /// Takes in what another process knows.
-    pub fn merge(&self, told: &[Told]) {
+    pub fn merge(&self, told: &[TargetSignal]) {
         let now = Instant::now();
         let mut all = view::lock(&self.known);
         let mut struck = view::lock(&self.struck);
@@ -236,12 +237,12 @@
     }
 
     /// Lists what the readers should know.
-    pub fn told(&self) -> Vec<Told> {
+    pub fn recent(&self) -> Vec<TargetSignal> {
         self.list(None)
     }
 
     /// Lists what one should know that knows a version, or has been told all along.
-    fn list(&self, version: Option<u64>) -> Vec<Told> {
+    fn list(&self, version: Option<u64>) -> Vec<TargetSignal> {
         let now = Instant::now();
         let mut all = view::lock(&self.known);
         all.retain(|_, Known { heard, .. }| {
@@ -259,7 +260,7 @@
             let missed = version.is_some_and(|version| *left > version);
             let left = heard.left().filter(|at| missed || now < *at + RECENT);
             let leaving = left.map(|at| (Signal::Leaving, at));
-            let told = |(signal, at)| Told {
+            let told = |(signal, at)| TargetSignal {
                 target: target.name.clone(),
                 life: target.life,
                 signal,
@@ -277,24 +278,28 @@
             })
         };
         let failed = strikes.iter().filter(|(target, _)| is_news(target));
-        told.extend(failed.take(STRIKES_MOST).map(|(target, strike)| Told {
-            target: target.name.clone(),
-            life: target.life,
-            signal: Signal::Failed(
-                strike.content,
-                unit::Period(strike.failed.saturating_duration_since(strike.sent)),
-            ),
-            age: unit::Period(now.saturating_duration_since(strike.failed)),
-        }));
+        told.extend(
+            failed
+                .take(STRIKES_MOST)
+                .map(|(target, strike)| TargetSignal {
+                    target: target.name.clone(),
+                    life: target.life,
+                    signal: Signal::Failed(
+                        strike.content,
+                        unit::Period(strike.failed.saturating_duration_since(strike.sent)),
+                    ),
+                    age: unit::Period(now.saturating_duration_since(strike.failed)),
+                }),
+        );
         told
     }
 
     /// Lists what others should know, if more is known than in a version.
-    pub fn since(&self, version: u64) -> Option<News> {
+    pub fn updates_since(&self, version: u64) -> Option<SignalUpdate> {
         let present = self.version.borrow().all;
-        (present > version).then(|| News {
+        (present > version).then(|| SignalUpdate {
             version: present,
-            told: self.list(Some(version)),
+            signals: self.list(Some(version)),
         })
     }
 
--- a/laburnumcart_gateway/src/request.rs
+++ b/laburnumcart_gateway/src/request.rs
@@ -124,7 +124,10 @@
 ) -> Result<admission::Request, verdict::Refusal> {
     let (head, body) = incoming.into_parts();
     let invalid = |_| verdict::Refusal::not_run(verdict::Reason::Invalid);
-    let call = gateway.dialect.call(&head.headers).map_err(invalid)?;
+    let call = gateway
+        .dialect
+        .parse_request(&head.headers)
+        .map_err(invalid)?;
     id.clone_from(&call.attempt);
     // The owner of a queue keeps a place for each piece.
     if call.pieces.iter().any(|pieces| *pieces > PIECES_MAX) {
@@ -144,7 +147,7 @@
     )?;
     let most = admitted.table.limits.body.min(BODY_MAX);
     let body = whole(body, most).await?;
-    let spent = gateway.spent(&admitted.route, call.patience);
+    let spent = gateway.spent_before(&admitted.route, call.timeout);
     let rank = admitted.team.as_ref().and_then(|t| t.rank);
     let places = places(gateway, &admitted);
     let request = admission::Request {
@@ -162,7 +165,7 @@
         start,
         spent,
     };
-    if !gateway.view.has_time(request.limit(), Instant::now()) {
+    if !gateway.view.can_finish(request.limit(), Instant::now()) {
         let after = unit::Period::from_millis(LEAVING_MS);
         return Err(verdict::Refusal::not_run(verdict::Reason::Leaving).retry_after(after));
     }
@@ -304,8 +307,8 @@
     mut opened: forward::Opened,
     limit: time::Duration,
 ) -> Result<(response::Parts, Bytes), verdict::Refusal> {
-    opened.seat.begin();
-    let whole = opened.answer.whole(opened.reply.idle);
+    opened.seat.record_first_byte();
+    let whole = opened.answer.read_all(opened.reply.idle_timeout);
     let result = match tokio::time::timeout(limit.min(request.left()), whole).await {
         Ok(result) => result,
         Err(_) => Err(crate::pool::Failure::Timeout),
@@ -313,13 +316,13 @@
     match result {
         Ok((head, body)) => {
             match head.status.is_server_error() {
-                true => opened.seat.fail(),
-                false => opened.seat.succeed(),
+                true => opened.seat.record_failure(),
+                false => opened.seat.record_success(),
             }
             Ok((head, body))
         }
         Err(_) => {
-            opened.seat.fail();
+            opened.seat.record_failure();
             Err(verdict::Refusal::may_have_run(verdict::Reason::Corrupt))
         }
     }
@@ -341,7 +344,7 @@
     gateway.metrics.answered.inc();
     gateway
         .metrics
-        .first
+        .first_byte
         .observe(request.elapsed().as_secs_f64());
     event!(
         Info,
--- a/laburnumcart_gateway/src/run.rs
+++ b/laburnumcart_gateway/src/run.rs
@@ -33,10 +33,10 @@
 };
 
 use crate::{
-    callers,
     control,
     dialect,
     gateway,
+    http_server,
     metrics,
     peers::{
         self,
@@ -44,7 +44,7 @@
     },
     relay::{
         RelayServer,
-        copies, //
+        cache, //
     },
     settings,
     state,
@@ -126,21 +126,21 @@
     );
     counters.register(&registry, &gateway.outbound.pool.counters);
     usage::register(&registry);
-    let own = control::member(&settings);
+    let own = control::new_member(&settings);
     let targets = gateway.outbound.quotas.signals.clone();
-    let copies = Arc::new(copies::Copies::new(targets));
-    let _peers = serve_peers(&gateway, &own, &copies, peer_listener)?;
+    let cache = Arc::new(cache::Cache::new(targets));
+    let _peers = serve_peers(&gateway, &own, &cache, peer_listener)?;
     let _admin = serve_admin(&gateway, registry, admin_listener)?;
     let followed = (platform.store, platform.directory, view.clone(), own);
     let (store, directory, shared, own) = followed;
     let evacuates = settings.bounds.evacuation.is_some();
     let _control =
-        thread::spawn(move || control::run(store, directory, shared, own, copies, evacuates))?;
-    tokio::spawn(gateway.clone().follow());
+        thread::spawn(move || control::run(store, directory, shared, own, cache, evacuates))?;
+    tokio::spawn(gateway.clone().follow_changes());
     tokio::spawn(strain::watch(counters));
     tokio::spawn(gateway.dispatcher.clone().run());
     let (closing, closed) = watch::channel(false);
-    tokio::spawn(callers::serve(gateway.clone(), listener, closed));
+    tokio::spawn(http_server::serve(gateway.clone(), listener, closed));
     event!(
         Info,
         "started",
@@ -173,7 +173,7 @@
     let start = tokio::time::Instant::now();
     let view = &gateway.view;
     let end = start + gateway.settings.bounds.grace.0.saturating_sub(RESERVE);
-    view.leave(end - REFUSE);
+    view.start_leaving(end - REFUSE);
     gateway.dispatcher.hand_over();
     tokio::time::sleep_until(end.min(start + NOTICE)).await;
     // Without a receiver there is no connection.
@@ -182,7 +182,7 @@
     // Connections close by themselves when they are idle; requests may still come on others.
     while gate.count() + closing.receiver_count() > 1 && tokio::time::Instant::now() < end {
         if tokio::time::Instant::now() + REFUSE >= end {
-            view.exit();
+            view.announce_exit();
         }
         tokio::time::sleep(CHECK).await;
     }
@@ -201,16 +201,16 @@
 pub fn serve_peers(
     gateway: &Arc<gateway::Gateway>,
     own: &view::Member,
-    copies: &Arc<copies::Copies>,
+    cache: &Arc<cache::Cache>,
     listener: std::net::TcpListener,
 ) -> io::Result<peer::Handle> {
     let secret: secret::Secret = own.secret.parse().map_err(io::Error::other)?;
-    let served = peers::Served {
+    let served = peers::PeerService {
         dispatcher: gateway.dispatcher.clone(),
         view: gateway.view.clone(),
     };
     let mut methods = served.into_rpc().remove_context();
-    let relay = copies::Served(copies.clone()).into_rpc();
+    let relay = cache::RelayService(cache.clone()).into_rpc();
     methods.merge(relay).map_err(io::Error::other)?;
     peer::Server::new(&[secret]).serve(listener, methods)
 }
@@ -223,7 +223,7 @@
     let (shown, view) = (gateway.clone(), gateway.view.clone());
     let ready = move || {
         let fresh = view.freshness.is_within(READY_AGE, crate::clock::now());
-        match (view.is_leaving(), view.is_complete(), fresh) {
+        match (view.is_leaving(), view.is_loaded(), fresh) {
             (true, _, _) => Err("leaving".to_owned()),
             (_, false, _) => Err("no configuration".to_owned()),
             (_, _, false) => Err("configuration too old".to_owned()),
--- a/laburnumcart_gateway/src/state.rs
+++ b/laburnumcart_gateway/src/state.rs
@@ -21,14 +21,14 @@
 
 /// Returns the state as a page.
 pub fn page(gateway: &gateway::Gateway) -> admin::Page {
-    match serde_json::to_string(&state(gateway)) {
+    match serde_json::to_string(&snapshot(gateway)) {
         Ok(body) => admin::Page::json(body),
         Err(error) => admin::Page::failed(error),
     }
 }
 
 /// Returns the state.
-pub fn state(gateway: &gateway::Gateway) -> wire::State {
+pub fn snapshot(gateway: &gateway::Gateway) -> wire::State {
     let view = &gateway.view;
     let now = Instant::now();
     let targets = view.targets.load();
@@ -41,8 +41,10 @@
         leaving: view.is_leaving(),
         version: view.table.load().as_ref().map(|table| table.version),
         age: view.freshness.age(clock::now()).map(rounded),
-        late: rounded(time::Duration::from_secs_f64(gateway.metrics.late.get())),
-        members: view.share(),
+        late: rounded(time::Duration::from_secs_f64(
+            gateway.metrics.timer_lag.get(),
+        )),
+        members: view.member_count(),
         readers: readers(view),
         evacuated: evacuated(view, now),
         queues: queues(gateway),
@@ -76,7 +78,7 @@
     let staged = services.filter(|service| service.batching.is_some());
     let queue = |service: &id::ServiceName| wire::Queue {
         service: service.clone(),
-        owner: gateway.peers.owner_of(service),
+        owner: gateway.peers.owner_name(service),
         waiting: gateway.dispatcher.waiting(service),
     };
     let mut queues: Vec<_> = staged.map(|service| queue(&service.name)).collect();
@@ -93,11 +95,11 @@
     if gateway.view.is_evacuated(&target.data_centre) {
         causes.push(wire::Cause::Evacuated);
     }
-    if let Some(until) = target.cold.filter(|until| *until > now) {
+    if let Some(until) = target.cold_until.filter(|until| *until > now) {
         causes.push(wire::Cause::Cold(rounded(until - now)));
     }
     let quotas = &gateway.outbound.quotas;
-    if let quota::Limit::Named(rate) = quotas.signals.heard(&target.key()).limit() {
+    if let quota::Limit::Named(rate) = quotas.signals.get(&target.key()).limit() {
         causes.push(wire::Cause::Limit(rate));
     }
     let gates = quotas.gates(target);
--- a/laburnumcart_gateway/src/strain.rs
+++ b/laburnumcart_gateway/src/strain.rs
@@ -21,7 +21,7 @@
         let start = Instant::now();
         tokio::time::sleep(LOOK).await;
         let has_changed = strain.observe(start.elapsed().saturating_sub(LOOK));
-        metrics.late.set(strain.lateness().as_secs_f64());
+        metrics.timer_lag.set(strain.lateness().as_secs_f64());
         if has_changed {
             event!(
                 Info,
--- a/laburnumcart_gateway/src/stream.rs
+++ b/laburnumcart_gateway/src/stream.rs
@@ -106,7 +106,7 @@
     let mut run = Run {
         gateway: gateway.clone(),
         sends: Sends::new(gateway, &request)?,
-        last: request.call.after,
+        last: request.call.last_event,
         request,
         inputs,
         source: None,
@@ -117,7 +117,7 @@
     let view = gateway.view.clone();
     let start = tokio::select! {
         start = tokio::time::timeout(left, run.start()) => start,
-        () = view.exiting() => return Err(run.ended(verdict::Reason::Leaving)),
+        () = view.wait_for_exit() => return Err(run.ended(verdict::Reason::Leaving)),
     };
     let start = match start {
         Ok(start) => start?,
@@ -126,7 +126,7 @@
     match start {
         Start::Stream(head) => {
             let seconds = run.request.elapsed().as_secs_f64();
-            gateway.metrics.first.observe(seconds);
+            gateway.metrics.first_byte.observe(seconds);
             let events = stream::unfold(Some(run), step);
             let body = BodyExt::boxed_unsync(StreamBody::new(events));
             Ok(response(&head, body))
@@ -175,7 +175,9 @@
 
     /// Sends the request to one target and waits for its first events.
     async fn open(&mut self, limit: time::Duration) -> Result<Start, Unopened> {
-        let after = self.last.filter(|_| self.last != self.request.call.after);
+        let after = self
+            .last
+            .filter(|_| self.last != self.request.call.last_event);
         if self.inputs.is_none() && !self.request.route.stages.is_empty() {
             let made = pipeline::run_again(&self.gateway, &self.request).await;
             self.inputs = Some(made.map_err(Unopened::Inputs)?);
@@ -189,8 +191,8 @@
             forward::Failure::Refused(refusal) => refusal,
         })?;
         if !opened.answer.head.status.is_success() {
-            opened.seat.fail();
-            let whole = opened.answer.whole(opened.reply.idle).await;
+            opened.seat.record_failure();
+            let whole = opened.answer.read_all(opened.reply.idle_timeout).await;
             let corrupt = verdict::Refusal::may_have_run(verdict::Reason::Corrupt);
             let (head, body) = whole.map_err(|_| corrupt)?;
             return Ok(Start::Whole(Box::new(head), body));
@@ -263,7 +265,7 @@
             let opened = tokio::time::timeout(self.request.left(), self.open(limit)).await;
             match opened {
                 Ok(Ok(Start::Stream(_))) => {
-                    self.gateway.metrics.resumed.inc();
+                    self.gateway.metrics.streams_resumed.inc();
                     event!(
                         Info,
                         "resumed",
@@ -314,7 +316,7 @@
     }
 
     fn broken(&self, reason: verdict::Reason) -> reply::Broken {
-        self.gateway.metrics.broken.inc();
+        self.gateway.metrics.streams_broken.inc();
         event!(
             Info,
             "stream-broken",
--- a/laburnumcart_gateway/src/stream/source.rs
+++ b/laburnumcart_gateway/src/stream/source.rs
@@ -26,7 +26,7 @@
 
 /// One target's part of a stream; the target is told to stop when it is dropped.
 pub(super) struct Source {
-    seat: gateway::Seat,
+    seat: gateway::Assignment,
     body: Incoming,
     lease: pool::Lease,
     idle: Option<time::Duration>,
@@ -39,7 +39,7 @@
             seat: opened.seat,
             body: opened.answer.body,
             lease: opened.answer.lease,
-            idle: opened.reply.idle,
+            idle: opened.reply.idle_timeout,
             splitter: sse::Splitter::default(),
         }
     }
@@ -85,17 +85,17 @@
 
     /// Records that the target has begun to answer.
     pub(super) fn begin(&mut self) {
-        self.seat.begin();
+        self.seat.record_first_byte();
     }
 
     /// Records a failure of the target.
     pub(super) fn fail(&mut self) {
-        self.seat.fail();
+        self.seat.record_failure();
     }
 
     /// Ends a whole stream.
     pub(super) fn finish(mut self) {
-        self.seat.succeed();
-        self.lease.give_back(self.idle);
+        self.seat.record_success();
+        self.lease.release(self.idle);
     }
 }
--- a/laburnumcart_gateway/src/view.rs
+++ b/laburnumcart_gateway/src/view.rs
@@ -51,7 +51,7 @@
     /// Whether it takes no new work.
     pub leaving: bool,
     /// Moment until which it is cold and bears few requests.
-    pub cold: Option<Instant>,
+    pub cold_until: Option<Instant>,
 }
 
 impl Target {
@@ -103,7 +103,7 @@
     /// Returns the life of a target that is, or was a moment ago, at an address.
     ///
     /// Addresses are used again, and an entry of the one before may still be listed.
-    pub fn at(&self, addr: &net::SocketAddr, life: id::Life) -> Option<&Arc<Target>> {
+    pub fn find(&self, addr: &net::SocketAddr, life: id::Life) -> Option<&Arc<Target>> {
         let listed = self.addrs.get(addr)?;
         listed.iter().find(|target| target.life == life)
     }
@@ -113,7 +113,7 @@
     /// What that one held is gone. Of a target that is not listed nothing is known: it may be about
     /// to leave, with its results still there.
     pub fn is_replaced(&self, addr: &net::SocketAddr, life: id::Life) -> bool {
-        self.addrs.contains_key(addr) && self.at(addr, life).is_none()
+        self.addrs.contains_key(addr) && self.find(addr, life).is_none()
     }
 
     /// Lists all targets, those that get no requests among them.
@@ -238,7 +238,7 @@
     }
 
     /// Publishes which targets have said that they are leaving, whatever the store lists.
-    pub fn set_leaving(&self, leaving: collections::HashSet<id::TargetLife>) {
+    pub fn set_leaving_targets(&self, leaving: collections::HashSet<id::TargetLife>) {
         let mut listed = lock(&self.listed);
         if listed.leaving != leaving {
             listed.leaving = leaving;
@@ -270,7 +270,7 @@
     fn publish(&self, listed: &Listed) {
         let places = &listed.places;
         let targets = listed.targets.iter().flatten().map(|target| Target {
-            cold: target.cold.max(places.cold(&target.data_centre)),
+            cold_until: target.cold_until.max(places.cold(&target.data_centre)),
             leaving: target.leaving || listed.leaving.contains(&target.key()),
             ..target.clone()
         });
@@ -288,7 +288,7 @@
     }
 
     /// Takes in a listing of all processes that holds for `at`.
-    pub fn allot<'a>(
+    pub fn update_allotment<'a>(
         &self,
         own: allotment::Entry,
         others: impl IntoIterator<Item = &'a id::InstanceName>,
@@ -298,7 +298,7 @@
     }
 
     /// Returns this process's part of what all may spend together, from 0 to 1.
-    pub fn part(&self) -> f64 {
+    pub fn allotted_share(&self) -> f64 {
         lock(&self.allotment).part(clock::now())
     }
 
@@ -319,7 +319,7 @@
     }
 
     /// Marks the process as leaving; it will exit at `exit`.
-    pub fn leave(&self, exit: Instant) {
+    pub fn start_leaving(&self, exit: Instant) {
         let since = Instant::now();
         // A second call changes nothing: the exit was told to callers already.
         let _ = self.leaving.set(Leaving { since, exit });
@@ -334,7 +334,7 @@
     ///
     /// The balancer goes on to send callers here for a while, and for longer when all instances of
     /// a data centre are leaving. A long stream that was taken late would be cut by the exit.
-    pub fn has_time(&self, limit: time::Duration, now: Instant) -> bool {
+    pub fn can_finish(&self, limit: time::Duration, now: Instant) -> bool {
         let Some(leaving) = self.leaving.get() else {
             return true;
         };
@@ -342,24 +342,24 @@
     }
 
     /// Tells requests that wait that the process is about to exit.
-    pub fn exit(&self) {
+    pub fn announce_exit(&self) {
         self.exiting.send_replace(true);
     }
 
     /// Waits until the process is about to exit.
-    pub async fn exiting(&self) {
+    pub async fn wait_for_exit(&self) {
         let mut exiting = self.exiting.subscribe();
         // The sender lives as long as this view.
         let _ = exiting.wait_for(|exiting| *exiting).await;
     }
 
     /// Reports whether the configuration, the targets and the evacuations are known.
-    pub fn is_complete(&self) -> bool {
+    pub fn is_loaded(&self) -> bool {
         self.complete.load(atomic::Ordering::Acquire) && self.table.load().is_some()
     }
 
     /// Returns by how many processes shared bounds are divided.
-    pub fn share(&self) -> usize {
+    pub fn member_count(&self) -> usize {
         self.members.load().len().max(1)
     }
 
--- a/laburnumcart_gateway/tests/balancer.rs
+++ b/laburnumcart_gateway/tests/balancer.rs
@@ -21,7 +21,7 @@
         data_centre: "north".parse().unwrap(),
         service: "desk".parse().unwrap(),
         leaving: false,
-        cold: None,
+        cold_until: None,
     })
 }
 
--- a/laburnumcart_gateway/tests/peers.rs
+++ b/laburnumcart_gateway/tests/peers.rs
@@ -54,21 +54,26 @@
 struct Silence;
 
 impl dialect::Dialect for Silence {
-    fn call(&self, _: &HeaderMap) -> Result<dialect::Call, dialect::Malformed> {
+    fn parse_request(&self, _: &HeaderMap) -> Result<dialect::RequestHead, dialect::Malformed> {
         Err(dialect::Malformed("call"))
     }
 
-    fn onward(&self, _: &mut HeaderMap, _: &dialect::Onward<'_>) {}
+    fn rewrite_headers(&self, _: &mut HeaderMap, _: &dialect::TargetHeaders<'_>) {}
 
-    fn reply(&self, _: &response::Parts) -> dialect::Reply {
-        dialect::Reply::default()
+    fn parse_response(&self, _: &response::Parts) -> dialect::ResponseHead {
+        dialect::ResponseHead::default()
     }
 
-    fn batch(&self, _: &id::TargetName, _: &str, _: &[dialect::Item<'_>]) -> Request<Bytes> {
+    fn encode_batch(
+        &self,
+        _: &id::TargetName,
+        _: &str,
+        _: &[dialect::BatchItem<'_>],
+    ) -> Request<Bytes> {
         Request::default()
     }
 
-    fn outcomes(
+    fn decode_batch(
         &self,
         _: &[u8],
         _: usize,
@@ -77,11 +82,11 @@
         Err(dialect::Malformed("outcomes"))
     }
 
-    fn free(&self, _: &id::TargetName, _: &[batch::Handle]) -> Request<Bytes> {
+    fn encode_free(&self, _: &id::TargetName, _: &[batch::Handle]) -> Request<Bytes> {
         Request::default()
     }
 
-    fn holder(&self, _: &batch::Handle) -> Option<net::SocketAddr> {
+    fn result_addr(&self, _: &batch::Handle) -> Option<net::SocketAddr> {
         None
     }
 }
@@ -328,7 +333,7 @@
     let start = tokio::time::Instant::now();
     while start.elapsed() < time::Duration::from_millis(2500) {
         caller.peers.announce(notice(&service)).await;
-        let owner = caller.peers.owner_of(&service);
+        let owner = caller.peers.owner_name(&service);
         assert_eq!(
             owner.as_ref(),
             Some(&member.instance),
--- a/laburnumcart_gateway/tests/relay.rs
+++ b/laburnumcart_gateway/tests/relay.rs
@@ -11,9 +11,9 @@
 };
 use laburnumcart_gateway::relay::{
     Answer,
-    Ask,
+    FollowRequest,
     Topic,
-    copies, //
+    cache, //
 };
 use laburnumcart_platform::{
     follow,
@@ -24,14 +24,14 @@
     freshness::Moment(time::Duration::from_millis(millis))
 }
 
-fn ask(after: Option<u64>, limit: u64) -> Ask {
-    Ask {
+fn ask(after: Option<u64>, limit: u64) -> FollowRequest {
+    FollowRequest {
         topic: Topic::Table,
         after: after.map(store::Revision),
         wait: unit::Period::from_millis(500),
-        limit: unit::Period::from_millis(limit),
-        hold: false,
-        large: false,
+        max_age: unit::Period::from_millis(limit),
+        wait_fresh: false,
+        allow_large: false,
         signals: None,
     }
 }
@@ -52,8 +52,8 @@
     snapshot
 }
 
-fn copy(revision: u64, read: u64) -> copies::Copy {
-    let mut copy = copies::Copy::default();
+fn copy(revision: u64, read: u64) -> cache::CachedTopic {
+    let mut copy = cache::CachedTopic::default();
     copy.update(&snapshot(revision, "{}"), at(read), at(read));
     copy
 }
@@ -90,9 +90,9 @@
 fn what_is_older_than_the_limit_is_not_told(#[case] later: u64, #[case] told: bool) {
     let copy = copy(7, 1000);
     let answer = copy.answer(&ask(None, 1200), at(1000 + later), at(1000 + later));
-    assert_eq!(answer != Some(Answer::Behind), told);
-    let hold = Ask {
-        hold: true,
+    assert_eq!(answer != Some(Answer::Stale), told);
+    let hold = FollowRequest {
+        wait_fresh: true,
         ..ask(None, 1200)
     };
     let answer = copy.answer(&hold, at(1000 + later), at(1000 + later));
@@ -137,9 +137,9 @@
     copy.update(&snapshot(7, &value), at(1000), at(1000));
     let small = ask(Some(6), 1200);
     let answer = copy.answer(&small, at(1000), at(1000));
-    assert_eq!(answer, Some(Answer::Large));
-    let large = Ask {
-        large: true,
+    assert_eq!(answer, Some(Answer::TooLarge));
+    let large = FollowRequest {
+        allow_large: true,
         ..small
     };
     let answer = copy.answer(&large, at(1000), at(1000));
@@ -156,7 +156,7 @@
         let mut now = read;
         let mut known = read;
         for [before, way, held, back] in pauses {
-            let mut copy = copies::Copy::default();
+            let mut copy = cache::CachedTopic::default();
             copy.update(&snapshot(7, "{}"), at(known), at(now));
             let asked = now + before;
             let arrived = asked + way;
