--- a/laburnumcart_gateway/src/balancer.rs
+++ b/laburnumcart_gateway/src/balancer.rs
@@ -68,7 +68,7 @@
         now: Instant,
     ) {
         let known = self.entries.iter().map(|e| e.target.key());
-        let (gone, new) = view::changes(known, targets);
+        let (gone, new) = view::diff_targets(known, targets);
         let ejector = &mut self.ejector;
         self.entries.retain(|entry| {
             let kept = !gone.contains(&entry.target.key());
--- a/laburnumcart_gateway/src/budgets.rs
+++ b/laburnumcart_gateway/src/budgets.rs
@@ -152,7 +152,7 @@
             spent = account.spent,
             allowed = format_args!("{:.1}", account.allowed),
             shut = account.shut,
-            part = format_args!("{:.3}", self.view.allotted_share())
+            part = format_args!("{:.3}", self.view.budget_fraction())
         );
     }
 
@@ -166,7 +166,7 @@
         let mut known = view::lock(&self.known);
         let budget = known.entry(service.clone());
         let budget = budget.or_insert_with(|| self.bound.budget(now));
-        budget.set_reserve(self.bound.reserve(self.view.allotted_share()));
+        budget.set_reserve(self.bound.reserve(self.view.budget_fraction()));
         act(budget, now)
     }
 
--- a/laburnumcart_gateway/src/clock.rs
+++ b/laburnumcart_gateway/src/clock.rs
@@ -1,15 +1,15 @@
-//! Clock that goes on while the instance is suspended.
+//! Boot-time clock, which counts suspended time.
 
 use std::time;
 
 use laburnumcart::freshness;
 
-/// Returns the present moment.
+/// Returns the current time.
 ///
-/// Used for the age of knowledge and of requests; everything else takes the runtime's clock.
+/// Used for the ages of store data and of requests; everything else uses the runtime's clock.
 pub fn now() -> freshness::Moment {
     let time = nix::time::clock_gettime(nix::time::ClockId::CLOCK_BOOTTIME);
-    // The call cannot fail for a clock that the kernel has; all supported kernels have this one.
+    // The call fails only for an unknown clock, and all supported kernels have this one.
     let time = time.expect("the kernel has a boot-time clock");
     freshness::Moment(time::Duration::from(time))
 }
--- a/laburnumcart_gateway/src/control.rs
+++ b/laburnumcart_gateway/src/control.rs
@@ -1,4 +1,4 @@
-//! The control thread: follows the store and keeps this process's own entry there.
+//! Control thread: watches the store and registers this process there.
 
 mod evacuations;
 mod members;
@@ -34,52 +34,50 @@
     view, //
 };
 
-/// Wait of a watch of the configuration and of the targets.
+/// Timeout of a watch of the configuration, the targets or the evacuations.
 ///
-/// Each end of a watch confirms that nothing has changed, and a silent connection hides changes for
-/// as long. Others that ask this process take nothing that is older than 1.7 s, which is two waits
-/// and the time for a slow answer.
-const WAIT: unit::Period = unit::Period::from_millis(750);
+/// The end of a watch confirms that nothing has changed; a silent connection hides changes for as
+/// long. Peers accept data up to 1.7 s old from this process: two waits and a slow response.
+const WATCH_WAIT: unit::Period = unit::Period::from_millis(750);
 
-/// Wait of a watch of the members, whose changes are seen on connections as well.
-const MEMBERS_WAIT: unit::Period = unit::Period::from_secs(5);
+/// Timeout of a watch of the members, whose failures also show on their connections.
+const MEMBERS_WATCH_WAIT: unit::Period = unit::Period::from_secs(5);
 
-/// Longest pause between reads of the configuration while the store is down.
-const PAUSE: unit::Period = unit::Period::from_millis(400);
+/// Longest pause between reads of the configuration while the store is unavailable.
+const TABLE_RETRY_MAX: unit::Period = unit::Period::from_millis(400);
 
-/// Time after which the configuration is read by another call while the store is silent.
+/// Time after which a second call reads the configuration while the first gets no response.
 ///
-/// A store that is slow answers within it.
-const PROBE: unit::Period = unit::Period::from_millis(350);
+/// A store that is merely slow responds sooner.
+const TABLE_PROBE_DELAY: unit::Period = unit::Period::from_millis(350);
 
-/// The same of the other topics, which are read again once the configuration was read.
-const PAUSE_SHARED: unit::Period = unit::Period::from_millis(1500);
+/// Longest pause between reads of the other topics, which retry once the configuration is read.
+const RETRY_MAX: unit::Period = unit::Period::from_millis(1500);
 
-/// Least time between two calls, in which a burst of changes is collected.
+/// Minimum time between two calls, so that a burst of changes is read by one call.
 ///
-/// Each change of a target would cost each process a call.
-const INTERVAL: unit::Period = unit::Period::from_millis(150);
+/// Otherwise each change of a target would cost every process a call.
+const CALL_INTERVAL: unit::Period = unit::Period::from_millis(150);
 
-/// The same time while targets or members go on to change.
+/// Minimum time between two calls while targets or members keep changing.
 ///
-/// A change takes it at a reader and again at those who ask there, well within the 2 s after which
-/// a target that leaves may get no work.
-const SPREAD: unit::Period = unit::Period::from_millis(400);
+/// A change is delayed by it at a reader and again at the processes that ask the reader. Both fit
+/// into the 2 s after which a leaving target must get no more work.
+const BUSY_INTERVAL: unit::Period = unit::Period::from_millis(400);
 
-/// Pause before the own entry is written again after a failure.
-const ENTRY_PAUSE: time::Duration = time::Duration::from_millis(500);
+/// Pause before another attempt to write this process's entry.
+const REGISTER_RETRY_PAUSE: time::Duration = time::Duration::from_millis(500);
 
-/// Starts the followers on the current thread and returns when the process ends.
+/// Watches the store on the current thread until the process ends.
 ///
-/// Evacuations are followed where the operator uses them, with `evacuates`; calls of the store are
-/// paid for.
+/// Evacuations are watched only if `has_evacuations`, as each call to the store has a cost.
 pub async fn run<S: store::Store + Clone>(
     store: S,
     directory: Arc<dyn dialect::Directory>,
     view: Arc<view::View>,
     own: view::Member,
     cache: Arc<cache::Cache>,
-    evacuates: bool,
+    has_evacuations: bool,
 ) {
     let key = format!("{}/{}", directory.members_prefix(), own.instance);
     let (direct, member) = (store.clone(), own.clone());
@@ -93,15 +91,15 @@
     );
     let settings = |wait, longest, spread| follow::Settings {
         wait,
-        interval: INTERVAL,
+        interval: CALL_INTERVAL,
         spread,
         longest,
     };
     let returns = follow::Returns::default();
-    let table = Table {
+    let table = TableObserver {
         view: view.clone(),
         directory: directory.clone(),
-        asked: freshness::Moment::default(),
+        sent_at: freshness::Moment::default(),
         version: store::Version::default(),
     };
     let targets = targets::Observer::new(view.clone(), directory.clone());
@@ -114,22 +112,36 @@
     let follower = |topic: Topic, settings| {
         follow::follower(store.clone(), topic.prefix(&*directory), settings)
     };
-    let (follows, _table) = follower(Topic::Table, settings(WAIT, PAUSE, INTERVAL));
-    let table = follows.observe(table).share(&returns).probe(PROBE);
-    let (follows, _targets) = follower(Topic::Targets, settings(WAIT, PAUSE_SHARED, SPREAD));
+    let (follows, _table) = follower(
+        Topic::Table,
+        settings(WATCH_WAIT, TABLE_RETRY_MAX, CALL_INTERVAL),
+    );
+    let table = follows
+        .observe(table)
+        .share(&returns)
+        .probe(TABLE_PROBE_DELAY);
+    let (follows, _targets) = follower(
+        Topic::Targets,
+        settings(WATCH_WAIT, RETRY_MAX, BUSY_INTERVAL),
+    );
     let targets = follows.observe(targets).share(&returns);
-    let (follows, listed) = follower(Topic::Members, settings(MEMBERS_WAIT, PAUSE_SHARED, SPREAD));
+    let (follows, listed) = follower(
+        Topic::Members,
+        settings(MEMBERS_WATCH_WAIT, RETRY_MAX, BUSY_INTERVAL),
+    );
     let members = follows.observe(members).share(&returns);
-    let (follows, _evacuations) =
-        follower(Topic::Evacuations, settings(WAIT, PAUSE_SHARED, INTERVAL));
+    let (follows, _evacuations) = follower(
+        Topic::Evacuations,
+        settings(WATCH_WAIT, RETRY_MAX, CALL_INTERVAL),
+    );
     let evacuations = follows.observe(evacuations).share(&returns);
     let evacuations = async {
-        match evacuates {
+        match has_evacuations {
             true => evacuations.run().await,
             false => view.set_evacuated(evacuation::Evacuated::new()),
         }
     };
-    let entry = enter(direct, key, member, listed.clone());
+    let entry = register_member(direct, key, member, listed.clone());
     tokio::join!(
         table.run(),
         targets.run(),
@@ -141,18 +153,18 @@
     );
 }
 
-/// Writes the own entry until it is there.
+/// Writes this process's entry, retrying until it is stored.
 ///
-/// The first listing of the members tells whether an earlier life has left one, so that a start
-/// takes one call and not three.
-async fn enter(
+/// The first listing of the members shows whether an earlier incarnation left an entry, so that
+/// registration takes one call instead of three.
+async fn register_member(
     store: impl store::Store,
     key: String,
     own: view::Member,
     mut members: watch::Receiver<Arc<follow::Snapshot>>,
 ) {
     let value = serde_json::to_string(&own).expect("a member is valid JSON");
-    // The follower that sends these lives as long as this task.
+    // The follower that sends snapshots ends together with this task.
     let mut known = match members.wait_for(|members| members.listed).await {
         Ok(members) => members.objects.get(&key).map(|object| object.version),
         Err(_) => return,
@@ -167,8 +179,8 @@
             Err(failure) => failure,
         };
         event!(Warn, "entry-failed", key = key, error = failure);
-        tokio::time::sleep(ENTRY_PAUSE).await;
-        // The write may have taken effect after all, or the listing was from before it.
+        tokio::time::sleep(REGISTER_RETRY_PAUSE).await;
+        // The write may have succeeded after all, or the listing was taken before it.
         match store.get(&key).await {
             Ok(object) => known = object.map(|object| object.version),
             Err(error) => event!(Warn, "entry-unread", key = key, error = error),
@@ -176,18 +188,18 @@
     }
 }
 
-/// Puts configurations in force.
-struct Table {
+/// Activates configurations read from the store.
+struct TableObserver {
     view: Arc<view::View>,
     directory: Arc<dyn dialect::Directory>,
-    /// When the call in progress was sent.
-    asked: freshness::Moment,
+    /// Start of the current call.
+    sent_at: freshness::Moment,
     version: store::Version,
 }
 
-impl follow::Observer for Table {
+impl follow::Observer for TableObserver {
     fn ask(&mut self) {
-        self.asked = clock::now();
+        self.sent_at = clock::now();
     }
 
     fn read(&mut self, snapshot: &follow::Snapshot, age: unit::Period) {
@@ -206,7 +218,7 @@
                         taken = taken
                     );
                 }
-                // The one in force stays; it is not confirmed any more.
+                // The active configuration stays, but its freshness is no longer confirmed.
                 Err(error) => {
                     event!(
                         Error,
@@ -218,11 +230,11 @@
                 }
             }
         }
-        self.view.freshness.confirm(self.asked.before(age.0));
+        self.view.freshness.confirm(self.sent_at.before(age.0));
     }
 }
 
-/// Returns an entry for a new life of this process.
+/// Returns the store entry of this process, with a new incarnation and secret.
 pub fn new_member(settings: &crate::settings::Settings) -> view::Member {
     let secret: u128 = rand::random();
     view::Member {
--- a/laburnumcart_gateway/src/control/evacuations.rs
+++ b/laburnumcart_gateway/src/control/evacuations.rs
@@ -1,4 +1,4 @@
-//! Which data centres are evacuated, as the store lists them.
+//! Evacuations of data centres, read from the store.
 
 use std::{
     collections,
@@ -18,29 +18,29 @@
 
 use crate::view;
 
-/// Publishes the evacuations.
+/// Publishes the evacuated data centres.
 pub(super) struct Observer {
     view: Arc<view::View>,
-    /// Entries whose name is that of no data centre, so that each is told once.
-    refused: collections::HashMap<String, store::Version>,
+    /// Versions of rejected entries, so that each is logged once.
+    rejected: collections::HashMap<String, store::Version>,
 }
 
 impl Observer {
     pub(super) fn new(view: Arc<view::View>) -> Self {
         Self {
             view,
-            refused: collections::HashMap::new(),
+            rejected: collections::HashMap::new(),
         }
     }
 
-    /// Returns the data centre that an entry evacuates.
+    /// Returns the data centre that an entry evacuates, which is the last part of its key.
     ///
-    /// Its name alone says so, whatever the entry holds.
-    fn place(&mut self, object: &store::Object) -> Option<id::DataCentre> {
+    /// The value of the entry is ignored.
+    fn evacuated_place(&mut self, object: &store::Object) -> Option<id::DataCentre> {
         let name = object.key.rsplit_once('/').map(|(_, name)| name);
         let place = name.and_then(|name| name.parse().ok());
         if place.is_none() {
-            let known = self.refused.insert(object.key.clone(), object.version);
+            let known = self.rejected.insert(object.key.clone(), object.version);
             if known != Some(object.version) {
                 event!(Warn, "evacuation-refused", key = object.key);
             }
@@ -54,8 +54,10 @@
 
     fn read(&mut self, snapshot: &follow::Snapshot, age: unit::Period) {
         let objects = &snapshot.objects;
-        self.refused.retain(|key, _| objects.contains_key(key));
-        let places = objects.values().filter_map(|object| self.place(object));
+        self.rejected.retain(|key, _| objects.contains_key(key));
+        let places = objects
+            .values()
+            .filter_map(|object| self.evacuated_place(object));
         let evacuated: evacuation::Evacuated = places.collect();
         let known = self.view.evacuated();
         if known.as_ref() == Some(&evacuated) {
--- a/laburnumcart_gateway/src/control/members.rs
+++ b/laburnumcart_gateway/src/control/members.rs
@@ -1,4 +1,4 @@
-//! Which processes belong to the system, as their own entries in the store say.
+//! Membership: the processes of the system, read from their store entries.
 
 use std::{
     collections,
@@ -21,23 +21,23 @@
     view, //
 };
 
-/// Most processors that an entry may claim; an instance with more is none of ours.
+/// Maximum number of cores that an entry may state.
 ///
-/// Owners of queues are chosen among the strongest instances. One entry with an absurd figure would
-/// leave the queues to whoever wrote it.
+/// Queue owners are chosen among the instances with the most cores. Without a limit, one entry with
+/// an absurd number would give the queues to whoever wrote it.
 const CORES_MAX: f64 = 1024.0;
 
-/// Length of a secret: 128 bits in hexadecimal digits.
-const SECRET_LENGTH: usize = 32;
+/// Length of a secret: 128 bits as hexadecimal digits.
+const SECRET_DIGITS: usize = 32;
 
 /// Publishes the members.
 pub(super) struct Observer {
     view: Arc<view::View>,
     own: view::Member,
-    /// Entries that were refused, so that each is told once.
-    refused: collections::HashMap<String, store::Version>,
-    /// When the call in progress was sent.
-    asked: freshness::Moment,
+    /// Versions of rejected entries, so that each is logged once.
+    rejected: collections::HashMap<String, store::Version>,
+    /// Start of the current call.
+    sent_at: freshness::Moment,
 }
 
 impl Observer {
@@ -45,13 +45,13 @@
         Self {
             view,
             own,
-            refused: collections::HashMap::new(),
-            asked: freshness::Moment::default(),
+            rejected: collections::HashMap::new(),
+            sent_at: freshness::Moment::default(),
         }
     }
 
-    /// Returns how a list of members shows this process.
-    fn entry(&self, members: &[view::Member]) -> allotment::Entry {
+    /// Returns the state of this process's own entry in a list of members.
+    fn own_entry(&self, members: &[view::Member]) -> allotment::Entry {
         let own = members.iter().find(|m| m.instance == self.own.instance);
         match own.map(|own| own.incarnation == self.own.incarnation) {
             None => allotment::Entry::Absent,
@@ -60,11 +60,11 @@
         }
     }
 
-    /// Returns the member that an entry names.
-    fn member(&mut self, object: &store::Object) -> Option<view::Member> {
-        let read = parse(object);
+    /// Parses an entry and logs why if it is invalid.
+    fn parse_member(&mut self, object: &store::Object) -> Option<view::Member> {
+        let read = parse_entry(object);
         if let Err(cause) = read {
-            let known = self.refused.insert(object.key.clone(), object.version);
+            let known = self.rejected.insert(object.key.clone(), object.version);
             if known != Some(object.version) {
                 event!(Warn, "member-refused", key = object.key, cause = cause);
             }
@@ -73,46 +73,48 @@
     }
 }
 
-/// Reads the entry of a process; one that none of ours can have written is refused.
+/// Parses the entry of a process and rejects one that no gateway can have written.
 ///
-/// Such a process would be offered the queues of services, and callers' jobs would wait for it in
-/// vain. The name under which the entry stands and its figures tell an entry that another program
-/// has written or spoilt; one that looks like ours must still show its secret when it is called.
-fn parse(object: &store::Object) -> Result<view::Member, &'static str> {
+/// Otherwise the process in it could become a queue owner, and callers' jobs would wait for it in
+/// vain. Key and values reveal entries that another program wrote or corrupted. An entry that looks
+/// valid still needs the matching secret when the process is called.
+fn parse_entry(object: &store::Object) -> Result<view::Member, &'static str> {
     let member: view::Member = serde_json::from_str(&object.value).map_err(|_| "malformed")?;
     let name = object.key.rsplit_once('/').map(|(_, name)| name);
     if name != Some(member.instance.as_str()) {
-        return Err("stands under another name");
+        return Err("key and instance name differ");
     }
     if member.peer.port() == 0 || member.peer.ip().is_unspecified() {
-        return Err("no address of a process");
+        return Err("invalid peer address");
     }
     if !(member.cores > 0.0 && member.cores <= CORES_MAX) {
-        return Err("no number of cores");
+        return Err("number of cores out of range");
     }
     let is_hex = |byte: u8| byte.is_ascii_hexdigit();
-    if member.secret.len() != SECRET_LENGTH || !member.secret.bytes().all(is_hex) {
-        return Err("no secret");
+    if member.secret.len() != SECRET_DIGITS || !member.secret.bytes().all(is_hex) {
+        return Err("invalid secret");
     }
     Ok(member)
 }
 
 impl follow::Observer for Observer {
     fn ask(&mut self) {
-        self.asked = clock::now();
+        self.sent_at = clock::now();
     }
 
     fn read(&mut self, snapshot: &follow::Snapshot, age: unit::Period) {
         let objects = &snapshot.objects;
-        self.refused.retain(|key, _| objects.contains_key(key));
+        self.rejected.retain(|key, _| objects.contains_key(key));
         let entries = objects.values();
-        let mut members: Vec<_> = entries.filter_map(|object| self.member(object)).collect();
-        let entry = self.entry(&members);
-        // The own entry may not be written yet, or be one of an earlier life.
+        let mut members: Vec<_> = entries
+            .filter_map(|object| self.parse_member(object))
+            .collect();
+        let entry = self.own_entry(&members);
+        // The stored entry of this process may be missing or from an earlier incarnation.
         members.retain(|m| m.instance != self.own.instance);
         let others = members.iter().map(|m| &m.instance);
         self.view
-            .update_allotment(entry, others, self.asked.before(age.0));
+            .update_budget_share(entry, others, self.sent_at.before(age.0));
         members.push(self.own.clone());
         members.sort_by(|a, b| a.instance.cmp(&b.instance));
         if **self.view.members.load() != members {
--- a/laburnumcart_gateway/src/control/targets.rs
+++ b/laburnumcart_gateway/src/control/targets.rs
@@ -1,4 +1,4 @@
-//! Which targets may get work, as the store lists them.
+//! Target discovery: the targets that may get work, read from the store.
 
 use std::{
     collections,
@@ -25,73 +25,74 @@
     view, //
 };
 
-/// Time without a successful read after which the next one counts as the end of an outage.
+/// Time without a successful read after which the next one ends an outage of the store.
 ///
-/// Watches that nothing happens in end well before that.
-const OUTAGE: time::Duration = time::Duration::from_millis(3500);
+/// Watches without changes end well before that.
+const OUTAGE_MIN: time::Duration = time::Duration::from_millis(3500);
 
-/// Time after an outage in which targets that are missing are still used.
+/// Time after an outage for which targets without an entry are still used.
 ///
-/// Their entries lapse while the store is away, and are back within about two seconds.
-const RETURN: time::Duration = time::Duration::from_millis(2200);
+/// Entries expire during an outage and are written again within about two seconds.
+const OUTAGE_GRACE: time::Duration = time::Duration::from_millis(2200);
 
-/// Time for which a target is remembered whose entry is gone or names no target any more.
+/// Time for which a removed target is remembered.
 ///
-/// A write of the target itself can take effect seconds after it was sent, and an entry of an
-/// earlier life or from before it began to leave would give it work again.
-const REMEMBERED: time::Duration = time::Duration::from_secs(60);
+/// A target's write can take effect seconds after it was sent. Without the record, an entry from an
+/// earlier run or from before the shutdown would bring the target back.
+const REMOVED_RETENTION: time::Duration = time::Duration::from_secs(60);
 
-/// Most targets that are remembered beside those in use; another writer could add names without
-/// end.
-const REMEMBERED_MAX: usize = 4096;
+/// Maximum number of removed targets, and of rejected entries, that are remembered.
+///
+/// Another writer of the store could add any number of names.
+const REMOVED_MAX: usize = 4096;
 
-/// Longest time that an entry may call its target cold, so that another writer's cannot do so for
-/// ever.
+/// Longest warm-up time that an entry may state, so that a bad entry cannot slow a target down
+/// indefinitely.
 const COLD_MAX: time::Duration = time::Duration::from_secs(600);
 
-/// Least difference between two ends of a cold time that counts as a change.
-const COLD_DIFFERENCE: time::Duration = time::Duration::from_millis(500);
+/// Difference between two ends of a warm-up time up to which they count as equal.
+const COLD_TOLERANCE: time::Duration = time::Duration::from_millis(500);
 
-/// Whether a target may be used.
+/// State of a target's store entry.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-enum Standing {
-    /// Its entry names it.
+enum Presence {
+    /// The entry exists.
     Listed,
-    /// It has no entry and is used until this moment.
+    /// The entry is missing; the target is used until this time.
     Missing(Instant),
-    /// It is not used since this moment; what it was is kept.
-    Gone(Instant),
+    /// The target has not been used since this time.
+    Removed(Instant),
 }
 
-/// A target and its entry.
-struct Known {
+/// A target and the state of its entry.
+struct TargetRecord {
     version: store::Version,
     target: view::Target,
-    standing: Standing,
+    presence: Presence,
 }
 
-impl Known {
+impl TargetRecord {
     fn is_used(&self) -> bool {
-        !matches!(self.standing, Standing::Gone(_))
+        !matches!(self.presence, Presence::Removed(_))
     }
 
-    /// Stops its use.
-    fn leave(&mut self, now: Instant) {
+    /// Stops using the target.
+    fn remove(&mut self, now: Instant) {
         if self.is_used() {
             event!(Info, "target-gone", target = self.target.name);
-            self.standing = Standing::Gone(now);
+            self.presence = Presence::Removed(now);
         }
     }
 }
 
-/// What is known of all targets.
+/// Targets by key, including removed ones for a while.
 #[derive(Default)]
 struct State {
-    known: collections::HashMap<String, Known>,
-    /// Versions of the entries that name no target.
-    refused: collections::HashMap<String, store::Version>,
-    /// Moment for which the last successful read holds.
-    read: Option<Instant>,
+    records: collections::HashMap<String, TargetRecord>,
+    /// Versions of rejected entries.
+    rejected: collections::HashMap<String, store::Version>,
+    /// Time of the last successful read, by this process or by the peer that it asked.
+    last_read: Option<Instant>,
 }
 
 /// Publishes the targets.
@@ -112,45 +113,46 @@
 }
 
 impl State {
-    /// Takes in an entry; returns whether anything has changed.
-    fn add(
+    /// Applies an entry and returns whether the usable targets changed.
+    fn apply_entry(
         &mut self,
         directory: &dyn dialect::Directory,
         object: &store::Object,
         now: Instant,
     ) -> bool {
         let key = &object.key;
-        if let Some(known) = self.known.get_mut(key)
+        if let Some(known) = self.records.get_mut(key)
             && known.version == object.version
         {
             let was_used = known.is_used();
-            known.standing = Standing::Listed;
+            known.presence = Presence::Listed;
             return !was_used;
         }
-        if self.refused.get(key) == Some(&object.version) {
+        if self.rejected.get(key) == Some(&object.version) {
             return false;
         }
         let name = key.rsplit_once('/').map_or(key.as_str(), |(_, name)| name);
         match directory.parse_target(name, &object.value) {
-            Ok(entry) => self.accept(entry, object, now),
-            Err(error) => self.refuse(object, error, now),
+            Ok(entry) => self.apply_target(entry, object, now),
+            Err(error) => self.reject_entry(object, error, now),
         }
     }
 
-    /// Takes in a target.
-    fn accept(
+    /// Applies a valid entry and returns whether the target changed.
+    fn apply_target(
         &mut self,
         entry: dialect::TargetEntry,
         object: &store::Object,
         now: Instant,
     ) -> bool {
         let key = &object.key;
-        self.refused.remove(key);
-        let known = self.known.get(key);
+        self.rejected.remove(key);
+        let known = self.records.get(key);
         let mut target = entry.target;
-        target.cold_until = cold(entry.cold_for, known.and_then(|k| k.target.cold_until), now);
+        target.cold_until =
+            cold_until(entry.cold_for, known.and_then(|k| k.target.cold_until), now);
         if let Some(known) = known {
-            // A write of an earlier life that took effect late tells nothing of the present one.
+            // The entry of an earlier run of the target was written late.
             if target.life < known.target.life {
                 let (life, known) = (target.life, known.target.life);
                 event!(
@@ -160,11 +162,11 @@
                     life = life,
                     known = known
                 );
-                self.refused.insert(key.clone(), object.version);
+                self.rejected.insert(key.clone(), object.version);
                 return false;
             }
-            // A life that has begun to leave never takes work again, whatever an entry says that
-            // was written before and took effect late.
+            // A run of a target that began to leave never accepts work again. An entry that says
+            // otherwise was written before and took effect late.
             target.leaving |= known.target.life == target.life && known.target.leaving;
         }
         let changed = known.is_none_or(|k| k.target != target || !k.is_used());
@@ -181,93 +183,101 @@
                 revision = object.version
             );
         }
-        let known = Known {
+        let record = TargetRecord {
             version: object.version,
             target,
-            standing: Standing::Listed,
+            presence: Presence::Listed,
         };
-        self.known.insert(key.clone(), known);
+        self.records.insert(key.clone(), record);
         changed
     }
 
-    /// Takes in an entry that names no target, also where one stood before.
+    /// Rejects an invalid entry and removes the target that had the key before.
     ///
-    /// It is said once for each key that turns bad, as its writer may go on to write it.
-    fn refuse(&mut self, object: &store::Object, error: dialect::Malformed, now: Instant) -> bool {
+    /// Logged once for each key, as the writer may keep writing invalid values.
+    fn reject_entry(
+        &mut self,
+        object: &store::Object,
+        error: dialect::Malformed,
+        now: Instant,
+    ) -> bool {
         let key = &object.key;
-        if self.refused.len() >= REMEMBERED_MAX {
-            self.refused.clear();
+        if self.rejected.len() >= REMOVED_MAX {
+            self.rejected.clear();
         }
-        if self.refused.insert(key.clone(), object.version).is_none() {
+        if self.rejected.insert(key.clone(), object.version).is_none() {
             event!(Warn, "target-refused", key = key, error = error);
         }
-        let known = self.known.get_mut(key).filter(|known| known.is_used());
+        let known = self.records.get_mut(key).filter(|known| known.is_used());
         let was_used = known.is_some();
         if let Some(known) = known {
-            known.leave(now);
+            known.remove(now);
         }
         was_used
     }
 
-    /// Drops the targets without an entry; after an outage they are kept until `grace`.
-    fn drop_missing(
+    /// Removes targets without an entry; after an outage they are used until `grace`.
+    fn remove_missing(
         &mut self,
         listed: &collections::BTreeMap<String, Arc<store::Object>>,
         grace: Option<Instant>,
         now: Instant,
     ) -> bool {
-        self.refused.retain(|key, _| listed.contains_key(key));
-        for (key, known) in &mut self.known {
-            if known.standing == Standing::Listed && !listed.contains_key(key) {
-                // An entry that is deleted after the outage has ended is not one that lapsed.
-                known.standing = Standing::Missing(grace.unwrap_or(now));
+        self.rejected.retain(|key, _| listed.contains_key(key));
+        for (key, known) in &mut self.records {
+            if known.presence == Presence::Listed && !listed.contains_key(key) {
+                // Without `grace` the entry was deleted and did not expire in an outage.
+                known.presence = Presence::Missing(grace.unwrap_or(now));
             }
         }
         self.sweep(now)
     }
 
-    /// Drops the targets whose entry has not come back in time, and forgets those long gone.
+    /// Removes targets whose entry was not restored in time and forgets those removed long ago.
     fn sweep(&mut self, now: Instant) -> bool {
         let mut changed = false;
-        for known in self.known.values_mut() {
-            if matches!(known.standing, Standing::Missing(until) if until <= now) {
-                known.leave(now);
+        for known in self.records.values_mut() {
+            if matches!(known.presence, Presence::Missing(until) if until <= now) {
+                known.remove(now);
                 changed = true;
             }
         }
-        let gone = self.known.values().filter(|known| !known.is_used()).count();
-        let remembered = match gone > REMEMBERED_MAX {
+        let gone = self
+            .records
+            .values()
+            .filter(|known| !known.is_used())
+            .count();
+        let remembered = match gone > REMOVED_MAX {
             true => time::Duration::ZERO,
-            false => REMEMBERED,
+            false => REMOVED_RETENTION,
         };
-        self.known.retain(|_, known| match known.standing {
-            Standing::Gone(since) => now.saturating_duration_since(since) < remembered,
+        self.records.retain(|_, known| match known.presence {
+            Presence::Removed(since) => now.saturating_duration_since(since) < remembered,
             _ => true,
         });
         changed
     }
 
-    fn targets(&self) -> Vec<view::Target> {
-        let used = self.known.values().filter(|known| known.is_used());
+    fn used_targets(&self) -> Vec<view::Target> {
+        let used = self.records.values().filter(|known| known.is_used());
         used.map(|k| k.target.clone()).collect()
     }
 }
 
-/// Returns until when a target is cold, given what its entry says and what was known before.
+/// Returns the end of a target's warm-up time from the rest in its entry and the known end.
 ///
-/// Entries tell the time that was left when they were written, and each puts the end a little later
-/// or sooner. Only a difference that matters is a change, or each would have all targets looked
-/// over anew.
-fn cold(left: time::Duration, known: Option<Instant>, now: Instant) -> Option<Instant> {
-    if left.is_zero() {
+/// Entries state the rest as of their writing, so that the computed end varies a little. A small
+/// difference keeps the known end, or each entry would cause an update of all targets.
+fn cold_until(rest: time::Duration, known: Option<Instant>, now: Instant) -> Option<Instant> {
+    if rest.is_zero() {
         return None;
     }
-    let until = now + left.min(COLD_MAX);
-    let near = |known: &Instant| {
-        *known >= until && *known <= until + COLD_DIFFERENCE
-            || *known < until && *known + COLD_DIFFERENCE >= until
+    let until = now + rest.min(COLD_MAX);
+    let is_close = |known: &Instant| {
+        *known >= until && *known <= until + COLD_TOLERANCE
+            || *known < until && *known + COLD_TOLERANCE >= until
     };
-    Some(known.filter(near).unwrap_or(until))
+    Some(known.filter(is_close).unwrap_or(until))
 }
 
 impl follow::Observer for Observer {
@@ -276,29 +286,28 @@
     fn read(&mut self, snapshot: &follow::Snapshot, age: unit::Period) {
         let now = Instant::now();
         let mut state = view::lock(&self.state);
-        let first = state.read.is_none();
-        // What was read by others counts from when they read it, or outages would seem shorter here
-        // than there.
+        let first = state.last_read.is_none();
+        // Data from a peer counts from the peer's read, or an outage would seem shorter here.
         let read = now.checked_sub(age.0).unwrap_or(now);
-        let returned = state.read.is_some_and(|at| read > at + OUTAGE);
-        state.read = state.read.max(Some(read));
+        let is_restored = state.last_read.is_some_and(|at| read > at + OUTAGE_MIN);
+        state.last_read = state.last_read.max(Some(read));
         let mut changed = first;
         for object in snapshot.objects.values() {
-            changed |= state.add(&*self.directory, object, now);
+            changed |= state.apply_entry(&*self.directory, object, now);
         }
-        let grace = returned.then_some(now + RETURN);
-        changed |= state.drop_missing(&snapshot.objects, grace, now);
+        let grace = is_restored.then_some(now + OUTAGE_GRACE);
+        changed |= state.remove_missing(&snapshot.objects, grace, now);
         if changed {
-            self.view.set_targets(state.targets());
+            self.view.set_targets(state.used_targets());
         }
-        if returned {
-            event!(Info, "store-returned", targets = state.known.len());
+        if is_restored {
+            event!(Info, "store-returned", targets = state.records.len());
             let (state, view) = (self.state.clone(), self.view.clone());
             tokio::spawn(async move {
-                tokio::time::sleep(RETURN).await;
+                tokio::time::sleep(OUTAGE_GRACE).await;
                 let mut state = view::lock(&state);
                 if state.sweep(Instant::now()) {
-                    view.set_targets(state.targets());
+                    view.set_targets(state.used_targets());
                 }
             });
         }
--- a/laburnumcart_gateway/src/dialect.rs
+++ b/laburnumcart_gateway/src/dialect.rs
@@ -1,4 +1,4 @@
-//! What a platform tells the gateway: names of headers, calls of targets, entries of the store.
+//! Interface to a platform: its HTTP headers, batch calls and store entries.
 
 use std::{
     net,
@@ -26,7 +26,7 @@
 
 use crate::view;
 
-/// A message that breaks the platform's protocol.
+/// A message that violates the platform's protocol; the text names the offending part.
 #[derive(Clone, Debug, Display, Error, Eq, PartialEq)]
 #[display("malformed {_0}")]
 pub struct Malformed(#[error(not(source))] pub &'static str);
@@ -34,87 +34,87 @@
 /// Prompt of a request for a model engine.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Prompt {
-    /// Parts in order.
+    /// Parts in order, for prefix matching.
     pub parts: Vec<placement::Part>,
-    /// Tokens of the prompt.
+    /// Tokens in the prompt.
     pub input: u64,
-    /// Most tokens of the answer.
+    /// Maximum number of tokens to generate.
     pub output: u64,
 }
 
-/// What the head of a caller's request says.
+/// Parsed head of a caller's request.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct RequestHead {
-    /// Identity of this attempt of the caller.
+    /// Identifier of this attempt, chosen by the caller.
     pub attempt: String,
-    /// How long the caller will wait.
+    /// Time that the caller says it will wait.
     pub timeout: Option<time::Duration>,
-    /// Key that tells the caller's team.
+    /// Key that identifies the caller's team.
     pub api_key: Option<String>,
-    /// Last event that the caller has, when it continues a stream.
+    /// Last event that the caller received, when it resumes a stream.
     pub last_event: Option<u64>,
-    /// Prompt, for model engines.
+    /// Prompt, for requests to model engines.
     pub prompt: Option<Prompt>,
-    /// Number of pieces of each stage; 0 leaves the stage out.
+    /// Number of pieces of each stage; a stage with 0 pieces is skipped.
     pub pieces: Vec<u32>,
-    /// What the pieces of first stages work on.
+    /// Input of the pieces of first stages.
     pub input_key: Option<String>,
 }
 
-/// What a target is told beside the caller's own request.
+/// Headers that the gateway adds to a request for a target.
 #[derive(Clone, Copy, Debug)]
 pub struct TargetHeaders<'a> {
-    /// Target that is meant; another one refuses.
+    /// Intended target; any other target refuses the request.
     pub target: &'a id::TargetName,
-    /// Team of the caller.
+    /// Team of the caller, if it is known.
     pub team: Option<&'a id::TeamName>,
-    /// Time left.
+    /// Time until the deadline.
     pub remaining: time::Duration,
-    /// Results of the last stages.
+    /// Handles of the results of the last stages.
     pub inputs: Option<&'a [batch::Handle]>,
-    /// Last event that was forwarded, when a stream is resumed.
+    /// Last event that was forwarded to the caller, when a stream is resumed.
     pub last_event: Option<u64>,
-    /// Rank of the request.
+    /// Priority rank of the request.
     pub rank: u8,
 }
 
-/// What the head of a target's answer says.
+/// Parsed head of a target's response.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ResponseHead {
-    /// Attempt that it answers.
+    /// Attempt that the target echoes.
     pub attempt: Option<String>,
-    /// Whether the target vouches for the answer.
+    /// Whether the target marked the response as its own.
     pub stamped: bool,
-    /// Whether the target proves that it has not run the request.
+    /// Whether the target states that it has not executed the request.
     pub not_run: bool,
-    /// Whether another target has the address.
+    /// Whether another target answered at this address.
     pub misdirected: bool,
     /// Load that the target reports.
     pub load: Option<placement::Report>,
-    /// Requests that the target runs at once.
+    /// Number of requests that the target runs concurrently.
     pub slots: Option<u32>,
-    /// How long the target keeps an idle connection.
+    /// Time for which the target keeps an idle connection open.
     pub idle_timeout: Option<time::Duration>,
-    /// Requests that the target takes.
+    /// Rate limit that the target advertises.
     pub limit: quota::Limit,
-    /// Whether the target says that it is leaving.
+    /// Whether the target is shutting down.
     pub leaving: bool,
-    /// Time for which the target wants no requests from this process.
+    /// Time for which the target asks this process to send nothing.
     pub backoff: Option<time::Duration>,
 }
 
-/// Input of a piece.
+/// Input of a piece of a stage.
 #[derive(Clone, Debug, Eq, PartialEq, serde::Serialize, serde::Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Input {
-    /// The caller's own key.
+    /// The caller's key, for first stages.
     Key(String),
-    /// Results of the stages before.
+    /// Results of earlier stages.
     Results(Vec<batch::Handle>),
 }
 
 impl Input {
-    /// Reports whether a result that it reads has gone with an earlier life of its target.
+    /// Returns whether an input result was lost because its target restarted.
     pub fn is_lost(&self, targets: &view::Targets, dialect: &dyn Dialect) -> bool {
         let Self::Results(handles) = self else {
             return false;
@@ -126,34 +126,35 @@
     }
 }
 
-/// A piece in a call of a target.
+/// One piece in a batch call.
 #[derive(Clone, Debug)]
 pub struct BatchItem<'a> {
     /// Attempt of the caller.
     pub attempt: &'a str,
-    /// Number of the stage.
+    /// Index of the stage.
     pub stage: u32,
-    /// Number of the piece.
+    /// Index of the piece within the stage.
     pub piece: u32,
-    /// Time that is left.
+    /// Time until the deadline.
     pub remaining: time::Duration,
-    /// Input.
+    /// Input of the piece.
     pub input: &'a Input,
 }
 
-/// How the platform's callers and targets speak HTTP.
+/// HTTP protocol of the platform's callers and targets.
 pub trait Dialect: Send + Sync + 'static {
-    /// Reads the head of a caller's request.
+    /// Parses the headers of a caller's request.
     fn parse_request(&self, headers: &HeaderMap) -> Result<RequestHead, Malformed>;
 
-    /// Removes what only the system may set or what concerns only the caller's connection, and
-    /// sets what the target is told.
-    fn rewrite_headers(&self, headers: &mut HeaderMap, onward: &TargetHeaders<'_>);
+    /// Turns a caller's headers into those for a target.
+    ///
+    /// Removes headers that only the system may set and hop-by-hop headers, then adds `added`.
+    fn rewrite_headers(&self, headers: &mut HeaderMap, added: &TargetHeaders<'_>);
 
-    /// Reads the head of a target's answer.
+    /// Parses the head of a target's response.
     fn parse_response(&self, head: &response::Parts) -> ResponseHead;
 
-    /// Writes a call of a batch; the target echoes `label`.
+    /// Encodes a batch call; the target echoes `label`.
     fn encode_batch(
         &self,
         target: &id::TargetName,
@@ -161,8 +162,10 @@
         items: &[BatchItem<'_>],
     ) -> Request<Bytes>;
 
-    /// Reads the answer to [`Dialect::batch`], which must tell of `count` pieces; `life` is that of
-    /// the target.
+    /// Decodes the response to [`Dialect::encode_batch`].
+    ///
+    /// It must hold the outcomes of exactly `count` pieces. `life` identifies the run of the target
+    /// that stores the results.
     fn decode_batch(
         &self,
         body: &[u8],
@@ -170,39 +173,39 @@
         life: id::Life,
     ) -> Result<Vec<batch::Outcome>, Malformed>;
 
-    /// Writes the call that frees results.
+    /// Encodes a call that frees results.
     fn encode_free(&self, target: &id::TargetName, handles: &[batch::Handle]) -> Request<Bytes>;
 
-    /// Returns the address of the target that holds a result.
+    /// Returns the address of the target that stores a result.
     fn result_addr(&self, handle: &batch::Handle) -> Option<net::SocketAddr>;
 }
 
-/// Entry of a target.
+/// Store entry of a target.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct TargetEntry {
-    /// The target that it names.
+    /// Target that the entry describes.
     pub target: view::Target,
-    /// Time for which the target stays cold.
+    /// Rest of the target's warm-up time, during which it gets a reduced rate.
     pub cold_for: time::Duration,
 }
 
-/// What the platform's store holds.
+/// Layout and encoding of the platform's store.
 pub trait Directory: Send + Sync + 'static {
-    /// Key of the configuration.
+    /// Returns the key of the configuration.
     fn table_key(&self) -> &'static str;
 
-    /// Prefix of the targets.
+    /// Returns the key prefix of targets.
     fn targets_prefix(&self) -> &'static str;
 
-    /// Prefix of this system's own members.
+    /// Returns the key prefix of this system's own processes.
     fn members_prefix(&self) -> &'static str;
 
-    /// Prefix of the entries that each evacuate the data centre whose name they bear.
+    /// Returns the key prefix of evacuations; the last part of a key names a data centre.
     fn evacuations_prefix(&self) -> &'static str;
 
-    /// Reads the configuration.
+    /// Parses the configuration.
     fn parse_table(&self, value: &str) -> Result<ingress::Table, Malformed>;
 
-    /// Reads a target's entry; `name` is the last part of its key.
+    /// Parses a target's entry; `name` is the last part of its key.
     fn parse_target(&self, name: &str, value: &str) -> Result<TargetEntry, Malformed>;
 }
--- a/laburnumcart_gateway/src/dispatcher/call.rs
+++ b/laburnumcart_gateway/src/dispatcher/call.rs
@@ -120,7 +120,7 @@
         let label = format!("{:016x}", rand::random::<u64>());
         let request = self.dialect.encode_batch(&target.name, &label, &items);
         let expected = line.queue.engines.expected(call.engine, call.pieces.len());
-        self.metrics.calls.inc();
+        self.metrics.batch_calls.inc();
         self.metrics.pieces.inc_by(call.pieces.len() as u64);
         let ready = Ready {
             service: service.clone(),
--- a/laburnumcart_gateway/src/dispatcher/line.rs
+++ b/laburnumcart_gateway/src/dispatcher/line.rs
@@ -102,7 +102,7 @@
         targets: &[Arc<view::Target>],
         gate: impl Fn(&view::Target) -> quota::Gate,
     ) {
-        let (gone, new) = view::changes(self.keys.keys().cloned(), targets);
+        let (gone, new) = view::diff_targets(self.keys.keys().cloned(), targets);
         for life in gone {
             if let Some(key) = self.keys.remove(&life) {
                 self.queue.engines.remove(key);
--- a/laburnumcart_gateway/src/gateway.rs
+++ b/laburnumcart_gateway/src/gateway.rs
@@ -1,4 +1,4 @@
-//! State of one gateway that its requests share.
+//! Gateway state shared by all requests, and the choice of targets.
 
 mod availability;
 
@@ -44,50 +44,50 @@
     view, //
 };
 
-/// Most routes whose callers' patience is remembered.
+/// Maximum number of routes whose callers' waiting times are remembered.
 const ROUTES_MAX: usize = 4096;
 
-/// One gateway.
+/// State of a gateway process.
 pub struct Gateway {
-    /// Settings.
+    /// Settings of the process.
     pub settings: settings::Settings,
-    /// Control state.
+    /// Control state, read from the store.
     pub view: Arc<view::View>,
-    /// The platform's HTTP.
+    /// HTTP protocol of the platform.
     pub dialect: Arc<dyn dialect::Dialect>,
-    /// Sends to targets.
+    /// Client of the targets.
     pub outbound: Arc<outbound::Outbound>,
-    /// Other processes.
+    /// Client of the other processes.
     pub peers: peers::Peers,
-    /// Budgets of what targets get once more.
+    /// Retry budgets of the services.
     pub budgets: Arc<budgets::Budgets>,
-    /// Queues that this process owns.
+    /// Batch queues that this process owns.
     pub dispatcher: Arc<dispatcher::Dispatcher>,
-    /// Gate of requests.
+    /// Counts requests in flight, for the graceful shutdown.
     pub gate: stop::Gate,
-    /// Metrics.
+    /// Metrics of the process.
     pub metrics: metrics::Metrics,
     engines: Mutex<collections::HashMap<id::ServiceName, engines::Engines>>,
     balancers: Mutex<collections::HashMap<id::ServiceName, balancer::Balancer>>,
     patience: Mutex<collections::HashMap<String, patience::Patience>>,
-    /// Results that the own queues have read, taken by the task that frees them.
+    /// Receives results that the own queues have read; taken by the task that reports them.
     consumed: Mutex<Option<mpsc::UnboundedReceiver<Vec<batch::Handle>>>>,
 }
 
-/// A request's place at a target, given up when dropped.
+/// Assignment of a request to a target, which ends when dropped.
 pub struct Assignment {
     gateway: Arc<Gateway>,
     service: id::ServiceName,
-    /// Target.
+    /// Chosen target.
     pub target: Arc<view::Target>,
-    place: Option<placement::Place>,
+    engine: Option<placement::Place>,
     start: Instant,
     outcome: Option<eject::Outcome>,
-    read: bool,
+    answered: bool,
 }
 
 impl Gateway {
-    /// Creates a gateway that knows nothing yet.
+    /// Creates a gateway without requests or queues.
     pub fn new(
         settings: settings::Settings,
         view: Arc<view::View>,
@@ -125,14 +125,14 @@
         })
     }
 
-    /// Takes in changes of targets until the process ends.
+    /// Applies changes of targets and signals until the process ends.
     pub async fn follow_changes(self: Arc<Self>) {
         let mut changes = self.view.subscribe();
         let mut signals = self.outbound.quotas.signals.subscribe();
         let mut sweep = tokio::time::interval(time::Duration::from_secs(1));
         let consumed = view::lock(&self.consumed).take();
         if let Some(consumed) = consumed {
-            tokio::spawn(self.clone().pass_read(consumed));
+            tokio::spawn(self.clone().report_consumed(consumed));
         }
         loop {
             tokio::select! {
@@ -140,7 +140,7 @@
                     self.outbound.pool.sweep(Instant::now());
                     self.outbound.quotas.sweep();
                 }
-                _ = changes.changed() => self.refresh(),
+                _ = changes.changed() => self.apply_changes(),
                 _ = signals.changed() => {
                     self.view.set_leaving_targets(self.outbound.quotas.signals.leaving_targets());
                     self.outbound.quotas.refresh();
@@ -149,15 +149,18 @@
         }
     }
 
-    /// Tells the owners that account for the room of results that these were read.
-    async fn pass_read(self: Arc<Self>, mut consumed: mpsc::UnboundedReceiver<Vec<batch::Handle>>) {
+    /// Reports read results to the queue owners that account for their capacity.
+    async fn report_consumed(
+        self: Arc<Self>,
+        mut consumed: mpsc::UnboundedReceiver<Vec<batch::Handle>>,
+    ) {
         while let Some(handles) = consumed.recv().await {
             let targets = self.view.targets.load_full();
             let mut owned: collections::HashMap<_, Vec<_>> = collections::HashMap::new();
             for handle in handles {
-                let holder = self.dialect.result_addr(&handle);
-                // A result whose target has gone is gone with it.
-                if let Some(target) = holder.and_then(|addr| targets.find(&addr, handle.life)) {
+                let addr = self.dialect.result_addr(&handle);
+                // Results are lost together with their target.
+                if let Some(target) = addr.and_then(|addr| targets.find(&addr, handle.life)) {
                     owned.entry(&target.service).or_default().push(handle);
                 }
             }
@@ -167,7 +170,7 @@
         }
     }
 
-    fn refresh(&self) {
+    fn apply_changes(&self) {
         self.dispatcher
             .consolidate(|service| self.peers.is_first_owner(service));
         self.outbound.quotas.refresh();
@@ -175,38 +178,40 @@
         let signals = &self.outbound.quotas.signals;
         signals.update_listed(|life| targets.all().any(|target| target.key() == *life));
         for (service, engines) in view::lock(&self.engines).iter_mut() {
-            engines.update(targets.service(service), |t| self.gate(t));
+            engines.update(targets.service(service), |t| self.request_limiter(t));
         }
         let now = Instant::now();
         for (service, balancer) in view::lock(&self.balancers).iter_mut() {
-            balancer.update(targets.service(service), |t| self.gate(t), now);
+            balancer.update(targets.service(service), |t| self.request_limiter(t), now);
         }
     }
 
-    /// Returns the gate of requests for a target.
-    fn gate(&self, target: &view::Target) -> quota::Gate {
+    /// Returns the rate limiter of requests to a target.
+    fn request_limiter(&self, target: &view::Target) -> quota::Gate {
         self.outbound.quotas.gates(target).requests
     }
 
-    /// Returns where the inputs of a request are best made.
+    /// Returns the data centre in which the inputs of a request should be produced.
     pub fn preferred_data_centre(&self, request: &admission::Request) -> Option<id::DataCentre> {
         let service = request.route.backend(0)?;
         let prompt = request.call.prompt.as_ref()?;
         let mut engines = view::lock(&self.engines);
-        let engines = self.engines_of(&mut engines, &request.table, service)?;
+        let engines = self.service_engines(&mut engines, &request.table, service)?;
         engines.fleet.near(&prompt.parts, Instant::now())
     }
 
-    /// Reports whether the target that holds a result is known to have started again since.
+    /// Returns whether the target that stores a result is known to have restarted.
     ///
-    /// Its next life knows nothing of the result, and might give it out for one of its own.
+    /// The restarted target doesn't have the result and may reuse its name for another one.
     pub fn is_result_lost(&self, handle: &batch::Handle) -> bool {
         let addr = self.dialect.result_addr(handle);
         let targets = self.view.targets.load();
         addr.is_some_and(|addr| targets.is_replaced(&addr, handle.life))
     }
 
-    /// Chooses a target of a service for a request, whose inputs lie in these data centres.
+    /// Chooses a target of a service for a request.
+    ///
+    /// `inputs` are the sizes of its inputs by data centre, `tried` the targets to avoid.
     pub fn assign_target(
         self: &Arc<Self>,
         request: &admission::Request,
@@ -216,15 +221,15 @@
     ) -> Option<Assignment> {
         let now = Instant::now();
         let mut engines = view::lock(&self.engines);
-        let known = self.engines_of(&mut engines, &request.table, service);
+        let known = self.service_engines(&mut engines, &request.table, service);
         let (place, target) = match known {
             Some(engines) => {
-                let (place, target) = choose(engines, request, inputs, tried, now)?;
+                let (place, target) = choose_engine(engines, request, inputs, tried, now)?;
                 (Some(place), target)
             }
             None => {
                 let places = request.places.as_deref();
-                let target = self.balance(service, places, tried, now)?;
+                let target = self.choose_balanced(service, places, tried, now)?;
                 (None, target)
             }
         };
@@ -232,14 +237,14 @@
             gateway: self.clone(),
             service: service.clone(),
             target,
-            place,
+            engine: place,
             start: now,
             outcome: None,
-            read: false,
+            answered: false,
         })
     }
 
-    fn engines_of<'a>(
+    fn service_engines<'a>(
         &self,
         engines: &'a mut collections::HashMap<id::ServiceName, engines::Engines>,
         table: &ingress::Table,
@@ -247,14 +252,16 @@
     ) -> Option<&'a mut engines::Engines> {
         if !engines.contains_key(service) {
             let limits = table.service(service)?.engine?;
-            let mut known = engines::Engines::new(limits);
-            known.update(self.view.targets.load().service(service), |t| self.gate(t));
-            engines.insert(service.clone(), known);
+            let mut added = engines::Engines::new(limits);
+            added.update(self.view.targets.load().service(service), |t| {
+                self.request_limiter(t)
+            });
+            engines.insert(service.clone(), added);
         }
         engines.get_mut(service)
     }
 
-    fn balance(
+    fn choose_balanced(
         &self,
         service: &id::ServiceName,
         places: Option<&[id::DataCentre]>,
@@ -266,13 +273,13 @@
             let own = self.settings.data_centre.clone();
             let mut balancer = balancer::Balancer::new(own, now);
             let targets = self.view.targets.load();
-            balancer.update(targets.service(service), |t| self.gate(t), now);
+            balancer.update(targets.service(service), |t| self.request_limiter(t), now);
             balancer
         });
         balancer.choose(places, tried, now)
     }
 
-    /// Returns how much of its time a caller had spent on a request before this attempt.
+    /// Returns the time that a caller has spent on earlier attempts of a request.
     ///
     /// The objective counts from the first attempt.
     pub fn spent_before(
@@ -291,7 +298,7 @@
         callers.spent(patience).min(route.timeout)
     }
 
-    /// Returns the bounds of an exchange with a target of a service.
+    /// Returns the connection limits of a request to a target of a service.
     pub fn bounds(&self, request: &admission::Request, service: &id::ServiceName) -> pool::Bounds {
         let known = request.table.service(service);
         let all = known.map_or(1, |s| s.connections);
@@ -306,7 +313,7 @@
     }
 }
 
-fn choose(
+fn choose_engine(
     engines: &mut engines::Engines,
     request: &admission::Request,
     inputs: &[(id::DataCentre, unit::Size)],
@@ -326,30 +333,30 @@
 }
 
 impl Assignment {
-    /// Records the load that the target reports.
-    pub fn report_load(&self, reply: &dialect::ResponseHead) {
-        let Some(report) = reply.load else {
+    /// Records the load that the target reported in its response.
+    pub fn report_load(&self, head: &dialect::ResponseHead) {
+        let Some(report) = head.load else {
             return;
         };
         let now = Instant::now();
-        match self.place {
+        match self.engine {
             Some(place) => self.with_engines(|e| e.fleet.report(place.engine, report, now)),
-            None => self.with_balancer(|b| b.report(&self.target.key(), report, reply.slots, now)),
+            None => self.with_balancer(|b| b.report(&self.target.key(), report, head.slots, now)),
         }
     }
 
-    /// Records that the target has begun to answer.
+    /// Records the start of the response.
     pub fn record_first_byte(&mut self) {
-        self.read = true;
-        if let Some(place) = self.place {
+        self.answered = true;
+        if let Some(place) = self.engine {
             self.with_engines(|e| e.fleet.first_token(place));
         }
     }
 
-    /// Records a whole answer.
+    /// Records a complete response.
     pub fn record_success(&mut self) {
-        let taken = Instant::now() - self.start;
-        self.outcome = Some(eject::Outcome::Success(taken));
+        let duration = Instant::now() - self.start;
+        self.outcome = Some(eject::Outcome::Success(duration));
     }
 
     /// Records a failure of the target.
@@ -374,9 +381,9 @@
     fn drop(&mut self) {
         let now = Instant::now();
         let failed = self.outcome == Some(eject::Outcome::Failure);
-        match self.place {
+        match self.engine {
             Some(place) => self.with_engines(|e| {
-                e.fleet.end(place, self.read);
+                e.fleet.end(place, self.answered);
                 if failed {
                     e.fleet.fail(place.engine, now);
                 }
--- a/laburnumcart_gateway/src/gateway/availability.rs
+++ b/laburnumcart_gateway/src/gateway/availability.rs
@@ -1,4 +1,4 @@
-//! Whether targets take a request, and when.
+//! Availability of targets: early refusals and the Retry-After of refused requests.
 
 use std::time;
 
@@ -18,7 +18,7 @@
 };
 
 impl Gateway {
-    /// Reports whether a service has a target for a request that takes requests now.
+    /// Returns whether a service has a target that can accept a request now.
     pub fn has_target(
         &self,
         request: &admission::Request,
@@ -31,13 +31,12 @@
         let mut targets = targets.service(service).iter();
         targets.any(|target| {
             let allowed = residency::allows(places, &target.data_centre);
-            allowed && !tried.contains(&target.name) && self.gate(target).is_open(now)
+            allowed && !tried.contains(&target.name) && self.request_limiter(target).is_open(now)
         })
     }
 
-    /// Returns the time until a service has a target for a request that takes requests, if any of its
-    /// targets tells.
-    fn wait(
+    /// Returns the time until a target of a service can accept a request, if that is known.
+    fn time_to_target(
         &self,
         request: &admission::Request,
         service: &id::ServiceName,
@@ -47,13 +46,13 @@
         let targets = self.view.targets.load();
         let targets = targets.service(service).iter();
         let allowed = targets.filter(|t| residency::allows(places, &t.data_centre));
-        let waits = allowed.map(|target| self.gate(target).wait(now));
+        let waits = allowed.map(|target| self.request_limiter(target).wait(now));
         waits.min().filter(|wait| *wait < time::Duration::MAX)
     }
 
-    /// Tells the caller of a refused request when to come again, where no target takes requests now.
+    /// Adds the time after which to retry to a refusal, if no target accepts requests now.
     ///
-    /// Those that are told of one moment come at different ones.
+    /// The time is randomized, so that callers refused together don't return together.
     pub fn add_retry_after(
         &self,
         request: &admission::Request,
@@ -64,7 +63,7 @@
         if is_open || refusal.retry.is_some() || refusal.verdict != verdict::Verdict::NotRun {
             return refusal;
         }
-        match self.wait(request, service, Instant::now()) {
+        match self.time_to_target(request, service, Instant::now()) {
             Some(wait) => {
                 let after = wait + reply::RETRY_AFTER.mul_f64(1.0 + rand::random::<f64>());
                 refusal.retry_after(unit::Period(after))
@@ -73,7 +72,7 @@
         }
     }
 
-    /// Refuses a request whose content has crashed one target after the other.
+    /// Refuses a request whose content has crashed several targets.
     pub fn check_content(&self, request: &admission::Request) -> Result<(), verdict::Refusal> {
         let signals = &self.outbound.quotas.signals;
         let Some(until) = signals.quarantined_until(|| request.content()) else {
@@ -83,19 +82,21 @@
         Err(verdict::Refusal::not_run(verdict::Reason::Quarantined).retry_after(wait))
     }
 
-    /// Refuses a request that none of its targets would take in time.
+    /// Refuses a request that no target would accept before the deadline.
     ///
-    /// Begun nevertheless, its stages would be executed for nothing, and its caller told later.
+    /// Otherwise its stages would be executed in vain, and the caller would be refused later.
     pub fn check_targets(&self, request: &admission::Request) -> Result<(), verdict::Refusal> {
-        let left = request.left();
+        let remaining = request.left();
         let backends = request.route.backends.iter().filter(|b| b.weight > 0);
         let services: Vec<_> = backends.map(|backend| &backend.service).collect();
         if services.iter().any(|s| self.has_target(request, s, &[])) {
             return Ok(());
         }
         let now = Instant::now();
-        let waits = services.iter().filter_map(|s| self.wait(request, s, now));
-        if waits.min().is_some_and(|wait| wait < left) {
+        let waits = services
+            .iter()
+            .filter_map(|s| self.time_to_target(request, s, now));
+        if waits.min().is_some_and(|wait| wait < remaining) {
             return Ok(());
         }
         let refusal = verdict::Refusal::not_run(verdict::Reason::NoTarget);
--- a/laburnumcart_gateway/src/http_server.rs
+++ b/laburnumcart_gateway/src/http_server.rs
@@ -1,9 +1,9 @@
-//! HTTP for callers.
+//! HTTP server for callers.
 //!
-//! A caller that leaves ends its request at once: the server drops the request's future, and with
-//! it the jobs and the connections to targets.
+//! When a caller disconnects, the server drops the request's future, which cancels its jobs and
+//! closes its connections to targets.
 
-mod watched;
+mod activity;
 
 use std::{
     sync::Arc,
@@ -31,90 +31,97 @@
     request, //
 };
 
-use self::watched::{
+use self::activity::{
     Activity,
-    Watched, //
+    ActivityStream, //
 };
 
-/// Descriptors that are kept for files, targets and peers.
-const RESERVED: u32 = 1200;
+/// File descriptors reserved for files and for connections to targets and peers.
+const RESERVED_DESCRIPTORS: u32 = 1200;
 
-/// Fewest connections of callers.
+/// Minimum number of callers' connections, however few descriptors there are.
 const CONNECTIONS_MIN: u32 = 256;
 
-/// Pause between two looks at a connection's time.
-const CHECK: time::Duration = time::Duration::from_millis(500);
+/// Interval of the timeout checks of a connection, and pause after a failed accept.
+const CHECK_INTERVAL: time::Duration = time::Duration::from_millis(500);
 
-/// Largest head of a request in bytes, unless the configuration says otherwise.
+/// Maximum size of a request head in bytes before the configuration is known.
 const HEAD_MAX: usize = 16 << 10;
 
-/// Least that the library's buffer must hold.
+/// Minimum buffer size that hyper accepts.
 const BUFFER_MIN: usize = 8 << 10;
 
-/// What a connection is told when the process stops.
+/// Signals connections to close, when the process stops.
 pub type Closing = watch::Receiver<bool>;
 
 /// Accepts callers' connections until the process ends.
 pub async fn serve(gateway: Arc<gateway::Gateway>, listener: net::TcpListener, closing: Closing) {
-    let most = gateway.settings.descriptors.saturating_sub(RESERVED);
-    let places = Arc::new(Semaphore::new(most.max(CONNECTIONS_MIN) as usize));
+    let limit = gateway
+        .settings
+        .descriptors
+        .saturating_sub(RESERVED_DESCRIPTORS);
+    let permits = Arc::new(Semaphore::new(limit.max(CONNECTIONS_MIN) as usize));
     loop {
-        // The semaphore is never closed.
-        let Ok(place) = places.clone().acquire_owned().await else {
+        // It fails only on a closed semaphore, and this one is never closed.
+        let Ok(permit) = permits.clone().acquire_owned().await else {
             return;
         };
         match listener.accept().await {
             Ok((stream, _)) => {
-                let connection = connection(gateway.clone(), stream, closing.clone());
+                let connection = serve_connection(gateway.clone(), stream, closing.clone());
                 tokio::spawn(async move {
                     connection.await;
-                    drop(place);
+                    drop(permit);
                 });
             }
             Err(error) => {
                 event!(Warn, "accept-failed", error = error);
-                tokio::time::sleep(CHECK).await;
+                tokio::time::sleep(CHECK_INTERVAL).await;
             }
         }
     }
 }
 
-/// Serves one connection.
-async fn connection(gateway: Arc<gateway::Gateway>, stream: net::TcpStream, mut closing: Closing) {
+/// Serves one connection until it ends or a timeout has passed.
+async fn serve_connection(
+    gateway: Arc<gateway::Gateway>,
+    stream: net::TcpStream,
+    mut closing: Closing,
+) {
     if let Err(error) = stream.set_nodelay(true) {
         event!(Debug, "socket-option", error = error);
     }
     let activity = Arc::new(Activity::new(Instant::now()));
     let table = gateway.view.table.load_full();
     let head_max = table.map_or(HEAD_MAX, |t| t.limits.head);
-    let io = rt::TokioIo::new(Watched::new(stream, activity.clone()));
-    let (shared, seen) = (gateway.clone(), activity.clone());
+    let io = rt::TokioIo::new(ActivityStream::new(stream, activity.clone()));
+    let (shared, requests) = (gateway.clone(), activity.clone());
     let service = service::service_fn(move |incoming| {
-        let (gateway, busy) = (shared.clone(), seen.begin());
+        let (gateway, guard) = (shared.clone(), requests.begin_request());
         async move {
             let response = request::handle(gateway, incoming).await;
-            drop(busy);
+            drop(guard);
             Ok::<_, std::convert::Infallible>(response)
         }
     });
     let is_closing = *closing.borrow();
     let serving = http1::Builder::new()
         .half_close(false)
-        // A connection that comes while the process stops is served once.
+        // A connection opened while the process stops serves a single request.
         .keep_alive(!is_closing)
         .max_buf_size(head_max.max(BUFFER_MIN))
         .timer(rt::TokioTimer::new())
         .header_read_timeout(None)
         .serve_connection(io, service);
     tokio::pin!(serving);
-    let mut check = tokio::time::interval(CHECK);
-    let mut told = is_closing;
+    let mut check = tokio::time::interval(CHECK_INTERVAL);
+    let mut is_notified = is_closing;
     loop {
         tokio::select! {
-            // An error is the caller's or the target's break, which was logged where it happened.
+            // Errors of callers and targets are logged where they occur.
             _ = serving.as_mut() => return,
-            _ = closing.changed(), if !told => {
-                told = true;
+            _ = closing.changed(), if !is_notified => {
+                is_notified = true;
                 serving.as_mut().graceful_shutdown();
             }
             _ = check.tick() => match overdue(&gateway, &activity) {
@@ -126,7 +133,7 @@
     }
 }
 
-/// Which of a connection's times is over.
+/// Timeout that a connection has exceeded.
 enum Overdue {
     No,
     Idle,
@@ -138,11 +145,11 @@
         return Overdue::No;
     };
     let now = Instant::now();
-    if activity.reading(now) > table.limits.head_time {
-        // A caller that sends its head byte by byte would keep a place for ever.
+    if activity.head_time(now) > table.limits.head_time {
+        // Otherwise a caller that sends its head byte by byte would occupy a connection forever.
         return Overdue::Head;
     }
-    match activity.idle(now) > table.limits.idle {
+    match activity.idle_time(now) > table.limits.idle {
         true => Overdue::Idle,
         false => Overdue::No,
     }
--- a/laburnumcart_gateway/src/http_server/watched.rs
+++ b/laburnumcart_gateway/src/http_server/activity.rs
@@ -1,4 +1,4 @@
-//! What a caller's connection is doing, as told by its bytes and its requests.
+//! Activity of a caller's connection, tracked for its timeouts.
 
 use std::{
     io, pin,
@@ -23,86 +23,86 @@
 #[derive(Debug)]
 struct State {
     /// Requests in progress.
-    busy: usize,
+    in_progress: usize,
     /// End of the last request, or the start of the connection.
-    since: Instant,
-    /// First byte after that.
-    first: Option<Instant>,
+    idle_since: Instant,
+    /// First byte received since then.
+    first_byte: Option<Instant>,
 }
 
-/// Times of a connection.
+/// Tracks whether a connection is idle, receiving a head or serving a request.
 #[derive(Debug)]
 pub(super) struct Activity {
     state: Mutex<State>,
 }
 
-/// A request in progress, until it is dropped.
-pub(super) struct Busy(Arc<Activity>);
+/// Marks a request as in progress until dropped.
+pub(super) struct RequestGuard(Arc<Activity>);
 
 impl Activity {
     pub(super) fn new(now: Instant) -> Self {
         Self {
             state: Mutex::new(State {
-                busy: 0,
-                since: now,
-                first: None,
+                in_progress: 0,
+                idle_since: now,
+                first_byte: None,
             }),
         }
     }
 
-    pub(super) fn begin(self: &Arc<Self>) -> Busy {
+    pub(super) fn begin_request(self: &Arc<Self>) -> RequestGuard {
         let mut state = view::lock(&self.state);
-        state.busy += 1;
-        state.first = None;
+        state.in_progress += 1;
+        state.first_byte = None;
         drop(state);
-        Busy(self.clone())
+        RequestGuard(self.clone())
     }
 
-    /// Returns for how long a head has been arriving.
-    pub(super) fn reading(&self, now: Instant) -> time::Duration {
+    /// Returns the time for which a request head has been arriving, zero if there is none.
+    pub(super) fn head_time(&self, now: Instant) -> time::Duration {
         let state = view::lock(&self.state);
-        let first = state.first.filter(|_| state.busy == 0);
+        let first = state.first_byte.filter(|_| state.in_progress == 0);
         first.map_or(time::Duration::ZERO, |at| now.saturating_duration_since(at))
     }
 
-    /// Returns for how long nothing has come.
-    pub(super) fn idle(&self, now: Instant) -> time::Duration {
+    /// Returns the time for which the connection has been idle, zero if it is in use.
+    pub(super) fn idle_time(&self, now: Instant) -> time::Duration {
         let state = view::lock(&self.state);
-        match state.busy == 0 && state.first.is_none() {
-            true => now.saturating_duration_since(state.since),
+        match state.in_progress == 0 && state.first_byte.is_none() {
+            true => now.saturating_duration_since(state.idle_since),
             false => time::Duration::ZERO,
         }
     }
 
-    fn received(&self) {
+    fn record_bytes(&self) {
         let mut state = view::lock(&self.state);
-        if state.busy == 0 {
-            state.first.get_or_insert_with(Instant::now);
+        if state.in_progress == 0 {
+            state.first_byte.get_or_insert_with(Instant::now);
         }
     }
 }
 
-impl Drop for Busy {
+impl Drop for RequestGuard {
     fn drop(&mut self) {
         let mut state = view::lock(&self.0.state);
-        state.busy -= 1;
-        state.since = Instant::now();
+        state.in_progress -= 1;
+        state.idle_since = Instant::now();
     }
 }
 
-/// A connection that tells its [`Activity`] of what comes in.
-pub(super) struct Watched<T> {
+/// Stream that records received bytes in an [`Activity`].
+pub(super) struct ActivityStream<T> {
     inner: T,
     activity: Arc<Activity>,
 }
 
-impl<T> Watched<T> {
+impl<T> ActivityStream<T> {
     pub(super) fn new(inner: T, activity: Arc<Activity>) -> Self {
         Self { inner, activity }
     }
 }
 
-impl<T: AsyncRead + Unpin> AsyncRead for Watched<T> {
+impl<T: AsyncRead + Unpin> AsyncRead for ActivityStream<T> {
     fn poll_read(
         mut self: pin::Pin<&mut Self>,
         context: &mut task::Context<'_>,
@@ -111,13 +111,13 @@
         let before = buffer.filled().len();
         let polled = pin::Pin::new(&mut self.inner).poll_read(context, buffer);
         if buffer.filled().len() > before {
-            self.activity.received();
+            self.activity.record_bytes();
         }
         polled
     }
 }
 
-impl<T: AsyncWrite + Unpin> AsyncWrite for Watched<T> {
+impl<T: AsyncWrite + Unpin> AsyncWrite for ActivityStream<T> {
     fn poll_write(
         mut self: pin::Pin<&mut Self>,
         context: &mut task::Context<'_>,
--- a/laburnumcart_gateway/src/lib.rs
+++ b/laburnumcart_gateway/src/lib.rs
@@ -1,7 +1,7 @@
 //! HTTP gateway: ingress by host and path, batched stages, model engines and plain services.
 //!
-//! The crate knows no names of a platform. What a header is called, how a call of a target looks
-//! and what the store holds is told by a [`dialect::Dialect`] and a [`dialect::Directory`].
+//! The crate is independent of the platform: header names, the form of calls to targets and the
+//! contents of the store are supplied by a [`dialect::Dialect`] and a [`dialect::Directory`].
 
 pub mod admission;
 pub mod balancer;
--- a/laburnumcart_gateway/src/metrics.rs
+++ b/laburnumcart_gateway/src/metrics.rs
@@ -1,4 +1,4 @@
-//! What a gateway counts.
+//! Metrics of the gateway.
 
 use std::sync::atomic;
 
@@ -20,65 +20,65 @@
     pool, //
 };
 
-/// Bounds of the latency histograms in seconds.
+/// Buckets of the latency histograms in seconds.
 const BUCKETS: [f64; 10] = [0.01, 0.03, 0.1, 0.2, 0.4, 0.8, 1.2, 2.0, 4.0, 8.0];
 
-/// Why a request was refused, and whether it may have run.
+/// Labels of a refused request.
 #[derive(Clone, Debug, EncodeLabelSet, Eq, Hash, PartialEq)]
 pub struct Refused {
-    /// Reason.
+    /// Reason of the refusal.
     pub reason: metrics::Label<verdict::Reason>,
-    /// Verdict.
+    /// Whether the request may have been executed.
     pub verdict: metrics::Label<verdict::Verdict>,
 }
 
-/// What is counted of targets that get less than others.
+/// Metrics of targets with restricted traffic.
 #[derive(Clone, Debug, Default)]
 pub struct TargetGauges {
-    /// Targets that have named a limit.
+    /// Targets that advertise a rate limit.
     pub limited: gauge::Gauge<i64>,
-    /// Sends to them.
+    /// Requests sent to such targets.
     pub limited_sends: counter::Counter<u64>,
-    /// Targets that are cold.
+    /// Targets within their warm-up time.
     pub cold: gauge::Gauge<i64>,
-    /// Targets that want nothing from this process for a while.
+    /// Targets in a backoff that they asked this process for.
     pub backing_off: gauge::Gauge<i64>,
-    /// Targets that are leaving.
+    /// Targets that are shutting down.
     pub leaving: gauge::Gauge<i64>,
-    /// Data centres that are evacuated.
+    /// Evacuated data centres.
     pub evacuated: gauge::Gauge<i64>,
 }
 
-/// Counters and histograms of one gateway; clones share them.
+/// Counters, gauges and histograms of a gateway; clones share them.
 #[derive(Clone, Debug)]
 pub struct Metrics {
-    /// Requests that came.
+    /// Received requests.
     pub requests: counter::Counter<u64>,
-    /// Requests that were answered by a target.
+    /// Requests answered by a target.
     pub answered: counter::Counter<u64>,
-    /// Requests that were refused or given up.
+    /// Requests refused or failed.
     pub refused: family::Family<Refused, counter::Counter<u64>>,
-    /// Streams that broke off.
+    /// Streams that ended before their last event.
     pub streams_broken: counter::Counter<u64>,
-    /// Streams that went on at another target.
+    /// Streams resumed at another target.
     pub streams_resumed: counter::Counter<u64>,
-    /// Sends to another target after a failure.
+    /// Retries at another target after a failure.
     pub resent: counter::Counter<u64>,
-    /// Arrivals at targets beyond the first of each request, by what was decided.
+    /// Repeated arrivals of requests at targets, granted or denied by a retry budget.
     pub repeats: family::Family<budgets::Labels, counter::Counter>,
-    /// Batches sent.
-    pub calls: counter::Counter<u64>,
-    /// Pieces in them.
+    /// Batch calls sent.
+    pub batch_calls: counter::Counter<u64>,
+    /// Pieces in batch calls.
     pub pieces: counter::Counter<u64>,
-    /// Jobs that were refused because they would have been late.
+    /// Jobs refused because they would have been late.
     pub refused_early: counter::Counter<u64>,
-    /// How late a timer of the process is in the mean, in seconds.
+    /// Mean lateness of a timer of the process in seconds.
     pub timer_lag: gauge::Gauge<f64, atomic::AtomicU64>,
-    /// Targets that get less than others.
+    /// Targets with restricted traffic.
     pub targets: TargetGauges,
-    /// Time until the stages were done.
+    /// Time until all stages of a request were complete.
     pub stages: histogram::Histogram,
-    /// Time until the first byte of an answer.
+    /// Time until the first byte of a response.
     pub first_byte: histogram::Histogram,
 }
 
@@ -92,7 +92,7 @@
             streams_resumed: counter::Counter::default(),
             resent: counter::Counter::default(),
             repeats: family::Family::default(),
-            calls: counter::Counter::default(),
+            batch_calls: counter::Counter::default(),
             pieces: counter::Counter::default(),
             refused_early: counter::Counter::default(),
             timer_lag: gauge::Gauge::default(),
@@ -107,7 +107,7 @@
     /// Registers everything under `laburnum_gateway`.
     pub fn register(&self, metrics: &metrics::Metrics, pool: &pool::Counters) {
         metrics.register("laburnum_gateway", |r| {
-            r.register("requests", "Requests that came", self.requests.clone());
+            r.register("requests", "Requests received", self.requests.clone());
             r.register(
                 "answered",
                 "Requests answered by a target",
@@ -115,30 +115,34 @@
             );
             r.register(
                 "refused",
-                "Requests refused or given up",
+                "Requests refused or failed",
                 self.refused.clone(),
             );
             r.register(
                 "streams_broken",
-                "Streams that broke off",
+                "Streams ended before their last event",
                 self.streams_broken.clone(),
             );
             r.register(
                 "streams_resumed",
-                "Streams resumed elsewhere",
+                "Streams resumed at another target",
                 self.streams_resumed.clone(),
             );
-            r.register("resent", "Sends after a failure", self.resent.clone());
+            r.register(
+                "resent",
+                "Retries at another target after a failure",
+                self.resent.clone(),
+            );
             r.register(
                 "repeats",
-                "Arrivals beyond the first of each request",
+                "Repeated arrivals of requests at targets",
                 self.repeats.clone(),
             );
-            r.register("calls", "Batches sent", self.calls.clone());
-            r.register("pieces", "Pieces in batches", self.pieces.clone());
+            r.register("calls", "Batch calls sent", self.batch_calls.clone());
+            r.register("pieces", "Pieces in batch calls", self.pieces.clone());
             r.register(
                 "jobs_refused",
-                "Jobs refused early",
+                "Jobs refused because they would have been late",
                 self.refused_early.clone(),
             );
             r.register(
@@ -148,48 +152,52 @@
             );
             r.register(
                 "targets_limited",
-                "Targets that have named a limit",
+                "Targets that advertise a rate limit",
                 self.targets.limited.clone(),
             );
             r.register(
                 "limited_sends",
-                "Sends to targets that have named a limit",
+                "Requests sent to targets that advertise a rate limit",
                 self.targets.limited_sends.clone(),
             );
             r.register(
                 "targets_cold",
-                "Targets that are cold",
+                "Targets within their warm-up time",
                 self.targets.cold.clone(),
             );
             r.register(
                 "targets_backing_off",
-                "Targets that want nothing for a while",
+                "Targets in a backoff that they asked for",
                 self.targets.backing_off.clone(),
             );
             r.register(
                 "targets_leaving",
-                "Targets that are leaving",
+                "Targets that are shutting down",
                 self.targets.leaving.clone(),
             );
             r.register(
                 "data_centres_evacuated",
-                "Data centres that get no work",
+                "Evacuated data centres",
                 self.targets.evacuated.clone(),
             );
-            r.register("stages_seconds", "Time of the stages", self.stages.clone());
+            r.register(
+                "stages_seconds",
+                "Time until all stages of a request were complete",
+                self.stages.clone(),
+            );
             r.register(
                 "first_byte_seconds",
-                "Time to the first byte",
+                "Time until the first byte of a response",
                 self.first_byte.clone(),
             );
             r.register(
                 "connections_opened",
-                "Connections to targets",
+                "Connections opened to targets",
                 pool.opened.clone(),
             );
             r.register(
                 "connections_reused",
-                "Exchanges on kept ones",
+                "Requests on reused connections",
                 pool.reused.clone(),
             );
         });
--- a/laburnumcart_gateway/src/outbound.rs
+++ b/laburnumcart_gateway/src/outbound.rs
@@ -1,7 +1,7 @@
-//! Sends to targets, and what the heads of their answers say.
+//! Client of the targets, which evaluates the heads of their responses.
 //!
-//! Requests, calls of stages and the freeing of results all go through here, so that what a target
-//! says of itself is read whatever it answers.
+//! All requests, batch calls and calls that free results are sent here, so that limits, backoffs
+//! and shutdowns of targets are noticed in any response.
 
 use std::{
     sync::Arc,
@@ -21,30 +21,31 @@
     view, //
 };
 
-/// Time for which a target is left alone at whose address another one answers.
+/// Backoff of a target at whose address another target answers.
 ///
-/// Refusing costs that one little, so that the address seems idle until its entry is removed.
-const MISDIRECTED: time::Duration = time::Duration::from_secs(1);
+/// The other target refuses requests quickly, so that the address would look idle until the entry
+/// is removed.
+const MISDIRECTED_BACKOFF: time::Duration = time::Duration::from_secs(1);
 
-/// An answer whose head has come.
+/// A response whose head has been received.
 pub struct Received {
-    /// Answer.
+    /// Response and its connection.
     pub response: pool::Response,
-    /// What its head says.
+    /// Parsed head of the response.
     pub head: dialect::ResponseHead,
 }
 
-/// Sends to targets.
+/// Client of the targets.
 pub struct Outbound {
-    /// Connections to targets.
+    /// Connection pool.
     pub pool: Arc<pool::Pool>,
-    /// What targets take.
+    /// Rate limits, backoffs and shutdowns of targets.
     pub quotas: Arc<quotas::Quotas>,
     dialect: Arc<dyn dialect::Dialect>,
 }
 
 impl Outbound {
-    /// Creates an outbound side without connections.
+    /// Creates a client without connections.
     pub fn new(dialect: Arc<dyn dialect::Dialect>, quotas: Arc<quotas::Quotas>) -> Arc<Self> {
         Arc::new(Self {
             pool: Arc::default(),
@@ -53,10 +54,10 @@
         })
     }
 
-    /// Sends a request and waits for the head of its answer; a target that echoes `label` answers
-    /// this request and no other.
+    /// Sends a request and waits for the head of the response.
     ///
-    /// Dropping the future closes the connection, so that the target stops its work.
+    /// A response that echoes `label` belongs to this request. Dropping the future closes the
+    /// connection, which cancels the request at the target.
     pub async fn send(
         &self,
         target: &view::Target,
@@ -67,30 +68,27 @@
         let sent = Instant::now();
         self.quotas.count(target);
         let is_open = || !self.quotas.is_closed(target);
-        let answer = self.pool.send_if(target, request, bounds, is_open).await?;
-        let reply = self.dialect.parse_response(&answer.head);
-        // Another target's answer, from an address that it has taken over, says nothing of this one but
-        // that it is not there.
-        if reply.misdirected {
-            self.quotas.back_off(target, MISDIRECTED);
+        let response = self.pool.send_if(target, request, bounds, is_open).await?;
+        let head = self.dialect.parse_response(&response.head);
+        // A response from another target, which took over the address, only shows that this one is
+        // no longer there.
+        if head.misdirected {
+            self.quotas.back_off(target, MISDIRECTED_BACKOFF);
         } else {
-            let echoed = |label| reply.attempt.as_deref().is_none_or(|echo| echo == label);
-            let word = quota::Word {
-                limit: reply.limit,
-                own: answer.head.status.is_success() && label.is_some_and(echoed),
+            let echoed = |label| head.attempt.as_deref().is_none_or(|echo| echo == label);
+            let observation = quota::Word {
+                limit: head.limit,
+                own: response.head.status.is_success() && label.is_some_and(echoed),
                 sent,
             };
-            self.quotas.note(target, word);
-            if reply.leaving {
+            self.quotas.note(target, observation);
+            if head.leaving {
                 self.quotas.leave(target);
             }
-            if let Some(wait) = reply.backoff {
+            if let Some(wait) = head.backoff {
                 self.quotas.back_off(target, wait);
             }
         }
-        Ok(Received {
-            response: answer,
-            head: reply,
-        })
+        Ok(Received { response, head })
     }
 }
--- a/laburnumcart_gateway/src/peers.rs
+++ b/laburnumcart_gateway/src/peers.rs
@@ -1,8 +1,8 @@
-//! Calls between the processes of the system: jobs of stages go to the owner of their queue.
+//! Calls between the processes of the system, which send jobs of stages to their queue owners.
 
 mod link;
 pub(crate) mod links;
-mod order;
+mod owner_ranking;
 
 use std::{
     sync::{
@@ -41,23 +41,23 @@
     links::Links, //
 };
 
-/// Pause before a job is offered again when no process could take it.
+/// Pause before a job that no process accepted is submitted again.
 const PAUSE: time::Duration = time::Duration::from_millis(50);
 
-/// Answer to a job.
+/// Answer to a submitted job.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Answer {
-    /// Results, in the order of the pieces.
+    /// The job is complete; handles are in the order of the pieces.
     Done(Vec<batch::Handle>),
     /// The job failed.
     Failed(batch::Failure),
-    /// The process does not know the service yet.
+    /// The process doesn't know the service yet.
     #[serde(rename = "elsewhere")]
     Unavailable,
-    /// Another process is to execute the rest; some pieces were sent.
+    /// Another process must execute the rest; some pieces were already sent to targets.
     Moved,
-    /// The process is leaving.
+    /// The process is shutting down.
     Leaving,
 }
 
@@ -71,36 +71,36 @@
     }
 }
 
-/// A job that no process has answered.
+/// Failure to get an answer to a job.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-enum Unanswered {
-    /// It was not sent.
-    Unsent,
-    /// It may have been executed in part.
+enum SubmitError {
+    /// The job was not sent.
+    NotSent,
+    /// The job was sent and may have been executed in part.
     Lost,
 }
 
-/// Results of a job, and the process that accounts for their room.
+/// Results of a job, and the process that accounts for the capacity that they use.
 #[derive(Clone, Debug)]
 pub struct JobResults {
-    /// Results, in the order of the pieces.
+    /// Handles of the results, in the order of the pieces.
     pub handles: Vec<batch::Handle>,
-    /// Owner of the queue that executed the job.
+    /// Queue owner that executed the job.
     pub owner: Arc<view::Member>,
 }
 
-/// What a process of the system offers to the others.
+/// Remote interface between the processes of the system.
 #[rpc(server, client)]
 pub trait Peer {
-    /// Executes a job and answers when it is done.
+    /// Executes a job and returns when it is complete.
     #[method(name = "submit")]
     async fn submit(&self, job: dispatcher::Job) -> RpcResult<Answer>;
 
-    /// Tells of a job that will come; the answer says when it would be done.
+    /// Announces a future job and returns an estimate of its completion time.
     #[method(name = "announce")]
     async fn announce(&self, notice: dispatcher::Notice) -> RpcResult<Option<forecast::Outlook>>;
 
-    /// Tells that an announced job will not come.
+    /// Withdraws the announcement of a job.
     #[method(name = "withdraw")]
     async fn withdraw(&self, service: id::ServiceName, job: u64) -> RpcResult<()>;
 
@@ -112,20 +112,20 @@
     #[method(name = "free")]
     async fn free(&self, service: id::ServiceName, handles: Vec<batch::Handle>) -> RpcResult<()>;
 
-    /// Tells that results have been read; they are freed if their room is wanted.
+    /// Reports that results have been read and may be freed when capacity is needed.
     #[method(name = "read")]
     async fn read(&self, service: id::ServiceName, handles: Vec<batch::Handle>) -> RpcResult<()>;
 
-    /// Heartbeat.
+    /// Answers a heartbeat.
     #[method(name = "beat")]
     async fn beat(&self) -> RpcResult<()>;
 }
 
-/// Serves other processes.
+/// Serves calls from peers.
 pub struct PeerService {
-    /// Queues of this process.
+    /// Queues that this process owns.
     pub dispatcher: Arc<dispatcher::Dispatcher>,
-    /// State of this process.
+    /// Control state of this process.
     pub view: Arc<view::View>,
 }
 
@@ -145,7 +145,7 @@
     }
 
     async fn announce(&self, notice: dispatcher::Notice) -> RpcResult<Option<forecast::Outlook>> {
-        // The job will go to another queue, of which this one tells nothing.
+        // The job will go to another owner's queue, which this process cannot estimate.
         if self.view.is_leaving() {
             return Ok(None);
         }
@@ -177,17 +177,17 @@
     }
 }
 
-/// The other processes as this one reaches them.
+/// Client of the other processes, which selects the owner of each queue.
 pub struct Peers {
     own: id::InstanceName,
     view: Arc<view::View>,
     dispatcher: Arc<dispatcher::Dispatcher>,
     links: Links,
-    orders: Mutex<order::Orders>,
+    rankings: Mutex<owner_ranking::OwnerRankings>,
 }
 
 impl Peers {
-    /// Creates the calls of the process `own`.
+    /// Creates the client of the process `own`.
     pub fn new(
         own: id::InstanceName,
         view: Arc<view::View>,
@@ -198,14 +198,14 @@
             own,
             view,
             dispatcher,
-            orders: Mutex::default(),
+            rankings: Mutex::default(),
         }
     }
 
-    /// Executes a job at the owner of its queue; dropping the future cancels it.
+    /// Executes a job at the owner of its queue; dropping the future cancels the job.
     ///
-    /// When the owner fails, the job goes to the next one. Its pieces may have been executed then,
-    /// which wastes them and nothing else.
+    /// If the owner fails, the job goes to the next one. Pieces may then be executed twice, which
+    /// only wastes the work.
     pub async fn submit(&self, job: dispatcher::Job) -> Result<JobResults, batch::Failure> {
         let start = Instant::now();
         let (due, deadline) = (start + job.due.0, start + job.deadline.0);
@@ -219,13 +219,13 @@
                     job.arrival = arrival;
                     job.due.0 = due.saturating_duration_since(now);
                     job.deadline.0 = deadline.saturating_duration_since(now);
-                    match self.offer(&owner, job).await {
+                    match self.submit_to(&owner, job).await {
                         Ok(Answer::Done(handles)) => return Ok(JobResults { handles, owner }),
                         Ok(Answer::Failed(failure)) => return Err(failure),
-                        Ok(Answer::Moved) | Err(Unanswered::Lost) => {
+                        Ok(Answer::Moved) | Err(SubmitError::Lost) => {
                             arrival = dispatcher::Arrival::Repeated;
                         }
-                        Ok(Answer::Unavailable | Answer::Leaving) | Err(Unanswered::Unsent) => {}
+                        Ok(Answer::Unavailable | Answer::Leaving) | Err(SubmitError::NotSent) => {}
                     }
                 }
             }
@@ -236,9 +236,9 @@
         }
     }
 
-    /// Tells the owner of a queue of a job that will come; returns when it would be done.
+    /// Announces a job to the queue owner and returns an estimate of its completion time.
     ///
-    /// Without an answer the job is not held up: an owner that is gone has no queue to be late in.
+    /// Without an answer the job isn't delayed: an unreachable owner's queue moves elsewhere.
     pub async fn announce(&self, notice: dispatcher::Notice) -> Option<forecast::Outlook> {
         let owner = self.owner(&notice.service)?;
         match owner.instance == self.own {
@@ -247,7 +247,7 @@
         }
     }
 
-    /// Tells the owner of a queue that an announced job will not come.
+    /// Withdraws an announced job from the queue owner.
     pub fn withdraw(&self, service: &id::ServiceName, job: u64) {
         let Some(owner) = self.owner(service) else {
             return;
@@ -262,11 +262,11 @@
         }
     }
 
-    /// Frees results through the process that accounts for their room.
+    /// Frees results through the process that accounts for the capacity that they use.
     ///
-    /// The first in the order of owners may be another one by now, or be leaving while the next one
-    /// makes the calls. Freed there, results would still count as room that is taken where calls
-    /// wait for it, until they expire: targets stood idle for three seconds of a rolling stop.
+    /// The first choice of owner may have changed since, or be shutting down while the next one
+    /// sends the batch calls. If it freed the results, they would still count as used where calls
+    /// wait for capacity, until they expire: targets stay idle for seconds in a rolling restart.
     pub fn free(
         &self,
         service: &id::ServiceName,
@@ -277,8 +277,8 @@
             self.dispatcher.free(service, handles);
             return;
         }
-        // With that one gone, its successor frees them for all: together, many processes would send
-        // a target in need more than it takes.
+        // If that process is gone, its successor frees them. If every process did so on its own,
+        // they would overload the target together.
         let mut others = self.owners(service, false).into_iter();
         let next = others.find(|m| m.instance != owner.instance);
         let next = next.filter(|m| m.instance != self.own);
@@ -294,9 +294,9 @@
         });
     }
 
-    /// Tells the owner of a service's queue that results have been read.
+    /// Reports to the queue owner of a service that results have been read.
     ///
-    /// Lost on the way, it only means that they are freed later.
+    /// If the report is lost, the results are only freed later.
     pub fn report_read(&self, service: &id::ServiceName, handles: Vec<batch::Handle>) {
         let Some(owner) = self.owner(service) else {
             return;
@@ -307,31 +307,31 @@
         }
         if let Some(link) = self.link(&owner) {
             let service = service.clone();
-            tokio::spawn(async move { link.read(&service, handles).await });
+            tokio::spawn(async move { link.report_read(&service, handles).await });
         }
     }
 
-    /// Returns the process that jobs of a service are sent to.
+    /// Returns the name of the process that jobs of a service are sent to.
     pub fn owner_name(&self, service: &id::ServiceName) -> Option<id::InstanceName> {
         self.owner(service).map(|owner| owner.instance.clone())
     }
 
-    /// Reports whether this process is the first choice of owner of a service's queue.
+    /// Returns whether this process is the preferred owner of a service's queue.
     pub fn is_first_owner(&self, service: &id::ServiceName) -> bool {
         let owner = self.owner(service);
         owner.is_none_or(|owner| owner.instance == self.own)
     }
 
-    async fn offer(
+    async fn submit_to(
         &self,
         owner: &view::Member,
         job: dispatcher::Job,
-    ) -> Result<Answer, Unanswered> {
+    ) -> Result<Answer, SubmitError> {
         if owner.instance != self.own {
-            let link = self.link(owner).ok_or(Unanswered::Unsent)?;
+            let link = self.link(owner).ok_or(SubmitError::NotSent)?;
             let answer = link.submit(job).await;
             if matches!(answer, Ok(Answer::Leaving)) {
-                link.leave();
+                link.mark_leaving();
             }
             return answer;
         }
@@ -341,32 +341,32 @@
         })
     }
 
-    /// Returns the process that owns a service's queue.
+    /// Returns the queue owner of a service.
     fn owner(&self, service: &id::ServiceName) -> Option<Arc<view::Member>> {
-        let order = self.order(service);
+        let order = self.ranking(service);
         order.iter().find(|m| self.is_up(m, false)).cloned()
     }
 
-    /// Lists the processes that may own a service's queue, the first choice first.
+    /// Lists the processes that may own a service's queue, the preferred one first.
     ///
-    /// With `last`, this process is among them also when it is leaving. In a rolling stop all
-    /// processes can be leaving at once, each for as long as its grace period; requests that they
-    /// have accepted would wait for an owner until the first of them is back.
+    /// With `last`, processes that are shutting down are included. In a rolling restart all
+    /// processes can be shutting down at once for up to their grace period. Requests that they
+    /// accepted would otherwise wait for an owner until the first process is back.
     fn owners(&self, service: &id::ServiceName, last: bool) -> Vec<Arc<view::Member>> {
-        let order = self.order(service);
+        let order = self.ranking(service);
         let up = order.iter().filter(|m| self.is_up(m, last));
         up.cloned().collect()
     }
 
-    fn order(&self, service: &id::ServiceName) -> order::Order {
-        view::lock(&self.orders).order(&self.view, service)
+    fn ranking(&self, service: &id::ServiceName) -> owner_ranking::OwnerRanking {
+        view::lock(&self.rankings).get(&self.view, service)
     }
 
     fn is_up(&self, member: &view::Member, last: bool) -> bool {
         if member.instance == self.own {
             return last || !self.view.is_leaving();
         }
-        self.links.is_up(member) && (last || !self.links.has_left(member))
+        self.links.is_up(member) && (last || !self.links.is_leaving(member))
     }
 
     fn link(&self, member: &view::Member) -> Option<Arc<Link>> {
--- a/laburnumcart_gateway/src/peers/link.rs
+++ b/laburnumcart_gateway/src/peers/link.rs
@@ -1,4 +1,4 @@
-//! The connection to one other process.
+//! Connection to one peer, with heartbeats and failure detection.
 
 use std::{
     sync::{
@@ -32,7 +32,7 @@
     peers::{
         Answer,
         PeerClient,
-        Unanswered, //
+        SubmitError, //
     },
     relay::{
         self,
@@ -41,234 +41,237 @@
     view, //
 };
 
-/// Longest time to open a connection.
-const CONNECT: unit::Period = unit::Period::from_millis(500);
+/// Timeout for opening a connection.
+const CONNECT_TIMEOUT: unit::Period = unit::Period::from_millis(500);
 
-/// Pause between heartbeats on a connection in use.
-const BEAT: time::Duration = time::Duration::from_millis(300);
+/// Pause between heartbeats.
+const HEARTBEAT_INTERVAL: time::Duration = time::Duration::from_millis(300);
 
-/// Longest wait for the answer to a heartbeat.
+/// Timeout for the answer to a heartbeat, and to other short calls.
 ///
-/// A connection that went silent holds up the jobs of requests whose objective is about a second.
-const SILENCE: time::Duration = time::Duration::from_millis(600);
+/// An unresponsive connection delays the jobs of requests whose objective is about a second.
+const ANSWER_TIMEOUT: time::Duration = time::Duration::from_millis(600);
 
-/// Longest wait for the answer to an announcement, which holds up the request.
-const NOTICE: time::Duration = time::Duration::from_millis(80);
+/// Timeout for the answer to an announcement, which delays the request.
+const ANNOUNCE_TIMEOUT: time::Duration = time::Duration::from_millis(80);
 
-/// Longest call; jobs are bounded by their own deadlines.
-const REQUEST: unit::Period = unit::Period::from_secs(60);
+/// Timeout of any call; jobs also have their own deadlines.
+const REQUEST_TIMEOUT: unit::Period = unit::Period::from_secs(60);
 
-/// First time that a process which failed is passed over; it doubles with each failure.
-const DOWN: time::Duration = time::Duration::from_millis(300);
+/// First backoff after a failure of a peer, which doubles with each further failure.
+const BACKOFF_MIN: time::Duration = time::Duration::from_millis(300);
 
-/// Longest time that it is passed over.
-const DOWN_MAX: time::Duration = time::Duration::from_secs(3);
+/// Longest backoff after a failure of a peer.
+const BACKOFF_MAX: time::Duration = time::Duration::from_secs(3);
 
-/// Whether a connection is kept alive by heartbeats.
+/// Whether heartbeats are sent on a connection.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(super) enum Beats {
-    /// Heartbeats are sent.
-    Sent,
-    /// Calls follow one another so soon that they tell as much.
-    Left,
+pub(super) enum Heartbeats {
+    /// Heartbeats check the connection.
+    Enabled,
+    /// Calls are frequent enough to check the connection.
+    Disabled,
 }
 
-/// An open connection, and whether it has failed.
+/// An open connection and a signal that it was closed.
 #[derive(Clone)]
-struct Open {
+struct OpenConnection {
     client: Arc<peer::Client>,
     broken: watch::Receiver<bool>,
 }
 
 #[derive(Default)]
 struct State {
-    down: Option<Instant>,
-    failed: u32,
-    /// When the process has answered anything last.
-    heard: Option<Instant>,
-    /// Closes the connection when it is dropped.
-    breaker: Option<watch::Sender<bool>>,
+    down_until: Option<Instant>,
+    failures: u32,
+    /// Time of the last answer of any kind.
+    last_answer: Option<Instant>,
+    /// Closes the connection when sent `true` or dropped.
+    closer: Option<watch::Sender<bool>>,
 }
 
-/// The connection to one life of another process.
+/// Connection to one incarnation of a peer, opened on use.
 pub(crate) struct Link {
     pub(super) member: view::Member,
-    beats: Beats,
+    heartbeats: Heartbeats,
     state: Arc<Mutex<State>>,
-    open: tokio::sync::Mutex<Option<Open>>,
-    left: atomic::AtomicBool,
+    connection: tokio::sync::Mutex<Option<OpenConnection>>,
+    leaving: atomic::AtomicBool,
 }
 
 impl Link {
-    pub(super) fn new(member: view::Member, beats: Beats) -> Self {
+    pub(super) fn new(member: view::Member, heartbeats: Heartbeats) -> Self {
         Self {
             member,
-            beats,
+            heartbeats,
             state: Arc::default(),
-            open: tokio::sync::Mutex::default(),
-            left: atomic::AtomicBool::new(false),
+            connection: tokio::sync::Mutex::default(),
+            leaving: atomic::AtomicBool::new(false),
         }
     }
 
     pub(super) fn is_up(&self, now: Instant) -> bool {
         view::lock(&self.state)
-            .down
+            .down_until
             .is_none_or(|until| until <= now)
     }
 
-    /// Records that the process is leaving, from which it does not come back in this life.
-    pub(super) fn leave(&self) {
-        self.left.store(true, atomic::Ordering::Relaxed);
+    /// Records that the peer is shutting down, which is final for this incarnation.
+    pub(super) fn mark_leaving(&self) {
+        self.leaving.store(true, atomic::Ordering::Relaxed);
     }
 
-    /// Reports whether the process is known to be leaving.
-    pub(super) fn has_left(&self) -> bool {
-        self.left.load(atomic::Ordering::Relaxed)
+    /// Returns whether the peer is known to be shutting down.
+    pub(super) fn is_leaving(&self) -> bool {
+        self.leaving.load(atomic::Ordering::Relaxed)
     }
 
-    /// Records that the process has answered.
-    fn hear(&self) {
-        view::lock(&self.state).heard = Some(Instant::now());
+    /// Records that the peer has answered.
+    fn record_answer(&self) {
+        view::lock(&self.state).last_answer = Some(Instant::now());
     }
 
-    /// Fails all calls on the connection.
-    pub(super) fn cut(&self, cause: &'static str) {
-        fail(&self.state, &self.member, cause);
+    /// Closes the connection, which fails all of its calls, and starts a backoff.
+    pub(super) fn close(&self, cause: &'static str) {
+        mark_down(&self.state, &self.member, cause);
     }
 
     /// Submits a job.
     pub(super) async fn submit(
         self: &Arc<Self>,
         job: dispatcher::Job,
-    ) -> Result<Answer, Unanswered> {
-        let mut open = self.client().await.ok_or(Unanswered::Unsent)?;
-        let mut canceller = Canceller {
+    ) -> Result<Answer, SubmitError> {
+        let mut open = self.connection().await.ok_or(SubmitError::NotSent)?;
+        let mut guard = CancelGuard {
             open: Some(open.clone()),
             service: job.service.clone(),
             job: job.id,
         };
         let answer = tokio::select! {
             answer = open.client.submit(job) => answer,
-            _ = open.broken.wait_for(|broken| *broken) => return Err(Unanswered::Lost),
+            _ = open.broken.wait_for(|broken| *broken) => return Err(SubmitError::Lost),
         };
-        canceller.open = None;
+        guard.open = None;
         match answer {
             Ok(answer) => {
-                self.hear();
+                self.record_answer();
                 Ok(answer)
             }
             Err(error) => {
-                // All calls on the connection fail together; it is one failure of the process.
+                // All calls on the connection fail together, which counts as one failure.
                 if !*open.broken.borrow() {
-                    self.report(&error);
+                    self.record_error(&error);
                 }
-                Err(Unanswered::Lost)
+                Err(SubmitError::Lost)
             }
         }
     }
 
-    /// Tells of a job that will come; returns when it would be done.
+    /// Announces a job and returns an estimate of its completion time.
     pub(super) async fn announce(
         self: &Arc<Self>,
         notice: dispatcher::Notice,
     ) -> Option<forecast::Outlook> {
         let call = async {
-            let open = self.client().await?;
+            let open = self.connection().await?;
             let outlook = open.client.announce(notice).await.ok()?;
-            self.hear();
+            self.record_answer();
             outlook
         };
-        tokio::time::timeout(NOTICE, call).await.ok().flatten()
+        tokio::time::timeout(ANNOUNCE_TIMEOUT, call)
+            .await
+            .ok()
+            .flatten()
     }
 
-    /// Tells that an announced job will not come.
+    /// Withdraws an announced job.
     pub(super) async fn withdraw(self: &Arc<Self>, service: id::ServiceName, job: u64) {
-        if let Some(open) = self.client().await {
-            // Without an answer it is forgotten when it is due.
-            let _ = tokio::time::timeout(SILENCE, open.client.withdraw(service, job)).await;
+        if let Some(open) = self.connection().await {
+            // A lost withdrawal has no effect beyond the time at which the job is due.
+            let _ = tokio::time::timeout(ANSWER_TIMEOUT, open.client.withdraw(service, job)).await;
         }
     }
 
-    /// Frees results; returns whether the process was told.
+    /// Frees results and returns whether the peer confirmed it.
     pub(super) async fn free(
         self: &Arc<Self>,
         service: &id::ServiceName,
         handles: &[batch::Handle],
     ) -> bool {
-        let Some(open) = self.client().await else {
+        let Some(open) = self.connection().await else {
             return false;
         };
         let call = open.client.free(service.clone(), handles.to_vec());
-        matches!(tokio::time::timeout(SILENCE, call).await, Ok(Ok(())))
+        matches!(tokio::time::timeout(ANSWER_TIMEOUT, call).await, Ok(Ok(())))
     }
 
-    /// Tells that results have been read.
-    pub(super) async fn read(
+    /// Reports that results have been read.
+    pub(super) async fn report_read(
         self: &Arc<Self>,
         service: &id::ServiceName,
         handles: Vec<batch::Handle>,
     ) {
-        if let Some(open) = self.client().await {
+        if let Some(open) = self.connection().await {
             let call = open.client.read(service.clone(), handles);
-            // Without an answer they are freed with their request.
-            let _ = tokio::time::timeout(SILENCE, call).await;
+            // If the report is lost, the results are freed together with their request.
+            let _ = tokio::time::timeout(ANSWER_TIMEOUT, call).await;
         }
     }
 
-    /// Asks what the process knows of the store; `None` when the connection failed.
+    /// Requests store data from the peer and returns `None` if the connection failed.
     ///
-    /// The answer is due when the wait ends. A connection that went silent is given up soon after, as
-    /// it hides changes.
+    /// The answer is due at the end of the request's wait. An unresponsive connection is closed
+    /// soon after, as it hides changes.
     pub(crate) async fn follow(
         self: &Arc<Self>,
-        ask: relay::FollowRequest,
+        request: relay::FollowRequest,
     ) -> Option<relay::FollowReply> {
-        let mut open = self.client().await?;
-        let limit = ask.wait.0 + SILENCE;
+        let mut open = self.connection().await?;
+        let limit = request.wait.0 + ANSWER_TIMEOUT;
         let call = async {
             tokio::select! {
-                answer = open.client.follow(ask) => Some(answer),
+                answer = open.client.follow(request) => Some(answer),
                 _ = open.broken.wait_for(|broken| *broken) => None,
             }
         };
         match tokio::time::timeout(limit, call).await {
             Ok(Some(Ok(answer))) => {
-                view::lock(&self.state).failed = 0;
+                view::lock(&self.state).failures = 0;
                 Some(answer)
             }
             Ok(Some(Err(error))) => {
-                self.report(&error);
+                self.record_error(&error);
                 None
             }
             Ok(None) => None,
             Err(_) => {
-                self.cut("silent");
+                self.close("silent");
                 None
             }
         }
     }
 
-    /// Tells what targets have said of themselves.
-    pub(crate) async fn tell(self: &Arc<Self>, signals: Vec<relay::signals::TargetSignal>) {
-        if let Some(open) = self.client().await {
-            // Without an answer others hear of them from their own requests' answers.
-            let _ = tokio::time::timeout(SILENCE, open.client.tell(signals)).await;
+    /// Sends target signals.
+    pub(crate) async fn send_signals(self: &Arc<Self>, signals: Vec<relay::signals::TargetSignal>) {
+        if let Some(open) = self.connection().await {
+            // If they are lost, peers get the signals from responses to their own requests.
+            let _ = tokio::time::timeout(ANSWER_TIMEOUT, open.client.tell(signals)).await;
         }
     }
 
-    fn report(&self, error: &client::Error) {
+    fn record_error(&self, error: &client::Error) {
         event!(
             Warn,
             "peer-failed",
             peer = self.member.instance,
             error = error
         );
-        self.cut("failed");
+        self.close("failed");
     }
 
-    /// Returns the connection, opened if there is none.
-    async fn client(self: &Arc<Self>) -> Option<Open> {
-        let mut slot = self.open.lock().await;
+    /// Returns the open connection, or opens one unless the peer is in a backoff.
+    async fn connection(self: &Arc<Self>) -> Option<OpenConnection> {
+        let mut slot = self.connection.lock().await;
         if let Some(open) = &*slot
             && !*open.broken.borrow()
             && open.client.is_connected()
@@ -279,10 +282,12 @@
             return None;
         }
         let secret: secret::Secret = self.member.secret.parse().ok()?;
-        let limits = peer::Limits::default().connect(CONNECT).request(REQUEST);
+        let limits = peer::Limits::default()
+            .connect(CONNECT_TIMEOUT)
+            .request(REQUEST_TIMEOUT);
         match peer::connect(self.member.peer, &secret, &limits).await {
             Ok(client) => {
-                let open = self.watch(client);
+                let open = self.start_connection(client);
                 *slot = Some(open.clone());
                 Some(open)
             }
@@ -293,95 +298,99 @@
                     peer = self.member.instance,
                     error = error
                 );
-                self.cut("unreached");
+                self.close("unreached");
                 None
             }
         }
     }
 
-    /// Starts the heartbeats of a new connection, if it has any.
-    fn watch(&self, client: peer::Client) -> Open {
+    /// Registers a new connection and starts its heartbeats, if enabled.
+    fn start_connection(&self, client: peer::Client) -> OpenConnection {
         let (sender, receiver) = watch::channel(false);
         let mut state = view::lock(&self.state);
-        state.breaker = Some(sender);
+        state.closer = Some(sender);
         drop(state);
-        let open = Open {
+        let open = OpenConnection {
             client: Arc::new(client),
             broken: receiver,
         };
         event!(Info, "peer-connected", peer = self.member.instance);
-        if self.beats == Beats::Sent {
-            tokio::spawn(beat(open.clone(), self.state.clone(), self.member.clone()));
+        if self.heartbeats == Heartbeats::Enabled {
+            tokio::spawn(send_heartbeats(
+                open.clone(),
+                self.state.clone(),
+                self.member.clone(),
+            ));
         }
         open
     }
 }
 
-/// Sends heartbeats until one is not answered in time, and nothing else is.
+/// Sends heartbeats until the peer answers neither a heartbeat nor any other call in time.
 ///
-/// A process under much load answers them late. Taken for gone, its queues would move to the next
-/// one with all their load, and from there on.
-async fn beat(mut open: Open, state: Arc<Mutex<State>>, member: view::Member) {
+/// A peer under high load answers heartbeats late. If that counted as a failure, its queues would
+/// move with all their load to the next process, overload that one, and so on.
+async fn send_heartbeats(mut open: OpenConnection, state: Arc<Mutex<State>>, member: view::Member) {
     loop {
         tokio::select! {
-            () = tokio::time::sleep(BEAT) => {}
+            () = tokio::time::sleep(HEARTBEAT_INTERVAL) => {}
             _ = open.broken.wait_for(|broken| *broken) => return,
         }
-        match tokio::time::timeout(SILENCE, open.client.beat()).await {
+        match tokio::time::timeout(ANSWER_TIMEOUT, open.client.beat()).await {
             Ok(Ok(())) => {
                 let mut state = view::lock(&state);
-                state.failed = 0;
-                state.heard = Some(Instant::now());
+                state.failures = 0;
+                state.last_answer = Some(Instant::now());
             }
-            Err(_) if is_heard(&state) => {}
+            Err(_) if has_answered(&state) => {}
             _ => {
-                fail(&state, &member, "silent");
+                mark_down(&state, &member, "silent");
                 return;
             }
         }
     }
 }
 
-/// Reports whether the process has answered anything within the time of a heartbeat.
-fn is_heard(state: &Mutex<State>) -> bool {
-    let heard = view::lock(state).heard;
-    heard.is_some_and(|at| at.elapsed() < SILENCE)
+/// Returns whether the peer has answered any call within the heartbeat timeout.
+fn has_answered(state: &Mutex<State>) -> bool {
+    let last_answer = view::lock(state).last_answer;
+    last_answer.is_some_and(|at| at.elapsed() < ANSWER_TIMEOUT)
 }
 
-/// Closes the connection and passes the process over for a while.
-fn fail(state: &Mutex<State>, member: &view::Member, cause: &'static str) {
+/// Closes the connection and starts a backoff.
+fn mark_down(state: &Mutex<State>, member: &view::Member, cause: &'static str) {
     let mut state = view::lock(state);
-    let down = (DOWN * (1 << state.failed.min(5))).min(DOWN_MAX);
-    state.failed += 1;
-    state.down = Some(Instant::now() + down);
-    if let Some(breaker) = state.breaker.take() {
-        // Without a receiver no call is waiting.
-        let _ = breaker.send(true);
+    let backoff = (BACKOFF_MIN * (1 << state.failures.min(5))).min(BACKOFF_MAX);
+    state.failures += 1;
+    state.down_until = Some(Instant::now() + backoff);
+    if let Some(closer) = state.closer.take() {
+        // It fails only without receivers, when no call is waiting.
+        let _ = closer.send(true);
     }
     event!(
         Info,
         "peer-down",
         peer = member.instance,
         cause = cause,
-        for_ms = down.as_millis()
+        for_ms = backoff.as_millis()
     );
 }
 
-/// Cancels a job whose caller has gone before its answer.
-struct Canceller {
-    open: Option<Open>,
+/// Cancels a job if it is dropped before the answer.
+struct CancelGuard {
+    open: Option<OpenConnection>,
     service: id::ServiceName,
     job: u64,
 }
 
-impl Drop for Canceller {
+impl Drop for CancelGuard {
     fn drop(&mut self) {
         let Some(open) = self.open.take() else {
             return;
         };
         let (service, job) = (self.service.clone(), self.job);
         tokio::spawn(async move {
-            // An error means that the connection has failed, and the job with it.
+            // After an error the connection is closed, which cancels the job as well.
             let _ = open.client.cancel(service, job).await;
         });
     }
--- a/laburnumcart_gateway/src/peers/links.rs
+++ b/laburnumcart_gateway/src/peers/links.rs
@@ -1,4 +1,4 @@
-//! Connections to the other processes, one to each life.
+//! Connections to all peers, one for each incarnation.
 
 use std::{
     collections,
@@ -17,66 +17,66 @@
 
 use crate::{
     peers::link::{
-        Beats,
+        Heartbeats,
         Link, //
     },
     view, //
 };
 
-/// Connections of this process to others, opened when they are used.
+/// Connections to peers, opened on use.
 pub(crate) struct Links {
     own: id::InstanceName,
     view: Arc<view::View>,
-    beats: Beats,
+    heartbeats: Heartbeats,
     links: Mutex<collections::HashMap<id::InstanceName, Arc<Link>>>,
 }
 
 impl Links {
-    /// Creates links whose connections are kept alive by heartbeats.
+    /// Creates links that check their connections by heartbeats.
     pub(crate) fn new(own: id::InstanceName, view: Arc<view::View>) -> Self {
         Self {
             own,
             view,
-            beats: Beats::Sent,
+            heartbeats: Heartbeats::Enabled,
             links: Mutex::default(),
         }
     }
 
-    /// Creates links whose calls are so frequent that their ends take the place of heartbeats.
-    pub(crate) fn silent(own: id::InstanceName, view: Arc<view::View>) -> Self {
+    /// Creates links whose calls are so frequent that they replace heartbeats.
+    pub(crate) fn without_heartbeats(own: id::InstanceName, view: Arc<view::View>) -> Self {
         Self {
-            beats: Beats::Left,
+            heartbeats: Heartbeats::Disabled,
             ..Self::new(own, view)
         }
     }
 
-    /// Reports whether a process is to be asked: it has not failed a moment ago.
+    /// Returns whether a peer can be called, which is not so in a backoff after a failure.
     pub(crate) fn is_up(&self, member: &view::Member) -> bool {
-        self.known(member)
+        self.find(member)
             .is_none_or(|link| link.is_up(Instant::now()))
     }
 
-    /// Reports whether a process is known to be leaving.
-    pub(super) fn has_left(&self, member: &view::Member) -> bool {
-        self.known(member).is_some_and(|link| link.has_left())
+    /// Returns whether a peer is known to be shutting down.
+    pub(super) fn is_leaving(&self, member: &view::Member) -> bool {
+        self.find(member).is_some_and(|link| link.is_leaving())
     }
 
-    /// Returns the link to a life of a process, if there is one.
+    /// Returns the existing link to an incarnation of a peer.
     ///
-    /// A link to an earlier life of the process says nothing of this one.
-    fn known(&self, member: &view::Member) -> Option<Arc<Link>> {
+    /// The state of a link to an earlier incarnation doesn't apply to this one.
+    fn find(&self, member: &view::Member) -> Option<Arc<Link>> {
         let links = view::lock(&self.links);
         let link = links.get(&member.instance);
         let link = link.filter(|l| l.member.incarnation == member.incarnation);
         link.cloned()
     }
 
-    /// Returns the connection to a process, unless its entry has changed since it was looked up.
+    /// Returns the link to a peer, or `None` if its entry has changed since it was looked up.
     ///
-    /// A job that has waited long knows the processes as they were when it was sent. If it replaced
-    /// the connection to a later life by one to an earlier, all jobs that wait at the later life
-    /// would fail and queue up again; in a rolling stop that went on for seconds. The entries in
-    /// force only go forward, so that a life which is not among them has ended.
+    /// A job that has waited long uses the members as of its submission. If it replaced the link to
+    /// a later incarnation by one to an earlier, all jobs that wait at the later one would fail and
+    /// queue again, for seconds in a rolling restart. Published members never go back to an earlier
+    /// incarnation, so that an incarnation which is not among them has ended.
     pub(crate) fn link(&self, member: &view::Member) -> Option<Arc<Link>> {
         let mut links = view::lock(&self.links);
         if member.instance == self.own || !self.view.members.load().contains(member) {
@@ -86,7 +86,7 @@
         if let Some(link) = known.filter(|l| l.member == *member) {
             return Some(link.clone());
         }
-        let link = Arc::new(Link::new(member.clone(), self.beats));
+        let link = Arc::new(Link::new(member.clone(), self.heartbeats));
         event!(
             Info,
             "peer-known",
@@ -94,7 +94,7 @@
             incarnation = member.incarnation
         );
         if let Some(old) = links.insert(member.instance.clone(), link.clone()) {
-            old.cut("replaced");
+            old.close("replaced");
         }
         Some(link)
     }
--- a/laburnumcart_gateway/src/pool.rs
+++ b/laburnumcart_gateway/src/pool.rs
@@ -1,7 +1,7 @@
-//! Connections to targets.
+//! Connection pool for targets.
 //!
-//! A connection serves one exchange at a time and is used again only after a whole, well framed
-//! answer. Everything else ends it: what a target sends later must not reach another request.
+//! A connection serves one request at a time and is reused only after a complete, well framed
+//! response. Otherwise it is closed, so that late bytes can't reach another request.
 
 mod connection;
 
@@ -43,54 +43,56 @@
 
 use self::connection::Connection;
 
-/// Longest time that an idle connection is kept when the target names none.
-const IDLE: time::Duration = time::Duration::from_secs(4);
+/// Time for which an idle connection is kept if the target doesn't state its idle timeout.
+const IDLE_DEFAULT: time::Duration = time::Duration::from_secs(4);
 
-/// Part of the target's own idle time for which a connection is kept.
+/// Fraction of the target's idle timeout for which a connection is kept.
 ///
-/// A request that meets the target's close is lost, and one that is not idempotent with it.
-const IDLE_SHARE: f64 = 0.7;
+/// A request sent while the target closes the connection is lost, and can't be retried unless it is
+/// idempotent.
+const IDLE_FRACTION: f64 = 0.7;
 
-/// Longest idle time before a request that must not run twice.
+/// Maximum idle time of a connection that is reused for a request that must not run twice.
 ///
-/// Some targets drop idle connections without notice and sooner than they say. What is sent next
-/// is reset, which proves nothing, so such a request takes a connection that was just in use.
+/// Some targets drop idle connections silently, before their stated timeout. The next request is
+/// then reset, and whether it was executed is unknown. Hence the request uses a connection that was
+/// in use just before.
 pub const FRESH_IDLE_MAX: time::Duration = time::Duration::from_millis(1500);
 
-/// Longest time in which a connection that has just ended an exchange becomes ready again.
-const SETTLE: time::Duration = time::Duration::from_millis(5);
+/// Timeout for a connection to become ready after its last response.
+const READY_TIMEOUT: time::Duration = time::Duration::from_millis(5);
 
-/// Tries of connections that turn out to be closed before anything is sent.
-const TRIES: usize = 4;
+/// Number of connections to try when each turns out to be closed before anything is sent.
+const ATTEMPTS_MAX: usize = 4;
 
-/// Largest answer that is read as a whole.
-const ANSWER_MAX: usize = 8 << 20;
+/// Maximum size in bytes of a response body that is read as a whole.
+const BODY_MAX: usize = 8 << 20;
 
-/// An exchange that failed.
+/// Failure of a request to a target.
 #[derive(Clone, Copy, Debug, Display, Eq, Error, PartialEq)]
 pub enum Failure {
     /// No connection could be opened.
     #[display("not connected")]
     Unreached,
-    /// All connections that this process may have are in use.
-    #[display("no connection left")]
+    /// All connections that this process may open to the target are in use.
+    #[display("connection limit reached")]
     Exhausted,
-    /// The target has said meanwhile that it takes nothing.
-    #[display("target takes nothing")]
+    /// The target asked for no requests while the connection was opened.
+    #[display("target accepts no requests")]
     Closed,
     /// The connection failed after the request may have been sent.
     #[display("connection failed")]
     Broken,
-    /// The answer is not whole or breaks the protocol.
-    #[display("broken answer")]
+    /// The response is incomplete or violates the protocol.
+    #[display("malformed response")]
     Malformed,
-    /// No answer came in time.
-    #[display("no answer in time")]
+    /// No response arrived in time.
+    #[display("response timed out")]
     Timeout,
 }
 
 impl Failure {
-    /// Tells whether the target may have run the request.
+    /// Returns whether the target may have executed the request.
     pub fn verdict(self) -> verdict::Verdict {
         match self {
             Self::Unreached | Self::Exhausted | Self::Closed => verdict::Verdict::NotRun,
@@ -98,7 +100,7 @@
         }
     }
 
-    /// Returns the reason for the caller.
+    /// Returns the reason that is reported to the caller.
     pub fn reason(self) -> verdict::Reason {
         match self {
             Self::Unreached => verdict::Reason::NoTarget,
@@ -110,62 +112,62 @@
     }
 }
 
-/// Bounds of one exchange.
+/// Connection limits of one request.
 #[derive(Clone, Copy, Debug)]
 pub struct Bounds {
-    /// Most connections of this process to the target.
+    /// Maximum number of connections from this process to the target.
     pub max_connections: usize,
-    /// Longest idle time of a connection that is used again.
+    /// Maximum idle time of a connection that is reused.
     pub max_idle: time::Duration,
 }
 
-/// Head of an answer, and the connection on which its body follows.
+/// Head of a response and the connection that delivers its body.
 #[derive(Debug)]
 pub struct Response {
-    /// Head.
+    /// Status and headers.
     pub head: response::Parts,
     /// Body.
     pub body: Incoming,
-    /// Connection; dropped before the body's end, it is closed, which cancels the request.
+    /// Connection; dropping it before the end of the body cancels the request.
     pub lease: Lease,
 }
 
-/// A connection in use; closed when dropped, unless it is given back.
+/// A connection in use, which is closed when dropped unless it was released.
 #[derive(Debug)]
 pub struct Lease {
     pool: Arc<Pool>,
     connection: Option<Connection>,
-    /// Whether the connection is not used again.
-    last: bool,
+    /// Whether to close the connection even when it is released.
+    close_after: bool,
 }
 
-/// Counters of the pool.
+/// Counters of connections.
 #[derive(Clone, Debug, Default)]
 pub struct Counters {
-    /// Connections opened.
+    /// Opened connections.
     pub opened: counter::Counter<u64>,
-    /// Exchanges on a connection that had been used before.
+    /// Requests on a reused connection.
     pub reused: counter::Counter<u64>,
 }
 
 #[derive(Debug, Default)]
-struct Shelf {
+struct TargetConnections {
     idle: Vec<Connection>,
     open: Arc<()>,
 }
 
-/// Idle connections by target.
+/// Connections to all targets.
 #[derive(Debug, Default)]
 pub struct Pool {
-    shelves: Mutex<collections::HashMap<id::TargetLife, Shelf>>,
-    /// What was counted.
+    targets: Mutex<collections::HashMap<id::TargetLife, TargetConnections>>,
+    /// Counters of all targets.
     pub counters: Counters,
 }
 
 impl Pool {
-    /// Sends a request and waits for the head of its answer.
+    /// Sends a request and waits for the head of the response.
     ///
-    /// Dropping the future closes the connection, so that the target stops its work.
+    /// Dropping the future closes the connection, which cancels the request at the target.
     pub async fn send(
         self: &Arc<Self>,
         target: &view::Target,
@@ -175,10 +177,10 @@
         self.send_if(target, request, bounds, || true).await
     }
 
-    /// Does the same if `is_open` says so once there is a connection.
+    /// Sends a request like [`Pool::send`], unless `is_open` is false once there is a connection.
     ///
-    /// To open one takes long at a target in need, which may have told another request meanwhile to
-    /// stay away.
+    /// An overloaded target takes long to accept a connection, and may have asked for a backoff in
+    /// its response to another request meanwhile.
     pub async fn send_if(
         self: &Arc<Self>,
         target: &view::Target,
@@ -187,8 +189,8 @@
         is_open: impl Fn() -> bool,
     ) -> Result<Response, Failure> {
         let mut request = request.map(Full::new);
-        for _ in 0..TRIES {
-            let mut lease = self.lease(target, bounds).await?;
+        for _ in 0..ATTEMPTS_MAX {
+            let mut lease = self.acquire(target, bounds).await?;
             if !is_open() {
                 lease.release(None);
                 return Err(Failure::Closed);
@@ -199,7 +201,7 @@
                     let (head, body) = response.into_parts();
                     return Ok(Response { head, body, lease });
                 }
-                // The library hands a request back only when none of it was written.
+                // hyper returns the request only if no part of it was written.
                 Err(mut error) => match error.take_message() {
                     Some(unsent) => request = unsent,
                     None if error.error().is_parse() => return Err(Failure::Malformed),
@@ -210,100 +212,102 @@
         Err(Failure::Unreached)
     }
 
-    /// Closes idle connections whose time is over, and forgets targets without any connection.
+    /// Closes expired idle connections and removes targets without any connection.
     pub fn sweep(&self, now: Instant) {
-        view::lock(&self.shelves).retain(|_, shelf| {
-            shelf
+        view::lock(&self.targets).retain(|_, connections| {
+            connections
                 .idle
-                .retain(|c| c.until > now && !c.sender.is_closed());
-            Arc::strong_count(&shelf.open) > 1
+                .retain(|c| c.idle_until > now && !c.sender.is_closed());
+            Arc::strong_count(&connections.open) > 1
         });
     }
 
-    async fn lease(
+    async fn acquire(
         self: &Arc<Self>,
         target: &view::Target,
         bounds: &Bounds,
     ) -> Result<Lease, Failure> {
-        while let Some(mut connection) = self.idle(target, bounds.max_idle) {
-            let ready = tokio::time::timeout(SETTLE, connection.sender.ready()).await;
+        while let Some(mut connection) = self.take_idle(target, bounds.max_idle) {
+            let ready = tokio::time::timeout(READY_TIMEOUT, connection.sender.ready()).await;
             if matches!(ready, Ok(Ok(()))) {
                 self.counters.reused.inc();
-                return Ok(self.hold(connection));
+                return Ok(self.new_lease(connection));
             }
         }
-        let open = self.open(target, bounds.max_connections)?;
+        let open = self.reserve(target, bounds.max_connections)?;
         let connection = connection::open(target, open).await?;
         self.counters.opened.inc();
-        Ok(self.hold(connection))
+        Ok(self.new_lease(connection))
     }
 
-    fn hold(self: &Arc<Self>, connection: Connection) -> Lease {
+    fn new_lease(self: &Arc<Self>, connection: Connection) -> Lease {
         Lease {
             pool: self.clone(),
             connection: Some(connection),
-            last: false,
+            close_after: false,
         }
     }
 
-    /// Takes the idle connection that was used last.
-    fn idle(&self, target: &view::Target, most: time::Duration) -> Option<Connection> {
-        let mut shelves = view::lock(&self.shelves);
-        let shelf = shelves.get_mut(&target.key())?;
+    /// Takes the most recently used idle connection.
+    fn take_idle(&self, target: &view::Target, max_idle: time::Duration) -> Option<Connection> {
+        let mut targets = view::lock(&self.targets);
+        let connections = targets.get_mut(&target.key())?;
         let now = Instant::now();
-        shelf
+        connections
             .idle
-            .retain(|c| c.until > now && !c.sender.is_closed());
-        let last = shelf.idle.last()?;
-        if now.duration_since(last.used) > most {
+            .retain(|c| c.idle_until > now && !c.sender.is_closed());
+        let last = connections.idle.last()?;
+        if now.duration_since(last.last_used) > max_idle {
             return None;
         }
-        shelf.idle.pop()
+        connections.idle.pop()
     }
 
-    /// Counts one more connection to a target, which resets those beyond its bound.
-    fn open(&self, target: &view::Target, most: usize) -> Result<Arc<()>, Failure> {
-        let mut shelves = view::lock(&self.shelves);
-        let shelf = shelves.entry(target.key()).or_default();
-        if Arc::strong_count(&shelf.open) > most.max(1) && !shelf.idle.is_empty() {
-            shelf.idle.remove(0);
+    /// Counts one more connection, up to `limit`; the target may reset any beyond it.
+    fn reserve(&self, target: &view::Target, limit: usize) -> Result<Arc<()>, Failure> {
+        let mut targets = view::lock(&self.targets);
+        let connections = targets.entry(target.key()).or_default();
+        if Arc::strong_count(&connections.open) > limit.max(1) && !connections.idle.is_empty() {
+            connections.idle.remove(0);
         }
-        match Arc::strong_count(&shelf.open) > most.max(1) {
+        match Arc::strong_count(&connections.open) > limit.max(1) {
             true => Err(Failure::Exhausted),
-            false => Ok(shelf.open.clone()),
+            false => Ok(connections.open.clone()),
         }
     }
 }
 
 impl Lease {
-    /// Gives the connection back after a whole answer; `idle` is the target's own idle time.
-    pub fn release(mut self, idle: Option<time::Duration>) {
-        let Some(mut connection) = self.connection.take().filter(|_| !self.last) else {
+    /// Returns the connection to the pool after a complete response.
+    ///
+    /// `idle_timeout` is the one that the target stated.
+    pub fn release(mut self, idle_timeout: Option<time::Duration>) {
+        let Some(mut connection) = self.connection.take().filter(|_| !self.close_after) else {
             return;
         };
         let now = Instant::now();
-        let kept = idle.map_or(IDLE, |idle| idle.mul_f64(IDLE_SHARE));
-        connection.used = now;
-        connection.until = now + kept;
-        let mut shelves = view::lock(&self.pool.shelves);
-        if let Some(shelf) = shelves.get_mut(&connection.target) {
-            shelf.idle.push(connection);
+        let kept = idle_timeout.map_or(IDLE_DEFAULT, |timeout| timeout.mul_f64(IDLE_FRACTION));
+        connection.last_used = now;
+        connection.idle_until = now + kept;
+        let mut targets = view::lock(&self.pool.targets);
+        if let Some(connections) = targets.get_mut(&connection.target) {
+            connections.idle.push(connection);
         }
     }
 }
 
 impl Response {
-    /// Sees to it that the connection is closed after this answer.
+    /// Makes the connection close after this response.
     #[must_use]
     pub fn close_after(mut self) -> Self {
-        self.lease.last = true;
+        self.lease.close_after = true;
         self
     }
 
-    /// Reads the whole body and gives the connection back.
+    /// Reads the whole body and returns the connection to the pool.
     pub async fn read_all(
         mut self,
-        idle: Option<time::Duration>,
+        idle_timeout: Option<time::Duration>,
     ) -> Result<(response::Parts, Bytes), Failure> {
         let mut bytes = BytesMut::new();
         while let Some(frame) = self.body.frame().await {
@@ -311,11 +315,11 @@
             if let Ok(data) = frame.into_data() {
                 bytes.extend_from_slice(&data);
             }
-            if bytes.len() > ANSWER_MAX {
+            if bytes.len() > BODY_MAX {
                 return Err(Failure::Malformed);
             }
         }
-        self.lease.release(idle);
+        self.lease.release(idle_timeout);
         Ok((self.head, bytes.freeze()))
     }
 }
--- a/laburnumcart_gateway/src/pool/connection.rs
+++ b/laburnumcart_gateway/src/pool/connection.rs
@@ -1,4 +1,4 @@
-//! One connection to a target.
+//! HTTP/1 connection to a target.
 
 use std::{
     sync::Arc,
@@ -22,57 +22,57 @@
     view, //
 };
 
-/// Longest time to open a connection; within a region that takes a few milliseconds.
-const CONNECT: time::Duration = time::Duration::from_millis(600);
+/// Timeout for opening a connection, which takes a few milliseconds within a region.
+const CONNECT_TIMEOUT: time::Duration = time::Duration::from_millis(600);
 
-/// Time after which unacknowledged bytes end a connection.
+/// Time for which sent bytes may stay unacknowledged before the connection is closed.
 ///
-/// A target that lost power or was cut off does not answer, and without a bound the connection
-/// would hang. Several retransmissions fit in, so that lost packets alone do not end it.
-const UNACKED: time::Duration = time::Duration::from_millis(2500);
+/// Without a limit, a connection to a target that lost power or network would hang. Several
+/// retransmissions fit in, so that single lost packets don't close the connection.
+const UNACKED_TIMEOUT: time::Duration = time::Duration::from_millis(2500);
 
-/// Silence after which a connection is probed, and the pause between probes.
-const PROBE: time::Duration = time::Duration::from_secs(1);
+/// Idle time before the first keepalive probe, and the pause between probes.
+const KEEPALIVE_INTERVAL: time::Duration = time::Duration::from_secs(1);
 
-/// Probes without an answer that end a connection.
-const PROBES: u32 = 2;
+/// Number of unanswered keepalive probes after which the connection is closed.
+const KEEPALIVE_PROBES: u32 = 2;
 
 /// A connection and the task that drives it.
 #[derive(Debug)]
 pub(super) struct Connection {
     pub(super) target: id::TargetLife,
     pub(super) sender: http1::SendRequest<Full<Bytes>>,
-    /// End of the last exchange.
-    pub(super) used: Instant,
-    /// Moment after which it is not used again.
-    pub(super) until: Instant,
+    /// End of the last response.
+    pub(super) last_used: Instant,
+    /// Time after which the connection is not reused.
+    pub(super) idle_until: Instant,
     task: task::AbortHandle,
-    /// Counts it as open.
+    /// Counts the connection as open.
     _open: Arc<()>,
 }
 
 impl Drop for Connection {
-    /// Closes the socket at once; a connection that only lost its owner would be driven on until
-    /// the target's answer has ended.
+    /// Closes the socket immediately. Otherwise the task would run on until the end of the target's
+    /// response.
     fn drop(&mut self) {
         self.task.abort();
     }
 }
 
-/// Opens a connection.
+/// Opens a connection, counted by `open`.
 pub(super) async fn open(target: &view::Target, open: Arc<()>) -> Result<Connection, Failure> {
     let connecting = net::TcpStream::connect(target.addr);
-    let connected = tokio::time::timeout(CONNECT, connecting).await;
+    let connected = tokio::time::timeout(CONNECT_TIMEOUT, connecting).await;
     let stream = connected
         .ok()
         .and_then(Result::ok)
         .ok_or(Failure::Unreached)?;
-    if let Err(error) = tune(&stream) {
+    if let Err(error) = set_socket_options(&stream) {
         laburnumcart::event!(Warn, "socket-option", target = target.addr, error = error);
     }
     let handshake = http1::handshake(rt::TokioIo::new(stream)).await;
     let (sender, connection) = handshake.map_err(|_| Failure::Unreached)?;
-    // Its error is told to the exchange that it ends.
+    // An error is reported to the request on the connection as well.
     let task = tokio::spawn(async move {
         let _ = connection.await;
     });
@@ -80,21 +80,21 @@
     Ok(Connection {
         target: target.key(),
         sender,
-        used: now,
-        until: now,
+        last_used: now,
+        idle_until: now,
         task: task.abort_handle(),
         _open: open,
     })
 }
 
-/// Sets what tells a silent connection from a slow one.
-pub(crate) fn tune(stream: &net::TcpStream) -> std::io::Result<()> {
+/// Sets the socket options that detect a dead connection.
+pub(crate) fn set_socket_options(stream: &net::TcpStream) -> std::io::Result<()> {
     stream.set_nodelay(true)?;
     let socket = socket2::SockRef::from(stream);
-    socket.set_tcp_user_timeout(Some(UNACKED))?;
+    socket.set_tcp_user_timeout(Some(UNACKED_TIMEOUT))?;
     let keepalive = socket2::TcpKeepalive::new()
-        .with_time(PROBE)
-        .with_interval(PROBE)
-        .with_retries(PROBES);
+        .with_time(KEEPALIVE_INTERVAL)
+        .with_interval(KEEPALIVE_INTERVAL)
+        .with_retries(KEEPALIVE_PROBES);
     socket.set_tcp_keepalive(&keepalive)
 }
--- a/laburnumcart_gateway/src/relay.rs
+++ b/laburnumcart_gateway/src/relay.rs
@@ -1,15 +1,16 @@
-//! One view of the store for all processes: a few read it, the others ask them.
+//! Distribution of store data: a few readers watch the store, the other processes ask them.
 //!
-//! Each process follows several topics of the store. Followed by each for itself, that took two calls
-//! a second of every process, nearly all of which told nothing. Now the readers
-//! ([`laburnumcart::readers`]) make these calls, and [`source::Source`] puts an exchange with a
-//! reader in the place of the others'. What is passed on is the store's own text with its versions,
-//! read as strictly as what the store says, and the age of the knowledge.
+//! Each process follows several topics of the store. If each watched them itself, that would cost
+//! two calls a second per process, most without news. Instead the readers
+//! ([`laburnumcart::readers`]) make these calls, and in the other processes
+//! [`relayed_store::RelayedStore`] replaces them by a request to a reader. Readers pass on the
+//! store's values and versions unchanged, so that they are validated like data from the store
+//! itself, together with the age of the data.
 //!
-//! Ages are lengths of time on a clock that counts suspensions, never times of day. An age counts
-//! from before a read was sent and goes on while an answer waits anywhere, so that a pause, a slow
-//! link or a chain of processes makes knowledge older and never younger. Nobody has to be right
-//! about who reads: an answer is as good as its age.
+//! An age is a duration on a clock that counts suspended time, not a time of day. It starts before
+//! the read was sent and includes every delay of an answer, so that a pause, a slow link or a chain
+//! of processes makes data older, never younger. Processes need not agree on who the readers are,
+//! as an answer is judged by its age alone.
 
 pub mod cache;
 pub mod relayed_store;
@@ -30,23 +31,23 @@
 
 use crate::dialect;
 
-/// What processes follow in the store.
+/// Part of the store that processes follow.
 #[derive(Clone, Copy, Debug, Display, Eq, Hash, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 #[display(rename_all = "kebab-case")]
 pub enum Topic {
-    /// The configuration.
+    /// Configuration.
     Table,
-    /// The targets.
+    /// Targets.
     Targets,
-    /// The processes of the system.
+    /// Processes of the system.
     Members,
-    /// The data centres whose targets get no work.
+    /// Evacuated data centres, whose targets get no work.
     Evacuations,
 }
 
 impl Topic {
-    /// Returns the prefix under which the store keeps it.
+    /// Returns the key prefix of the topic in the store.
     pub fn prefix(self, directory: &dyn dialect::Directory) -> &'static str {
         match self {
             Self::Table => directory.table_key(),
@@ -57,63 +58,63 @@
     }
 }
 
-/// A question about a topic.
+/// Request for the changes of a topic, or for all of its objects.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct FollowRequest {
-    /// Topic.
+    /// Requested topic.
     pub topic: Topic,
-    /// Revision that the asking process has; without one it wants all objects.
+    /// Revision that the caller has; `None` requests all objects.
     pub after: Option<store::Revision>,
-    /// Longest wait for a change.
+    /// Maximum time to wait for a change.
     pub wait: unit::Period,
-    /// Greatest age that it takes.
+    /// Maximum age of the data.
     #[serde(rename = "limit")]
     pub max_age: unit::Period,
-    /// Whether to wait for younger knowledge where it is older than that.
+    /// Whether to wait for fresh data if the data is older than that.
     #[serde(rename = "hold")]
     pub wait_fresh: bool,
-    /// Whether an answer may be of any size.
+    /// Whether the answer may be of any size.
     #[serde(rename = "large")]
     pub allow_large: bool,
-    /// Version of the signals of targets that the asking process has; without one it wants none.
+    /// Version of the target signals that the caller has; `None` requests no signals.
     pub signals: Option<u64>,
 }
 
-/// Answer to a question.
+/// Answer to a [`FollowRequest`].
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Answer {
-    /// All objects.
+    /// All objects of the topic.
     Listing(store::Listing),
-    /// What has changed, nothing if the wait ended first.
+    /// Changes, empty if the wait ended first.
     Changes(store::Changes),
-    /// The revision is older than all that is remembered.
+    /// The requested revision was compacted.
     Compacted,
-    /// What is known is older than the limit.
+    /// The data is older than `max_age`.
     #[serde(rename = "behind")]
     Stale,
-    /// The answer is large; the store has the better connection for it.
+    /// The answer is large and should be read from the store, which has more bandwidth.
     #[serde(rename = "large")]
     TooLarge,
 }
 
-/// Answer to a question, with the signals of targets if there is more than the asking process has.
+/// Answer to a [`FollowRequest`], with target signals that the caller doesn't have yet.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct FollowReply {
-    /// Answer.
+    /// Store data.
     pub answer: Answer,
-    /// What targets have said of themselves.
+    /// New target signals, if any.
     pub signals: Option<signals::SignalUpdate>,
 }
 
-/// What a process tells others of the store, and what it is told of targets.
+/// Calls between processes that share store data and target signals.
 #[rpc(server, client)]
 pub trait Relay {
-    /// Answers a question.
+    /// Returns the changes of a topic, once there are any or the wait ends.
     #[method(name = "follow")]
-    async fn follow(&self, ask: FollowRequest) -> RpcResult<FollowReply>;
+    async fn follow(&self, request: FollowRequest) -> RpcResult<FollowReply>;
 
-    /// Takes in what targets have said of themselves.
+    /// Merges target signals that the caller received.
     #[method(name = "tell")]
     async fn tell(&self, signals: Vec<signals::TargetSignal>) -> RpcResult<()>;
 }
--- a/laburnumcart_gateway/src/relay/cache.rs
+++ b/laburnumcart_gateway/src/relay/cache.rs
@@ -1,4 +1,4 @@
-//! What this process knows of the store, for others that ask.
+//! Cache of store data that this process serves to its peers.
 
 use std::{
     sync::Arc,
@@ -36,63 +36,65 @@
     },
 };
 
-/// Longest wait that a question may ask for, so that a stranger's does not stay for ever.
+/// Upper limit on the wait of a request, whatever the caller asks for.
 const WAIT_MAX: time::Duration = time::Duration::from_secs(30);
 
-/// Most bytes of values in an answer, unless any size is asked for.
+/// Maximum size of the values in an answer, unless the request allows any size.
 ///
-/// A change goes to all that ask in one moment: 16 KiB to 40 processes take half a second on a link
-/// of 10 Mbit/s, after which they would hold their reader to be gone.
-const SMALL: usize = 16 << 10;
+/// A change is sent to all waiting processes at once. 16 KiB to 40 processes take half a second on
+/// a link of 10 Mbit/s; any longer, and they would time out and mark this reader as down.
+const ANSWER_BYTES_MAX: usize = 16 << 10;
 
-/// Age after which a read is news to those that wait for younger knowledge.
-const REGAINED: time::Duration = time::Duration::from_millis(1600);
+/// Time without a read after which the next one wakes requests that wait for fresh data.
+const READ_GAP_MIN: time::Duration = time::Duration::from_millis(1600);
 
-/// A topic as last read.
+/// A topic as of the last read.
 #[derive(Clone, Debug, Default)]
 pub struct CachedTopic {
     replica: replica::Replica,
-    /// The moment for which it holds; `None` before the first read.
-    read: Option<freshness::Moment>,
+    /// Start of the last read; `None` before the first one.
+    read_at: Option<freshness::Moment>,
 }
 
 impl CachedTopic {
-    /// Takes in a read that holds for `read`; returns whether others have to know at once.
+    /// Merges a snapshot as of `read` and returns whether waiting requests should be woken.
     pub fn update(
         &mut self,
         snapshot: &follow::Snapshot,
         read: freshness::Moment,
         now: freshness::Moment,
     ) -> bool {
-        let regained = self.read.is_none_or(|last| now.since(last) > REGAINED);
+        let is_restored = self
+            .read_at
+            .is_none_or(|last| now.since(last) > READ_GAP_MIN);
         let changed = self.replica.apply(snapshot);
-        self.read = self.read.max(Some(read));
-        changed || regained
+        self.read_at = self.read_at.max(Some(read));
+        changed || is_restored
     }
 
-    /// Returns the answer to a question that came at `arrived`, or `None` while it may wait.
+    /// Returns the answer to a request that arrived at `arrived`, or `None` if it should wait.
     pub fn answer(
         &self,
-        ask: &FollowRequest,
+        request: &FollowRequest,
         arrived: freshness::Moment,
         now: freshness::Moment,
     ) -> Option<Answer> {
-        let age = self.read.map(|read| now.since(read));
-        let Some(age) = age.filter(|age| *age <= ask.max_age.0) else {
-            return (!ask.wait_fresh).then_some(Answer::Stale);
+        let age = self.read_at.map(|read| now.since(read));
+        let Some(age) = age.filter(|age| *age <= request.max_age.0) else {
+            return (!request.wait_fresh).then_some(Answer::Stale);
         };
-        // The asking process counts from when it asked, which was before the question came here.
+        // The caller adds the time since it sent the request, which includes the wait here.
         let age = unit::Period(age.saturating_sub(now.since(arrived)));
-        match ask.after {
-            None => self.listing(ask, age),
-            Some(after) => self.changes(ask, after, age),
+        match request.after {
+            None => self.listing(request, age),
+            Some(after) => self.changes(request, after, age),
         }
     }
 
-    fn listing(&self, ask: &FollowRequest, age: unit::Period) -> Option<Answer> {
+    fn listing(&self, request: &FollowRequest, age: unit::Period) -> Option<Answer> {
         let listing = self.replica.listing()?;
         let size = listing.objects.iter().map(|o| o.value.len()).sum();
-        if is_large(ask, size) {
+        if is_large(request, size) {
             return Some(Answer::TooLarge);
         }
         Some(Answer::Listing(store::Listing { age, ..listing }))
@@ -100,7 +102,7 @@
 
     fn changes(
         &self,
-        ask: &FollowRequest,
+        request: &FollowRequest,
         after: store::Revision,
         age: unit::Period,
     ) -> Option<Answer> {
@@ -111,48 +113,52 @@
             return None;
         }
         let values = changes.events.iter().filter_map(|e| e.value.as_ref());
-        if is_large(ask, values.map(String::len).sum()) {
+        if is_large(request, values.map(String::len).sum()) {
             return Some(Answer::TooLarge);
         }
         Some(Answer::Changes(store::Changes { age, ..changes }))
     }
 
-    /// Returns the answer to a question whose wait has ended.
-    fn ended(
+    /// Returns the answer to a request whose wait has ended without changes.
+    fn empty_answer(
         &self,
-        ask: &FollowRequest,
+        request: &FollowRequest,
         arrived: freshness::Moment,
         now: freshness::Moment,
     ) -> Answer {
-        let age = self.read.map(|read| now.since(read));
-        match (age, ask.after) {
-            (Some(age), Some(after)) if age <= ask.max_age.0 => Answer::Changes(store::Changes {
-                revision: after.max(self.replica.revision()),
-                age: unit::Period(age.saturating_sub(now.since(arrived))),
-                events: Vec::new(),
-            }),
+        let age = self.read_at.map(|read| now.since(read));
+        match (age, request.after) {
+            (Some(age), Some(after)) if age <= request.max_age.0 => {
+                Answer::Changes(store::Changes {
+                    revision: after.max(self.replica.revision()),
+                    age: unit::Period(age.saturating_sub(now.since(arrived))),
+                    events: Vec::new(),
+                })
+            }
             _ => Answer::Stale,
         }
     }
 
-    /// Returns how long the copy stays within the limit of a question.
-    fn lasts(&self, ask: &FollowRequest, now: freshness::Moment) -> time::Duration {
-        let age = self.read.map_or(ask.max_age.0, |read| now.since(read));
-        match ask.wait_fresh {
+    /// Returns the time for which the data stays within the maximum age of a request.
+    fn fresh_for(&self, request: &FollowRequest, now: freshness::Moment) -> time::Duration {
+        let age = self
+            .read_at
+            .map_or(request.max_age.0, |read| now.since(read));
+        match request.wait_fresh {
             true => time::Duration::MAX,
-            false => ask.max_age.0.saturating_sub(age),
+            false => request.max_age.0.saturating_sub(age),
         }
     }
 }
 
-fn is_large(ask: &FollowRequest, size: usize) -> bool {
-    !ask.allow_large && size > SMALL
+fn is_large(request: &FollowRequest, size: usize) -> bool {
+    !request.allow_large && size > ANSWER_BYTES_MAX
 }
 
-/// The copies of all topics, and the signals of targets.
+/// Cached topics and target signals.
 #[derive(Debug, Default)]
 pub struct Cache {
-    /// Limits that targets have named.
+    /// Signals received from targets.
     pub signals: Arc<signals::Signals>,
     table: watch::Sender<CachedTopic>,
     targets: watch::Sender<CachedTopic>,
@@ -161,7 +167,7 @@
 }
 
 impl Cache {
-    /// Creates empty copies beside what is known of signals.
+    /// Creates a cache without store data that shares `signals`.
     pub fn new(signals: Arc<signals::Signals>) -> Self {
         Self {
             signals,
@@ -178,10 +184,10 @@
         }
     }
 
-    /// Answers a question, at once if there is something to tell of the topic or of signals.
-    pub async fn follow(&self, ask: &FollowRequest) -> FollowReply {
-        let Some(known) = ask.signals else {
-            let answer = self.wait_for_answer(ask).await;
+    /// Answers a request as soon as there are changes of the topic or new signals.
+    pub async fn follow(&self, request: &FollowRequest) -> FollowReply {
+        let Some(known) = request.signals else {
+            let answer = self.wait_for_answer(request).await;
             return FollowReply {
                 answer,
                 signals: None,
@@ -189,9 +195,9 @@
         };
         let mut version = self.signals.subscribe();
         let answer = tokio::select! {
-            answer = self.wait_for_answer(ask) => answer,
-            // The sender lives as long as these signals.
-            _ = version.wait_for(|version| version.all > known) => self.present(ask),
+            answer = self.wait_for_answer(request) => answer,
+            // The sender is dropped only with these signals.
+            _ = version.wait_for(|version| version.all > known) => self.answer_now(request),
         };
         FollowReply {
             answer,
@@ -199,48 +205,48 @@
         }
     }
 
-    /// Answers a question without a wait.
-    fn present(&self, ask: &FollowRequest) -> Answer {
+    /// Answers a request without waiting.
+    fn answer_now(&self, request: &FollowRequest) -> Answer {
         let now = clock::now();
-        let copy = self.topic(ask.topic).borrow();
-        let answer = copy.answer(ask, now, now);
-        answer.unwrap_or_else(|| copy.ended(ask, now, now))
+        let topic = self.topic(request.topic).borrow();
+        let answer = topic.answer(request, now, now);
+        answer.unwrap_or_else(|| topic.empty_answer(request, now, now))
     }
 
-    /// Answers a question, at once if there is something to tell.
-    pub async fn wait_for_answer(&self, ask: &FollowRequest) -> Answer {
+    /// Answers a request as soon as there are changes of the topic.
+    pub async fn wait_for_answer(&self, request: &FollowRequest) -> Answer {
         let arrived = clock::now();
-        let end = Instant::now() + ask.wait.0.min(WAIT_MAX);
-        let mut copy = self.topic(ask.topic).subscribe();
+        let end = Instant::now() + request.wait.0.min(WAIT_MAX);
+        let mut topic = self.topic(request.topic).subscribe();
         loop {
             let until = {
-                let copy = copy.borrow_and_update();
+                let topic = topic.borrow_and_update();
                 let now = clock::now();
-                if let Some(answer) = copy.answer(ask, arrived, now) {
+                if let Some(answer) = topic.answer(request, arrived, now) {
                     return answer;
                 }
                 if Instant::now() >= end {
-                    return copy.ended(ask, arrived, now);
+                    return topic.empty_answer(request, arrived, now);
                 }
-                // Those that ask have to turn to others as soon as the copy is too old.
-                Instant::now() + copy.lasts(ask, now).min(WAIT_MAX)
+                // The caller must turn to another process as soon as the data is too old.
+                Instant::now() + topic.fresh_for(request, now).min(WAIT_MAX)
             };
             tokio::select! {
-                // The sender lives as long as these copies.
-                _ = copy.changed() => {}
+                // The sender is dropped only with this cache.
+                _ = topic.changed() => {}
                 () = tokio::time::sleep_until(end.min(until)) => {}
             }
         }
     }
 }
 
-/// Passes on what an observer of a topic reads.
+/// Observer that copies what another observer of a topic reads into the cache.
 pub struct Publisher<O> {
     observer: O,
     topic: Topic,
     cache: Arc<Cache>,
-    /// When the call in progress was sent.
-    asked: freshness::Moment,
+    /// Start of the current call.
+    sent_at: freshness::Moment,
 }
 
 impl<O> Publisher<O> {
@@ -250,32 +256,32 @@
             observer,
             topic,
             cache: cache.clone(),
-            asked: freshness::Moment::default(),
+            sent_at: freshness::Moment::default(),
         }
     }
 }
 
 impl<O: follow::Observer> follow::Observer for Publisher<O> {
     fn ask(&mut self) {
-        self.asked = clock::now();
+        self.sent_at = clock::now();
         self.observer.ask();
     }
 
     fn read(&mut self, snapshot: &follow::Snapshot, age: unit::Period) {
         self.observer.read(snapshot, age);
-        let read = self.asked.before(age.0);
-        let update = |copy: &mut CachedTopic| copy.update(snapshot, read, clock::now());
+        let read = self.sent_at.before(age.0);
+        let update = |topic: &mut CachedTopic| topic.update(snapshot, read, clock::now());
         self.cache.topic(self.topic).send_if_modified(update);
     }
 }
 
-/// Serves the copies to other processes.
+/// Serves the cache to peers.
 pub struct RelayService(pub Arc<Cache>);
 
 #[async_trait]
 impl RelayServer for RelayService {
-    async fn follow(&self, ask: FollowRequest) -> RpcResult<FollowReply> {
-        Ok(self.0.follow(&ask).await)
+    async fn follow(&self, request: FollowRequest) -> RpcResult<FollowReply> {
+        Ok(self.0.follow(&request).await)
     }
 
     async fn tell(&self, signals: Vec<signals::TargetSignal>) -> RpcResult<()> {
--- a/laburnumcart_gateway/src/relay/relayed_store.rs
+++ b/laburnumcart_gateway/src/relay/relayed_store.rs
@@ -1,4 +1,4 @@
-//! The store as this process follows it: by itself, or by asking those who do.
+//! Store client that reads watched topics through the readers, or from the store as a reader.
 
 use std::{
     collections,
@@ -34,41 +34,42 @@
     view, //
 };
 
-/// Longest wait of one question; its end also tells that the connection works.
+/// Timeout of one request to a reader; its end also confirms that the connection works.
 ///
-/// A reader that stands still is given up 0.6 s after that, early enough for what another one tells
-/// to be in force within 2 s.
-const WAIT: time::Duration = time::Duration::from_millis(750);
+/// An unresponsive reader is given up 0.6 s later, in time for a change that another reader reports
+/// to take effect within 2 s.
+const FOLLOW_WAIT: time::Duration = time::Duration::from_millis(750);
 
-/// The same for the members, whose changes are seen on connections as well.
-const MEMBERS_WAIT: time::Duration = time::Duration::from_secs(5);
+/// Timeout of one request for the members, whose failures also show on their connections.
+const MEMBERS_FOLLOW_WAIT: time::Duration = time::Duration::from_secs(5);
 
-/// Greatest age that is taken from a reader.
+/// Maximum age of data from a reader.
 ///
-/// It counts from before a call was sent. A reader's calls end every 0.75 s, so that its knowledge
-/// is up to twice as old. One that is cut off from the store is found within a second: with the
-/// exchange that follows, a change arrives before the 2 s are over after which a target that leaves
-/// may get no work.
-const AGE: time::Duration = time::Duration::from_millis(1700);
+/// The age starts before the reader's call was sent. Its calls end every 0.75 s, so that its data
+/// is up to twice as old. A reader that lost the store is noticed within a second; with the request
+/// to the next one, a change arrives within the 2 s after which a leaving target must get no work.
+const AGE_MAX: time::Duration = time::Duration::from_millis(1700);
 
-/// The same of the members, whose calls end every 5 s.
-const MEMBERS_AGE: time::Duration = time::Duration::from_millis(11_500);
+/// Maximum age of the members from a reader, whose calls for them end every 5 s.
+const MEMBERS_AGE_MAX: time::Duration = time::Duration::from_millis(11_500);
 
-/// Greatest age that is taken from others, when no reader has anything younger.
+/// Maximum age of data from a peer that isn't a reader, asked when no reader has fresher data.
 ///
-/// They are asked by a process that the store turns away. Keys are honoured for 4.5 s without a
-/// confirmation; older than this, the next question would come too late.
-const AGE_OTHERS: time::Duration = time::Duration::from_millis(2500);
+/// Such peers are asked by a process that the store refuses. Keys are accepted for 4.5 s without
+/// confirmation; with older data, the next request would come too late to keep them valid.
+const FALLBACK_AGE_MAX: time::Duration = time::Duration::from_millis(2500);
 
-/// Time in which signals of targets are collected; a trouble of many targets is told once.
-const COLLECT: time::Duration = time::Duration::from_millis(100);
+/// Minimum time between two reports of signals, so that a burst from many targets is one report.
+const REPORT_INTERVAL: time::Duration = time::Duration::from_millis(100);
 
-/// Pause before others are asked again by a process that has just started.
-const CATCH_UP: time::Duration = time::Duration::from_millis(500);
+/// Pause between attempts to get target signals after the start.
+const SYNC_RETRY_PAUSE: time::Duration = time::Duration::from_millis(500);
 
-/// Others that are asked when the readers know nothing. A share of all processes that the store
-/// turns away rarely takes all readers and both of these.
-const OTHERS: usize = 2;
+/// Number of other peers that are asked when no reader has fresh data.
+///
+/// Even if the store refuses a share of all processes, that share rarely includes every reader and
+/// both of these.
+const FALLBACK_PEERS: usize = 2;
 
 struct Shared<S> {
     store: S,
@@ -77,14 +78,14 @@
     directory: Arc<dyn dialect::Directory>,
     links: links::Links,
     signals: Arc<signals::Signals>,
-    /// Versions of what other processes have told of targets, by the lives of these processes.
-    heard: Mutex<collections::HashMap<id::InstanceName, (id::Incarnation, u64)>>,
+    /// Versions of target signals merged from each peer, valid for one incarnation of the peer.
+    signal_versions: Mutex<collections::HashMap<id::InstanceName, (id::Incarnation, u64)>>,
     standing: Mutex<readers::Standing>,
-    /// Who told each topic last; nobody where the store did.
-    tellers: Mutex<collections::HashMap<Topic, Option<id::InstanceName>>>,
+    /// Peer that supplied each topic last; `None` for the store itself.
+    sources: Mutex<collections::HashMap<Topic, Option<id::InstanceName>>>,
 }
 
-/// The store, through others where they read it.
+/// Store client that asks readers for watched topics and passes all other calls to the store.
 pub struct RelayedStore<S>(Arc<Shared<S>>);
 
 impl<S> Clone for RelayedStore<S> {
@@ -93,19 +94,19 @@
     }
 }
 
-/// What those that were asked have told.
-enum Told {
+/// Result of asking peers for a topic.
+enum Fetched {
     Listing(store::Listing),
     Changes(store::Changes),
     Compacted,
-    /// This process has to read for itself.
-    Nothing,
-    /// Nobody knows, and this process is not to ask the store now.
-    Unknown,
+    /// This process must read from the store.
+    ReadStore,
+    /// No peer has fresh data, and this process should not call the store now.
+    Unavailable,
 }
 
 impl<S: store::Store> RelayedStore<S> {
-    /// Creates the view of `store` of the process `own`.
+    /// Creates the store client of the process `own`.
     pub fn new(
         store: S,
         own: view::Member,
@@ -114,45 +115,45 @@
         signals: Arc<signals::Signals>,
     ) -> Self {
         Self(Arc::new(Shared {
-            links: links::Links::silent(own.instance.clone(), view.clone()),
+            links: links::Links::without_heartbeats(own.instance.clone(), view.clone()),
             store,
             own,
             view,
             directory,
             signals,
-            heard: Mutex::default(),
+            signal_versions: Mutex::default(),
             standing: Mutex::default(),
-            tellers: Mutex::default(),
+            sources: Mutex::default(),
         }))
     }
 
-    /// Takes in what others know of targets.
+    /// Gets target signals from peers at the start, retrying until one answers.
     ///
-    /// A process that reads the store itself asks them nothing more.
+    /// A process that reads the store itself asks its peers for nothing else.
     pub async fn sync_signals(&self) {
-        while !self.0.take_over().await {
-            tokio::time::sleep(CATCH_UP).await;
+        while !self.0.pull_signals().await {
+            tokio::time::sleep(SYNC_RETRY_PAUSE).await;
         }
     }
 
-    /// Tells the readers what answers to this process say of targets, until the process ends.
+    /// Reports target signals received by this process to the readers, until the process ends.
     pub async fn publish_signals(&self) {
         let mut version = self.0.signals.subscribe();
-        let mut told = version.borrow().local;
+        let mut reported = version.borrow().local;
         loop {
-            // The sender lives as long as these signals.
-            if let Ok(version) = version.wait_for(|version| version.local > told).await {
-                told = version.local;
+            // The sender is dropped only with these signals.
+            if let Ok(version) = version.wait_for(|version| version.local > reported).await {
+                reported = version.local;
             }
             let signals = self.0.signals.recent();
-            let (readers, _) = self.0.sources();
+            let (readers, _) = self.0.select_peers();
             let links = readers.iter().filter_map(|r| self.0.links.link(r));
             let calls = links.map(|link| {
                 let signals = signals.clone();
-                async move { link.tell(signals).await }
+                async move { link.send_signals(signals).await }
             });
             future::join_all(calls).await;
-            tokio::time::sleep(COLLECT).await;
+            tokio::time::sleep(REPORT_INTERVAL).await;
         }
     }
 }
@@ -165,51 +166,57 @@
             Topic::Members,
             Topic::Evacuations,
         ];
-        let is_it = |topic: &Topic| topic.prefix(&*self.directory) == prefix;
-        topics.into_iter().find(is_it)
+        let has_prefix = |topic: &Topic| topic.prefix(&*self.directory) == prefix;
+        topics.into_iter().find(has_prefix)
     }
 
-    /// Asks others, unless this process is to read the store itself.
-    async fn ask(
+    /// Asks peers for a topic, unless this process should read the store itself.
+    async fn fetch(
         &self,
         topic: Topic,
         after: Option<store::Revision>,
         wait: time::Duration,
-    ) -> Told {
-        let (readers, others) = self.sources();
+    ) -> Fetched {
+        let (readers, others) = self.select_peers();
         let is_own = |member: &view::Member| member.instance == self.own.instance;
-        let reads = readers.is_empty() || readers.iter().any(is_own);
-        if reads && self.standing().goes_first(Instant::now()) {
-            return Told::Nothing;
+        let is_reader = readers.is_empty() || readers.iter().any(is_own);
+        if is_reader && self.standing().goes_first(Instant::now()) {
+            return Fetched::ReadStore;
         }
         let readers: Vec<_> = readers.into_iter().filter(|r| !is_own(r)).collect();
-        let mut ask = question(topic, after, wait);
-        if let Some(told) = self.ask_each(&readers, &ask).await {
-            return told;
+        let mut request = follow_request(topic, after, wait);
+        if let Some(fetched) = self.fetch_from_any(&readers, &request).await {
+            return fetched;
         }
-        if !reads && self.standing().is_served(Instant::now()) {
-            return Told::Nothing;
+        if !is_reader && self.standing().is_served(Instant::now()) {
+            return Fetched::ReadStore;
         }
-        ask.max_age = ask.max_age.max(unit::Period(AGE_OTHERS));
-        if let Some(told) = self.ask_each(&others, &ask).await {
-            return told;
+        request.max_age = request.max_age.max(unit::Period(FALLBACK_AGE_MAX));
+        if let Some(fetched) = self.fetch_from_any(&others, &request).await {
+            return fetched;
         }
-        // One topic is enough to find out whether the store is back.
-        let tries =
+        // One topic is enough to probe whether the store is available again.
+        let is_probe =
             topic == Topic::Table && self.standing().may_try(rand::random(), Instant::now());
-        if reads || tries {
-            return Told::Nothing;
+        if is_reader || is_probe {
+            return Fetched::ReadStore;
         }
-        ask.wait_fresh = true;
+        request.wait_fresh = true;
         let first = readers.get(..1).unwrap_or_default();
-        self.ask_each(first, &ask).await.unwrap_or(Told::Unknown)
+        self.fetch_from_any(first, &request)
+            .await
+            .unwrap_or(Fetched::Unavailable)
     }
 
-    /// Asks one process after another until one knows something that is young enough.
-    async fn ask_each(&self, members: &[view::Member], ask: &FollowRequest) -> Option<Told> {
+    /// Asks peers one after the other until one has fresh data.
+    async fn fetch_from_any(
+        &self,
+        members: &[view::Member],
+        request: &FollowRequest,
+    ) -> Option<Fetched> {
         for member in members {
-            if let Some(told) = self.exchange(member, ask).await {
-                return Some(told);
+            if let Some(fetched) = self.fetch_from(member, request).await {
+                return Some(fetched);
             }
         }
         None
@@ -219,9 +226,8 @@
         *view::lock(&self.standing)
     }
 
-    /// Returns the readers, and others that can be asked; this process is among the readers if it
-    /// reads itself.
-    fn sources(&self) -> (Vec<view::Member>, Vec<view::Member>) {
+    /// Returns the readers, including this process if it is one, and other peers to ask.
+    fn select_peers(&self) -> (Vec<view::Member>, Vec<view::Member>) {
         let members = self.view.members.load();
         let up: Vec<_> = members
             .iter()
@@ -244,79 +250,81 @@
             .iter()
             .filter(|m| m.instance != self.own.instance && !readers.contains(m))
             .collect();
-        let others = rest.choose_multiple(&mut rand::rng(), OTHERS);
+        let others = rest.choose_multiple(&mut rand::rng(), FALLBACK_PEERS);
         (readers, others.map(|m| (**m).clone()).collect())
     }
 
-    /// Asks one process; `None` if it knows nothing that is young enough.
-    async fn exchange(&self, member: &view::Member, ask: &FollowRequest) -> Option<Told> {
+    /// Asks one peer and returns `None` if it has no fresh data.
+    async fn fetch_from(&self, member: &view::Member, request: &FollowRequest) -> Option<Fetched> {
         let link = self.links.link(member)?;
-        let wants = ask.topic == Topic::Targets && !ask.wait_fresh;
-        let mut ask = FollowRequest {
-            signals: wants.then(|| self.heard_of(member)),
-            ..ask.clone()
+        let wants_signals = request.topic == Topic::Targets && !request.wait_fresh;
+        let mut request = FollowRequest {
+            signals: wants_signals.then(|| self.merged_version(member)),
+            ..request.clone()
         };
         let FollowReply {
             mut answer,
             signals,
-        } = link.follow(ask.clone()).await?;
-        self.take_in(member, signals.as_ref());
+        } = link.follow(request.clone()).await?;
+        self.merge_signals(member, signals.as_ref());
         if answer == Answer::TooLarge && self.standing().is_failing() {
-            ask.allow_large = true;
-            ask.signals = None;
-            answer = link.follow(ask.clone()).await?.answer;
+            request.allow_large = true;
+            request.signals = None;
+            answer = link.follow(request.clone()).await?.answer;
         }
-        let (age, told) = match answer {
-            Answer::Listing(listing) => (listing.age, Told::Listing(listing)),
-            Answer::Changes(changes) => (changes.age, Told::Changes(changes)),
-            Answer::Compacted => return Some(Told::Compacted),
-            Answer::TooLarge => return Some(Told::Nothing),
+        let (age, fetched) = match answer {
+            Answer::Listing(listing) => (listing.age, Fetched::Listing(listing)),
+            Answer::Changes(changes) => (changes.age, Fetched::Changes(changes)),
+            Answer::Compacted => return Some(Fetched::Compacted),
+            Answer::TooLarge => return Some(Fetched::ReadStore),
             Answer::Stale => return None,
         };
-        self.note_teller(ask.topic, Some(&member.instance), age);
-        Some(told)
+        self.record_source(request.topic, Some(&member.instance), age);
+        Some(fetched)
     }
 
-    /// Asks others for what they know of targets; returns whether one has answered.
-    async fn take_over(&self) -> bool {
-        let (readers, others) = self.sources();
-        let asked = readers.iter().chain(&others);
-        let asked = asked.filter_map(|member| Some((member, self.links.link(member)?)));
-        let replies = asked.map(|(member, link)| async move {
-            let ask = FollowRequest {
-                signals: Some(self.heard_of(member)),
-                ..question(Topic::Targets, None, time::Duration::ZERO)
+    /// Gets target signals from all selected peers and returns whether one has answered.
+    async fn pull_signals(&self) -> bool {
+        let (readers, others) = self.select_peers();
+        let peers = readers.iter().chain(&others);
+        let peers = peers.filter_map(|member| Some((member, self.links.link(member)?)));
+        let replies = peers.map(|(member, link)| async move {
+            let request = FollowRequest {
+                signals: Some(self.merged_version(member)),
+                ..follow_request(Topic::Targets, None, time::Duration::ZERO)
             };
-            let reply = link.follow(ask).await;
-            self.take_in(member, reply.as_ref().and_then(|r| r.signals.as_ref()));
+            let reply = link.follow(request).await;
+            self.merge_signals(member, reply.as_ref().and_then(|r| r.signals.as_ref()));
             reply.is_some()
         });
         let answered = future::join_all(replies).await;
         answered.into_iter().any(|answered| answered)
     }
 
-    /// Takes in what a process has told of targets.
-    fn take_in(&self, member: &view::Member, news: Option<&signals::SignalUpdate>) {
-        if let Some(news) = news {
-            self.signals.merge(&news.signals);
-            let heard = (member.incarnation, news.version);
-            view::lock(&self.heard).insert(member.instance.clone(), heard);
+    /// Merges target signals from a peer.
+    fn merge_signals(&self, member: &view::Member, update: Option<&signals::SignalUpdate>) {
+        if let Some(update) = update {
+            self.signals.merge(&update.signals);
+            let merged = (member.incarnation, update.version);
+            view::lock(&self.signal_versions).insert(member.instance.clone(), merged);
         }
     }
 
-    /// Returns the version of a process's signals that this one has taken in.
-    fn heard_of(&self, member: &view::Member) -> u64 {
-        let heard = view::lock(&self.heard).get(&member.instance).copied();
-        let heard = heard.filter(|(life, _)| *life == member.incarnation);
-        heard.map_or(0, |(_, version)| version)
+    /// Returns the version of a peer's signals that was merged last.
+    fn merged_version(&self, member: &view::Member) -> u64 {
+        let merged = view::lock(&self.signal_versions)
+            .get(&member.instance)
+            .copied();
+        let merged = merged.filter(|(incarnation, _)| *incarnation == member.incarnation);
+        merged.map_or(0, |(_, version)| version)
     }
 
-    /// Notes who has told a topic, and says so when it is another one than before.
-    fn note_teller(&self, topic: Topic, teller: Option<&id::InstanceName>, age: unit::Period) {
-        let teller = teller.cloned();
-        let last = view::lock(&self.tellers).insert(topic, teller.clone());
-        if last.as_ref() != Some(&teller) {
-            let name = teller.as_ref().map_or("store", |name| name.as_str());
+    /// Records which peer supplied a topic and logs a change.
+    fn record_source(&self, topic: Topic, source: Option<&id::InstanceName>, age: unit::Period) {
+        let source = source.cloned();
+        let last = view::lock(&self.sources).insert(topic, source.clone());
+        if last.as_ref() != Some(&source) {
+            let name = source.as_ref().map_or("store", |name| name.as_str());
             event!(
                 Info,
                 "told-by",
@@ -327,13 +335,13 @@
         }
     }
 
-    /// Notes how the store took a call about a topic.
-    fn note<T>(&self, topic: Option<Topic>, result: &Result<T, store::Failure>) {
+    /// Records the outcome of a call to the store.
+    fn record_result<T>(&self, topic: Option<Topic>, result: &Result<T, store::Failure>) {
         let now = Instant::now();
         let mut standing = view::lock(&self.standing);
         let was_failing = standing.is_failing();
         match result {
-            // Only a service that answers says so.
+            // Both errors are responses of a working store.
             Ok(_) | Err(store::Failure::Compacted | store::Failure::Conflict) => {
                 standing.answer(now);
             }
@@ -346,14 +354,14 @@
             event!(Info, "store", state = state);
         }
         if let (Some(topic), Ok(_)) = (topic, result) {
-            self.note_teller(topic, None, unit::Period::default());
+            self.record_source(topic, None, unit::Period::default());
         }
     }
 
-    /// Returns how long a watch of the store itself may wait.
+    /// Returns the timeout of a watch of the store itself.
     ///
-    /// After a failure only an answer tells that the store is back.
-    fn own_wait(&self, wait: time::Duration) -> time::Duration {
+    /// Zero after a failure, as only a response shows that the store is available again.
+    fn watch_wait(&self, wait: time::Duration) -> time::Duration {
         match self.standing().is_failing() {
             true => time::Duration::ZERO,
             false => wait,
@@ -361,24 +369,28 @@
     }
 }
 
-/// Returns a question for a reader.
-fn question(topic: Topic, after: Option<store::Revision>, wait: time::Duration) -> FollowRequest {
-    let (longest, age) = match topic {
-        Topic::Members => (MEMBERS_WAIT, MEMBERS_AGE),
-        Topic::Table | Topic::Targets | Topic::Evacuations => (WAIT, AGE),
+/// Returns a request for a peer.
+fn follow_request(
+    topic: Topic,
+    after: Option<store::Revision>,
+    wait: time::Duration,
+) -> FollowRequest {
+    let (longest, max_age) = match topic {
+        Topic::Members => (MEMBERS_FOLLOW_WAIT, MEMBERS_AGE_MAX),
+        Topic::Table | Topic::Targets | Topic::Evacuations => (FOLLOW_WAIT, AGE_MAX),
     };
     FollowRequest {
         topic,
         after,
         wait: unit::Period(wait.min(longest)),
-        max_age: unit::Period(age),
+        max_age: unit::Period(max_age),
         wait_fresh: false,
         allow_large: false,
         signals: None,
     }
 }
 
-fn unknown() -> store::Failure {
+fn unavailable() -> store::Failure {
     store::Failure::Unavailable { retry: None }
 }
 
@@ -403,14 +415,14 @@
     async fn list(&self, prefix: &str) -> Result<store::Listing, store::Failure> {
         let topic = self.0.topic(prefix);
         if let Some(topic) = topic {
-            match self.0.ask(topic, None, time::Duration::ZERO).await {
-                Told::Listing(listing) => return Ok(listing),
-                Told::Unknown => return Err(unknown()),
-                Told::Changes(_) | Told::Compacted | Told::Nothing => {}
+            match self.0.fetch(topic, None, time::Duration::ZERO).await {
+                Fetched::Listing(listing) => return Ok(listing),
+                Fetched::Unavailable => return Err(unavailable()),
+                Fetched::Changes(_) | Fetched::Compacted | Fetched::ReadStore => {}
             }
         }
         let result = self.0.store.list(prefix).await;
-        self.0.note(topic, &result);
+        self.0.record_result(topic, &result);
         result
     }
 
@@ -422,16 +434,16 @@
     ) -> Result<store::Changes, store::Failure> {
         let topic = self.0.topic(prefix);
         if let Some(topic) = topic {
-            match self.0.ask(topic, Some(after), wait).await {
-                Told::Changes(changes) => return Ok(changes),
-                Told::Compacted => return Err(store::Failure::Compacted),
-                Told::Unknown => return Err(unknown()),
-                Told::Listing(_) | Told::Nothing => {}
+            match self.0.fetch(topic, Some(after), wait).await {
+                Fetched::Changes(changes) => return Ok(changes),
+                Fetched::Compacted => return Err(store::Failure::Compacted),
+                Fetched::Unavailable => return Err(unavailable()),
+                Fetched::Listing(_) | Fetched::ReadStore => {}
             }
         }
-        let wait = self.0.own_wait(wait);
+        let wait = self.0.watch_wait(wait);
         let result = self.0.store.watch(prefix, after, wait).await;
-        self.0.note(topic, &result);
+        self.0.record_result(topic, &result);
         result
     }
 }
