--- a/laburnumcart_gateway/src/relay/signals.rs
+++ b/laburnumcart_gateway/src/relay/signals.rs
@@ -1,9 +1,10 @@
-//! What targets say of themselves in their answers, as all processes know it.
+//! Signals that targets give in their responses, shared between all processes.
 //!
-//! A limit holds for all processes together, and a target leaves for all of them, but each is told
-//! by answers to its own requests alone. In a large fleet most of them would send for a long time
-//! before they are told, and keep away for a long time after a limit has ended. So each tells the
-//! readers what it hears, and gets what they know with the targets.
+//! A rate limit applies to all processes together, and a shutdown concerns all of them, but each
+//! process only sees the responses to its own requests. In a large fleet most processes would keep
+//! sending for a long time before they notice, and hold back for a long time after a limit has
+//! ended. Therefore each process reports signals to the readers, and receives those of all others
+//! together with the list of targets.
 
 use std::{
     collections,
@@ -29,281 +30,288 @@
 
 use crate::view;
 
-/// Time for which others are told that a limit has ended, and the readers that a target leaves.
-const RECENT: time::Duration = time::Duration::from_secs(10);
+/// Time for which the end of a limit is reported to peers, and a shutdown to the readers.
+const CHANGE_RETENTION: time::Duration = time::Duration::from_secs(10);
 
-/// Time after which a limit, or that a target leaves, is forgotten if nothing says it again.
+/// Time after which an unconfirmed limit or shutdown is forgotten.
 ///
-/// The target may have gone. Longer than the longest time between two trials of a fleet.
-const FORGET: time::Duration = time::Duration::from_secs(1800);
+/// The target may no longer exist. It is longer than the longest time between two probes of a
+/// limited target by the whole fleet.
+const STATE_RETENTION: time::Duration = time::Duration::from_secs(1800);
 
-/// Most signals that are taken from another process.
-const MOST: usize = 2048;
+/// Maximum number of signals that are merged from one message of a peer.
+const MERGE_MAX: usize = 2048;
 
-/// Most failed requests that another process is told of.
-const STRIKES_MOST: usize = 512;
+/// Maximum number of failed requests in one message to a peer.
+const FAILURES_MAX: usize = 512;
 
-/// What a target has said of itself, or what has failed there.
+/// State that a target signalled, or a request that failed there.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Signal {
-    /// Its limit; none if that has ended.
+    /// Advertised rate limit; `None` if it has ended.
     Limit(Option<unit::Rate>),
-    /// It is leaving.
+    /// The target is shutting down.
     Leaving,
-    /// A request with this content, which ran for so long, has failed there.
+    /// A request with this content failed after this time.
     Failed(id::Fingerprint, unit::Period),
 }
 
-/// What one process tells another of a target.
+/// A signal of a target, as sent between processes.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct TargetSignal {
     /// Name of the target.
     pub target: id::TargetName,
-    /// Its start.
+    /// Start time of the target.
     pub life: id::Life,
-    /// What it has said.
+    /// Signal that the target gave.
     pub signal: Signal,
-    /// How long ago that was true.
+    /// Time since the signal was received from the target.
     pub age: unit::Period,
 }
 
-/// What one process knows of all targets.
+/// Signals of all targets that a peer doesn't have yet.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct SignalUpdate {
-    /// Version of its knowledge.
+    /// Version of the sender's signals.
     pub version: u64,
-    /// What targets have said.
+    /// Signals to merge.
     #[serde(rename = "told")]
     pub signals: Vec<TargetSignal>,
 }
 
-/// Counts of changes.
+/// Numbers of changes so far.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Version {
-    /// All changes.
+    /// Number of all changes.
     pub all: u64,
-    /// Those that the own requests' answers have brought.
+    /// Number of changes from responses to this process's own requests.
     pub local: u64,
 }
 
-/// What is known of one target.
+/// Signals of one target.
 #[derive(Clone, Copy, Debug, Default)]
-struct Known {
-    heard: quota::Heard,
-    /// Version of all knowledge in which the target began to leave.
-    left: u64,
+struct TargetState {
+    limit: quota::Heard,
+    /// Value of [`Version::all`] at which the target began to shut down.
+    leaving_version: u64,
 }
 
-/// A target that is not there any more.
+/// A target that is no longer listed.
 #[derive(Clone, Copy, Debug)]
-struct Gone {
-    /// When that was noticed.
+struct RemovedTarget {
+    /// Time at which its absence was noticed.
     at: Instant,
-    /// Version of all knowledge in which others are told of what failed there.
+    /// Value of [`Version::all`] at which the failures there are reported to peers.
     version: u64,
 }
 
-/// Requests that have failed.
+/// Failed requests, by target.
 #[derive(Debug, Default)]
-struct Struck {
-    strikes: strikes::Strikes,
-    /// Targets among theirs that are gone.
-    gone: collections::HashMap<id::TargetLife, Gone>,
+struct FailureLog {
+    failures: strikes::Strikes,
+    /// Targets with failures that are no longer listed.
+    removed: collections::HashMap<id::TargetLife, RemovedTarget>,
 }
 
-/// What is known of all targets.
+/// Signals of all targets.
 #[derive(Debug, Default)]
 pub struct Signals {
-    known: Mutex<collections::HashMap<id::TargetLife, Known>>,
-    struck: Mutex<Struck>,
+    targets: Mutex<collections::HashMap<id::TargetLife, TargetState>>,
+    failures: Mutex<FailureLog>,
     version: watch::Sender<Version>,
 }
 
 impl Signals {
-    /// Returns what is known of one target.
+    /// Returns the limit and the shutdown state of a target.
     pub fn get(&self, target: &id::TargetLife) -> quota::Heard {
-        let known = view::lock(&self.known).get(target).copied();
-        known.unwrap_or_default().heard
+        let state = view::lock(&self.targets).get(target).copied();
+        state.unwrap_or_default().limit
     }
 
-    /// Takes in what an answer of a target says of its limit; returns whether it is news.
-    pub fn record_limit(&self, target: &id::TargetLife, word: quota::Word) -> bool {
-        let mut all = view::lock(&self.known);
-        if word.limit == quota::Limit::None && !all.contains_key(target) {
+    /// Records the limit in a response of a target and returns whether it changed.
+    pub fn record_limit(&self, target: &id::TargetLife, observation: quota::Word) -> bool {
+        let mut all = view::lock(&self.targets);
+        if observation.limit == quota::Limit::None && !all.contains_key(target) {
             return false;
         }
-        let known = all.entry(target.clone()).or_default();
-        let news = known.heard.answer(word, rand::random(), Instant::now());
-        if news {
-            self.count(true);
+        let state = all.entry(target.clone()).or_default();
+        let has_changed = state
+            .limit
+            .answer(observation, rand::random(), Instant::now());
+        if has_changed {
+            self.bump_version(true);
         }
-        news
+        has_changed
     }
 
-    /// Takes in that an answer of a target says that it is leaving; returns whether it is news.
+    /// Records that a target is shutting down and returns whether that was unknown.
     pub fn record_leaving(&self, target: &id::TargetLife) -> bool {
-        let mut all = view::lock(&self.known);
-        let known = all.entry(target.clone()).or_default();
-        let news = known.heard.leave(Instant::now());
-        if news {
-            known.left = self.count(true);
+        let mut all = view::lock(&self.targets);
+        let state = all.entry(target.clone()).or_default();
+        let is_new = state.limit.leave(Instant::now());
+        if is_new {
+            state.leaving_version = self.bump_version(true);
         }
-        news
+        is_new
     }
 
-    /// Takes in that a request has failed at a target.
-    pub fn record_failure(&self, target: &id::TargetLife, strike: strikes::Strike) {
-        let mut struck = view::lock(&self.struck);
-        struck.strikes.add(target.clone(), strike);
+    /// Records that a request failed at a target.
+    pub fn record_failure(&self, target: &id::TargetLife, failure: strikes::Strike) {
+        let mut log = view::lock(&self.failures);
+        log.failures.add(target.clone(), failure);
     }
 
-    /// Takes in which targets are still there; others are told of what failed at those that are
-    /// not.
+    /// Updates which targets are still listed.
+    ///
+    /// Failures at targets that are not are reported to peers, as the target may have crashed.
     pub fn update_listed(&self, is_listed: impl Fn(&id::TargetLife) -> bool) {
         let now = Instant::now();
-        let mut struck = view::lock(&self.struck);
-        let Struck { strikes, gone } = &mut *struck;
-        strikes.forget(now);
-        gone.retain(|target, _| strikes.has(target));
-        let lost = |target: &&id::TargetLife| !gone.contains_key(*target) && !is_listed(target);
-        let lost: Vec<_> = strikes.targets().filter(lost).cloned().collect();
+        let mut log = view::lock(&self.failures);
+        let FailureLog { failures, removed } = &mut *log;
+        failures.forget(now);
+        removed.retain(|target, _| failures.has(target));
+        let is_lost =
+            |target: &&id::TargetLife| !removed.contains_key(*target) && !is_listed(target);
+        let lost: Vec<_> = failures.targets().filter(is_lost).cloned().collect();
         if !lost.is_empty() {
-            let version = self.count(true);
+            let version = self.bump_version(true);
             let lost = lost.into_iter();
-            gone.extend(lost.map(|target| (target, Gone { at: now, version })));
+            removed.extend(lost.map(|target| (target, RemovedTarget { at: now, version })));
         }
     }
 
-    /// Returns until when content is refused, as it has crashed targets; `content` is asked only if
-    /// any target has crashed.
+    /// Returns the end of the quarantine of content that crashed targets, if it is quarantined.
+    ///
+    /// `content` is computed only if any target may have crashed.
     pub fn quarantined_until(&self, content: impl FnOnce() -> id::Fingerprint) -> Option<Instant> {
-        let Struck { strikes, gone } = &*view::lock(&self.struck);
-        match gone.is_empty() {
+        let FailureLog { failures, removed } = &*view::lock(&self.failures);
+        match removed.is_empty() {
             true => None,
-            false => strikes.refused(content(), |t| gone.contains_key(t), Instant::now()),
+            false => failures.refused(content(), |t| removed.contains_key(t), Instant::now()),
         }
     }
 
-    /// Returns the targets that have said that they are leaving.
+    /// Returns the targets that announced their shutdown.
     pub fn leaving_targets(&self) -> collections::HashSet<id::TargetLife> {
-        let all = view::lock(&self.known);
-        let leaving = all.iter().filter(|(_, known)| known.heard.left().is_some());
+        let all = view::lock(&self.targets);
+        let leaving = all.iter().filter(|(_, state)| state.limit.left().is_some());
         leaving.map(|(target, _)| target.clone()).collect()
     }
 
-    /// Counts a change and returns its version; called under the lock.
-    fn count(&self, own: bool) -> u64 {
+    /// Counts a change and returns the new version; the caller holds the lock.
+    fn bump_version(&self, is_local: bool) -> u64 {
         self.version.send_modify(|version| {
             version.all += 1;
-            version.local += u64::from(own);
+            version.local += u64::from(is_local);
         });
         self.version.borrow().all
     }
 
-    /// Takes in what another process knows.
-    pub fn merge(&self, told: &[TargetSignal]) {
+    /// Merges signals from a peer.
+    pub fn merge(&self, signals: &[TargetSignal]) {
         let now = Instant::now();
-        let mut all = view::lock(&self.known);
-        let mut struck = view::lock(&self.struck);
-        for told in told.iter().take(MOST) {
+        let mut all = view::lock(&self.targets);
+        let mut log = view::lock(&self.failures);
+        for signal in signals.iter().take(MERGE_MAX) {
             let target = id::TargetLife {
-                name: told.target.clone(),
-                life: told.life,
+                name: signal.target.clone(),
+                life: signal.life,
             };
-            // What is older than this process's clock is too old to matter.
-            let at = now.checked_sub(told.age.0);
-            if let (Some(failed), Signal::Failed(content, ran)) = (at, told.signal) {
-                let strike = strikes::Strike {
+            // A signal older than this process's clock is too old to matter.
+            let at = now.checked_sub(signal.age.0);
+            if let (Some(failed), Signal::Failed(content, ran)) = (at, signal.signal) {
+                let failure = strikes::Strike {
                     content,
                     sent: failed.checked_sub(ran.0).unwrap_or(failed),
                     failed,
                 };
-                if struck.strikes.add(target.clone(), strike) {
-                    let version = self.count(false);
-                    struck.gone.insert(target, Gone { at: now, version });
+                if log.failures.add(target.clone(), failure) {
+                    let version = self.bump_version(false);
+                    log.removed
+                        .insert(target, RemovedTarget { at: now, version });
                 }
             } else if let Some(at) = at {
-                let known = all.entry(target).or_default();
-                match told.signal {
-                    Signal::Limit(rate) if known.heard.tell(rate, at, rand::random()) => {
-                        self.count(false);
+                let state = all.entry(target).or_default();
+                match signal.signal {
+                    Signal::Limit(rate) if state.limit.tell(rate, at, rand::random()) => {
+                        self.bump_version(false);
+                    }
+                    Signal::Leaving if state.limit.leave(at) => {
+                        state.leaving_version = self.bump_version(false);
                     }
-                    Signal::Leaving if known.heard.leave(at) => known.left = self.count(false),
                     Signal::Limit(_) | Signal::Leaving | Signal::Failed(..) => {}
                 }
             }
         }
     }
 
-    /// Lists what the readers should know.
+    /// Returns the signals to report to the readers.
     pub fn recent(&self) -> Vec<TargetSignal> {
         self.list(None)
     }
 
-    /// Lists what one should know that knows a version, or has been told all along.
+    /// Lists the signals for a peer that has a version, or for the readers with `None`.
     fn list(&self, version: Option<u64>) -> Vec<TargetSignal> {
         let now = Instant::now();
-        let mut all = view::lock(&self.known);
-        all.retain(|_, Known { heard, .. }| {
-            let kept = if heard.named().is_some() {
-                FORGET
+        let mut all = view::lock(&self.targets);
+        all.retain(|_, TargetState { limit, .. }| {
+            let retention = if limit.named().is_some() {
+                STATE_RETENTION
             } else {
-                RECENT
+                CHANGE_RETENTION
             };
-            let leaves = heard.left().is_some_and(|at| now < at + FORGET);
-            leaves || heard.at().is_some_and(|at| now < at + kept)
+            let is_leaving = limit.left().is_some_and(|at| now < at + STATE_RETENTION);
+            is_leaving || limit.at().is_some_and(|at| now < at + retention)
         });
-        let told = all.iter().flat_map(|(target, Known { heard, left })| {
-            let limit = Signal::Limit(heard.named().map(|named| named.rate));
-            let limit = heard.at().map(|at| (limit, at));
-            let missed = version.is_some_and(|version| *left > version);
-            let left = heard.left().filter(|at| missed || now < *at + RECENT);
+        let signals = all.iter().flat_map(|(target, state)| {
+            let limit = Signal::Limit(state.limit.named().map(|named| named.rate));
+            let limit = state.limit.at().map(|at| (limit, at));
+            let is_missing = version.is_some_and(|version| state.leaving_version > version);
+            let left = state.limit.left();
+            let left = left.filter(|at| is_missing || now < *at + CHANGE_RETENTION);
             let leaving = left.map(|at| (Signal::Leaving, at));
-            let told = |(signal, at)| TargetSignal {
+            let signal = |(signal, at)| TargetSignal {
                 target: target.name.clone(),
                 life: target.life,
                 signal,
                 age: unit::Period(now.saturating_duration_since(at)),
             };
-            limit.into_iter().chain(leaving).map(told)
+            limit.into_iter().chain(leaving).map(signal)
         });
-        let mut told: Vec<_> = told.collect();
-        let Struck { strikes, gone } = &*view::lock(&self.struck);
-        let is_news = |target: &id::TargetLife| {
-            let gone = gone.get(target);
-            gone.is_some_and(|gone| match version {
-                Some(version) => gone.version > version,
-                None => now < gone.at + RECENT,
+        let mut signals: Vec<_> = signals.collect();
+        let FailureLog { failures, removed } = &*view::lock(&self.failures);
+        let is_new = |target: &id::TargetLife| {
+            let removed = removed.get(target);
+            removed.is_some_and(|removed| match version {
+                Some(version) => removed.version > version,
+                None => now < removed.at + CHANGE_RETENTION,
             })
         };
-        let failed = strikes.iter().filter(|(target, _)| is_news(target));
-        told.extend(
-            failed
-                .take(STRIKES_MOST)
-                .map(|(target, strike)| TargetSignal {
-                    target: target.name.clone(),
-                    life: target.life,
-                    signal: Signal::Failed(
-                        strike.content,
-                        unit::Period(strike.failed.saturating_duration_since(strike.sent)),
-                    ),
-                    age: unit::Period(now.saturating_duration_since(strike.failed)),
-                }),
-        );
-        told
+        let failed = failures.iter().filter(|(target, _)| is_new(target));
+        let failed = failed.take(FAILURES_MAX);
+        signals.extend(failed.map(|(target, failure)| TargetSignal {
+            target: target.name.clone(),
+            life: target.life,
+            signal: Signal::Failed(
+                failure.content,
+                unit::Period(failure.failed.saturating_duration_since(failure.sent)),
+            ),
+            age: unit::Period(now.saturating_duration_since(failure.failed)),
+        }));
+        signals
     }
 
-    /// Lists what others should know, if more is known than in a version.
+    /// Returns the signals for a peer that has a version, unless that is the current one.
     pub fn updates_since(&self, version: u64) -> Option<SignalUpdate> {
-        let present = self.version.borrow().all;
-        (present > version).then(|| SignalUpdate {
-            version: present,
+        let current = self.version.borrow().all;
+        (current > version).then(|| SignalUpdate {
+            version: current,
             signals: self.list(Some(version)),
         })
     }
 
-    /// Returns a receiver of changes.
+    /// Subscribes to changes.
     pub fn subscribe(&self) -> watch::Receiver<Version> {
         self.version.subscribe()
     }
--- a/laburnumcart_gateway/src/run.rs
+++ b/laburnumcart_gateway/src/run.rs
@@ -1,4 +1,4 @@
-//! From settings to a running gateway, and its stop.
+//! Startup and graceful shutdown of the gateway process.
 
 use std::{
     io,
@@ -52,32 +52,32 @@
     view, //
 };
 
-/// Time in which the balancer notices that the process is not ready: two checks a second apart.
-const NOTICE: time::Duration = time::Duration::from_millis(2400);
+/// Time in which the load balancer notices that the process isn't ready: two checks, 1 s apart.
+const BALANCER_DELAY: time::Duration = time::Duration::from_millis(2400);
 
 /// Time before the end of the grace period at which the process exits.
-const RESERVE: time::Duration = time::Duration::from_millis(500);
+const EXIT_RESERVE: time::Duration = time::Duration::from_millis(500);
 
-/// Time before the exit at which requests that still wait are refused.
-const REFUSE: time::Duration = time::Duration::from_millis(500);
+/// Time before the exit at which waiting requests are refused.
+const REFUSAL_PERIOD: time::Duration = time::Duration::from_millis(500);
 
-/// Pause between two looks at what is in flight.
-const CHECK: time::Duration = time::Duration::from_millis(50);
+/// Interval at which requests in flight are counted during a shutdown.
+const CHECK_INTERVAL: time::Duration = time::Duration::from_millis(50);
 
-/// Age of the configuration beyond which the process is not ready.
-const READY_AGE: time::Duration = time::Duration::from_secs(30);
+/// Maximum age of the configuration of a ready process.
+const READY_AGE_MAX: time::Duration = time::Duration::from_secs(30);
 
-/// What a platform brings.
+/// Platform-specific parts of a gateway.
 pub struct Platform<S> {
-    /// Its store.
+    /// Client of the platform's store.
     pub store: S,
-    /// Its HTTP.
+    /// HTTP protocol of the platform.
     pub dialect: Arc<dyn dialect::Dialect>,
-    /// What its store holds.
+    /// Layout and encoding of the platform's store.
     pub directory: Arc<dyn dialect::Directory>,
 }
 
-/// Runs a gateway until it is told to stop.
+/// Runs a gateway until a signal stops it.
 pub fn run<S: store::Store + Clone>(
     settings: settings::Settings,
     platform: impl FnOnce(&settings::Settings) -> Platform<S>,
@@ -127,15 +127,15 @@
     counters.register(&registry, &gateway.outbound.pool.counters);
     usage::register(&registry);
     let own = control::new_member(&settings);
-    let targets = gateway.outbound.quotas.signals.clone();
-    let cache = Arc::new(cache::Cache::new(targets));
+    let target_signals = gateway.outbound.quotas.signals.clone();
+    let cache = Arc::new(cache::Cache::new(target_signals));
     let _peers = serve_peers(&gateway, &own, &cache, peer_listener)?;
     let _admin = serve_admin(&gateway, registry, admin_listener)?;
     let followed = (platform.store, platform.directory, view.clone(), own);
     let (store, directory, shared, own) = followed;
-    let evacuates = settings.bounds.evacuation.is_some();
+    let has_evacuations = settings.bounds.evacuation.is_some();
     let _control =
-        thread::spawn(move || control::run(store, directory, shared, own, cache, evacuates))?;
+        thread::spawn(move || control::run(store, directory, shared, own, cache, has_evacuations))?;
     tokio::spawn(gateway.clone().follow_changes());
     tokio::spawn(strain::watch(counters));
     tokio::spawn(gateway.dispatcher.clone().run());
@@ -155,36 +155,39 @@
                 event!(Info, "stopping", cause = signal);
                 break;
             }
-            // The addresses cannot change while the process runs; the rest comes from the store.
+            // Addresses can't change at run time, and everything else is read from the store.
             _ = reload.recv() => event!(Info, "reload", outcome = "unchanged"),
         }
     }
-    stop(&gateway, running, closing).await;
-    // Nothing here must last. The threads of libraries would take their own time to end, and the
-    // process would still be there at the end of the grace period.
+    shut_down(&gateway, running, closing).await;
+    // All state is expendable. Waiting for threads of libraries could last beyond the grace period.
     process::exit(0)
 }
 
-/// Leaves without cutting off a request.
+/// Shuts down without cutting off requests.
 ///
-/// The process goes on to serve until the balancer has noticed, then closes connections after
-/// their answer. New work for its queues goes to the next owner at once.
-async fn stop(gateway: &gateway::Gateway, running: stop::Running, closing: watch::Sender<bool>) {
+/// The process serves new connections until the load balancer has noticed, then closes each
+/// connection after its response. New jobs for its queues go to the next owner immediately.
+async fn shut_down(
+    gateway: &gateway::Gateway,
+    running: stop::Running,
+    closing: watch::Sender<bool>,
+) {
     let start = tokio::time::Instant::now();
     let view = &gateway.view;
-    let end = start + gateway.settings.bounds.grace.0.saturating_sub(RESERVE);
-    view.start_leaving(end - REFUSE);
+    let end = start + gateway.settings.bounds.grace.0.saturating_sub(EXIT_RESERVE);
+    view.start_leaving(end - REFUSAL_PERIOD);
     gateway.dispatcher.hand_over();
-    tokio::time::sleep_until(end.min(start + NOTICE)).await;
-    // Without a receiver there is no connection.
+    tokio::time::sleep_until(end.min(start + BALANCER_DELAY)).await;
+    // It fails only without receivers, when there are no connections.
     let _ = closing.send(true);
     let gate = running.gate();
-    // Connections close by themselves when they are idle; requests may still come on others.
+    // Idle connections close by themselves; requests may still arrive on others.
     while gate.count() + closing.receiver_count() > 1 && tokio::time::Instant::now() < end {
-        if tokio::time::Instant::now() + REFUSE >= end {
+        if tokio::time::Instant::now() + REFUSAL_PERIOD >= end {
             view.announce_exit();
         }
-        tokio::time::sleep(CHECK).await;
+        tokio::time::sleep(CHECK_INTERVAL).await;
     }
     let left = running.drain().wait(unit::Period::default()).await.left;
     event!(
@@ -193,11 +196,11 @@
         left = left,
         taken_ms = start.elapsed().as_millis()
     );
-    // The log's own thread needs a moment for the last lines.
-    tokio::time::sleep(CHECK).await;
+    // The logging thread needs time to write the last lines.
+    tokio::time::sleep(CHECK_INTERVAL).await;
 }
 
-/// Serves other gateways: jobs for the queues that this one owns, and what it knows of the store.
+/// Serves calls from other gateways: jobs for the queues of this one, and cached store data.
 pub fn serve_peers(
     gateway: &Arc<gateway::Gateway>,
     own: &view::Member,
@@ -222,7 +225,7 @@
 ) -> io::Result<admin::Admin> {
     let (shown, view) = (gateway.clone(), gateway.view.clone());
     let ready = move || {
-        let fresh = view.freshness.is_within(READY_AGE, crate::clock::now());
+        let fresh = view.freshness.is_within(READY_AGE_MAX, crate::clock::now());
         match (view.is_leaving(), view.is_loaded(), fresh) {
             (true, _, _) => Err("leaving".to_owned()),
             (_, false, _) => Err("no configuration".to_owned()),
--- a/laburnumcart_gateway/src/settings.rs
+++ b/laburnumcart_gateway/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of the gateway.
+//! Settings of the gateway, as written by operators.
 
 use std::net;
 
@@ -18,62 +18,63 @@
     settings, //
 };
 
-/// Settings of one gateway.
+/// Settings of a gateway process.
 #[derive(Clone, Debug, Deserialize, schemars::JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
     /// Name of this process.
     pub instance: id::InstanceName,
-    /// Its data centre.
+    /// Data centre that this process runs in.
     pub data_centre: id::DataCentre,
-    /// Region of each data centre; requests that are confined to regions run only where it is
-    /// known.
+    /// Region of each data centre; requests restricted to regions run only in data centres whose
+    /// region is known.
     #[serde(default)]
     pub regions: residency::Regions,
-    /// Address for callers.
+    /// Address for callers' requests.
     #[schemars(with = "settings::Address")]
     pub callers: net::SocketAddr,
-    /// Address for readiness and metrics.
+    /// Address for readiness checks and metrics.
     #[schemars(with = "settings::Address")]
     pub admin: net::SocketAddr,
-    /// Path on which readiness is asked beside `/readyz`.
+    /// Path of the readiness check in addition to `/readyz`.
     #[serde(default)]
     pub ready_path: Option<String>,
-    /// Address for other processes of the system.
+    /// Address for calls from other gateways.
     #[schemars(with = "settings::Address")]
     pub peer: net::SocketAddr,
     /// Address of the store.
     #[schemars(with = "settings::Address")]
     pub store: net::SocketAddr,
-    /// Bounds that the operator promises.
+    /// Bounds that the operator guarantees.
     #[serde(default)]
     pub bounds: Bounds,
-    /// Processor of the instance in cores; gateways with little of it own no queues if others can.
+    /// Processor capacity of the instance in cores; gateways with little of it own no queues if
+    /// others can.
     #[serde(default = "default_cores")]
     pub cores: f64,
-    /// Most open file descriptors.
-    #[serde(default = "default_descriptors", deserialize_with = "whole")]
+    /// Maximum number of open file descriptors.
+    #[serde(default = "default_descriptors", deserialize_with = "whole_number")]
     pub descriptors: u32,
     /// Logs and traces.
     #[serde(default)]
     pub telemetry: settings::Telemetry,
 }
 
-/// Bounds that the operator promises.
+/// Bounds that the operator guarantees.
 #[derive(Clone, Copy, Debug, Deserialize, schemars::JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct Bounds {
     /// Time from SIGTERM to SIGKILL.
     pub grace: unit::Period,
-    /// Time after which a revoked key works nowhere.
+    /// Time after which a revoked key is rejected everywhere.
     pub revoke: unit::Period,
-    /// Time after which targets of an evacuated data centre get nothing; without it none is ever
-    /// evacuated.
+    /// Time after which targets of an evacuated data centre get no work; without it, evacuations
+    /// are disabled.
     pub evacuation: Option<unit::Period>,
-    /// Extra sends to a service as a share of its requests, over all processes.
+    /// Extra attempts at a service as a fraction of its requests, over all processes.
     pub retry_ratio: f64,
-    /// Extra sends beside that share in ten seconds, over all processes; a share of a
-    /// larger number may have a fraction.
+    /// Extra attempts beyond that fraction in ten seconds, over all processes; need not be a whole
+    /// number.
     pub retry_extra: f64,
 }
 
@@ -97,8 +98,8 @@
     1024
 }
 
-/// Reads a whole number in any spelling that JSON allows, such as `4100`, `4100.0` or `4.1e3`.
-fn whole<'de, D: Deserializer<'de>>(input: D) -> Result<u32, D::Error> {
+/// Deserializes a whole number in any JSON notation, such as `4100`, `4100.0` or `4.1e3`.
+fn whole_number<'de, D: Deserializer<'de>>(input: D) -> Result<u32, D::Error> {
     let value = f64::deserialize(input)?;
     if value.fract() != 0.0 || !(0.0..=f64::from(u32::MAX)).contains(&value) {
         let message = format!("{value} must be a whole number of at most {}", u32::MAX);
@@ -119,7 +120,7 @@
     fn check(&self) -> Vec<settings::Fault> {
         let mut faults = Vec::new();
         if self.bounds.grace < unit::Period::from_secs(1) {
-            let message = "must be at least 1s, or no stop is graceful";
+            let message = "must be at least 1s for a graceful shutdown";
             faults.push(settings::Fault::new("$.bounds.grace", message));
         }
         if !(0.0..=1.0).contains(&self.bounds.retry_ratio) {
--- a/laburnumcart_gateway/src/state.rs
+++ b/laburnumcart_gateway/src/state.rs
@@ -1,4 +1,4 @@
-//! What a gateway tells operators of itself.
+//! State of the gateway for operators, as served on the admin address.
 
 use std::time;
 
@@ -19,7 +19,7 @@
     view, //
 };
 
-/// Returns the state as a page.
+/// Returns the state as a JSON page.
 pub fn page(gateway: &gateway::Gateway) -> admin::Page {
     match serde_json::to_string(&snapshot(gateway)) {
         Ok(body) => admin::Page::json(body),
@@ -27,12 +27,14 @@
     }
 }
 
-/// Returns the state.
+/// Returns the current state.
 pub fn snapshot(gateway: &gateway::Gateway) -> wire::State {
     let view = &gateway.view;
     let now = Instant::now();
     let targets = view.targets.load();
-    let held = targets.all().filter_map(|t| held(gateway, t, now));
+    let held = targets
+        .all()
+        .filter_map(|t| restricted_target(gateway, t, now));
     let mut held: Vec<_> = held.collect();
     held.sort_by(|a, b| (&a.service, &a.target).cmp(&(&b.service, &b.target)));
     wire::State {
@@ -46,14 +48,14 @@
         )),
         members: view.member_count(),
         readers: readers(view),
-        evacuated: evacuated(view, now),
-        queues: queues(gateway),
+        evacuated: evacuated_places(view, now),
+        queues: queue_states(gateway),
         held,
         targets: targets.len(),
     }
 }
 
-fn evacuated(view: &view::View, now: Instant) -> Option<Vec<wire::Evacuated>> {
+fn evacuated_places(view: &view::View, now: Instant) -> Option<Vec<wire::Evacuated>> {
     let known = |(data_centre, since): (id::DataCentre, Instant)| wire::Evacuated {
         data_centre,
         known: rounded(now.saturating_duration_since(since)),
@@ -72,7 +74,7 @@
     chosen.into_iter().map(|m| m.name.clone()).collect()
 }
 
-fn queues(gateway: &gateway::Gateway) -> Vec<wire::Queue> {
+fn queue_states(gateway: &gateway::Gateway) -> Vec<wire::Queue> {
     let table = gateway.view.table.load();
     let services = table.iter().flat_map(|table| table.services());
     let staged = services.filter(|service| service.batching.is_some());
@@ -86,8 +88,12 @@
     queues
 }
 
-/// Tells why a target gets less than others; nothing of one that does not.
-fn held(gateway: &gateway::Gateway, target: &view::Target, now: Instant) -> Option<wire::Held> {
+/// Returns why the traffic to a target is restricted, or `None` if it isn't.
+fn restricted_target(
+    gateway: &gateway::Gateway,
+    target: &view::Target,
+    now: Instant,
+) -> Option<wire::Held> {
     let mut causes = Vec::new();
     if target.leaving {
         causes.push(wire::Cause::Leaving);
@@ -102,15 +108,15 @@
     if let quota::Limit::Named(rate) = quotas.signals.get(&target.key()).limit() {
         causes.push(wire::Cause::Limit(rate));
     }
-    let gates = quotas.gates(target);
-    let backoff = gates.requests.backoff(now);
+    let limiters = quotas.gates(target);
+    let backoff = limiters.requests.backoff(now);
     if !backoff.is_zero() {
         causes.push(wire::Cause::Backoff(rounded(backoff)));
     }
     if causes.is_empty() {
         return None;
     }
-    let rates = [gates.requests.rate(now), gates.calls.rate(now)];
+    let rates = [limiters.requests.rate(now), limiters.calls.rate(now)];
     let part = rates
         .into_iter()
         .flatten()
@@ -125,7 +131,7 @@
     })
 }
 
-/// Returns a time in whole milliseconds.
+/// Returns a duration rounded down to milliseconds.
 fn rounded(time: time::Duration) -> unit::Period {
     unit::Period::from_millis(time.as_millis().try_into().unwrap_or(u64::MAX))
 }
--- a/laburnumcart_gateway/src/view.rs
+++ b/laburnumcart_gateway/src/view.rs
@@ -1,4 +1,4 @@
-//! What the traffic thread reads of the control thread's state.
+//! Control state shared with the traffic thread: targets, members, configuration, shutdown.
 
 use std::{
     collections, net,
@@ -35,27 +35,27 @@
 
 use crate::clock;
 
-/// A target.
+/// A target as listed in the store.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Target {
-    /// Name; one that starts again may have it as well.
+    /// Name, which a restarted target may keep.
     pub name: id::TargetName,
-    /// Its start.
+    /// Start time, which tells runs of a target apart.
     pub life: id::Life,
-    /// Address.
+    /// Address for requests and batch calls.
     pub addr: net::SocketAddr,
-    /// Data centre.
+    /// Data centre that the target runs in.
     pub data_centre: id::DataCentre,
-    /// Service that it belongs to.
+    /// Service that the target belongs to.
     pub service: id::ServiceName,
-    /// Whether it takes no new work.
+    /// Whether the target is shutting down and accepts no new work.
     pub leaving: bool,
-    /// Moment until which it is cold and bears few requests.
+    /// End of the warm-up time, during which the target gets a reduced rate.
     pub cold_until: Option<Instant>,
 }
 
 impl Target {
-    /// Returns what tells it from its other lives.
+    /// Returns the key that identifies this run of the target.
     pub fn key(&self) -> id::TargetLife {
         id::TargetLife {
             name: self.name.clone(),
@@ -64,7 +64,7 @@
     }
 }
 
-/// All targets that may get work.
+/// All listed targets, indexed by service and by address.
 #[derive(Clone, Debug, Default)]
 pub struct Targets {
     services: collections::HashMap<id::ServiceName, Vec<Arc<Target>>>,
@@ -72,10 +72,10 @@
 }
 
 impl Targets {
-    /// Collects targets.
+    /// Builds the index.
     ///
-    /// One that is leaving, or stands where `is_evacuated`, gets no requests, but its results can
-    /// still be freed.
+    /// Targets that are leaving or in an evacuated data centre are listed by address only: they get
+    /// no requests, but their results can still be freed.
     pub fn new(
         targets: impl IntoIterator<Item = Target>,
         is_evacuated: impl Fn(&id::DataCentre) -> bool,
@@ -95,28 +95,28 @@
         all
     }
 
-    /// Lists the targets of a service.
+    /// Returns the targets of a service that may get work.
     pub fn service(&self, name: &id::ServiceName) -> &[Arc<Target>] {
         self.services.get(name).map_or(&[], Vec::as_slice)
     }
 
-    /// Returns the life of a target that is, or was a moment ago, at an address.
+    /// Returns the target at an address that started at `life`.
     ///
-    /// Addresses are used again, and an entry of the one before may still be listed.
+    /// Addresses are reused, and the entry of the previous target may still be listed.
     pub fn find(&self, addr: &net::SocketAddr, life: id::Life) -> Option<&Arc<Target>> {
         let listed = self.addrs.get(addr)?;
         listed.iter().find(|target| target.life == life)
     }
 
-    /// Reports whether another life is known to have taken the place of one at an address.
+    /// Returns whether a later target is known to have replaced one at an address.
     ///
-    /// What that one held is gone. Of a target that is not listed nothing is known: it may be about
-    /// to leave, with its results still there.
+    /// The results of the replaced target are lost. An unlisted target doesn't count as replaced:
+    /// it may be shutting down and still hold its results.
     pub fn is_replaced(&self, addr: &net::SocketAddr, life: id::Life) -> bool {
         self.addrs.contains_key(addr) && self.find(addr, life).is_none()
     }
 
-    /// Lists all targets, those that get no requests among them.
+    /// Iterates over all targets, including those that get no requests.
     pub fn all(&self) -> impl Iterator<Item = &Arc<Target>> {
         self.addrs.values().flatten()
     }
@@ -126,16 +126,16 @@
         self.addrs.values().map(Vec::len).sum()
     }
 
-    /// Reports whether there is no target.
+    /// Returns whether there are no targets.
     pub fn is_empty(&self) -> bool {
         self.addrs.is_empty()
     }
 }
 
-/// Compares what is known of a service's targets with their list: who is gone, who is new.
+/// Compares known targets with a new list and returns those removed and those added.
 ///
-/// One that has started again under its name is both.
-pub(crate) fn changes(
+/// A target that restarted under its old name is in both.
+pub(crate) fn diff_targets(
     known: impl IntoIterator<Item = id::TargetLife>,
     listed: &[Arc<Target>],
 ) -> (Vec<id::TargetLife>, Vec<&Arc<Target>>) {
@@ -146,202 +146,204 @@
     (gone, new.collect())
 }
 
-/// A process of the system, as it describes itself in the store.
+/// Store entry of a process of the system, written by itself.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Member {
-    /// Name of its instance.
+    /// Name of the instance.
     pub instance: id::InstanceName,
-    /// Data centre.
+    /// Data centre that the instance runs in.
     pub data_centre: id::DataCentre,
-    /// Address for other processes of the system.
+    /// Address for calls from peers.
     pub peer: net::SocketAddr,
-    /// Its life.
+    /// Random number of this process run.
     pub incarnation: id::Incarnation,
-    /// Processor of its instance in cores.
+    /// Processor capacity of the instance in cores.
     pub cores: f64,
-    /// Secret that it asks of those who call it; only readers of the store know it.
+    /// Secret that peers must present when they call; it is known only through the store.
     pub secret: String,
 }
 
-/// Time after the start of a stop in which every request is taken.
+/// Time after the start of a shutdown during which every request is accepted.
 ///
-/// The balancer notices within two seconds; callers that came before are served to their end.
-const WELCOME: time::Duration = time::Duration::from_millis(2700);
+/// The load balancer takes up to two seconds to stop sending callers here.
+const ACCEPT_ALL_PERIOD: time::Duration = time::Duration::from_millis(2700);
 
-/// What the store lists of targets, and what they say themselves.
+/// Inputs from which the published targets are computed.
 #[derive(Debug, Default)]
-struct Listed {
+struct TargetState {
     targets: Option<Vec<Target>>,
-    places: evacuation::Places,
+    evacuations: evacuation::Places,
     leaving: collections::HashSet<id::TargetLife>,
 }
 
-/// A stop in progress.
+/// A graceful shutdown in progress.
 #[derive(Clone, Copy, Debug)]
-struct Leaving {
-    since: Instant,
+struct Shutdown {
+    start: Instant,
     exit: Instant,
 }
 
-/// Control state as last published.
+/// Control state, published by the control thread and read by the traffic thread.
 #[derive(Debug)]
 pub struct View {
-    /// Listed targets and what is known of them and of their data centres.
-    listed: Mutex<Listed>,
-    /// Configuration in force.
+    target_state: Mutex<TargetState>,
+    /// Active configuration, once it was read.
     pub table: ArcSwapOption<ingress::Table>,
-    /// Targets.
+    /// Targets as last published.
     pub targets: ArcSwap<Targets>,
-    /// Processes of the system, this one included once it is known.
+    /// Processes of the system, including this one once the list was read.
     pub members: ArcSwap<Vec<Member>>,
-    /// Part of this process in what all may spend together.
-    allotment: Mutex<allotment::Allotment>,
-    /// Age of the configuration.
+    budget_share: Mutex<allotment::Allotment>,
+    /// Freshness of the configuration.
     pub freshness: freshness::Freshness,
-    /// Counts the changes of targets and members.
+    /// Counts published changes.
     changes: watch::Sender<u64>,
     exiting: watch::Sender<bool>,
-    leaving: OnceLock<Leaving>,
-    complete: atomic::AtomicBool,
+    leaving: OnceLock<Shutdown>,
+    targets_loaded: atomic::AtomicBool,
 }
 
 impl Default for View {
     fn default() -> Self {
         Self {
-            listed: Mutex::default(),
+            target_state: Mutex::default(),
             table: ArcSwapOption::empty(),
             targets: ArcSwap::default(),
             members: ArcSwap::default(),
-            allotment: Mutex::default(),
+            budget_share: Mutex::default(),
             freshness: freshness::Freshness::default(),
             changes: watch::Sender::new(0),
             exiting: watch::Sender::new(false),
             leaving: OnceLock::new(),
-            complete: atomic::AtomicBool::new(false),
+            targets_loaded: atomic::AtomicBool::new(false),
         }
     }
 }
 
 impl View {
-    /// Publishes the targets.
+    /// Publishes the listed targets.
     pub fn set_targets(&self, targets: Vec<Target>) {
-        let mut listed = lock(&self.listed);
+        let mut listed = lock(&self.target_state);
         listed.targets = Some(targets);
         self.publish(&listed);
     }
 
-    /// Publishes which data centres are evacuated.
+    /// Publishes the evacuated data centres.
     pub fn set_evacuated(&self, evacuated: evacuation::Evacuated) {
-        let mut listed = lock(&self.listed);
-        listed.places.set(evacuated, Instant::now());
+        let mut listed = lock(&self.target_state);
+        listed.evacuations.set(evacuated, Instant::now());
         self.publish(&listed);
     }
 
-    /// Publishes which targets have said that they are leaving, whatever the store lists.
+    /// Publishes the targets that announced their shutdown, regardless of their store entries.
     pub fn set_leaving_targets(&self, leaving: collections::HashSet<id::TargetLife>) {
-        let mut listed = lock(&self.listed);
+        let mut listed = lock(&self.target_state);
         if listed.leaving != leaving {
             listed.leaving = leaving;
             self.publish(&listed);
         }
     }
 
-    /// Returns which data centres are evacuated, once that is known.
+    /// Returns the evacuated data centres, or `None` before the first listing.
     pub fn evacuated(&self) -> Option<evacuation::Evacuated> {
-        lock(&self.listed).places.evacuated().cloned()
+        lock(&self.target_state).evacuations.evacuated().cloned()
     }
 
-    /// Returns which data centres are evacuated and since when, once that is known.
+    /// Returns the evacuated data centres with the start of each evacuation.
+    ///
+    /// Returns `None` before the first listing.
     pub fn evacuated_since(&self) -> Option<Vec<(id::DataCentre, Instant)>> {
-        let listed = lock(&self.listed);
-        let evacuated = listed.places.evacuated()?.iter();
-        let since = |place: &id::DataCentre| Some((place.clone(), listed.places.since(place)?));
+        let listed = lock(&self.target_state);
+        let evacuated = listed.evacuations.evacuated()?.iter();
+        let since =
+            |place: &id::DataCentre| Some((place.clone(), listed.evacuations.since(place)?));
         Some(evacuated.filter_map(since).collect())
     }
 
-    /// Reports whether a data centre is known to be evacuated.
+    /// Returns whether a data centre is known to be evacuated.
     pub fn is_evacuated(&self, place: &id::DataCentre) -> bool {
-        let listed = lock(&self.listed);
-        let evacuated = listed.places.evacuated();
+        let listed = lock(&self.target_state);
+        let evacuated = listed.evacuations.evacuated();
         evacuated.is_some_and(|evacuated| evacuated.contains(place))
     }
 
-    /// Publishes what may get work, from all that is known.
-    fn publish(&self, listed: &Listed) {
-        let places = &listed.places;
+    /// Recomputes and publishes the targets from all inputs.
+    fn publish(&self, listed: &TargetState) {
+        let evacuations = &listed.evacuations;
         let targets = listed.targets.iter().flatten().map(|target| Target {
-            cold_until: target.cold_until.max(places.cold(&target.data_centre)),
+            cold_until: target.cold_until.max(evacuations.cold(&target.data_centre)),
             leaving: target.leaving || listed.leaving.contains(&target.key()),
             ..target.clone()
         });
-        let targets = Targets::new(targets, |place| places.is_closed(place));
+        let targets = Targets::new(targets, |place| evacuations.is_closed(place));
         self.targets.store(Arc::new(targets));
-        let complete = listed.targets.is_some() && places.evacuated().is_some();
-        self.complete.store(complete, atomic::Ordering::Release);
-        self.changed();
+        let complete = listed.targets.is_some() && evacuations.evacuated().is_some();
+        self.targets_loaded
+            .store(complete, atomic::Ordering::Release);
+        self.notify_changed();
     }
 
     /// Publishes the members.
     pub fn set_members(&self, members: Vec<Member>) {
         self.members.store(Arc::new(members));
-        self.changed();
+        self.notify_changed();
     }
 
-    /// Takes in a listing of all processes that holds for `at`.
-    pub fn update_allotment<'a>(
+    /// Updates this process's share of fleet-wide budgets from a listing as of `at`.
+    pub fn update_budget_share<'a>(
         &self,
         own: allotment::Entry,
         others: impl IntoIterator<Item = &'a id::InstanceName>,
         at: freshness::Moment,
     ) {
-        lock(&self.allotment).read(own, others, at);
+        lock(&self.budget_share).read(own, others, at);
     }
 
-    /// Returns this process's part of what all may spend together, from 0 to 1.
-    pub fn allotted_share(&self) -> f64 {
-        lock(&self.allotment).part(clock::now())
+    /// Returns this process's fraction of fleet-wide budgets, from 0 to 1.
+    pub fn budget_fraction(&self) -> f64 {
+        lock(&self.budget_share).part(clock::now())
     }
 
-    /// Publishes a configuration, unless a later one is in force.
+    /// Activates a configuration and returns `true`, unless the active one is as new.
     pub fn set_table(&self, table: ingress::Table) -> bool {
-        let older = |known: &Arc<ingress::Table>| known.version >= table.version;
-        if self.table.load().as_ref().is_some_and(older) {
+        let is_as_new = |known: &Arc<ingress::Table>| known.version >= table.version;
+        if self.table.load().as_ref().is_some_and(is_as_new) {
             return false;
         }
         self.table.store(Some(Arc::new(table)));
-        self.changed();
+        self.notify_changed();
         true
     }
 
-    /// Returns a receiver of changes.
+    /// Subscribes to changes of targets, members and configuration.
     pub fn subscribe(&self) -> watch::Receiver<u64> {
         self.changes.subscribe()
     }
 
-    /// Marks the process as leaving; it will exit at `exit`.
+    /// Marks the process as shutting down, with its exit planned at `exit`.
     pub fn start_leaving(&self, exit: Instant) {
-        let since = Instant::now();
-        // A second call changes nothing: the exit was told to callers already.
-        let _ = self.leaving.set(Leaving { since, exit });
+        let start = Instant::now();
+        // A second call has no effect: requests were accepted on the basis of the first exit time.
+        let _ = self.leaving.set(Shutdown { start, exit });
     }
 
-    /// Reports whether the process is leaving.
+    /// Returns whether the process is shutting down.
     pub fn is_leaving(&self) -> bool {
         self.leaving.get().is_some()
     }
 
-    /// Reports whether a request that may take `limit` can still be taken.
+    /// Returns whether a request that takes up to `limit` can finish before the exit.
     ///
-    /// The balancer goes on to send callers here for a while, and for longer when all instances of
-    /// a data centre are leaving. A long stream that was taken late would be cut by the exit.
+    /// The load balancer keeps sending callers here for a while, longer when all instances of a
+    /// data centre are shutting down. A long stream accepted late would be cut off by the exit.
     pub fn can_finish(&self, limit: time::Duration, now: Instant) -> bool {
         let Some(leaving) = self.leaving.get() else {
             return true;
         };
-        now < leaving.since + WELCOME || now + limit <= leaving.exit
+        now < leaving.start + ACCEPT_ALL_PERIOD || now + limit <= leaving.exit
     }
 
-    /// Tells requests that wait that the process is about to exit.
+    /// Notifies waiting requests that the process is about to exit.
     pub fn announce_exit(&self) {
         self.exiting.send_replace(true);
     }
@@ -349,27 +351,29 @@
     /// Waits until the process is about to exit.
     pub async fn wait_for_exit(&self) {
         let mut exiting = self.exiting.subscribe();
-        // The sender lives as long as this view.
+        // The sender is dropped only with this view.
         let _ = exiting.wait_for(|exiting| *exiting).await;
     }
 
-    /// Reports whether the configuration, the targets and the evacuations are known.
+    /// Returns whether configuration, targets and evacuations were all read.
     pub fn is_loaded(&self) -> bool {
-        self.complete.load(atomic::Ordering::Acquire) && self.table.load().is_some()
+        self.targets_loaded.load(atomic::Ordering::Acquire) && self.table.load().is_some()
     }
 
-    /// Returns by how many processes shared bounds are divided.
+    /// Returns the number of processes that share limits, at least 1.
     pub fn member_count(&self) -> usize {
         self.members.load().len().max(1)
     }
 
-    fn changed(&self) {
+    fn notify_changed(&self) {
         self.changes.send_modify(|n| *n += 1);
     }
 }
 
-/// Locks a mutex; what it holds is whole also after a panic elsewhere, as no locked section
-/// panics between two changes that belong together.
+/// Locks a mutex, ignoring poisoning.
+///
+/// No locked section can panic between two changes that belong together, so that the data is
+/// consistent even after a panic elsewhere.
 pub(crate) fn lock<T>(mutex: &sync::Mutex<T>) -> sync::MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(sync::PoisonError::into_inner)
 }
--- a/laburnumcart_gateway/tests/peers.rs
+++ b/laburnumcart_gateway/tests/peers.rs
@@ -1,4 +1,4 @@
-//! Jobs at other processes of the system.
+//! Calls between gateways: jobs, freed results and heartbeats.
 
 use std::{
     net,
@@ -45,15 +45,15 @@
 };
 use laburnumcart_wire::peer;
 
-/// Longest wait for anything that must happen.
-const LIMIT: time::Duration = time::Duration::from_secs(20);
+/// Timeout of [`wait_for`].
+const TIMEOUT: time::Duration = time::Duration::from_secs(20);
 
 const SERVICES: [&str; 8] = ["a", "b", "c", "d", "e", "f", "g", "h"];
 
-/// A dialect that is never spoken: no job is executed here.
-struct Silence;
+/// Dialect for tests in which no target is called.
+struct NullDialect;
 
-impl dialect::Dialect for Silence {
+impl dialect::Dialect for NullDialect {
     fn parse_request(&self, _: &HeaderMap) -> Result<dialect::RequestHead, dialect::Malformed> {
         Err(dialect::Malformed("call"))
     }
@@ -91,18 +91,18 @@
     }
 }
 
-/// A process that notes the jobs that it is given, and answers none unless it is told to.
+/// Peer that records submitted jobs, and leaves them pending unless it has an answer.
 #[derive(Clone, Default)]
-struct Silent {
+struct FakePeer {
     jobs: Arc<Mutex<Vec<u64>>>,
     answer: Arc<Mutex<Option<Answer>>>,
     freed: Arc<atomic::AtomicUsize>,
-    /// Time that a heartbeat waits for its answer.
+    /// Delay of the answer to a heartbeat.
     lag: time::Duration,
 }
 
 #[async_trait]
-impl PeerServer for Silent {
+impl PeerServer for FakePeer {
     async fn submit(&self, job: dispatcher::Job) -> RpcResult<Answer> {
         self.jobs.lock().unwrap().push(job.id);
         let answer = self.answer.lock().unwrap().clone();
@@ -139,7 +139,7 @@
     }
 }
 
-impl Silent {
+impl FakePeer {
     fn answering(answer: Answer) -> Self {
         let silent = Self::default();
         *silent.answer.lock().unwrap() = Some(answer);
@@ -151,7 +151,7 @@
         jobs.iter().filter(|job| **job == id).count()
     }
 
-    /// Serves one life of a process, and tells how it describes itself.
+    /// Serves one incarnation of a process and returns its store entry.
     fn serve(&self, instance: &str, secret: &str) -> (peer::Handle, view::Member) {
         let listener = std::net::TcpListener::bind(("127.0.0.1", 0)).unwrap();
         let member = view::Member {
@@ -190,7 +190,7 @@
     }
 }
 
-/// Another process as this one reaches the rest, and what it knows of them.
+/// Process under test that calls the fake peers.
 struct Caller {
     peers: Arc<peers::Peers>,
     view: Arc<view::View>,
@@ -205,9 +205,9 @@
         let bounds = settings::Bounds::default();
         let dispatcher = dispatcher::Dispatcher::new(
             view.clone(),
-            outbound::Outbound::new(Arc::new(Silence), quotas),
+            outbound::Outbound::new(Arc::new(NullDialect), quotas),
             budgets::Budgets::new(bounds, view.clone(), metrics.clone()),
-            Arc::new(Silence),
+            Arc::new(NullDialect),
             metrics,
             mpsc::unbounded_channel().0,
         );
@@ -217,11 +217,11 @@
         }
     }
 
-    /// Submits a job for each of the services, with numbers from `first`.
+    /// Submits a job to each of the services, with ids from `first`.
     fn submit_all(&self, first: u64) {
         for (service, id) in SERVICES.iter().zip(first..) {
             let (peers, job) = (self.peers.clone(), job(id, service));
-            // The test ends before any job does.
+            // No job ends within the test.
             tokio::spawn(async move { peers.submit(job).await });
         }
     }
@@ -233,19 +233,21 @@
             tokio::time::sleep(time::Duration::from_millis(5)).await;
         }
     };
-    let waited = tokio::time::timeout(LIMIT, wait).await;
-    waited.expect("it holds in time");
+    let waited = tokio::time::timeout(TIMEOUT, wait).await;
+    waited.expect("the condition holds in time");
 }
 
-// A rolling stop: one process is restarted, then the process that has an old job stops. The job
-// looks for its next owner among the processes as they were when it was sent, and finds the earlier
-// life of the restarted one. If that replaced the connection to the later life, all jobs that wait
-// there would fail at once and queue up again behind others, with each old job anew.
+// In a rolling restart, an old job finds its next owner among the members as of its submission. If
+// it replaced the link to a restarted process by one to the earlier run, all jobs there would fail.
 #[tokio::test]
-async fn an_old_job_does_not_cut_the_connection_to_a_later_life() {
+async fn an_old_job_does_not_close_the_connection_to_a_restarted_process() {
     let caller = Caller::new();
-    let (first, second, other) = (Silent::default(), Silent::default(), Silent::default());
-    let (gone, earlier) = first.serve("gateway-2", "secret-of-the-earlier-life");
+    let (first, second, other) = (
+        FakePeer::default(),
+        FakePeer::default(),
+        FakePeer::default(),
+    );
+    let (gone, earlier) = first.serve("gateway-2", "secret-of-the-earlier-run");
     let (stopping, stays) = other.serve("gateway-3", "secret-of-the-third-process");
     caller.view.set_members(vec![earlier, stays.clone()]);
     caller.submit_all(0);
@@ -253,35 +255,34 @@
     let moving: Vec<u64> = (0..8).filter(|id| other.count(*id) == 1).collect();
     assert!(!moving.is_empty(), "some services are owned by the third");
     gone.stop();
-    let (_handle, later) = second.serve("gateway-2", "secret-of-the-later-life");
+    let (_handle, later) = second.serve("gateway-2", "secret-of-the-later-run");
     caller.view.set_members(vec![later, stays]);
     caller.submit_all(8);
     wait_for(|| (8..16).all(|id| second.count(id) + other.count(id) > 0)).await;
     let kept: Vec<u64> = (8..16).filter(|id| second.count(*id) == 1).collect();
     assert!(
         !kept.is_empty(),
-        "some services are owned by the later life"
+        "some services are owned by the later incarnation"
     );
     stopping.stop();
     wait_for(|| moving.iter().all(|id| second.count(*id) > 0)).await;
     assert!(kept.iter().all(|id| second.count(*id) == 1), "sent once");
 }
 
-// The owner of a queue begins to leave, and goes on to answer for its grace period. Jobs go to the
-// next process. Were their results freed at the first one, the next one would hold their room to be
-// taken until they expire, and make no call for seconds while jobs wait.
+// A queue owner that shuts down still answers calls, but jobs go to the next owner. If the first
+// one freed their results, the next one would count them as used capacity until they expire.
 #[tokio::test]
 async fn results_are_freed_where_their_job_was_executed() {
     let caller = Caller::new();
     let handles = vec![batch::Handle::new("result", id::Life(1))];
-    let leaving = Silent::answering(Answer::Leaving);
-    let next = Silent::answering(Answer::Done(handles.clone()));
+    let leaving = FakePeer::answering(Answer::Leaving);
+    let next = FakePeer::answering(Answer::Done(handles.clone()));
     let (_leaving, first) = leaving.serve("gateway-2", "secret-of-the-second-process");
     let (_next, second) = next.serve("gateway-3", "secret-of-the-third-process");
     caller.view.set_members(vec![first, second]);
     let mut ids = 0..;
     let mut made = None;
-    // Some service is owned by the one that leaves; after its answer it gets no more jobs.
+    // The leaving process owns some service; after its answer it gets no more jobs.
     while made.is_none() || leaving.jobs.lock().unwrap().is_empty() {
         for (service, id) in SERVICES.iter().zip(&mut ids) {
             made = Some(caller.peers.submit(job(id, service)).await.unwrap());
@@ -292,7 +293,7 @@
     }
     let made = made.unwrap();
     assert_eq!(made.owner.instance.as_str(), "gateway-3");
-    // It does not come back in this life.
+    // A leaving process gets no more jobs in this incarnation.
     assert_eq!(leaving.jobs.lock().unwrap().len(), 1);
     for service in SERVICES {
         let service = service.parse().unwrap();
@@ -302,12 +303,12 @@
     assert_eq!(leaving.freed.load(atomic::Ordering::Relaxed), 0);
 }
 
-// The owner of a queue has crashed, and each process that holds results of it frees them by itself.
+// If every process freed the results of a crashed owner by itself, they would overload targets.
 #[tokio::test]
 async fn results_of_an_owner_that_is_gone_are_freed_by_its_successor() {
     let caller = Caller::new();
     let handles = vec![batch::Handle::new("result", id::Life(1))];
-    let (first, second) = (Silent::default(), Silent::default());
+    let (first, second) = (FakePeer::default(), FakePeer::default());
     let (gone, earlier) = first.serve("gateway-2", "secret-of-the-second-process");
     let (_second, later) = second.serve("gateway-3", "secret-of-the-third-process");
     caller.view.set_members(vec![earlier.clone(), later]);
@@ -319,13 +320,13 @@
     wait_for(|| second.freed.load(atomic::Ordering::Relaxed) == SERVICES.len()).await;
 }
 
-// An owner under load answers heartbeats late, is taken for gone, and its load moves to the next one.
+// An overloaded owner answers heartbeats late. As a failure, that would move its load elsewhere.
 #[tokio::test]
-async fn a_process_under_load_is_not_taken_for_gone() {
+async fn a_process_under_load_stays_the_queue_owner() {
     let caller = Caller::new();
-    let slow = Silent {
+    let slow = FakePeer {
         lag: time::Duration::from_secs(5),
-        ..Silent::default()
+        ..FakePeer::default()
     };
     let (_slow, member) = slow.serve("gateway-2", "secret-of-the-second-process");
     caller.view.set_members(vec![member.clone()]);
--- a/laburnumcart_gateway/tests/relay.rs
+++ b/laburnumcart_gateway/tests/relay.rs
@@ -1,4 +1,4 @@
-//! Ages of what processes tell each other of the store.
+//! Answers and ages of the relay cache.
 
 use std::time;
 
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn a_change_is_told_at_once_and_nothing_waits() {
+fn a_change_is_answered_at_once_and_the_current_revision_waits() {
     let mut copy = copy(6, 900);
     copy.update(&snapshot(7, "{}"), at(1000), at(1000));
     let Some(Answer::Changes(changes)) = copy.answer(&ask(Some(6), 1200), at(1000), at(1000))
@@ -77,36 +77,36 @@
     assert_eq!(changes.events.len(), 1);
     let same = copy.answer(&ask(Some(7), 1200), at(1000), at(1000));
     assert_eq!(same, None);
-    // Of deletions before the first listing nothing is known.
+    // Deletions before the first listing are unknown.
     let older = copy.answer(&ask(Some(5), 1200), at(1000), at(1000));
     assert_eq!(older, Some(Answer::Compacted));
 }
 
-// A reader has lost its way to the store, and has not heard that a key was taken away. Those that ask
-// it hear that it knows nothing young enough, and turn to others, rather than go on with the key.
+// A reader that lost the store misses the revocation of a key. Its answer must be stale, so that
+// other processes ask elsewhere instead of accepting the key further.
 #[rstest]
 #[case(1200, true)]
 #[case(1201, false)]
-fn what_is_older_than_the_limit_is_not_told(#[case] later: u64, #[case] told: bool) {
+fn data_older_than_the_limit_is_stale(#[case] later: u64, #[case] is_fresh: bool) {
     let copy = copy(7, 1000);
     let answer = copy.answer(&ask(None, 1200), at(1000 + later), at(1000 + later));
-    assert_eq!(answer != Some(Answer::Stale), told);
+    assert_eq!(answer != Some(Answer::Stale), is_fresh);
     let hold = FollowRequest {
         wait_fresh: true,
         ..ask(None, 1200)
     };
     let answer = copy.answer(&hold, at(1000 + later), at(1000 + later));
-    assert_eq!(answer.is_some(), told, "one that holds waits");
+    assert_eq!(answer.is_some(), is_fresh, "a request for fresh data waits");
 }
 
 #[test]
-fn the_age_is_that_of_the_moment_when_the_question_came() {
+fn the_age_is_that_at_the_arrival_of_the_request() {
     let mut copy = copy(7, 1000);
     assert_eq!(
         age(copy.answer(&ask(None, 1200), at(1400), at(1400))).as_millis(),
         400
     );
-    // It has waited since 1.4 s; what was read at 1.6 s is younger than the question.
+    // The request has waited since 1.4 s, so that data read at 1.6 s has no age.
     copy.update(&snapshot(8, "{}"), at(1600), at(1610));
     assert_eq!(
         age(copy.answer(&ask(Some(7), 1200), at(1400), at(1610))).as_millis(),
@@ -119,7 +119,7 @@
 }
 
 #[test]
-fn an_older_read_never_makes_a_copy_older() {
+fn an_older_read_never_ages_the_cache() {
     let mut copy = copy(7, 1000);
     copy.update(&snapshot(7, "{}"), at(400), at(1100));
     assert_eq!(
@@ -128,8 +128,8 @@
     );
 }
 
-// A configuration of hundreds of kilobytes changes. Sent to all that ask in one moment it would fill
-// the reader's link for seconds, while they hold the reader to be gone; they fetch it themselves.
+// A large configuration sent to all waiting processes at once would fill the reader's link for
+// seconds, and they would mark the reader as down.
 #[test]
 fn large_changes_are_left_to_the_store() {
     let mut copy = copy(6, 900);
@@ -147,23 +147,22 @@
 }
 
 proptest! {
-    /// Knowledge goes through a chain of processes, with pauses of any length before, on and after
-    /// each exchange. However long they are, the last one never holds it for younger than the read
-    /// that it comes from: keys that are taken away would work for longer than is promised.
+    /// Data passes through a chain of processes with pauses anywhere. If it ever seemed younger
+    /// than the read that it comes from, revoked keys would be accepted beyond the bound.
     #[test]
     fn ages_never_shrink(pauses in prop::collection::vec(prop::array::uniform4(0u64..3000), 1..6)) {
         let read = 10_000;
         let mut now = read;
         let mut known = read;
-        for [before, way, held, back] in pauses {
+        for [before, request, held, response] in pauses {
             let mut copy = cache::CachedTopic::default();
             copy.update(&snapshot(7, "{}"), at(known), at(now));
             let asked = now + before;
-            let arrived = asked + way;
-            let told = arrived + held;
-            let age = age(copy.answer(&ask(None, 1_000_000), at(arrived), at(told)));
-            now = told + back;
-            // As a process takes in an answer: its own question counts, not the answer's arrival.
+            let arrived = asked + request;
+            let answered = arrived + held;
+            let age = age(copy.answer(&ask(None, 1_000_000), at(arrived), at(answered)));
+            now = answered + response;
+            // A process subtracts the age from the time of its request, not of the answer.
             let moment = at(asked).before(age.0);
             prop_assert!(moment <= at(read), "{moment} of a read at {read}");
             known = moment.0.as_millis() as u64;
--- a/laburnumcart_gateway/tests/settings.rs
+++ b/laburnumcart_gateway/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings as platforms spell them.
+//! Notations of numbers in the gateway's settings.
 
 use std::time;
 
@@ -13,20 +13,20 @@
     "bounds": { "grace": "8s", "revoke": "5000ms", "retry_ratio": 0.2, "retry_extra": 246 }
 }"#;
 
-/// Returns the settings with another spelling of one value.
-fn with(field: &str, spelling: &str) -> String {
+/// Returns the settings with one value in another notation.
+fn with(field: &str, notation: &str) -> String {
     let field = format!("\"{field}\": ");
     let (head, tail) = SETTINGS.split_once(&field).unwrap();
     let end = tail.find([',', ' ', '\n']).unwrap();
-    format!("{head}{field}{spelling}{}", &tail[end..])
+    format!("{head}{field}{notation}{}", &tail[end..])
 }
 
 fn parse(text: &str) -> Result<settings::Settings, daemon::LoadError> {
     daemon::parse(text)
 }
 
-// Bounds of a small deployment are worked out from those of a large one, and come with fractions. A
-// gateway that took them for a mistake would not start, and its callers would find nobody.
+// Bounds that are computed from those of another deployment have fractions. A gateway that rejected
+// them would not start.
 #[rstest]
 #[case("retry_extra", "36.2")]
 #[case("retry_extra", "36")]
@@ -38,8 +38,8 @@
 #[case("grace", "\"8e0s\"")]
 #[case("revoke", "\"5000.5ms\"")]
 #[case("revoke", "\"5e+3ms\"")]
-fn bounds_take_each_spelling_of_a_number(#[case] field: &str, #[case] spelling: &str) {
-    parse(&with(field, spelling)).unwrap();
+fn bounds_accept_any_number_notation(#[case] field: &str, #[case] notation: &str) {
+    parse(&with(field, notation)).unwrap();
 }
 
 #[test]
@@ -55,8 +55,8 @@
 #[case("4100.0")]
 #[case("4.1e3")]
 #[case("4100")]
-fn whole_numbers_take_each_spelling(#[case] spelling: &str) {
-    let settings = parse(&with("descriptors", spelling)).unwrap();
+fn whole_numbers_accept_any_notation(#[case] notation: &str) {
+    let settings = parse(&with("descriptors", notation)).unwrap();
     assert_eq!(settings.descriptors, 4100);
 }
 
@@ -70,8 +70,12 @@
 #[case("grace", "\"8e\"", "")]
 #[case("grace", "\"e3s\"", "")]
 #[case("revoke", "\"-5ms\"", "")]
-fn wrong_numbers_are_told(#[case] field: &str, #[case] spelling: &str, #[case] expected: &str) {
-    let error = parse(&with(field, spelling)).unwrap_err().to_string();
+fn invalid_numbers_are_reported(
+    #[case] field: &str,
+    #[case] notation: &str,
+    #[case] expected: &str,
+) {
+    let error = parse(&with(field, notation)).unwrap_err().to_string();
     assert!(error.contains(expected), "{error}");
     assert!(error.contains(&format!(".{field}: ")), "{error}");
 }
