--- a/laburnumcart_gateway/src/control/targets.rs
+++ b/laburnumcart_gateway/src/control/targets.rs
@@ -242,17 +242,17 @@
                 changed = true;
             }
         }
-        let gone = self
+        let removed = self
             .records
             .values()
             .filter(|known| !known.is_used())
             .count();
-        let remembered = match gone > REMOVED_MAX {
+        let retention = match removed > REMOVED_MAX {
             true => time::Duration::ZERO,
             false => REMOVED_RETENTION,
         };
         self.records.retain(|_, known| match known.presence {
-            Presence::Removed(since) => now.saturating_duration_since(since) < remembered,
+            Presence::Removed(since) => now.saturating_duration_since(since) < retention,
             _ => true,
         });
         changed
--- a/laburnumcart_gateway/src/metrics.rs
+++ b/laburnumcart_gateway/src/metrics.rs
@@ -34,7 +34,7 @@
 
 /// Metrics of targets with restricted traffic.
 #[derive(Clone, Debug, Default)]
-pub struct TargetGauges {
+pub struct TargetMetrics {
     /// Targets that advertise a rate limit.
     pub limited: gauge::Gauge<i64>,
     /// Requests sent to such targets.
@@ -75,7 +75,7 @@
     /// Mean lateness of a timer of the process in seconds.
     pub timer_lag: gauge::Gauge<f64, atomic::AtomicU64>,
     /// Targets with restricted traffic.
-    pub targets: TargetGauges,
+    pub targets: TargetMetrics,
     /// Time until all stages of a request were complete.
     pub stages: histogram::Histogram,
     /// Time until the first byte of a response.
@@ -96,7 +96,7 @@
             pieces: counter::Counter::default(),
             refused_early: counter::Counter::default(),
             timer_lag: gauge::Gauge::default(),
-            targets: TargetGauges::default(),
+            targets: TargetMetrics::default(),
             stages: histogram::Histogram::new(BUCKETS),
             first_byte: histogram::Histogram::new(BUCKETS),
         }
--- a/laburnumcart_gateway/src/peers.rs
+++ b/laburnumcart_gateway/src/peers.rs
@@ -266,7 +266,7 @@
     ///
     /// The first choice of owner may have changed since, or be shutting down while the next one
     /// sends the batch calls. If it freed the results, they would still count as used where calls
-    /// wait for capacity, until they expire: targets stay idle for seconds in a rolling restart.
+    /// wait for capacity, until they expire: targets stay idle for 3 s in a rolling restart.
     pub fn free(
         &self,
         service: &id::ServiceName,
@@ -343,8 +343,8 @@
 
     /// Returns the queue owner of a service.
     fn owner(&self, service: &id::ServiceName) -> Option<Arc<view::Member>> {
-        let order = self.ranking(service);
-        order.iter().find(|m| self.is_up(m, false)).cloned()
+        let ranking = self.ranking(service);
+        ranking.iter().find(|m| self.is_up(m, false)).cloned()
     }
 
     /// Lists the processes that may own a service's queue, the preferred one first.
@@ -353,8 +353,8 @@
     /// processes can be shutting down at once for up to their grace period. Requests that they
     /// accepted would otherwise wait for an owner until the first process is back.
     fn owners(&self, service: &id::ServiceName, last: bool) -> Vec<Arc<view::Member>> {
-        let order = self.ranking(service);
-        let up = order.iter().filter(|m| self.is_up(m, last));
+        let ranking = self.ranking(service);
+        let up = ranking.iter().filter(|m| self.is_up(m, last));
         up.cloned().collect()
     }
 
--- a/laburnumcart_gateway/src/quotas.rs
+++ b/laburnumcart_gateway/src/quotas.rs
@@ -78,7 +78,7 @@
     /// What targets have said of themselves.
     pub signals: Arc<signals::Signals>,
     known: Mutex<collections::HashMap<id::TargetLife, Known>>,
-    metrics: metrics::TargetGauges,
+    metrics: metrics::TargetMetrics,
 }
 
 impl Quotas {
--- a/laburnumcart_gateway/src/relay/signals.rs
+++ b/laburnumcart_gateway/src/relay/signals.rs
@@ -66,7 +66,7 @@
     pub life: id::Life,
     /// Signal that the target gave.
     pub signal: Signal,
-    /// Time since the signal was received from the target.
+    /// Time since the target gave the signal.
     pub age: unit::Period,
 }
 
