--- a/laburnumcart_gateway/src/forward.rs
+++ b/laburnumcart_gateway/src/forward.rs
@@ -338,7 +338,7 @@
             seat.record_failure();
             return Err(self.failed(&seat, may_have_run(verdict::Reason::Corrupt)));
         }
-        seat.report_load(&reply);
+        seat.record_load(&reply);
         if reply.misdirected {
             self.sent -= 1;
             self.refused += 1;
--- a/laburnumcart_gateway/src/gateway.rs
+++ b/laburnumcart_gateway/src/gateway.rs
@@ -302,13 +302,13 @@
     pub fn bounds(&self, request: &admission::Request, service: &id::ServiceName) -> pool::Bounds {
         let known = request.table.service(service);
         let all = known.map_or(1, |s| s.connections);
-        let idle = match request.route.repeat {
+        let max_idle = match request.route.repeat {
             ingress::Repeat::Never => pool::FRESH_IDLE_MAX,
             _ => time::Duration::from_secs(60),
         };
         pool::Bounds {
             max_connections: (all / self.view.member_count()).max(1),
-            max_idle: idle,
+            max_idle,
         }
     }
 }
@@ -334,7 +334,7 @@
 
 impl Assignment {
     /// Records the load that the target reported in its response.
-    pub fn report_load(&self, head: &dialect::ResponseHead) {
+    pub fn record_load(&self, head: &dialect::ResponseHead) {
         let Some(report) = head.load else {
             return;
         };
--- a/laburnumcart_gateway/src/peers/link.rs
+++ b/laburnumcart_gateway/src/peers/link.rs
@@ -44,7 +44,7 @@
 /// Timeout for opening a connection.
 const CONNECT_TIMEOUT: unit::Period = unit::Period::from_millis(500);
 
-/// Pause between heartbeats.
+/// Pause between heartbeats on an open connection.
 const HEARTBEAT_INTERVAL: time::Duration = time::Duration::from_millis(300);
 
 /// Timeout for the answer to a heartbeat, and to other short calls.
--- a/laburnumcart_gateway/src/view.rs
+++ b/laburnumcart_gateway/src/view.rs
@@ -223,24 +223,24 @@
 impl View {
     /// Publishes the listed targets.
     pub fn set_targets(&self, targets: Vec<Target>) {
-        let mut listed = lock(&self.target_state);
-        listed.targets = Some(targets);
-        self.publish(&listed);
+        let mut state = lock(&self.target_state);
+        state.targets = Some(targets);
+        self.publish(&state);
     }
 
     /// Publishes the evacuated data centres.
     pub fn set_evacuated(&self, evacuated: evacuation::Evacuated) {
-        let mut listed = lock(&self.target_state);
-        listed.evacuations.set(evacuated, Instant::now());
-        self.publish(&listed);
+        let mut state = lock(&self.target_state);
+        state.evacuations.set(evacuated, Instant::now());
+        self.publish(&state);
     }
 
     /// Publishes the targets that announced their shutdown, regardless of their store entries.
     pub fn set_leaving_targets(&self, leaving: collections::HashSet<id::TargetLife>) {
-        let mut listed = lock(&self.target_state);
-        if listed.leaving != leaving {
-            listed.leaving = leaving;
-            self.publish(&listed);
+        let mut state = lock(&self.target_state);
+        if state.leaving != leaving {
+            state.leaving = leaving;
+            self.publish(&state);
         }
     }
 
@@ -253,31 +253,30 @@
     ///
     /// Returns `None` before the first listing.
     pub fn evacuated_since(&self) -> Option<Vec<(id::DataCentre, Instant)>> {
-        let listed = lock(&self.target_state);
-        let evacuated = listed.evacuations.evacuated()?.iter();
-        let since =
-            |place: &id::DataCentre| Some((place.clone(), listed.evacuations.since(place)?));
+        let state = lock(&self.target_state);
+        let evacuated = state.evacuations.evacuated()?.iter();
+        let since = |place: &id::DataCentre| Some((place.clone(), state.evacuations.since(place)?));
         Some(evacuated.filter_map(since).collect())
     }
 
     /// Returns whether a data centre is known to be evacuated.
     pub fn is_evacuated(&self, place: &id::DataCentre) -> bool {
-        let listed = lock(&self.target_state);
-        let evacuated = listed.evacuations.evacuated();
+        let state = lock(&self.target_state);
+        let evacuated = state.evacuations.evacuated();
         evacuated.is_some_and(|evacuated| evacuated.contains(place))
     }
 
     /// Recomputes and publishes the targets from all inputs.
-    fn publish(&self, listed: &TargetState) {
-        let evacuations = &listed.evacuations;
-        let targets = listed.targets.iter().flatten().map(|target| Target {
+    fn publish(&self, state: &TargetState) {
+        let evacuations = &state.evacuations;
+        let targets = state.targets.iter().flatten().map(|target| Target {
             cold_until: target.cold_until.max(evacuations.cold(&target.data_centre)),
-            leaving: target.leaving || listed.leaving.contains(&target.key()),
+            leaving: target.leaving || state.leaving.contains(&target.key()),
             ..target.clone()
         });
         let targets = Targets::new(targets, |place| evacuations.is_closed(place));
         self.targets.store(Arc::new(targets));
-        let complete = listed.targets.is_some() && evacuations.evacuated().is_some();
+        let complete = state.targets.is_some() && evacuations.evacuated().is_some();
         self.targets_loaded
             .store(complete, atomic::Ordering::Release);
         self.notify_changed();
@@ -304,7 +303,7 @@
         lock(&self.budget_share).part(clock::now())
     }
 
-    /// Activates a configuration and returns `true`, unless the active one is as new.
+    /// Activates a configuration and returns `true`, unless the active one is as new or newer.
     pub fn set_table(&self, table: ingress::Table) -> bool {
         let is_as_new = |known: &Arc<ingress::Table>| known.version >= table.version;
         if self.table.load().as_ref().is_some_and(is_as_new) {
@@ -337,10 +336,10 @@
     /// The load balancer keeps sending callers here for a while, longer when all instances of a
     /// data centre are shutting down. A long stream accepted late would be cut off by the exit.
     pub fn can_finish(&self, limit: time::Duration, now: Instant) -> bool {
-        let Some(leaving) = self.leaving.get() else {
+        let Some(shutdown) = self.leaving.get() else {
             return true;
         };
-        now < leaving.start + ACCEPT_ALL_PERIOD || now + limit <= leaving.exit
+        now < shutdown.start + ACCEPT_ALL_PERIOD || now + limit <= shutdown.exit
     }
 
     /// Notifies waiting requests that the process is about to exit.
