--- a/laburnumcart_gateway/src/dispatcher/line.rs
+++ b/laburnumcart_gateway/src/dispatcher/line.rs
@@ -102,7 +102,7 @@
         targets: &[Arc<view::Target>],
         gate: impl Fn(&view::Target) -> quota::Limiter,
     ) {
-        let (gone, new) = view::changes(self.keys.keys().cloned(), targets);
+        let (gone, new) = view::diff_targets(self.keys.keys().cloned(), targets);
         for life in gone {
             if let Some(key) = self.keys.remove(&life) {
                 self.queue.targets.remove(key);
@@ -203,7 +203,7 @@
     /// Its room counts as taken until the target has freed it, or the next call could come first
     /// and find no room.
     pub(super) fn free(&mut self, handle: batch::Handle, dialect: &dyn dialect::Dialect) {
-        if let Some(addr) = dialect.holder(&handle) {
+        if let Some(addr) = dialect.result_addr(&handle) {
             let holder = (addr, handle.life);
             self.frees.entry(holder).or_default().push(handle);
         }
--- /dev/null
+++ b/laburnumcart_gateway/src/relay/cache.rs
@@ -0,0 +1,291 @@
+//! Cache of store data that this process serves to its peers.
+
+use std::{
+    sync::Arc,
+    time, //
+};
+
+use jsonrpsee::core::{
+    RpcResult,
+    async_trait, //
+};
+use tokio::{
+    sync::watch,
+    time::Instant, //
+};
+
+use laburnumcart::{
+    freshness,
+    unit, //
+};
+use laburnumcart_platform::{
+    follow,
+    replica,
+    store, //
+};
+
+use crate::{
+    clock,
+    relay::{
+        Answer,
+        FollowReply,
+        FollowRequest,
+        RelayServer,
+        Topic,
+        signals, //
+    },
+};
+
+/// Upper limit on the wait of a request, whatever the caller asks for.
+const WAIT_MAX: time::Duration = time::Duration::from_secs(30);
+
+/// Maximum size of the values in an answer, unless the request allows any size.
+///
+/// A change is sent to all waiting processes at once. 16 KiB to 40 processes take half a second on
+/// a link of 10 Mbit/s; any longer, and they would time out and mark this reader as down.
+const ANSWER_BYTES_MAX: usize = 16 << 10;
+
+/// Time without a read after which the next one wakes requests that wait for fresh data.
+const READ_GAP_MIN: time::Duration = time::Duration::from_millis(1600);
+
+/// A topic as of the last read.
+#[derive(Clone, Debug, Default)]
+pub struct CachedTopic {
+    replica: replica::Replica,
+    /// Start of the last read; `None` before the first one.
+    read_at: Option<freshness::BootTime>,
+}
+
+impl CachedTopic {
+    /// Merges a snapshot as of `read` and returns whether waiting requests should be woken.
+    pub fn update(
+        &mut self,
+        snapshot: &follow::Snapshot,
+        read: freshness::BootTime,
+        now: freshness::BootTime,
+    ) -> bool {
+        let is_restored = self
+            .read_at
+            .is_none_or(|last| now.since(last) > READ_GAP_MIN);
+        let changed = self.replica.apply(snapshot);
+        self.read_at = self.read_at.max(Some(read));
+        changed || is_restored
+    }
+
+    /// Returns the answer to a request that arrived at `arrived`, or `None` if it should wait.
+    pub fn answer(
+        &self,
+        request: &FollowRequest,
+        arrived: freshness::BootTime,
+        now: freshness::BootTime,
+    ) -> Option<Answer> {
+        let age = self.read_at.map(|read| now.since(read));
+        let Some(age) = age.filter(|age| *age <= request.max_age.0) else {
+            return (!request.wait_fresh).then_some(Answer::Stale);
+        };
+        // The caller adds the time since it sent the request, which includes the wait here.
+        let age = unit::Period(age.saturating_sub(now.since(arrived)));
+        match request.after {
+            None => self.listing(request, age),
+            Some(after) => self.changes(request, after, age),
+        }
+    }
+
+    fn listing(&self, request: &FollowRequest, age: unit::Period) -> Option<Answer> {
+        let listing = self.replica.listing()?;
+        let size = listing.objects.iter().map(|o| o.value.len()).sum();
+        if is_large(request, size) {
+            return Some(Answer::TooLarge);
+        }
+        Some(Answer::Listing(store::Listing { age, ..listing }))
+    }
+
+    fn changes(
+        &self,
+        request: &FollowRequest,
+        after: store::Revision,
+        age: unit::Period,
+    ) -> Option<Answer> {
+        let Ok(changes) = self.replica.changes(after) else {
+            return Some(Answer::Compacted);
+        };
+        if changes.events.is_empty() {
+            return None;
+        }
+        let values = changes.events.iter().filter_map(|e| e.value.as_ref());
+        if is_large(request, values.map(String::len).sum()) {
+            return Some(Answer::TooLarge);
+        }
+        Some(Answer::Changes(store::Changes { age, ..changes }))
+    }
+
+    /// Returns the answer to a request whose wait has ended without changes.
+    fn empty_answer(
+        &self,
+        request: &FollowRequest,
+        arrived: freshness::BootTime,
+        now: freshness::BootTime,
+    ) -> Answer {
+        let age = self.read_at.map(|read| now.since(read));
+        match (age, request.after) {
+            (Some(age), Some(after)) if age <= request.max_age.0 => {
+                Answer::Changes(store::Changes {
+                    revision: after.max(self.replica.revision()),
+                    age: unit::Period(age.saturating_sub(now.since(arrived))),
+                    events: Vec::new(),
+                })
+            }
+            _ => Answer::Stale,
+        }
+    }
+
+    /// Returns the time for which the data stays within the maximum age of a request.
+    fn fresh_for(&self, request: &FollowRequest, now: freshness::BootTime) -> time::Duration {
+        let age = self
+            .read_at
+            .map_or(request.max_age.0, |read| now.since(read));
+        match request.wait_fresh {
+            true => time::Duration::MAX,
+            false => request.max_age.0.saturating_sub(age),
+        }
+    }
+}
+
+fn is_large(request: &FollowRequest, size: usize) -> bool {
+    !request.allow_large && size > ANSWER_BYTES_MAX
+}
+
+/// Cached topics and target signals.
+#[derive(Debug, Default)]
+pub struct Cache {
+    /// Signals received from targets.
+    pub signals: Arc<signals::Signals>,
+    table: watch::Sender<CachedTopic>,
+    targets: watch::Sender<CachedTopic>,
+    members: watch::Sender<CachedTopic>,
+    evacuations: watch::Sender<CachedTopic>,
+}
+
+impl Cache {
+    /// Creates a cache without store data that shares `signals`.
+    pub fn new(signals: Arc<signals::Signals>) -> Self {
+        Self {
+            signals,
+            ..Self::default()
+        }
+    }
+
+    fn topic(&self, topic: Topic) -> &watch::Sender<CachedTopic> {
+        match topic {
+            Topic::Table => &self.table,
+            Topic::Targets => &self.targets,
+            Topic::Members => &self.members,
+            Topic::Evacuations => &self.evacuations,
+        }
+    }
+
+    /// Answers a request as soon as there are changes of the topic or new signals.
+    pub async fn follow(&self, request: &FollowRequest) -> FollowReply {
+        let Some(known) = request.signals else {
+            let answer = self.wait_for_answer(request).await;
+            return FollowReply {
+                answer,
+                signals: None,
+            };
+        };
+        let mut version = self.signals.subscribe();
+        let answer = tokio::select! {
+            answer = self.wait_for_answer(request) => answer,
+            // The sender is dropped only with these signals.
+            _ = version.wait_for(|version| version.all > known) => self.answer_now(request),
+        };
+        FollowReply {
+            answer,
+            signals: self.signals.updates_since(known),
+        }
+    }
+
+    /// Answers a request without waiting.
+    fn answer_now(&self, request: &FollowRequest) -> Answer {
+        let now = clock::now();
+        let topic = self.topic(request.topic).borrow();
+        let answer = topic.answer(request, now, now);
+        answer.unwrap_or_else(|| topic.empty_answer(request, now, now))
+    }
+
+    /// Answers a request as soon as there are changes of the topic.
+    pub async fn wait_for_answer(&self, request: &FollowRequest) -> Answer {
+        let arrived = clock::now();
+        let end = Instant::now() + request.wait.0.min(WAIT_MAX);
+        let mut topic = self.topic(request.topic).subscribe();
+        loop {
+            let until = {
+                let topic = topic.borrow_and_update();
+                let now = clock::now();
+                if let Some(answer) = topic.answer(request, arrived, now) {
+                    return answer;
+                }
+                if Instant::now() >= end {
+                    return topic.empty_answer(request, arrived, now);
+                }
+                // The caller must turn to another process as soon as the data is too old.
+                Instant::now() + topic.fresh_for(request, now).min(WAIT_MAX)
+            };
+            tokio::select! {
+                // The sender is dropped only with this cache.
+                _ = topic.changed() => {}
+                () = tokio::time::sleep_until(end.min(until)) => {}
+            }
+        }
+    }
+}
+
+/// Observer that copies what another observer of a topic reads into the cache.
+pub struct Publisher<O> {
+    observer: O,
+    topic: Topic,
+    cache: Arc<Cache>,
+    /// Start of the current call.
+    sent_at: freshness::BootTime,
+}
+
+impl<O> Publisher<O> {
+    /// Wraps the observer of a topic.
+    pub fn new(observer: O, topic: Topic, cache: &Arc<Cache>) -> Self {
+        Self {
+            observer,
+            topic,
+            cache: cache.clone(),
+            sent_at: freshness::BootTime::default(),
+        }
+    }
+}
+
+impl<O: follow::Observer> follow::Observer for Publisher<O> {
+    fn before_call(&mut self) {
+        self.sent_at = clock::now();
+        self.observer.before_call();
+    }
+
+    fn after_read(&mut self, snapshot: &follow::Snapshot, age: unit::Period) {
+        self.observer.after_read(snapshot, age);
+        let read = self.sent_at.before(age.0);
+        let update = |topic: &mut CachedTopic| topic.update(snapshot, read, clock::now());
+        self.cache.topic(self.topic).send_if_modified(update);
+    }
+}
+
+/// Serves the cache to peers.
+pub struct RelayService(pub Arc<Cache>);
+
+#[async_trait]
+impl RelayServer for RelayService {
+    async fn follow(&self, request: FollowRequest) -> RpcResult<FollowReply> {
+        Ok(self.0.follow(&request).await)
+    }
+
+    async fn tell(&self, signals: Vec<signals::TargetSignal>) -> RpcResult<()> {
+        self.0.signals.merge(&signals);
+        Ok(())
+    }
+}
--- a/laburnumcart_gateway/src/state.rs
+++ b/laburnumcart_gateway/src/state.rs
@@ -1,4 +1,4 @@
-//! What a gateway tells operators of itself.
+//! State of the gateway for operators, as served on the admin address.
 
 use std::time;
 
@@ -19,20 +19,22 @@
     view, //
 };
 
-/// Returns the state as a page.
+/// Returns the state as a JSON page.
 pub fn page(gateway: &gateway::Gateway) -> admin::Page {
-    match serde_json::to_string(&state(gateway)) {
+    match serde_json::to_string(&snapshot(gateway)) {
         Ok(body) => admin::Page::json(body),
         Err(error) => admin::Page::failed(error),
     }
 }
 
-/// Returns the state.
-pub fn state(gateway: &gateway::Gateway) -> wire::State {
+/// Returns the current state.
+pub fn snapshot(gateway: &gateway::Gateway) -> wire::State {
     let view = &gateway.view;
     let now = Instant::now();
     let targets = view.targets.load();
-    let held = targets.all().filter_map(|t| held(gateway, t, now));
+    let held = targets
+        .all()
+        .filter_map(|t| restricted_target(gateway, t, now));
     let mut held: Vec<_> = held.collect();
     held.sort_by(|a, b| (&a.service, &a.target).cmp(&(&b.service, &b.target)));
     wire::State {
@@ -41,17 +43,19 @@
         leaving: view.is_leaving(),
         version: view.table.load().as_ref().map(|table| table.version),
         age: view.freshness.age(clock::now()).map(rounded),
-        late: rounded(time::Duration::from_secs_f64(gateway.metrics.late.get())),
-        members: view.share(),
+        late: rounded(time::Duration::from_secs_f64(
+            gateway.metrics.timer_lag.get(),
+        )),
+        members: view.member_count(),
         readers: readers(view),
-        evacuated: evacuated(view, now),
-        queues: queues(gateway),
+        evacuated: evacuated_places(view, now),
+        queues: queue_states(gateway),
         held,
         targets: targets.len(),
     }
 }
 
-fn evacuated(view: &view::View, now: Instant) -> Option<Vec<wire::Evacuated>> {
+fn evacuated_places(view: &view::View, now: Instant) -> Option<Vec<wire::Evacuated>> {
     let known = |(data_centre, since): (id::DataCentre, Instant)| wire::Evacuated {
         data_centre,
         known: rounded(now.saturating_duration_since(since)),
@@ -70,13 +74,13 @@
     chosen.into_iter().map(|m| m.name.clone()).collect()
 }
 
-fn queues(gateway: &gateway::Gateway) -> Vec<wire::Queue> {
+fn queue_states(gateway: &gateway::Gateway) -> Vec<wire::Queue> {
     let table = gateway.view.table.load();
     let services = table.iter().flat_map(|table| table.services());
     let staged = services.filter(|service| service.batching.is_some());
     let queue = |service: &id::ServiceName| wire::Queue {
         service: service.clone(),
-        owner: gateway.peers.owner_of(service),
+        owner: gateway.peers.owner_name(service),
         waiting: gateway.dispatcher.waiting(service),
     };
     let mut queues: Vec<_> = staged.map(|service| queue(&service.name)).collect();
@@ -84,8 +88,8 @@
     queues
 }
 
-/// Tells why a target gets less than others; nothing of one that does not.
-fn held(
+/// Returns why the traffic to a target is restricted, or `None` if it isn't.
+fn restricted_target(
     gateway: &gateway::Gateway,
     target: &view::Target,
     now: Instant,
@@ -97,22 +101,22 @@
     if gateway.view.is_evacuated(&target.data_centre) {
         causes.push(wire::Cause::Evacuated);
     }
-    if let Some(until) = target.cold.filter(|until| *until > now) {
+    if let Some(until) = target.cold_until.filter(|until| *until > now) {
         causes.push(wire::Cause::Cold(rounded(until - now)));
     }
     let quotas = &gateway.outbound.quotas;
-    if let quota::Limit::Named(rate) = quotas.signals.heard(&target.key()).limit() {
+    if let quota::Limit::Named(rate) = quotas.signals.get(&target.key()).limit() {
         causes.push(wire::Cause::Limit(rate));
     }
-    let gates = quotas.gates(target);
-    let backoff = gates.requests.backoff(now);
+    let limiters = quotas.gates(target);
+    let backoff = limiters.requests.backoff(now);
     if !backoff.is_zero() {
         causes.push(wire::Cause::Backoff(rounded(backoff)));
     }
     if causes.is_empty() {
         return None;
     }
-    let rates = [gates.requests.rate(now), gates.calls.rate(now)];
+    let rates = [limiters.requests.rate(now), limiters.calls.rate(now)];
     let part = rates
         .into_iter()
         .flatten()
@@ -127,7 +131,7 @@
     })
 }
 
-/// Returns a time in whole milliseconds.
+/// Returns a duration rounded down to milliseconds.
 fn rounded(time: time::Duration) -> unit::Period {
     unit::Period::from_millis(time.as_millis().try_into().unwrap_or(u64::MAX))
 }
