--- a/laburnumcart_gateway/src/admission.rs
+++ b/laburnumcart_gateway/src/admission.rs
@@ -32,18 +32,18 @@
 ///
 /// The rest covers the time between this check and the caller's sending, and clocks that run
 /// apart.
-const REVOKE_SHARE: f64 = 0.9;
+const REVOKE_AGE_SHARE: f64 = 0.9;
 
 /// Age beyond which the absence of a route is not told as final.
 ///
 /// The route may have been added meanwhile; a caller takes 404 as final and would not come again.
-const ABSENT: time::Duration = time::Duration::from_millis(3000);
+const NOT_FOUND_MAX_AGE: time::Duration = time::Duration::from_millis(3000);
 
 /// Time that a caller has spent from which its request counts as one that came again.
-const AGAIN: time::Duration = time::Duration::from_millis(150);
+const RETRY_MIN_SPENT: time::Duration = time::Duration::from_millis(150);
 
 /// A deadline for callers that name none, and the longest that one may name.
-const PATIENCE: time::Duration = time::Duration::from_secs(60);
+const TIMEOUT_MAX: time::Duration = time::Duration::from_secs(60);
 
 /// A request that was admitted.
 #[derive(Clone, Debug)]
@@ -65,7 +65,7 @@
     /// Team of the caller.
     pub team: Option<id::TeamName>,
     /// Data centres whose targets may run it; any without a list.
-    pub places: Option<Vec<id::DataCentre>>,
+    pub data_centres: Option<Vec<id::DataCentre>>,
     /// Rank.
     pub rank: u8,
     /// Rank of the team, if it has one; it goes before that of the route.
@@ -83,8 +83,8 @@
     }
 
     /// Returns the time until the caller must have the final answer.
-    pub fn left(&self) -> time::Duration {
-        self.limit().saturating_sub(self.elapsed())
+    pub fn remaining(&self) -> time::Duration {
+        self.timeout().saturating_sub(self.elapsed())
     }
 
     /// Returns the time until the objective, zero when it has passed.
@@ -94,13 +94,13 @@
     }
 
     /// Returns what tells its content from others', equal for one that comes again.
-    pub fn content(&self) -> id::Fingerprint {
+    pub fn fingerprint(&self) -> id::Fingerprint {
         let team = self.team.as_ref().map_or("", |team| team.as_str());
         id::Fingerprint::digest([team, self.path.as_str()], &self.body)
     }
 
     /// Returns its urgency in queues: that of its team first, then that of its route.
-    pub fn urgency(&self) -> batch::Rank {
+    pub fn batch_rank(&self) -> batch::Rank {
         let own = self.team_rank.map(|major| batch::Rank {
             major,
             minor: self.route.rank,
@@ -109,13 +109,13 @@
     }
 
     /// Reports whether the caller has come again after a refusal or a failure.
-    pub fn is_again(&self) -> bool {
-        self.spent > AGAIN
+    pub fn is_retry(&self) -> bool {
+        self.spent > RETRY_MIN_SPENT
     }
 
     /// Returns the longest time that the request may take.
-    pub fn limit(&self) -> time::Duration {
-        let patience = self.call.patience.unwrap_or(PATIENCE).min(PATIENCE);
+    pub fn timeout(&self) -> time::Duration {
+        let patience = self.call.patience.unwrap_or(TIMEOUT_MAX).min(TIMEOUT_MAX);
         patience.min(self.route.timeout)
     }
 }
@@ -140,11 +140,11 @@
     call: &dialect::Call,
 ) -> Result<Admitted, verdict::Refusal> {
     let now = clock::now();
-    let table = view.table.load_full().ok_or_else(unready)?;
+    let table = view.table.load_full().ok_or_else(not_ready)?;
     let fresh = |limit| view.freshness.is_within(limit, now);
-    let absent = |reason| match fresh(ABSENT) {
+    let absent = |reason| match fresh(NOT_FOUND_MAX_AGE) {
         true => verdict::Refusal::not_run(reason),
-        false => unready(),
+        false => not_ready(),
     };
     let host = headers.get(header::HOST).and_then(|h| h.to_str().ok());
     let route = host.and_then(|host| table.find(host, path));
@@ -153,8 +153,8 @@
     let team = team.map_err(|_| absent(verdict::Reason::Unauthorized))?;
     // A key that was revoked while this process could not read the store, or was suspended, would
     // work on. Nothing is honoured that was not confirmed within the bound.
-    if team.is_some() && !fresh(bounds.revoke.0.mul_f64(REVOKE_SHARE)) {
-        return Err(unready());
+    if team.is_some() && !fresh(bounds.revoke.0.mul_f64(REVOKE_AGE_SHARE)) {
+        return Err(not_ready());
     }
     Ok(Admitted {
         route: route.clone(),
@@ -163,7 +163,7 @@
     })
 }
 
-fn unready() -> verdict::Refusal {
+fn not_ready() -> verdict::Refusal {
     let after = unit::Period::from_millis(500);
     verdict::Refusal::not_run(verdict::Reason::NoBundle).retry_after(after)
 }
--- a/laburnumcart_gateway/src/balancer.rs
+++ b/laburnumcart_gateway/src/balancer.rs
@@ -20,30 +20,30 @@
 use crate::view;
 
 /// Most targets of a service that are excluded as outliers.
-const EJECTED: unit::Share = unit::Share(0.5);
+const EJECTED_SHARE_MAX: unit::Share = unit::Share(0.5);
 
 /// Time of a request until the first one was measured.
-const FIRST: time::Duration = time::Duration::from_millis(50);
+const INITIAL_TIME: time::Duration = time::Duration::from_millis(50);
 
 /// Weight of the newest time in the mean.
-const WEIGHT: f64 = 0.2;
+const NEWEST_WEIGHT: f64 = 0.2;
 
 /// What a crossing between data centres costs: about two thirds of a millisecond each way.
-const CROSSING: time::Duration = time::Duration::from_millis(2);
+const CROSSING_COST: time::Duration = time::Duration::from_millis(2);
 
 #[derive(Debug)]
 struct Entry {
     target: Arc<view::Target>,
     key: eject::TargetKey,
-    own: u32,
+    in_flight: u32,
     load: route::Load,
-    gate: quota::Gate,
+    limiter: quota::Gate,
 }
 
 /// Targets of one plain service.
 #[derive(Debug)]
 pub struct Balancer {
-    own: id::DataCentre,
+    data_centre: id::DataCentre,
     entries: Vec<Entry>,
     ejector: eject::Ejector,
 }
@@ -52,19 +52,19 @@
     /// Creates a balancer for callers in a data centre.
     pub fn new(own: id::DataCentre, now: Instant) -> Self {
         Self {
-            own,
+            data_centre: own,
             entries: Vec::new(),
-            ejector: eject::Ejector::new(EJECTED, now),
+            ejector: eject::Ejector::new(EJECTED_SHARE_MAX, now),
         }
     }
 
     /// Takes in the list of targets; what is known of those that stay is kept.
     ///
     /// `gate` returns what holds requests for one to what it takes.
-    pub fn update(
+    pub fn update_targets(
         &mut self,
         targets: &[Arc<view::Target>],
-        gate: impl Fn(&view::Target) -> quota::Gate,
+        limiter: impl Fn(&view::Target) -> quota::Gate,
         now: Instant,
     ) {
         let known = self.entries.iter().map(|e| e.target.key());
@@ -81,9 +81,9 @@
             self.entries.push(Entry {
                 target: target.clone(),
                 key: self.ejector.add(),
-                own: 0,
-                load: unknown(now),
-                gate: gate(target),
+                in_flight: 0,
+                load: initial_load(now),
+                limiter: limiter(target),
             });
         }
     }
@@ -98,7 +98,7 @@
         let table = route::Table::new(
             self.entries
                 .iter()
-                .filter(|e| e.gate.is_open(now))
+                .filter(|e| e.limiter.is_open(now))
                 .filter(|e| residency::allows(places, &e.target.data_centre))
                 .map(|e| self.candidate(e, now))
                 .collect(),
@@ -106,7 +106,7 @@
         let names: Vec<_> = table.targets().iter().map(|t| t.name.clone()).collect();
         let positions = (0..names.len()).filter(|i| tried.contains(&names[*i]));
         let tried: Vec<_> = positions.collect();
-        let own = |i: usize| self.entry(&names[i]).map_or(0, |e| e.own);
+        let own = |i: usize| self.entry(&names[i]).map_or(0, |e| e.in_flight);
         let ask = route::Ask {
             tried: &tried,
             prefix: None,
@@ -116,21 +116,26 @@
         let chosen = table.choose(&ask, &mut rand::rng())?;
         let name = names[chosen].clone();
         let entry = self.entries.iter_mut().find(|e| e.target.name == name)?;
-        entry.own += 1;
-        entry.gate.record(now);
+        entry.in_flight += 1;
+        entry.limiter.record(now);
         self.ejector.start(entry.key, now);
         Some(entry.target.clone())
     }
 
     /// Records the end of a request; `None` says nothing of the target's health.
-    pub fn end(&mut self, life: &id::TargetLife, outcome: Option<eject::Outcome>, now: Instant) {
+    pub fn record_end(
+        &mut self,
+        life: &id::TargetLife,
+        outcome: Option<eject::Outcome>,
+        now: Instant,
+    ) {
         let Some(entry) = self.entries.iter_mut().find(|e| e.target.key() == *life) else {
             return;
         };
-        entry.own = entry.own.saturating_sub(1);
+        entry.in_flight = entry.in_flight.saturating_sub(1);
         if let Some(eject::Outcome::Success(taken)) = outcome {
             let mean = entry.load.service.as_secs_f64();
-            let mean = mean + WEIGHT * (taken.as_secs_f64() - mean);
+            let mean = mean + NEWEST_WEIGHT * (taken.as_secs_f64() - mean);
             entry.load.service = time::Duration::from_secs_f64(mean);
         }
         if let Some(outcome) = outcome {
@@ -139,7 +144,7 @@
     }
 
     /// Takes in a target's report of its load.
-    pub fn report(
+    pub fn record_load(
         &mut self,
         life: &id::TargetLife,
         report: placement::Report,
@@ -148,7 +153,7 @@
     ) {
         if let Some(entry) = self.entries.iter_mut().find(|e| e.target.key() == *life) {
             entry.load.pending = report.running + report.waiting;
-            entry.load.own = entry.own;
+            entry.load.own = entry.in_flight;
             entry.load.limit = slots.unwrap_or(entry.load.limit);
             entry.load.at = now;
         }
@@ -159,7 +164,7 @@
     }
 
     fn candidate(&self, entry: &Entry, now: Instant) -> route::Target {
-        let local = entry.target.data_centre == self.own;
+        let local = entry.target.data_centre == self.data_centre;
         let state = match self.ejector.allows(entry.key, now) {
             true => route::State::Ready,
             false => route::State::Ejected,
@@ -172,18 +177,18 @@
             crossing: if local {
                 time::Duration::ZERO
             } else {
-                CROSSING
+                CROSSING_COST
             },
         }
     }
 }
 
-fn unknown(now: Instant) -> route::Load {
+fn initial_load(now: Instant) -> route::Load {
     route::Load {
         pending: 0,
         own: 0,
         limit: 1,
-        service: FIRST,
+        service: INITIAL_TIME,
         at: now,
     }
 }
--- a/laburnumcart_gateway/src/budgets.rs
+++ b/laburnumcart_gateway/src/budgets.rs
@@ -37,7 +37,7 @@
 /// How something reaches a target once more.
 #[derive(Clone, Copy, Debug, Display, Eq, Hash, PartialEq)]
 #[display(rename_all = "kebab-case")]
-pub enum Way {
+pub enum RepeatKind {
     /// A request is sent again.
     Request,
     /// A stream is resumed.
@@ -48,7 +48,7 @@
     Stage,
 }
 
-impl registry::Closed for Way {}
+impl registry::Closed for RepeatKind {}
 
 /// What was decided.
 #[derive(Clone, Copy, Debug, Display, Eq, Hash, PartialEq)]
@@ -66,7 +66,7 @@
 #[derive(Clone, Debug, EncodeLabelSet, Eq, Hash, PartialEq)]
 pub struct Labels {
     /// Way.
-    pub way: registry::Label<Way>,
+    pub way: registry::Label<RepeatKind>,
     /// Outcome.
     pub outcome: registry::Label<Outcome>,
 }
@@ -79,7 +79,7 @@
     /// Service of the target.
     pub service: &'a id::ServiceName,
     /// Way.
-    pub way: Way,
+    pub kind: RepeatKind,
     /// Arrivals that it makes.
     pub count: u32,
 }
@@ -89,9 +89,9 @@
     view: Arc<view::View>,
     bound: allotment::Bound,
     metrics: metrics::Metrics,
-    known: Mutex<collections::HashMap<id::ServiceName, budget::Budget>>,
+    budgets: Mutex<collections::HashMap<id::ServiceName, budget::Budget>>,
     /// One moment on both clocks.
-    start: (Instant, freshness::Moment),
+    clock_anchor: (Instant, freshness::Moment),
 }
 
 impl Budgets {
@@ -108,44 +108,44 @@
                 extra: bounds.retry_extra,
             },
             metrics,
-            known: Mutex::default(),
-            start: (Instant::now(), clock::now()),
+            budgets: Mutex::default(),
+            clock_anchor: (Instant::now(), clock::now()),
         })
     }
 
     /// Counts a request for a service.
-    pub fn earn(&self, service: &id::ServiceName) {
-        self.with(service, |budget, now| budget.earn(now));
+    pub fn record_request(&self, service: &id::ServiceName) {
+        self.with_budget(service, |budget, now| budget.earn(now));
     }
 
     /// Takes a repeat from the budget of its service; returns whether it may be sent.
-    pub fn spend(&self, repeat: &Repeat<'_>) -> bool {
-        let granted = self.with(repeat.service, |budget, now| {
+    pub fn try_spend(&self, repeat: &Repeat<'_>) -> bool {
+        let granted = self.with_budget(repeat.service, |budget, now| {
             budget.spend_all(repeat.count, now) //
         });
         let outcome = match granted {
             true => Outcome::Granted,
             false => Outcome::Denied,
         };
-        self.note(repeat, outcome, retry::Cause::Budget);
+        self.record_decision(repeat, outcome, retry::Cause::Budget);
         granted
     }
 
     /// Logs and counts a decision on a repeat.
-    pub fn note(&self, repeat: &Repeat<'_>, outcome: Outcome, cause: retry::Cause) {
+    pub fn record_decision(&self, repeat: &Repeat<'_>, outcome: Outcome, cause: retry::Cause) {
         let labels = Labels {
-            way: registry::Label(repeat.way),
+            way: registry::Label(repeat.kind),
             outcome: registry::Label(outcome),
         };
         let counter = self.metrics.repeats.get_or_create(&labels).clone();
         counter.inc_by(repeat.count.into());
-        let account = self.with(repeat.service, |budget, now| budget.account(now));
+        let account = self.with_budget(repeat.service, |budget, now| budget.account(now));
         event!(
             Info,
             "repeat",
             request = repeat.request,
             service = repeat.service,
-            way = repeat.way,
+            way = repeat.kind,
             count = repeat.count,
             outcome = outcome,
             cause = cause,
@@ -157,14 +157,14 @@
     }
 
     /// Does something with the budget of a service.
-    pub fn with<T>(
+    pub fn with_budget<T>(
         &self,
         service: &id::ServiceName,
         act: impl FnOnce(&mut budget::Budget, Instant) -> T,
     ) -> T {
         let now = self.now();
-        let mut known = view::lock(&self.known);
-        let budget = known.entry(service.clone());
+        let mut budgets = view::lock(&self.budgets);
+        let budget = budgets.entry(service.clone());
         let budget = budget.or_insert_with(|| self.bound.budget(now));
         budget.set_reserve(self.bound.reserve(self.view.part()));
         act(budget, now)
@@ -174,7 +174,7 @@
     ///
     /// On the runtime's clock, requests from before a suspension would pay for repeats after it.
     fn now(&self) -> Instant {
-        let (instant, moment) = self.start;
+        let (instant, moment) = self.clock_anchor;
         instant + clock::now().since(moment)
     }
 }
--- a/laburnumcart_gateway/src/dispatcher/call.rs
+++ b/laburnumcart_gateway/src/dispatcher/call.rs
@@ -23,7 +23,7 @@
     dialect,
     dispatcher::{
         Dispatcher,
-        line::Line, //
+        owned_queue::OwnedQueue, //
     },
     outbound,
     pool,
@@ -31,13 +31,13 @@
 };
 
 /// Time that a call may take, as a multiple of what is expected.
-const PATIENCE: f64 = 2.5;
+const TIMEOUT_FACTOR: f64 = 2.5;
 
 /// Time that a call may take beside that.
-const GRACE: time::Duration = time::Duration::from_millis(300);
+const TIMEOUT_EXTRA: time::Duration = time::Duration::from_millis(300);
 
 /// Why a call brought no outcomes.
-enum Failed {
+enum CallError {
     /// Nothing was sent.
     Unsent(&'static str),
     /// The target proves that it did nothing.
@@ -48,52 +48,52 @@
 
 /// How many pieces of a call ended in which way.
 #[derive(Default)]
-struct Tally {
+struct OutcomeCounts {
     made: usize,
-    full: usize,
+    no_room: usize,
     gone: usize,
 }
 
-fn tally(result: &Result<Vec<batch::Outcome>, Failed>) -> Tally {
-    let mut tally = Tally::default();
+fn count_outcomes(result: &Result<Vec<batch::Outcome>, CallError>) -> OutcomeCounts {
+    let mut counts = OutcomeCounts::default();
     for outcome in result.iter().flatten() {
         match outcome {
-            batch::Outcome::Made(_) => tally.made += 1,
-            batch::Outcome::NoRoom => tally.full += 1,
-            batch::Outcome::Gone => tally.gone += 1,
+            batch::Outcome::Made(_) => counts.made += 1,
+            batch::Outcome::NoRoom => counts.no_room += 1,
+            batch::Outcome::Gone => counts.gone += 1,
             batch::Outcome::Late | batch::Outcome::Failed => {}
         }
     }
-    tally
+    counts
 }
 
 /// A call that is ready to be sent.
-struct Ready {
+struct PreparedCall {
     service: id::ServiceName,
     target: Arc<view::Target>,
     call: batch::Call,
     /// What the target must echo.
     label: String,
     request: Request<Bytes>,
-    limit: time::Duration,
+    timeout: time::Duration,
     /// When its inputs have been read, if that can be told.
-    reading: Option<time::Duration>,
+    read_time: Option<time::Duration>,
     bounds: pool::Bounds,
 }
 
 impl Dispatcher {
     /// Sends a call on a task of its own.
-    pub(super) fn start(
+    pub(super) fn start_call(
         self: &Arc<Self>,
         service: &id::ServiceName,
-        line: &Line,
+        owned: &OwnedQueue,
         call: batch::Call,
         now: Instant,
     ) {
-        let Some(target) = line.targets.get(call.engine).cloned() else {
+        let Some(target) = owned.targets.get(call.engine).cloned() else {
             return;
         };
-        let waiter = |piece: &batch::Piece| &line.waiters[piece.job];
+        let waiter = |piece: &batch::Piece| &owned.waiters[piece.job];
         let item = |piece: &batch::Piece| dialect::Item {
             attempt: &waiter(piece).attempt,
             stage: waiter(piece).stage,
@@ -112,105 +112,113 @@
             target = target.name,
             pieces = call.pieces.len(),
             waited_ms = oldest.unwrap_or_default().as_millis(),
-            waiting = line.queue.waiting(),
-            used = line.queue.engines.used(call.engine)
+            waiting = owned.queue.waiting(),
+            used = owned.queue.engines.used(call.engine)
         );
         // Drawn for each call: a late second answer to an earlier one on the connection, perhaps of
         // the same request, must not be taken for this one's results.
         let label = format!("{:016x}", rand::random::<u64>());
         let request = self.dialect.batch(&target.name, &label, &items);
-        let expected = line.queue.engines.expected(call.engine, call.pieces.len());
+        let expected = owned.queue.engines.expected(call.engine, call.pieces.len());
         self.metrics.calls.inc();
         self.metrics.pieces.inc_by(call.pieces.len() as u64);
-        let ready = Ready {
+        let prepared = PreparedCall {
             service: service.clone(),
             target,
-            limit: expected.mul_f64(PATIENCE) + GRACE,
-            reading: line.queue.engines.reading(call.engine),
-            bounds: self.bounds(service),
+            timeout: expected.mul_f64(TIMEOUT_FACTOR) + TIMEOUT_EXTRA,
+            read_time: owned.queue.engines.reading(call.engine),
+            bounds: self.connection_bounds(service),
             call,
             label,
             request,
         };
-        tokio::spawn(self.clone().execute(ready));
+        tokio::spawn(self.clone().run_call(prepared));
     }
 
-    async fn execute(self: Arc<Self>, ready: Ready) {
-        let count = ready.call.pieces.len();
+    async fn run_call(self: Arc<Self>, prepared: PreparedCall) {
+        let count = prepared.call.pieces.len();
         let start = Instant::now();
         let sent = self.exchange(
-            &ready.target,
-            ready.request.clone(),
-            &ready.label,
-            &ready.bounds,
+            &prepared.target,
+            prepared.request.clone(),
+            &prepared.label,
+            &prepared.bounds,
             count,
         );
-        let sent = tokio::time::timeout(ready.limit, sent);
-        let result = match self.watch(&ready, sent).await {
+        let sent = tokio::time::timeout(prepared.timeout, sent);
+        let result = match self.await_result(&prepared, sent).await {
             Ok(result) => result,
-            Err(_) => Err(Failed::Lost(pool::Failure::Timeout)),
+            Err(_) => Err(CallError::Lost(pool::Failure::Timeout)),
         };
         let now = Instant::now();
         let taken = now - start;
-        let mut lines = view::lock(&self.lines);
-        let Some(line) = lines.get_mut(&ready.service) else {
+        let mut queues = view::lock(&self.queues);
+        let Some(owned) = queues.get_mut(&prepared.service) else {
             return;
         };
-        let tally = tally(&result);
-        let reached = !matches!(result, Err(Failed::Unsent(_)));
+        let counts = count_outcomes(&result);
+        let reached = !matches!(result, Err(CallError::Unsent(_)));
         let (events, outcome) = match result {
-            Ok(outcomes) => (line.queue.finish(&ready.call, outcomes, now), "done"),
-            Err(Failed::Unsent(cause)) => (line.queue.abandon(&ready.call, false, now), cause),
-            Err(Failed::NotRun(cause)) => (line.queue.abandon(&ready.call, false, now), cause),
-            Err(Failed::Lost(failure)) => {
+            Ok(outcomes) => (owned.queue.finish(&prepared.call, outcomes, now), "done"),
+            Err(CallError::Unsent(cause)) => {
+                (owned.queue.abandon(&prepared.call, false, now), cause)
+            }
+            Err(CallError::NotRun(cause)) => {
+                (owned.queue.abandon(&prepared.call, false, now), cause)
+            }
+            Err(CallError::Lost(failure)) => {
                 let cause = match failure {
                     pool::Failure::Timeout => "timeout",
                     _ => "lost",
                 };
-                (line.queue.abandon(&ready.call, true, now), cause)
+                (owned.queue.abandon(&prepared.call, true, now), cause)
             }
         };
         event!(
             Info,
             "call-ended",
-            service = ready.service,
-            target = ready.target.name,
+            service = prepared.service,
+            target = prepared.target.name,
             pieces = count,
             outcome = outcome,
-            made = tally.made,
-            no_room = tally.full,
-            gone = tally.gone,
+            made = counts.made,
+            no_room = counts.no_room,
+            gone = counts.gone,
             taken_ms = taken.as_millis(),
-            used = line.queue.engines.used(ready.call.engine)
+            used = owned.queue.engines.used(prepared.call.engine)
         );
-        line.settle(events, &*self.dialect);
+        owned.apply_events(events, &*self.dialect);
         if reached {
-            let denied = self.charge(&ready.service, line);
-            line.settle(denied, &*self.dialect);
+            let denied = self.charge_repeats(&prepared.service, owned);
+            owned.apply_events(denied, &*self.dialect);
         }
-        drop(lines);
-        self.pump(&ready.service);
+        drop(queues);
+        self.dispatch_calls(&prepared.service);
     }
 
     /// Takes the pieces that wait once more from the budget; gives up the jobs that exceed it.
-    fn charge(&self, service: &id::ServiceName, line: &mut Line) -> Vec<batch::Event> {
+    fn charge_repeats(
+        &self,
+        service: &id::ServiceName,
+        owned: &mut OwnedQueue,
+    ) -> Vec<batch::Event> {
         let mut denied = Vec::new();
-        for (key, count) in line.queue.repeated() {
+        for (key, count) in owned.queue.repeated() {
             // A job that nobody waits for any more has failed already.
-            let Some(waiter) = line.waiters.get(*key) else {
+            let Some(waiter) = owned.waiters.get(*key) else {
                 continue;
             };
             let repeat = budgets::Repeat {
                 request: &waiter.attempt,
                 service,
-                way: budgets::Way::Pieces,
+                kind: budgets::RepeatKind::Pieces,
                 count: *count,
             };
-            if !self.budgets.spend(&repeat) {
+            if !self.budgets.try_spend(&repeat) {
                 denied.push(*key);
             }
         }
-        let queue = &mut line.queue;
+        let queue = &mut owned.queue;
         let denied = denied.into_iter();
         denied
             .flat_map(|key| queue.fail(key, batch::Failure::Failed))
@@ -218,17 +226,17 @@
     }
 
     /// Waits for a call to end, and passes on when the inputs of its pieces have been read.
-    async fn watch<T>(&self, ready: &Ready, sent: impl Future<Output = T>) -> T {
+    async fn await_result<T>(&self, prepared: &PreparedCall, sent: impl Future<Output = T>) -> T {
         tokio::pin!(sent);
-        let Some(reading) = ready.reading else {
+        let Some(reading) = prepared.read_time else {
             return sent.await;
         };
         tokio::select! {
             result = &mut sent => return result,
             () = tokio::time::sleep(reading) => {}
         }
-        if let Some(line) = view::lock(&self.lines).get_mut(&ready.service) {
-            let read = line.read(&ready.call.pieces);
+        if let Some(owned) = view::lock(&self.queues).get_mut(&prepared.service) {
+            let read = owned.record_read(&prepared.call.pieces);
             // Without a receiver the process is about to end; the results expire by themselves.
             let _ = self.consumed.send(read);
         }
@@ -242,32 +250,32 @@
         label: &str,
         bounds: &pool::Bounds,
         count: usize,
-    ) -> Result<Vec<batch::Outcome>, Failed> {
+    ) -> Result<Vec<batch::Outcome>, CallError> {
         let sent = self
             .outbound
             .send(target, request, bounds, Some(label))
             .await;
         let outbound::Received { answer, reply } = sent.map_err(|failure| match failure {
-            pool::Failure::Unreached | pool::Failure::Exhausted => Failed::Unsent("unreached"),
-            pool::Failure::Closed => Failed::Unsent("closed"),
-            failure => Failed::Lost(failure),
+            pool::Failure::Unreached | pool::Failure::Exhausted => CallError::Unsent("unreached"),
+            pool::Failure::Closed => CallError::Unsent("closed"),
+            failure => CallError::Lost(failure),
         })?;
         let answer = match reply.attempt.as_deref() {
             Some(echoed) if echoed == label => answer,
             // The connection ends here, as the answer to this call may still come on it.
-            Some(_) => return Err(Failed::Lost(pool::Failure::Malformed)),
+            Some(_) => return Err(CallError::Lost(pool::Failure::Malformed)),
             // Nothing tells a late second answer on this connection from the next one's, which
             // would give a request the results of another; so there is no next one.
             None => answer.last(),
         };
-        let (head, body) = answer.whole(reply.idle).await.map_err(Failed::Lost)?;
+        let (head, body) = answer.whole(reply.idle).await.map_err(CallError::Lost)?;
         if reply.not_run || reply.misdirected {
-            return Err(Failed::NotRun("refused"));
+            return Err(CallError::NotRun("refused"));
         }
         if head.status != StatusCode::OK {
-            return Err(Failed::Lost(pool::Failure::Malformed));
+            return Err(CallError::Lost(pool::Failure::Malformed));
         }
         let outcomes = self.dialect.outcomes(&body, count, target.life);
-        outcomes.map_err(|_| Failed::Lost(pool::Failure::Malformed))
+        outcomes.map_err(|_| CallError::Lost(pool::Failure::Malformed))
     }
 }
--- a/laburnumcart_gateway/src/dispatcher/frees.rs
+++ b/laburnumcart_gateway/src/dispatcher/free.rs
@@ -16,7 +16,7 @@
 use crate::{
     dispatcher::{
         Dispatcher,
-        line::Line, //
+        owned_queue::OwnedQueue, //
     },
     outbound,
     pool,
@@ -27,15 +27,19 @@
 const FREE_DELAY: time::Duration = time::Duration::from_millis(10);
 
 /// Longest time for a call that frees results; they expire by themselves in any case.
-const FREE_LIMIT: time::Duration = time::Duration::from_millis(1500);
+const FREE_TIMEOUT: time::Duration = time::Duration::from_millis(1500);
 
 impl Dispatcher {
     /// Frees what has been collected, after a short while.
-    pub(super) fn flush_later(self: &Arc<Self>, service: &id::ServiceName, line: &mut Line) {
-        if line.flushing || line.frees.is_empty() {
+    pub(super) fn schedule_flush(
+        self: &Arc<Self>,
+        service: &id::ServiceName,
+        owned: &mut OwnedQueue,
+    ) {
+        if owned.flush_scheduled || owned.to_free.is_empty() {
             return;
         }
-        line.flushing = true;
+        owned.flush_scheduled = true;
         let (dispatcher, service) = (self.clone(), service.clone());
         tokio::spawn(async move {
             tokio::time::sleep(FREE_DELAY).await;
@@ -44,14 +48,14 @@
     }
 
     fn flush(self: &Arc<Self>, service: &id::ServiceName) {
-        let mut lines = view::lock(&self.lines);
-        let Some(line) = lines.get_mut(service) else {
+        let mut queues = view::lock(&self.queues);
+        let Some(owned) = queues.get_mut(service) else {
             return;
         };
-        line.flushing = false;
+        owned.flush_scheduled = false;
         let targets = self.view.targets.load();
         let now = Instant::now();
-        for (holder, handles) in std::mem::take(&mut line.frees) {
+        for (holder, handles) in std::mem::take(&mut owned.to_free) {
             let (addr, life) = holder;
             let Some(target) = targets.at(&addr, life) else {
                 // Its results have gone with that life of the target.
@@ -61,14 +65,14 @@
             if target.leaving {
                 continue;
             }
-            let gate = self.gate(target);
+            let limiter = self.call_limiter(target);
             // Without its last request it would make nothing; results expire by themselves.
-            if !gate.is_wide(now) {
-                line.keep(holder, handles);
+            if !limiter.is_wide(now) {
+                owned.defer_free(holder, handles);
                 continue;
             }
-            gate.record(now);
-            let bounds = self.bounds(service);
+            limiter.record(now);
+            let bounds = self.connection_bounds(service);
             tokio::spawn(free(
                 self.clone(),
                 service.clone(),
@@ -97,7 +101,7 @@
         let outbound::Received { answer, reply } = sent?;
         answer.whole(reply.idle).await
     };
-    let result = tokio::time::timeout(FREE_LIMIT, sent).await;
+    let result = tokio::time::timeout(FREE_TIMEOUT, sent).await;
     if !matches!(result, Ok(Ok(_))) {
         // They expire by themselves; until then their room stays accounted.
         event!(
@@ -108,10 +112,10 @@
         );
         return;
     }
-    if let Some(line) = view::lock(&dispatcher.lines).get_mut(&service) {
+    if let Some(owned) = view::lock(&dispatcher.queues).get_mut(&service) {
         for handle in &handles {
-            line.queue.free(handle);
+            owned.queue.free(handle);
         }
     }
-    dispatcher.pump(&service);
+    dispatcher.dispatch_calls(&service);
 }
--- a/laburnumcart_gateway/src/dispatcher/job.rs
+++ b/laburnumcart_gateway/src/dispatcher/job.rs
@@ -78,7 +78,7 @@
 
 /// What the owner of a stage's queue is told when a request begins.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Notice {
+pub struct Announcement {
     /// Identity of the job that will come.
     pub id: u64,
     /// Service that will execute it.
@@ -95,7 +95,7 @@
     pub rank: batch::Rank,
 }
 
-impl Notice {
+impl Announcement {
     pub(super) fn spec(&self, now: Instant) -> batch::Spec {
         batch::Spec::new(self.pieces, self.size, now + self.due.0)
             .deadline(now + self.deadline.0)
--- a/laburnumcart_gateway/src/engines.rs
+++ b/laburnumcart_gateway/src/engines.rs
@@ -22,47 +22,47 @@
 #[derive(Debug)]
 pub struct Engines {
     /// What decides.
-    pub fleet: placement::Fleet,
+    pub placement: placement::Fleet,
     targets: SecondaryMap<placement::EngineKey, Arc<view::Target>>,
-    keys: collections::HashMap<id::TargetLife, placement::EngineKey>,
+    engine_keys: collections::HashMap<id::TargetLife, placement::EngineKey>,
 }
 
 impl Engines {
     /// Creates a service without engines.
     pub fn new(limits: ingress::Engine) -> Self {
         Self {
-            fleet: placement::Fleet::new(limits),
+            placement: placement::Fleet::new(limits),
             targets: SecondaryMap::new(),
-            keys: collections::HashMap::new(),
+            engine_keys: collections::HashMap::new(),
         }
     }
 
     /// Takes in the list of targets; what is known of those that stay is kept.
     ///
     /// `gate` returns what holds requests for one to what it takes.
-    pub fn update(
+    pub fn update_targets(
         &mut self,
         targets: &[Arc<view::Target>],
-        gate: impl Fn(&view::Target) -> quota::Gate,
+        limiter: impl Fn(&view::Target) -> quota::Gate,
     ) {
-        let (gone, new) = view::changes(self.keys.keys().cloned(), targets);
+        let (gone, new) = view::changes(self.engine_keys.keys().cloned(), targets);
         for life in gone {
-            if let Some(key) = self.keys.remove(&life) {
-                self.fleet.remove(key);
+            if let Some(key) = self.engine_keys.remove(&life) {
+                self.placement.remove(key);
                 self.targets.remove(key);
             }
         }
         for target in new {
             let zone = target.data_centre.clone();
-            let key = self.fleet.add(target.name.as_str(), zone);
-            self.fleet.set_gate(key, gate(target));
-            self.keys.insert(target.key(), key);
+            let key = self.placement.add(target.name.as_str(), zone);
+            self.placement.set_gate(key, limiter(target));
+            self.engine_keys.insert(target.key(), key);
             self.targets.insert(key, target.clone());
         }
     }
 
     /// Returns the keys of the engines that have these names, or stand where a request may not run.
-    pub fn avoided(
+    pub fn excluded(
         &self,
         names: &[id::TargetName],
         places: Option<&[id::DataCentre]>,
@@ -75,14 +75,14 @@
     }
 
     /// Chooses an engine and counts the request there.
-    pub fn start(
+    pub fn assign(
         &mut self,
         ask: &placement::Ask<'_>,
         now: Instant,
     ) -> Option<(placement::Place, Arc<view::Target>)> {
-        let place = self.fleet.choose(ask, now)?;
+        let place = self.placement.choose(ask, now)?;
         let target = self.targets.get(place.engine)?.clone();
-        self.fleet.start(ask, place, now);
+        self.placement.start(ask, place, now);
         Some((place, target))
     }
 }
--- a/laburnumcart_gateway/src/forward.rs
+++ b/laburnumcart_gateway/src/forward.rs
@@ -31,13 +31,13 @@
 };
 
 /// Least time in which another send can still bring an answer.
-const NEEDED: time::Duration = time::Duration::from_millis(20);
+const ATTEMPT_MIN: time::Duration = time::Duration::from_millis(20);
 
 /// Most sends of one request that are refused without being run.
-const REFUSALS: u32 = 3;
+const REFUSALS_MAX: u32 = 3;
 
 /// An answer whose head has come.
-pub struct Opened {
+pub struct TargetResponse {
     /// Place at the target.
     pub seat: gateway::Seat,
     /// Answer.
@@ -56,7 +56,7 @@
 }
 
 /// The sends of one request.
-pub struct Sends {
+pub struct Forwarder {
     gateway: Arc<gateway::Gateway>,
     request: Arc<admission::Request>,
     /// Service that was chosen for the request.
@@ -69,13 +69,13 @@
     /// Whether no target could be chosen.
     exhausted: bool,
     /// Whether a send is in flight, or its answer is being read.
-    pending: bool,
+    in_flight: bool,
     /// Target of the last send, and when that was.
-    last: Option<(id::TargetLife, Instant)>,
+    last_send: Option<(id::TargetLife, Instant)>,
     attempts: retry::Attempts,
 }
 
-impl Sends {
+impl Forwarder {
     /// Starts with a request that was not sent yet.
     pub fn new(
         gateway: &Arc<gateway::Gateway>,
@@ -84,7 +84,7 @@
         let service = request.route.backend(rand::random());
         let missing = verdict::Refusal::not_run(verdict::Reason::NoTarget);
         let service = service.ok_or(missing)?.clone();
-        gateway.budgets.earn(&service);
+        gateway.budgets.record_request(&service);
         let idempotent = request.route.repeat != ingress::Repeat::Never;
         Ok(Self {
             gateway: gateway.clone(),
@@ -95,27 +95,27 @@
             refused: 0,
             reached: false,
             exhausted: false,
-            pending: false,
-            last: None,
+            in_flight: false,
+            last_send: None,
             attempts: retry::Attempts::new(idempotent, verdict::Verdict::NotRun),
         })
     }
 
     /// Reports whether another target may still be asked.
-    pub fn has_more(&self) -> bool {
+    pub fn can_retry(&self) -> bool {
         let sends = self.request.route.sends.max(1);
-        self.sent < sends && self.refused < REFUSALS && !self.exhausted
+        self.sent < sends && self.refused < REFUSALS_MAX && !self.exhausted
     }
 
     /// Reports whether there is a target that was not asked and takes requests now.
-    pub fn has_target(&self) -> bool {
+    pub fn has_untried_target(&self) -> bool {
         let (request, service) = (&self.request, &self.service);
         self.gateway.has_target(request, service, &self.tried)
     }
 
     /// Reports whether another target may be asked should the next send fail.
-    pub fn has_spare(&self) -> bool {
-        self.sent + 1 < self.request.route.sends && self.refused < REFUSALS
+    pub fn has_spare_attempt(&self) -> bool {
+        self.sent + 1 < self.request.route.sends && self.refused < REFUSALS_MAX
     }
 
     /// Returns what is known of the request as a whole.
@@ -123,14 +123,14 @@
     /// The failures that were taken in do not tell of a send that is in flight. A caller whose
     /// request ends meanwhile would be told "not run" while a target begins to run it.
     pub fn verdict(&self) -> verdict::Verdict {
-        match self.pending {
+        match self.in_flight {
             true => verdict::Verdict::MayHaveRun,
             false => self.attempts.verdict(),
         }
     }
 
     /// Returns a refusal of the request as a whole.
-    pub fn refuse(&self, refusal: verdict::Refusal) -> verdict::Refusal {
+    pub fn merge_verdict(&self, refusal: verdict::Refusal) -> verdict::Refusal {
         verdict::Refusal {
             verdict: self.verdict().and(refusal.verdict),
             ..refusal
@@ -138,18 +138,18 @@
     }
 
     /// Sends the request to the next target; `limit` bounds the wait for the head.
-    pub async fn next(
+    pub async fn send_next(
         &mut self,
         inputs: Option<&Inputs>,
         after: Option<u64>,
         limit: time::Duration,
-    ) -> Result<Opened, Failure> {
+    ) -> Result<TargetResponse, Failure> {
         let request = self.request.clone();
         let mut handles = inputs.iter().flat_map(|inputs| &inputs.handles);
         if handles.any(|handle| self.gateway.is_lost(handle)) {
             return Err(Failure::InputsGone);
         }
-        let places = inputs.map_or(&[][..], |inputs| &inputs.places);
+        let places = inputs.map_or(&[][..], |inputs| &inputs.locations);
         let seat = self
             .gateway
             .seat(&request, &self.service, places, &self.tried);
@@ -160,7 +160,7 @@
         self.tried.push(seat.target.name.clone());
         self.sent += 1;
         let bounds = self.gateway.bounds(&request, &self.service);
-        let onward = self.onward(&seat, inputs, after);
+        let onward = self.build_request(&seat, inputs, after);
         let outbound = self.gateway.outbound.clone();
         let target = seat.target.clone();
         event!(
@@ -170,11 +170,11 @@
             service = self.service,
             target = target.name,
             number = self.sent,
-            left_ms = request.left().as_millis()
+            left_ms = request.remaining().as_millis()
         );
         let start = Instant::now();
-        self.last = Some((target.key(), start));
-        self.pending = true;
+        self.last_send = Some((target.key(), start));
+        self.in_flight = true;
         let label = Some(request.call.attempt.as_str());
         let sent = outbound.send(&target, onward, &bounds, label);
         let result = match tokio::time::timeout(limit, sent).await {
@@ -184,7 +184,7 @@
         let unsent = |failure: &pool::Failure| failure.verdict() == verdict::Verdict::NotRun;
         self.reached |= !result.as_ref().is_err_and(unsent);
         match result {
-            Ok(received) => self.judge(seat, received, start),
+            Ok(received) => self.check_response(seat, received, start),
             Err(failure) => {
                 if failure.verdict() == verdict::Verdict::NotRun {
                     // Nothing was sent to this target.
@@ -197,14 +197,16 @@
                 }
                 let verdict = failure.verdict();
                 if verdict == verdict::Verdict::MayHaveRun {
-                    self.strike();
+                    self.record_target_failure();
                 }
                 // A target that is slow is no reason to stop while the request has time.
                 let reason = match failure {
-                    pool::Failure::Timeout if request.left() > NEEDED => verdict::Reason::Lost,
+                    pool::Failure::Timeout if request.remaining() > ATTEMPT_MIN => {
+                        verdict::Reason::Lost
+                    }
                     other => other.reason(),
                 };
-                Err(self.failed(
+                Err(self.send_failure(
                     &seat,
                     verdict::Refusal {
                         verdict,
@@ -217,10 +219,14 @@
     }
 
     /// Takes in a failure and decides whether the request goes to another target.
-    pub fn decide(&mut self, failure: verdict::Refusal, way: budgets::Way) -> retry::Decision {
+    pub fn decide_retry(
+        &mut self,
+        failure: verdict::Refusal,
+        way: budgets::RepeatKind,
+    ) -> retry::Decision {
         let time = retry::Time {
-            remaining: self.request.left(),
-            needed: NEEDED,
+            remaining: self.request.remaining(),
+            needed: ATTEMPT_MIN,
             now: Instant::now(),
         };
         let failure = retry::Failure {
@@ -228,16 +234,16 @@
             reached: self.reached,
             resumable: false,
         };
-        self.pending = false;
+        self.in_flight = false;
         // Charged for sends that nobody makes, the budget would be gone for all other requests.
-        let more = self.has_more() && self.has_target();
+        let more = self.can_retry() && self.has_untried_target();
         let attempts = &mut self.attempts;
         let budgets = &self.gateway.budgets;
-        let decision = budgets.with(&self.service, |budget, now| match more {
+        let decision = budgets.with_budget(&self.service, |budget, now| match more {
             true => attempts.decide(&failure, retry::Time { now, ..time }, budget),
             false => retry::Decision::GiveUp(attempts.end(failure.refusal, now, budget)),
         });
-        self.note(&decision, way);
+        self.record_decision(&decision, way);
         if let retry::Decision::GiveUp(refusal) = decision {
             let refusal = self.gateway.advise(&self.request, &self.service, refusal);
             return retry::Decision::GiveUp(refusal);
@@ -247,12 +253,12 @@
     }
 
     /// Tells all processes that the target of the last send has failed under this request.
-    pub fn strike(&mut self) {
-        let Some((target, sent)) = self.last.take() else {
+    pub fn record_target_failure(&mut self) {
+        let Some((target, sent)) = self.last_send.take() else {
             return;
         };
         let strike = strikes::Strike {
-            content: self.request.content(),
+            content: self.request.fingerprint(),
             sent,
             failed: Instant::now(),
         };
@@ -260,7 +266,7 @@
     }
 
     /// Logs a decision on what would reach a target once more.
-    fn note(&self, decision: &retry::Decision, way: budgets::Way) {
+    fn record_decision(&self, decision: &retry::Decision, way: budgets::RepeatKind) {
         if !self.reached {
             return;
         }
@@ -271,14 +277,16 @@
         let repeat = budgets::Repeat {
             request: &self.request.call.attempt,
             service: &self.service,
-            way,
+            kind: way,
             count: 1,
         };
         let cause = self.attempts.cause();
-        self.gateway.budgets.note(&repeat, outcome, cause);
+        self.gateway
+            .budgets
+            .record_decision(&repeat, outcome, cause);
     }
 
-    fn onward(
+    fn build_request(
         &self,
         seat: &gateway::Seat,
         inputs: Option<&Inputs>,
@@ -292,7 +300,7 @@
         let told = dialect::Onward {
             target: &seat.target.name,
             team: request.team.as_ref(),
-            left: request.left(),
+            left: request.remaining(),
             inputs: inputs.map(|i| i.handles.as_slice()),
             after,
             rank: request.rank,
@@ -302,12 +310,12 @@
     }
 
     /// Tells an answer of the target from its refusals.
-    fn judge(
+    fn check_response(
         &mut self,
         mut seat: gateway::Seat,
         received: outbound::Received,
         start: Instant,
-    ) -> Result<Opened, Failure> {
+    ) -> Result<TargetResponse, Failure> {
         let outbound::Received { answer, reply } = received;
         let status = answer.head.status;
         event!(
@@ -325,20 +333,20 @@
         // this one is not known then.
         if !own || status.is_success() && !reply.signed {
             seat.fail();
-            return Err(self.failed(&seat, may_have_run(verdict::Reason::Corrupt)));
+            return Err(self.send_failure(&seat, may_have_run(verdict::Reason::Corrupt)));
         }
         seat.report(&reply);
         if reply.misdirected {
             self.sent -= 1;
             self.refused += 1;
-            return Err(self.failed(&seat, not_run(verdict::Reason::WrongIncarnation)));
+            return Err(self.send_failure(&seat, not_run(verdict::Reason::WrongIncarnation)));
         }
         if reply.not_run {
             self.refused += 1;
             if status == StatusCode::CONFLICT {
                 return Err(Failure::InputsGone);
             }
-            return Err(self.failed(&seat, not_run(verdict::Reason::Overloaded)));
+            return Err(self.send_failure(&seat, not_run(verdict::Reason::Overloaded)));
         }
         // These promise that the request has not run, which this answer does not prove.
         let promises = [
@@ -349,16 +357,16 @@
         ];
         if promises.contains(&status) {
             seat.fail();
-            return Err(self.failed(&seat, may_have_run(verdict::Reason::TargetFailed)));
+            return Err(self.send_failure(&seat, may_have_run(verdict::Reason::TargetFailed)));
         }
-        Ok(Opened {
+        Ok(TargetResponse {
             seat,
             answer,
             reply,
         })
     }
 
-    fn failed(&self, seat: &gateway::Seat, refusal: verdict::Refusal) -> Failure {
+    fn send_failure(&self, seat: &gateway::Seat, refusal: verdict::Refusal) -> Failure {
         event!(
             Info,
             "send-failed",
--- a/laburnumcart_gateway/src/gateway.rs
+++ b/laburnumcart_gateway/src/gateway.rs
@@ -138,7 +138,7 @@
             tokio::select! {
                 _ = sweep.tick() => {
                     self.outbound.pool.sweep(Instant::now());
-                    self.outbound.quotas.sweep();
+                    self.outbound.quotas.update_gauges();
                 }
                 _ = changes.changed() => self.refresh(),
                 _ = signals.changed() => {
@@ -169,23 +169,23 @@
 
     fn refresh(&self) {
         self.dispatcher
-            .consolidate(|service| self.peers.is_first(service));
+            .hand_over_moved(|service| self.peers.is_first(service));
         self.outbound.quotas.refresh();
         let targets = self.view.targets.load();
         let signals = &self.outbound.quotas.signals;
         signals.list_targets(|life| targets.all().any(|target| target.key() == *life));
         for (service, engines) in view::lock(&self.engines).iter_mut() {
-            engines.update(targets.service(service), |t| self.gate(t));
+            engines.update_targets(targets.service(service), |t| self.gate(t));
         }
         let now = Instant::now();
         for (service, balancer) in view::lock(&self.balancers).iter_mut() {
-            balancer.update(targets.service(service), |t| self.gate(t), now);
+            balancer.update_targets(targets.service(service), |t| self.gate(t), now);
         }
     }
 
     /// Returns the gate of requests for a target.
     fn gate(&self, target: &view::Target) -> quota::Gate {
-        self.outbound.quotas.gates(target).requests
+        self.outbound.quotas.limiters(target).requests
     }
 
     /// Returns where the inputs of a request are best made.
@@ -194,7 +194,7 @@
         let prompt = request.call.prompt.as_ref()?;
         let mut engines = view::lock(&self.engines);
         let engines = self.engines_of(&mut engines, &request.table, service)?;
-        engines.fleet.near(&prompt.parts, Instant::now())
+        engines.placement.near(&prompt.parts, Instant::now())
     }
 
     /// Reports whether the target that holds a result is known to have started again since.
@@ -223,7 +223,7 @@
                 (Some(place), target)
             }
             None => {
-                let places = request.places.as_deref();
+                let places = request.data_centres.as_deref();
                 let target = self.balance(service, places, tried, now)?;
                 (None, target)
             }
@@ -248,7 +248,7 @@
         if !engines.contains_key(service) {
             let limits = table.service(service)?.engine?;
             let mut known = engines::Engines::new(limits);
-            known.update(self.view.targets.load().service(service), |t| self.gate(t));
+            known.update_targets(self.view.targets.load().service(service), |t| self.gate(t));
             engines.insert(service.clone(), known);
         }
         engines.get_mut(service)
@@ -266,7 +266,7 @@
             let own = self.settings.data_centre.clone();
             let mut balancer = balancer::Balancer::new(own, now);
             let targets = self.view.targets.load();
-            balancer.update(targets.service(service), |t| self.gate(t), now);
+            balancer.update_targets(targets.service(service), |t| self.gate(t), now);
             balancer
         });
         balancer.choose(places, tried, now)
@@ -314,7 +314,7 @@
     now: Instant,
 ) -> Option<(placement::Place, Arc<view::Target>)> {
     let prompt = request.call.prompt.as_ref();
-    let avoid = engines.avoided(tried, request.places.as_deref());
+    let avoid = engines.excluded(tried, request.data_centres.as_deref());
     let ask = placement::Ask {
         parts: prompt.map_or(&[], |p| &p.parts),
         tokens: prompt.map_or(0, |p| p.input + p.output),
@@ -322,7 +322,7 @@
         avoid: &avoid,
         slack: request.slack(),
     };
-    engines.start(&ask, now)
+    engines.assign(&ask, now)
 }
 
 impl Seat {
@@ -333,8 +333,10 @@
         };
         let now = Instant::now();
         match self.place {
-            Some(place) => self.with_engines(|e| e.fleet.report(place.engine, report, now)),
-            None => self.with_balancer(|b| b.report(&self.target.key(), report, reply.slots, now)),
+            Some(place) => self.with_engines(|e| e.placement.report(place.engine, report, now)),
+            None => {
+                self.with_balancer(|b| b.record_load(&self.target.key(), report, reply.slots, now))
+            }
         }
     }
 
@@ -342,7 +344,7 @@
     pub fn begin(&mut self) {
         self.read = true;
         if let Some(place) = self.place {
-            self.with_engines(|e| e.fleet.first_token(place));
+            self.with_engines(|e| e.placement.first_token(place));
         }
     }
 
@@ -376,12 +378,12 @@
         let failed = self.outcome == Some(eject::Outcome::Failure);
         match self.place {
             Some(place) => self.with_engines(|e| {
-                e.fleet.end(place, self.read);
+                e.placement.end(place, self.read);
                 if failed {
-                    e.fleet.fail(place.engine, now);
+                    e.placement.fail(place.engine, now);
                 }
             }),
-            None => self.with_balancer(|b| b.end(&self.target.key(), self.outcome, now)),
+            None => self.with_balancer(|b| b.record_end(&self.target.key(), self.outcome, now)),
         }
     }
 }
--- a/laburnumcart_gateway/src/gateway/availability.rs
+++ b/laburnumcart_gateway/src/gateway/availability.rs
@@ -26,7 +26,7 @@
         tried: &[id::TargetName],
     ) -> bool {
         let now = Instant::now();
-        let places = request.places.as_deref();
+        let places = request.data_centres.as_deref();
         let targets = self.view.targets.load();
         let mut targets = targets.service(service).iter();
         targets.any(|target| {
@@ -43,7 +43,7 @@
         service: &id::ServiceName,
         now: Instant,
     ) -> Option<time::Duration> {
-        let places = request.places.as_deref();
+        let places = request.data_centres.as_deref();
         let targets = self.view.targets.load();
         let targets = targets.service(service).iter();
         let allowed = targets.filter(|t| residency::allows(places, &t.data_centre));
@@ -76,7 +76,7 @@
     /// Refuses a request whose content has crashed one target after the other.
     pub fn check_content(&self, request: &admission::Request) -> Result<(), verdict::Refusal> {
         let signals = &self.outbound.quotas.signals;
-        let Some(until) = signals.refused(|| request.content()) else {
+        let Some(until) = signals.refused(|| request.fingerprint()) else {
             return Ok(());
         };
         let wait = unit::Period(until.saturating_duration_since(Instant::now()));
@@ -87,7 +87,7 @@
     ///
     /// Begun nevertheless, its stages would be executed for nothing, and its caller told later.
     pub fn check_targets(&self, request: &admission::Request) -> Result<(), verdict::Refusal> {
-        let left = request.left();
+        let left = request.remaining();
         let backends = request.route.backends.iter().filter(|b| b.weight > 0);
         let services: Vec<_> = backends.map(|backend| &backend.service).collect();
         if services.iter().any(|s| self.has_target(request, s, &[])) {
--- a/laburnumcart_gateway/src/lib.rs
+++ b/laburnumcart_gateway/src/lib.rs
@@ -25,7 +25,7 @@
 pub mod request;
 pub mod run;
 pub mod settings;
+pub mod starvation;
 pub mod state;
-pub mod strain;
 pub mod stream;
 pub mod view;
--- a/laburnumcart_gateway/src/outbound.rs
+++ b/laburnumcart_gateway/src/outbound.rs
@@ -65,7 +65,7 @@
         label: Option<&str>,
     ) -> Result<Received, pool::Failure> {
         let sent = Instant::now();
-        self.quotas.count(target);
+        self.quotas.record_send(target);
         let is_open = || !self.quotas.is_closed(target);
         let answer = self.pool.send_if(target, request, bounds, is_open).await?;
         let reply = self.dialect.reply(&answer.head);
@@ -80,9 +80,9 @@
                 own: answer.head.status.is_success() && label.is_some_and(echoed),
                 sent,
             };
-            self.quotas.note(target, word);
+            self.quotas.record_limit(target, word);
             if reply.leaving {
-                self.quotas.leave(target);
+                self.quotas.record_leaving(target);
             }
             if let Some(wait) = reply.backoff {
                 self.quotas.back_off(target, wait);
--- a/laburnumcart_gateway/src/peers.rs
+++ b/laburnumcart_gateway/src/peers.rs
@@ -97,7 +97,10 @@
 
     /// Tells of a job that will come; the answer says when it would be done.
     #[method(name = "announce")]
-    async fn announce(&self, notice: dispatcher::Notice) -> RpcResult<Option<forecast::Outlook>>;
+    async fn announce(
+        &self,
+        notice: dispatcher::Announcement,
+    ) -> RpcResult<Option<forecast::Outlook>>;
 
     /// Tells that an announced job will not come.
     #[method(name = "withdraw")]
@@ -143,7 +146,10 @@
         })
     }
 
-    async fn announce(&self, notice: dispatcher::Notice) -> RpcResult<Option<forecast::Outlook>> {
+    async fn announce(
+        &self,
+        notice: dispatcher::Announcement,
+    ) -> RpcResult<Option<forecast::Outlook>> {
         // The job will go to another queue, of which this one tells nothing.
         if self.view.is_leaving() {
             return Ok(None);
@@ -167,7 +173,7 @@
     }
 
     async fn read(&self, service: id::ServiceName, handles: Vec<batch::Handle>) -> RpcResult<()> {
-        self.dispatcher.read(&service, handles);
+        self.dispatcher.free_if_crowded(&service, handles);
         Ok(())
     }
 
@@ -238,7 +244,7 @@
     /// Tells the owner of a queue of a job that will come; returns when it would be done.
     ///
     /// Without an answer the job is not held up: an owner that is gone has no queue to be late in.
-    pub async fn announce(&self, notice: dispatcher::Notice) -> Option<forecast::Outlook> {
+    pub async fn announce(&self, notice: dispatcher::Announcement) -> Option<forecast::Outlook> {
         let owner = self.owner(&notice.service)?;
         match owner.instance == self.own {
             true => self.dispatcher.announce(&notice),
@@ -301,7 +307,7 @@
             return;
         };
         if owner.instance == self.own {
-            self.dispatcher.read(service, handles);
+            self.dispatcher.free_if_crowded(service, handles);
             return;
         }
         if let Some(link) = self.link(&owner) {
--- a/laburnumcart_gateway/src/peers/link.rs
+++ b/laburnumcart_gateway/src/peers/link.rs
@@ -170,7 +170,7 @@
     /// Tells of a job that will come; returns when it would be done.
     pub(super) async fn announce(
         self: &Arc<Self>,
-        notice: dispatcher::Notice,
+        notice: dispatcher::Announcement,
     ) -> Option<forecast::Outlook> {
         let call = async {
             let open = self.client().await?;
--- a/laburnumcart_gateway/src/pipeline.rs
+++ b/laburnumcart_gateway/src/pipeline.rs
@@ -1,8 +1,8 @@
 //! Runs the stages of a request before it goes to its target.
 
 mod admit;
-mod notices;
-mod times;
+mod announcements;
+mod estimates;
 
 use std::{
     collections,
@@ -33,40 +33,40 @@
     view, //
 };
 
-use self::notices::Notices;
+use self::announcements::Announcements;
 
 /// Longest time after which a refused caller is told to come again.
 const RETRY_MAX: time::Duration = time::Duration::from_secs(2);
 
 /// Failures of stages that a request survives, less one: their inputs are made again.
-const TRIES: usize = 3;
+const FAILURE_LIMIT: usize = 3;
 
 /// Results that a target needs; freed when dropped.
 pub struct Inputs {
     /// Results of the last stages.
     pub handles: Vec<batch::Handle>,
     /// Sizes by data centre.
-    pub places: Vec<(id::DataCentre, unit::Size)>,
-    _held: Vec<Held>,
+    pub locations: Vec<(id::DataCentre, unit::Size)>,
+    _results: Vec<StageResults>,
 }
 
 /// One run of the stages of a request.
-struct Run<'a> {
+struct StageRun<'a> {
     gateway: &'a Arc<gateway::Gateway>,
     request: &'a admission::Request,
     near: Option<id::DataCentre>,
-    results: Vec<Option<Held>>,
-    notices: Notices,
+    results: Vec<Option<StageResults>>,
+    announcements: Announcements,
     /// Whether its caller was refused before, or work was done for it in vain.
-    again: bool,
+    is_retry: bool,
     /// Whether it was admitted although it will be late.
     late: bool,
     /// Stages whose pieces were, or may have been, sent before.
-    asked: Vec<bool>,
+    sent_before: Vec<bool>,
 }
 
 /// Results of one stage, freed when dropped.
-struct Held {
+struct StageResults {
     gateway: Arc<gateway::Gateway>,
     service: id::ServiceName,
     handles: Vec<batch::Handle>,
@@ -74,7 +74,7 @@
     owner: Option<Arc<view::Member>>,
 }
 
-impl Drop for Held {
+impl Drop for StageResults {
     /// Frees the results: they take room at their target that other requests wait for.
     fn drop(&mut self) {
         if let Some(owner) = &self.owner {
@@ -85,42 +85,42 @@
 }
 
 /// Runs the stages; a refusal is a proof that the request itself did not run.
-pub async fn run(
+pub async fn run_stages(
     gateway: &Arc<gateway::Gateway>,
     request: &admission::Request,
 ) -> Result<Inputs, verdict::Refusal> {
-    let asked = vec![false; request.route.stages.len()];
-    run_as(gateway, request, request.is_again(), asked).await
+    let sent_before = vec![false; request.route.stages.len()];
+    run_until_exit(gateway, request, request.is_retry(), sent_before).await
 }
 
 /// Runs the stages once more, as their results have disappeared before they were used.
-pub async fn run_again(
+pub async fn rerun_stages(
     gateway: &Arc<gateway::Gateway>,
     request: &admission::Request,
 ) -> Result<Inputs, verdict::Refusal> {
-    let asked = vec![true; request.route.stages.len()];
-    run_as(gateway, request, true, asked).await
+    let sent_before = vec![true; request.route.stages.len()];
+    run_until_exit(gateway, request, true, sent_before).await
 }
 
 /// Runs the stages; with `again`, a request is taken that will be late. `asked` are the stages
 /// whose pieces were sent before.
-async fn run_as(
+async fn run_until_exit(
     gateway: &Arc<gateway::Gateway>,
     request: &admission::Request,
-    again: bool,
-    asked: Vec<bool>,
+    is_retry: bool,
+    sent_before: Vec<bool>,
 ) -> Result<Inputs, verdict::Refusal> {
-    let run = Run {
+    let run = StageRun {
         gateway,
         request,
         near: gateway.near(request),
         results: request.route.stages.iter().map(|_| None).collect(),
-        notices: Notices::new(request.route.stages.len()),
-        again,
+        announcements: Announcements::new(request.route.stages.len()),
+        is_retry,
         late: false,
-        asked,
+        sent_before,
     };
-    let finish = tokio::time::timeout(request.left(), run.finish());
+    let finish = tokio::time::timeout(request.remaining(), run.run_all());
     let result = tokio::select! {
         result = finish => result,
         // A request that waits when the process must exit is refused while there is time.
@@ -128,10 +128,12 @@
             return Err(verdict::Refusal::not_run(verdict::Reason::Leaving));
         }
     };
-    result.unwrap_or(Err(batch::Failure::Late)).map_err(refusal)
+    result
+        .unwrap_or(Err(batch::Failure::Late))
+        .map_err(stage_refusal)
 }
 
-fn refusal(failure: batch::Failure) -> verdict::Refusal {
+fn stage_refusal(failure: batch::Failure) -> verdict::Refusal {
     let reason = match failure {
         batch::Failure::Late | batch::Failure::Busy(_) => verdict::Reason::DeadlineTooShort,
         batch::Failure::Gone | batch::Failure::Failed => verdict::Reason::TargetFailed,
@@ -147,37 +149,39 @@
     }
 }
 
-impl Run<'_> {
-    async fn finish(mut self) -> Result<Inputs, batch::Failure> {
+impl StageRun<'_> {
+    async fn run_all(mut self) -> Result<Inputs, batch::Failure> {
         self.admit().await?;
         let stages = &self.request.route.stages;
         let mut started = vec![false; stages.len()];
         let mut running = stream::FuturesUnordered::new();
-        let mut tries = TRIES;
+        let mut failures_left = FAILURE_LIMIT;
         loop {
-            self.drop_lost(&mut started);
+            self.remake_lost(&mut started);
             for (i, begun) in started.iter_mut().enumerate() {
                 if !*begun && self.is_ready(i) {
                     *begun = true;
-                    running.push(self.stage(i));
+                    running.push(self.run_stage(i));
                 }
             }
             let Some((i, result)) = running.next().await else {
                 break;
             };
-            tries -= usize::from(result.is_err());
+            failures_left -= usize::from(result.is_err());
             match result {
-                Ok(held) => self.results[i] = Some(held),
-                Err(batch::Failure::Gone) if tries > 0 => self.forget(i, &mut started),
+                Ok(results) => self.results[i] = Some(results),
+                Err(batch::Failure::Gone) if failures_left > 0 => {
+                    self.remake_inputs(i, &mut started)
+                }
                 Err(failure) => return Err(failure),
             }
         }
         drop(running);
-        Ok(self.collect())
+        Ok(self.into_inputs())
     }
 
     /// Returns the number of pieces of a stage.
-    fn pieces(&self, i: usize) -> u32 {
+    fn piece_count(&self, i: usize) -> u32 {
         self.request.call.pieces.get(i).copied().unwrap_or(0)
     }
 
@@ -185,7 +189,7 @@
     ///
     /// They were at a target that has gone, or were freed when they had been read and a piece then
     /// failed. What those inputs were made of often still exists.
-    fn forget(&mut self, i: usize, started: &mut [bool]) {
+    fn remake_inputs(&mut self, i: usize, started: &mut [bool]) {
         started[i] = false;
         for k in &self.request.route.stages[i].after {
             self.results[*k] = None;
@@ -195,7 +199,7 @@
 
     /// Has the results made again that are still to be read and whose target has started again
     /// since it made them.
-    fn drop_lost(&mut self, started: &mut [bool]) {
+    fn remake_lost(&mut self, started: &mut [bool]) {
         for i in 0..started.len() {
             if self.is_unread(i, started) && self.is_lost(i) {
                 self.results[i] = None;
@@ -214,15 +218,15 @@
     }
 
     fn is_lost(&self, i: usize) -> bool {
-        let mut handles = self.results[i].iter().flat_map(|held| &held.handles);
+        let mut handles = self.results[i].iter().flat_map(|results| &results.handles);
         handles.any(|handle| self.gateway.is_lost(handle))
     }
 
     /// Reports whether a stage alone reads the results that it takes.
-    fn consumes(&self, i: usize) -> bool {
+    fn consumes_inputs(&self, i: usize) -> bool {
         let stages = &self.request.route.stages;
         let readers = |k: usize| stages.iter().filter(|s| s.after.contains(&k)).count();
-        self.pieces(i) > 0 && stages[i].after.iter().all(|k| readers(*k) == 1)
+        self.piece_count(i) > 0 && stages[i].after.iter().all(|k| readers(*k) == 1)
     }
 
     /// Reports whether all that a stage takes has been made.
@@ -232,24 +236,24 @@
     }
 
     /// Runs one stage.
-    fn stage(
+    fn run_stage(
         &mut self,
         i: usize,
-    ) -> impl Future<Output = (usize, Result<Held, batch::Failure>)> + Send + 'static {
+    ) -> impl Future<Output = (usize, Result<StageResults, batch::Failure>)> + Send + 'static {
         let gateway = self.gateway.clone();
         let stage = &self.request.route.stages[i];
         let service = stage.service.clone();
-        let job = self.job(i, stage);
+        let job = self.build_job(i, stage);
         let start = tokio::time::Instant::now();
         async move {
-            let held = |handles, owner| Held {
+            let stage_results = |handles, owner| StageResults {
                 gateway: gateway.clone(),
                 service: service.clone(),
                 handles,
                 owner,
             };
             if job.pieces == 0 {
-                return (i, Ok(held(Vec::new(), None)));
+                return (i, Ok(stage_results(Vec::new(), None)));
             }
             let attempt = job.attempt.clone();
             let result = gateway.peers.submit(job).await;
@@ -265,37 +269,40 @@
                     .map_or("done".into(), ToString::to_string),
                 taken_ms = start.elapsed().as_millis()
             );
-            (i, result.map(|made| held(made.handles, Some(made.owner))))
+            (
+                i,
+                result.map(|made| stage_results(made.handles, Some(made.owner))),
+            )
         }
     }
 
-    fn job(&mut self, i: usize, stage: &ingress::Stage) -> dispatcher::Job {
+    fn build_job(&mut self, i: usize, stage: &ingress::Stage) -> dispatcher::Job {
         let request = self.request;
         let input = match stage.after.is_empty() {
             true => dialect::Input::Key(request.call.key_input.clone().unwrap_or_default()),
-            false => dialect::Input::Results(self.handles(&stage.after)),
+            false => dialect::Input::Results(self.result_handles(&stage.after)),
         };
         // A request that will be late in any case must not delay those that can be on time.
         let due = match self.late {
             true => time::Duration::ZERO,
-            false => request.slack().saturating_sub(self.rest(i)),
+            false => request.slack().saturating_sub(self.time_after(i)),
         };
-        let (near, moved) = self.best_place(i);
+        let (near, moved) = self.best_location(i);
         dispatcher::Job {
-            id: self.notices.come(i).unwrap_or_else(rand::random),
+            id: self.announcements.take_id(i).unwrap_or_else(rand::random),
             attempt: request.call.attempt.clone(),
             stage: i as u32,
             service: stage.service.clone(),
-            pieces: self.pieces(i),
+            pieces: self.piece_count(i),
             size: stage.size,
             input,
             due: unit::Period(due),
-            deadline: unit::Period(request.left().saturating_sub(self.rest(i))),
-            rank: request.urgency(),
+            deadline: unit::Period(request.remaining().saturating_sub(self.time_after(i))),
+            rank: request.batch_rank(),
             near,
             moved,
-            places: request.places.clone(),
-            consumes: self.consumes(i),
+            places: request.data_centres.clone(),
+            consumes: self.consumes_inputs(i),
             last: false,
             arrival: self.arrival(i),
         }
@@ -303,8 +310,8 @@
 
     /// Returns what a stage's job is to the budget of its service, for a job that is made now.
     fn arrival(&mut self, i: usize) -> dispatcher::Arrival {
-        let is_repeated = std::mem::replace(&mut self.asked[i], true);
-        match (is_repeated, self.is_first(i)) {
+        let is_repeated = std::mem::replace(&mut self.sent_before[i], true);
+        match (is_repeated, self.is_first_arrival(i)) {
             (true, _) => dispatcher::Arrival::Repeated,
             (false, true) => dispatcher::Arrival::First,
             (false, false) => dispatcher::Arrival::Further,
@@ -312,10 +319,10 @@
     }
 
     /// Reports whether nothing else of the request counts it at the service of a stage.
-    fn is_first(&self, i: usize) -> bool {
+    fn is_first_arrival(&self, i: usize) -> bool {
         let route = &self.request.route;
         let service = &route.stages[i].service;
-        let mut before = (0..i).filter(|k| self.pieces(*k) > 0);
+        let mut before = (0..i).filter(|k| self.piece_count(*k) > 0);
         let is_other = |k: usize| route.stages[k].service != *service;
         before.all(is_other) && route.backend(0) != Some(service)
     }
@@ -323,53 +330,55 @@
     /// Returns where a stage is best executed, and the bytes that cross when it is not.
     ///
     /// Each piece reads all its inputs, which is often far more than the stage makes of them.
-    fn best_place(&self, i: usize) -> (Option<id::DataCentre>, unit::Size) {
+    fn best_location(&self, i: usize) -> (Option<id::DataCentre>, unit::Size) {
         let stages = &self.request.route.stages;
         let mut places: collections::HashMap<id::DataCentre, u64> = collections::HashMap::new();
         if let Some(near) = &self.near {
             places.insert(near.clone(), stages[i].size.0);
         }
         for k in &stages[i].after {
-            let held = self.results[*k].iter().flat_map(|held| &held.handles);
-            for place in held.filter_map(|handle| self.place(handle)) {
+            let results = self.results[*k].iter().flat_map(|results| &results.handles);
+            for place in results.filter_map(|handle| self.location(handle)) {
                 *places.entry(place).or_default() += stages[*k].size.0;
             }
         }
-        let pieces = u64::from(self.pieces(i));
+        let pieces = u64::from(self.piece_count(i));
         let best = places.into_iter().max_by_key(|(_, bytes)| *bytes);
         best.map_or((None, unit::Size(0)), |(place, bytes)| {
             (Some(place), unit::Size(bytes.saturating_mul(pieces)))
         })
     }
 
-    fn handles(&self, stages: &[usize]) -> Vec<batch::Handle> {
-        let held = stages.iter().filter_map(|k| self.results[*k].as_ref());
-        held.flat_map(|h| h.handles.iter().cloned()).collect()
+    fn result_handles(&self, stages: &[usize]) -> Vec<batch::Handle> {
+        let results = stages.iter().filter_map(|k| self.results[*k].as_ref());
+        results.flat_map(|h| h.handles.iter().cloned()).collect()
     }
 
     /// Keeps the results of the last stages and frees the others.
-    fn collect(mut self) -> Inputs {
+    fn into_inputs(mut self) -> Inputs {
         let route = &self.request.route;
         let mut inputs = Inputs {
             handles: Vec::new(),
-            places: Vec::new(),
-            _held: Vec::new(),
+            locations: Vec::new(),
+            _results: Vec::new(),
         };
         for i in route.last_stages() {
-            let Some(held) = self.results[i].take() else {
+            let Some(results) = self.results[i].take() else {
                 continue;
             };
-            for handle in &held.handles {
-                let places = self.place(handle).map(|zone| (zone, route.stages[i].size));
-                inputs.places.extend(places);
+            for handle in &results.handles {
+                let places = self
+                    .location(handle)
+                    .map(|zone| (zone, route.stages[i].size));
+                inputs.locations.extend(places);
             }
-            inputs.handles.extend(held.handles.iter().cloned());
-            inputs._held.push(held);
+            inputs.handles.extend(results.handles.iter().cloned());
+            inputs._results.push(results);
         }
         inputs
     }
 
-    fn place(&self, handle: &batch::Handle) -> Option<id::DataCentre> {
+    fn location(&self, handle: &batch::Handle) -> Option<id::DataCentre> {
         let addr = self.gateway.dialect.holder(handle)?;
         let targets = self.gateway.view.targets.load();
         Some(targets.at(&addr, handle.life)?.data_centre.clone())
--- a/laburnumcart_gateway/src/pipeline/admit.rs
+++ b/laburnumcart_gateway/src/pipeline/admit.rs
@@ -13,52 +13,56 @@
 
 use crate::{
     dispatcher,
-    pipeline::Run, //
+    pipeline::StageRun, //
 };
 
-impl Run<'_> {
+impl StageRun<'_> {
     /// Tells the owners of the stages' queues of their jobs, and judges the request by what they
     /// say.
     pub(super) async fn admit(&mut self) -> Result<(), batch::Failure> {
         let stages = &self.request.route.stages;
-        if !(0..stages.len()).all(|i| self.pieces(i) == 0 || self.has_target(&stages[i].service)) {
+        if !(0..stages.len())
+            .all(|i| self.piece_count(i) == 0 || self.has_target(&stages[i].service))
+        {
             return Err(batch::Failure::Unavailable);
         }
-        let needed = (0..stages.len()).filter(|i| self.pieces(*i) > 0);
-        let notices: Vec<_> = needed.map(|i| (i, self.notice(i, &stages[i]))).collect();
+        let needed = (0..stages.len()).filter(|i| self.piece_count(*i) > 0);
+        let notices: Vec<_> = needed
+            .map(|i| (i, self.announcement(i, &stages[i])))
+            .collect();
         let asked: Vec<_> = notices.iter().map(|(i, _)| *i).collect();
-        let outlooks = self.notices.announce(self.gateway, notices).await;
-        let mut steps: Vec<_> = (0..stages.len()).map(|i| self.step(i)).collect();
+        let outlooks = self.announcements.announce(self.gateway, notices).await;
+        let mut steps: Vec<_> = (0..stages.len()).map(|i| self.forecast_step(i)).collect();
         for (i, outlook) in asked.into_iter().zip(outlooks) {
             steps[i].outlook = outlook;
         }
         let time = forecast::Time {
             slack: self.request.slack(),
-            left: self.request.left(),
-            rest: self.prompt(),
-            again: self.again,
+            left: self.request.remaining(),
+            rest: self.first_token_time(),
+            again: self.is_retry,
         };
         match forecast::judge(&steps, time) {
             forecast::Judgement::OnTime => Ok(()),
             forecast::Judgement::Late => {
                 self.late = true;
-                self.notices.withdraw();
-                self.report("late", &steps, time);
+                self.announcements.withdraw();
+                self.log_judgement("late", &steps, time);
                 Ok(())
             }
             forecast::Judgement::Refused(after) => {
                 self.gateway.metrics.refused_early.inc();
-                self.report("refused", &steps, time);
+                self.log_judgement("refused", &steps, time);
                 let millis = after.as_millis().try_into().unwrap_or(u32::MAX);
                 Err(batch::Failure::Busy(millis))
             }
         }
     }
 
-    fn step(&self, i: usize) -> forecast::Step {
-        let own = match self.pieces(i) {
+    fn forecast_step(&self, i: usize) -> forecast::Step {
+        let own = match self.piece_count(i) {
             0 => time::Duration::ZERO,
-            _ => self.length(i),
+            _ => self.stage_time(i),
         };
         forecast::Step {
             after: self.request.route.stages[i].after.clone(),
@@ -67,7 +71,7 @@
         }
     }
 
-    fn report(&self, judgement: &str, steps: &[forecast::Step], time: forecast::Time) {
+    fn log_judgement(&self, judgement: &str, steps: &[forecast::Step], time: forecast::Time) {
         let turn = |step: &forecast::Step| {
             let turn = step.outlook.map(|outlook| outlook.turn.0);
             turn.map_or("?".into(), |turn| turn.as_millis().to_string())
@@ -85,17 +89,17 @@
         );
     }
 
-    fn notice(&self, i: usize, stage: &ingress::Stage) -> dispatcher::Notice {
+    fn announcement(&self, i: usize, stage: &ingress::Stage) -> dispatcher::Announcement {
         let request = self.request;
-        let rest = self.rest(i);
-        dispatcher::Notice {
+        let rest = self.time_after(i);
+        dispatcher::Announcement {
             id: rand::random(),
             service: stage.service.clone(),
-            pieces: self.pieces(i),
+            pieces: self.piece_count(i),
             size: stage.size,
             due: unit::Period(request.slack().saturating_sub(rest)),
-            deadline: unit::Period(request.left().saturating_sub(rest)),
-            rank: request.urgency(),
+            deadline: unit::Period(request.remaining().saturating_sub(rest)),
+            rank: request.batch_rank(),
         }
     }
 
@@ -104,7 +108,7 @@
     /// Without one the job of a confined request would wait for its deadline, behind targets that
     /// are free.
     fn has_target(&self, service: &id::ServiceName) -> bool {
-        let Some(places) = &self.request.places else {
+        let Some(places) = &self.request.data_centres else {
             return true;
         };
         let targets = self.gateway.view.targets.load();
--- a/laburnumcart_gateway/src/pipeline/notices.rs
+++ b/laburnumcart_gateway/src/pipeline/announcements.rs
@@ -19,21 +19,21 @@
     gateway: Arc<gateway::Gateway>,
     service: id::ServiceName,
     id: u64,
-    has_come: bool,
+    is_submitted: bool,
 }
 
 impl Drop for Announced {
     fn drop(&mut self) {
-        if !self.has_come {
+        if !self.is_submitted {
             self.gateway.peers.withdraw(&self.service, self.id);
         }
     }
 }
 
 /// Announcements of one request, by stage.
-pub(super) struct Notices(Vec<Option<Announced>>);
+pub(super) struct Announcements(Vec<Option<Announced>>);
 
-impl Notices {
+impl Announcements {
     /// Creates the announcements of a request with so many stages, none of them made.
     pub(super) fn new(stages: usize) -> Self {
         Self((0..stages).map(|_| None).collect())
@@ -43,7 +43,7 @@
     pub(super) async fn announce(
         &mut self,
         gateway: &Arc<gateway::Gateway>,
-        notices: Vec<(usize, dispatcher::Notice)>,
+        notices: Vec<(usize, dispatcher::Announcement)>,
     ) -> Vec<Option<forecast::Outlook>> {
         let mut calls = Vec::new();
         for (stage, notice) in notices {
@@ -51,7 +51,7 @@
                 gateway: gateway.clone(),
                 service: notice.service.clone(),
                 id: notice.id,
-                has_come: false,
+                is_submitted: false,
             });
             calls.push(gateway.peers.announce(notice));
         }
@@ -64,9 +64,9 @@
     }
 
     /// Returns the identity of a stage's job, which comes now.
-    pub(super) fn come(&mut self, stage: usize) -> Option<u64> {
+    pub(super) fn take_id(&mut self, stage: usize) -> Option<u64> {
         let announced = self.0[stage].as_mut()?;
-        announced.has_come = true;
+        announced.is_submitted = true;
         Some(announced.id)
     }
 }
--- a/laburnumcart_gateway/src/pipeline/times.rs
+++ b/laburnumcart_gateway/src/pipeline/estimates.rs
@@ -2,28 +2,28 @@
 
 use std::time;
 
-use crate::pipeline::Run;
+use crate::pipeline::StageRun;
 
 /// Time that a later stage takes beside its call: the wait for a free target.
-const WAIT: time::Duration = time::Duration::from_millis(60);
+const QUEUE_WAIT: time::Duration = time::Duration::from_millis(60);
 
 /// Time to the first token beside the reading of the prompt.
-const FIRST_TOKEN: time::Duration = time::Duration::from_millis(120);
+const FIRST_TOKEN_BASE: time::Duration = time::Duration::from_millis(120);
 
 /// Prompt tokens read in a millisecond, with other prompts between.
 const TOKENS_PER_MS: u64 = 30;
 
-impl Run<'_> {
+impl StageRun<'_> {
     /// Returns the time that is needed once stage `i` is done.
-    pub(super) fn rest(&self, i: usize) -> time::Duration {
+    pub(super) fn time_after(&self, i: usize) -> time::Duration {
         let stages = &self.request.route.stages;
         let next = (0..stages.len()).filter(|k| stages[*k].after.contains(&i));
-        let after = next.map(|k| self.length(k) + self.rest(k)).max();
-        after.unwrap_or_else(|| self.prompt())
+        let after = next.map(|k| self.stage_time(k) + self.time_after(k)).max();
+        after.unwrap_or_else(|| self.first_token_time())
     }
 
     /// Returns the time that a stage usually takes.
-    pub(super) fn length(&self, k: usize) -> time::Duration {
+    pub(super) fn stage_time(&self, k: usize) -> time::Duration {
         let stage = &self.request.route.stages[k];
         let service = self.request.table.service(&stage.service);
         let Some(shape) = service.and_then(|s| s.batching) else {
@@ -31,12 +31,12 @@
         };
         // Calls are about half full in the mean.
         let pieces = shape.pieces.div_ceil(2) as u32;
-        shape.call + shape.piece * pieces + WAIT
+        shape.call + shape.piece * pieces + QUEUE_WAIT
     }
 
     /// Returns the usual time to the first token.
-    pub(super) fn prompt(&self) -> time::Duration {
+    pub(super) fn first_token_time(&self) -> time::Duration {
         let tokens = self.request.call.prompt.as_ref().map_or(0, |p| p.input);
-        FIRST_TOKEN + time::Duration::from_millis(tokens / TOKENS_PER_MS)
+        FIRST_TOKEN_BASE + time::Duration::from_millis(tokens / TOKENS_PER_MS)
     }
 }
--- a/laburnumcart_gateway/src/quotas.rs
+++ b/laburnumcart_gateway/src/quotas.rs
@@ -26,7 +26,7 @@
 /// Time for which a target that is not listed is remembered.
 ///
 /// Entries can lapse with a store that is away and come back after it. What was sent before counts.
-const FORGET: time::Duration = time::Duration::from_secs(30);
+const UNLISTED_TTL: time::Duration = time::Duration::from_secs(30);
 
 /// Longest time for which a target can ask for no requests, so that a senseless one does not shut it
 /// out for ever.
@@ -34,7 +34,7 @@
 
 /// The gates of one target; clones share them.
 #[derive(Clone, Debug, Default)]
-pub struct Gates {
+pub struct Limiters {
     /// For requests.
     pub requests: quota::Gate,
     /// For calls of stages and the freeing of their results.
@@ -42,9 +42,9 @@
 }
 
 #[derive(Debug)]
-struct Known {
+struct TargetState {
     target: view::Target,
-    gates: Gates,
+    limiters: Limiters,
     /// Limit that the gates hold to.
     limit: quota::Limit,
     /// When that came into force, and the own sends since.
@@ -52,12 +52,12 @@
     sends: u64,
     /// Moment until which the target wants nothing from this process.
     backoff: Option<Instant>,
-    listed: Instant,
+    last_listed: Instant,
 }
 
-impl Known {
+impl TargetState {
     /// Returns the bound on a target that takes nothing.
-    fn closed(&self, heard: &quota::Heard) -> Option<quota::Bound> {
+    fn closed_bound(&self, heard: &quota::Heard) -> Option<quota::Bound> {
         let closed = quota::Bound::closed();
         match heard.left() {
             Some(_) => Some(closed),
@@ -73,11 +73,11 @@
 /// The gates of all targets.
 #[derive(Debug)]
 pub struct Quotas {
-    own: id::InstanceName,
+    instance: id::InstanceName,
     view: Arc<view::View>,
     /// What targets have said of themselves.
     pub signals: Arc<signals::Signals>,
-    known: Mutex<collections::HashMap<id::TargetLife, Known>>,
+    states: Mutex<collections::HashMap<id::TargetLife, TargetState>>,
     metrics: metrics::Held,
 }
 
@@ -89,37 +89,37 @@
         metrics: &metrics::Metrics,
     ) -> Arc<Self> {
         Arc::new(Self {
-            own,
+            instance: own,
             view,
             signals: Arc::default(),
-            known: Mutex::default(),
+            states: Mutex::default(),
             metrics: metrics.held.clone(),
         })
     }
 
     /// Returns the gates of a target.
-    pub fn gates(&self, target: &view::Target) -> Gates {
-        let mut known = view::lock(&self.known);
-        self.known(&mut known, target).gates.clone()
+    pub fn limiters(&self, target: &view::Target) -> Limiters {
+        let mut states = view::lock(&self.states);
+        self.target_state(&mut states, target).limiters.clone()
     }
 
     /// Counts a send to a target.
-    pub fn count(&self, target: &view::Target) {
-        let mut known = view::lock(&self.known);
-        let known = known.get_mut(&target.key());
-        if let Some(known) = known.filter(|known| known.limit != quota::Limit::None) {
-            known.sends += 1;
+    pub fn record_send(&self, target: &view::Target) {
+        let mut states = view::lock(&self.states);
+        let state = states.get_mut(&target.key());
+        if let Some(state) = state.filter(|state| state.limit != quota::Limit::None) {
+            state.sends += 1;
             self.metrics.sends.inc();
         }
     }
 
     /// Takes in that an answer of a target says that it is leaving.
-    pub fn leave(&self, target: &view::Target) {
+    pub fn record_leaving(&self, target: &view::Target) {
         if self.signals.leave(&target.key()) {
             // Work that is placed before the list of targets has changed must not go there either.
-            let mut all = view::lock(&self.known);
-            let known = self.known(&mut all, target);
-            self.bind(known, Instant::now());
+            let mut states = view::lock(&self.states);
+            let state = self.target_state(&mut states, target);
+            self.update_limiters(state, Instant::now());
             event!(
                 Info,
                 "target-leaving",
@@ -137,11 +137,11 @@
     pub fn back_off(&self, target: &view::Target, wait: time::Duration) {
         let now = Instant::now();
         let until = now + wait.min(BACKOFF_MAX);
-        let mut all = view::lock(&self.known);
-        let known = self.known(&mut all, target);
-        let was_backing_off = known.is_backing_off(now);
-        known.backoff = known.backoff.max(Some(until));
-        self.bind(known, now);
+        let mut states = view::lock(&self.states);
+        let state = self.target_state(&mut states, target);
+        let was_backing_off = state.is_backing_off(now);
+        state.backoff = state.backoff.max(Some(until));
+        self.update_limiters(state, now);
         if !was_backing_off {
             event!(
                 Info,
@@ -151,114 +151,117 @@
                 wait_ms = wait.as_millis()
             );
         }
-        self.measure(&all, now);
+        self.set_gauges(&states, now);
     }
 
     /// Reports whether a target takes nothing now, as it has said itself.
     pub fn is_closed(&self, target: &view::Target) -> bool {
-        let gates = self.gates(target);
+        let gates = self.limiters(target);
         gates.requests.is_closed(Instant::now())
     }
 
     /// Takes in what an answer of a target says of its limit.
-    pub fn note(&self, target: &view::Target, word: quota::Word) {
+    pub fn record_limit(&self, target: &view::Target, word: quota::Word) {
         if !self.signals.answer(&target.key(), word) {
             return;
         }
-        let mut all = view::lock(&self.known);
-        let known = self.known(&mut all, target);
+        let mut states = view::lock(&self.states);
+        let state = self.target_state(&mut states, target);
         let now = Instant::now();
-        self.bind(known, now);
-        self.measure(&all, now);
+        self.update_limiters(state, now);
+        self.set_gauges(&states, now);
     }
 
     /// Takes in changes of targets, members, configuration and limits.
     pub fn refresh(&self) {
         let now = Instant::now();
         let targets = self.view.targets.load();
-        let mut all = view::lock(&self.known);
+        let mut states = view::lock(&self.states);
         for target in targets.all() {
-            let known = self.known(&mut all, target);
-            known.target = (**target).clone();
-            known.listed = now;
+            let state = self.target_state(&mut states, target);
+            state.target = (**target).clone();
+            state.last_listed = now;
         }
-        all.retain(|_, known| now < known.listed + FORGET || known.is_backing_off(now));
-        all.values_mut().for_each(|known| self.bind(known, now));
-        self.measure(&all, now);
+        states
+            .retain(|_, state| now < state.last_listed + UNLISTED_TTL || state.is_backing_off(now));
+        states
+            .values_mut()
+            .for_each(|state| self.update_limiters(state, now));
+        self.set_gauges(&states, now);
     }
 
-    fn measure(&self, all: &collections::HashMap<id::TargetLife, Known>, now: Instant) {
-        let limited = all.values().filter(|k| k.limit != quota::Limit::None);
+    fn set_gauges(&self, states: &collections::HashMap<id::TargetLife, TargetState>, now: Instant) {
+        let limited = states.values().filter(|k| k.limit != quota::Limit::None);
         self.metrics.limited.set(limited.count() as i64);
-        let is_cold = |known: &&Known| known.target.cold.is_some_and(|until| now < until);
-        let cold = all.values().filter(is_cold);
+        let is_cold = |state: &&TargetState| state.target.cold.is_some_and(|until| now < until);
+        let cold = states.values().filter(is_cold);
         self.metrics.cold.set(cold.count() as i64);
-        let is_backing_off = |known: &&Known| known.is_backing_off(now);
-        let backing_off = all.values().filter(is_backing_off);
+        let is_backing_off = |state: &&TargetState| state.is_backing_off(now);
+        let backing_off = states.values().filter(is_backing_off);
         self.metrics.backing_off.set(backing_off.count() as i64);
-        let leaving = all.values().filter(|known| known.target.leaving);
+        let leaving = states.values().filter(|state| state.target.leaving);
         self.metrics.leaving.set(leaving.count() as i64);
         let evacuated = self.view.evacuated().unwrap_or_default();
         self.metrics.evacuated.set(evacuated.len() as i64);
     }
 
     /// Counts anew what ends by itself.
-    pub fn sweep(&self) {
-        self.measure(&view::lock(&self.known), Instant::now());
+    pub fn update_gauges(&self) {
+        self.set_gauges(&view::lock(&self.states), Instant::now());
     }
 
-    fn known<'a>(
+    fn target_state<'a>(
         &self,
-        all: &'a mut collections::HashMap<id::TargetLife, Known>,
+        states: &'a mut collections::HashMap<id::TargetLife, TargetState>,
         target: &view::Target,
-    ) -> &'a mut Known {
-        all.entry(target.key()).or_insert_with(|| {
+    ) -> &'a mut TargetState {
+        states.entry(target.key()).or_insert_with(|| {
             let now = Instant::now();
-            let mut known = Known {
+            let mut state = TargetState {
                 target: target.clone(),
-                gates: Gates::default(),
+                limiters: Limiters::default(),
                 limit: quota::Limit::None,
                 since: now,
                 sends: 0,
                 backoff: None,
-                listed: now,
+                last_listed: now,
             };
-            self.bind(&mut known, now);
-            known
+            self.update_limiters(&mut state, now);
+            state
         })
     }
 
     /// Sets the gates of a target by what is known of it.
-    fn bind(&self, known: &mut Known, now: Instant) {
-        let heard = self.signals.heard(&known.target.key());
-        let (mut requests, mut calls) = self.shares(&known.target, heard.named(), now);
-        let closed = known.closed(&heard);
+    fn update_limiters(&self, state: &mut TargetState, now: Instant) {
+        let heard = self.signals.heard(&state.target.key());
+        let (mut requests, mut calls) = self.shared_bounds(&state.target, heard.named(), now);
+        let closed = state.closed_bound(&heard);
         requests.closed = closed;
         calls.closed = closed;
-        known.gates.requests.set(requests);
-        known.gates.calls.set(calls);
+        state.limiters.requests.set(requests);
+        state.limiters.calls.set(calls);
         let limit = heard.limit();
-        if limit == known.limit {
+        if limit == state.limit {
             return;
         }
         event!(
             Info,
             "target-limit",
-            target = known.target.name,
-            service = known.target.service,
+            target = state.target.name,
+            service = state.target.service,
             limit = limit,
-            before = known.limit,
-            sends = known.sends,
-            lasted_ms = (now - known.since).as_millis(),
-            part = known.gates.requests.rate(now).unwrap_or_default()
+            before = state.limit,
+            sends = state.sends,
+            lasted_ms = (now - state.since).as_millis(),
+            part = state.limiters.requests.rate(now).unwrap_or_default()
         );
-        known.limit = limit;
-        known.since = now;
-        known.sends = 0;
+        state.limit = limit;
+        state.since = now;
+        state.sends = 0;
     }
 
     /// Returns the bounds on requests and on calls, this process's parts of what all may send.
-    fn shares(
+    fn shared_bounds(
         &self,
         target: &view::Target,
         named: Option<&quota::Named>,
@@ -278,7 +281,7 @@
         let members = self.view.members.load();
         let members: Vec<_> = members.iter().map(|m| &m.instance).collect();
         let senders = quota::Senders {
-            own: &self.own,
+            own: &self.instance,
             members: &members,
         };
         if let (Some(until), Some(rate)) = (until, service.and_then(|s| s.cold)) {
--- a/laburnumcart_gateway/src/reply.rs
+++ b/laburnumcart_gateway/src/reply.rs
@@ -18,20 +18,20 @@
 use laburnumcart::verdict;
 
 /// Body of an answer to a caller.
-pub type Body = combinators::UnsyncBoxBody<Bytes, Broken>;
+pub type Body = combinators::UnsyncBoxBody<Bytes, Truncated>;
 
 /// A stream that ended before its end, after which the caller's connection is cut.
 ///
 /// An answer that ends early must not look complete.
 #[derive(Clone, Copy, Debug, derive_more::Display, derive_more::Error)]
 #[display("the answer ended early")]
-pub struct Broken;
+pub struct Truncated;
 
 /// When a refused caller should come again, unless there is a better estimate.
 pub const RETRY_AFTER: time::Duration = time::Duration::from_millis(300);
 
 /// Creates a body of known length.
-pub fn whole(bytes: impl Into<Bytes>) -> Body {
+pub fn full_body(bytes: impl Into<Bytes>) -> Body {
     Full::new(bytes.into())
         .map_err(|never| match never {})
         .boxed_unsync()
@@ -54,9 +54,9 @@
 }
 
 /// Creates the answer to a refused request.
-pub fn refuse(refusal: &verdict::Refusal) -> Response<Body> {
+pub fn refusal_response(refusal: &verdict::Refusal) -> Response<Body> {
     let status = status(refusal);
-    let mut response = Response::new(whole(format!("{refusal}\n")));
+    let mut response = Response::new(full_body(format!("{refusal}\n")));
     *response.status_mut() = status;
     let headers = response.headers_mut();
     let text = HeaderValue::from_static("text/plain; charset=utf-8");
--- a/laburnumcart_gateway/src/request.rs
+++ b/laburnumcart_gateway/src/request.rs
@@ -40,7 +40,7 @@
     clock,
     forward::{
         self,
-        Sends, //
+        Forwarder, //
     },
     gateway,
     pipeline,
@@ -55,13 +55,13 @@
 const PIECES_MAX: u32 = 1024;
 
 /// When a caller that came to a leaving process should come again, to another one.
-const LEAVING_MS: u64 = 100;
+const LEAVING_RETRY_MS: u64 = 100;
 
 /// Least time that a send of a request that may be repeated gets before the next target is asked.
-const TRY_MIN: time::Duration = time::Duration::from_millis(150);
+const ATTEMPT_TIMEOUT_MIN: time::Duration = time::Duration::from_millis(150);
 
 /// Headers that concern one connection only.
-const HOP_HEADERS: [header::HeaderName; 7] = [
+const HOP_BY_HOP_HEADERS: [header::HeaderName; 7] = [
     header::CONNECTION,
     header::PROXY_AUTHENTICATE,
     header::PROXY_AUTHORIZATION,
@@ -79,22 +79,22 @@
     let start = clock::now();
     gateway.metrics.requests.inc();
     let Some(work) = gateway.gate.enter() else {
-        return refuse(
+        return refusal_response(
             &gateway,
             "",
             verdict::Refusal::not_run(verdict::Reason::Leaving),
         );
     };
     let mut id = String::new();
-    let result = match read(&gateway, incoming, start, &mut id).await {
+    let result = match read_request(&gateway, incoming, start, &mut id).await {
         Ok(request) => serve(&gateway, Arc::new(request), work).await,
         Err(refusal) => Err(refusal),
     };
-    result.unwrap_or_else(|refusal| refuse(&gateway, &id, refusal))
+    result.unwrap_or_else(|refusal| refusal_response(&gateway, &id, refusal))
 }
 
 /// Answers a request that was not served.
-fn refuse(
+fn refusal_response(
     gateway: &gateway::Gateway,
     id: &str,
     refusal: verdict::Refusal,
@@ -112,11 +112,11 @@
         verdict = refusal.verdict,
         status = reply::status(&refusal).as_u16()
     );
-    reply::refuse(&refusal)
+    reply::refusal_response(&refusal)
 }
 
 /// Reads and admits a request.
-async fn read(
+async fn read_request(
     gateway: &gateway::Gateway,
     incoming: http::Request<Incoming>,
     start: freshness::Moment,
@@ -143,17 +143,17 @@
         &call,
     )?;
     let most = admitted.table.limits.body.min(BODY_MAX);
-    let body = whole(body, most).await?;
+    let body = read_body(body, most).await?;
     let spent = gateway.spent(&admitted.route, call.patience);
     let rank = admitted.team.as_ref().and_then(|t| t.rank);
-    let places = places(gateway, &admitted);
+    let places = allowed_data_centres(gateway, &admitted);
     let request = admission::Request {
         call,
         method: head.method,
         path,
         headers: head.headers,
         body,
-        places,
+        data_centres: places,
         rank: rank.unwrap_or(admitted.route.rank),
         team_rank: rank,
         route: admitted.route,
@@ -162,8 +162,8 @@
         start,
         spent,
     };
-    if !gateway.view.has_time(request.limit(), Instant::now()) {
-        let after = unit::Period::from_millis(LEAVING_MS);
+    if !gateway.view.has_time(request.timeout(), Instant::now()) {
+        let after = unit::Period::from_millis(LEAVING_RETRY_MS);
         return Err(verdict::Refusal::not_run(verdict::Reason::Leaving).retry_after(after));
     }
     event!(
@@ -180,13 +180,13 @@
             .as_millis(),
         rank = request.rank,
         spent_ms = request.spent.as_millis(),
-        patience_ms = request.limit().as_millis()
+        patience_ms = request.timeout().as_millis()
     );
     Ok(request)
 }
 
 /// Returns the data centres whose targets may run a request, if it is confined to regions.
-fn places(
+fn allowed_data_centres(
     gateway: &gateway::Gateway,
     admitted: &admission::Admitted,
 ) -> Option<Vec<id::DataCentre>> {
@@ -196,7 +196,7 @@
     residency.data_centres(&gateway.settings.regions)
 }
 
-async fn whole(body: Incoming, most: usize) -> Result<Bytes, verdict::Refusal> {
+async fn read_body(body: Incoming, most: usize) -> Result<Bytes, verdict::Refusal> {
     let too_large = verdict::Refusal::not_run(verdict::Reason::TooLarge);
     if body.size_hint().lower() > most as u64 {
         return Err(too_large);
@@ -218,7 +218,7 @@
         true => None,
         false => {
             gateway.check_targets(&request)?;
-            Some(pipeline::run(gateway, &request).await?)
+            Some(pipeline::run_stages(gateway, &request).await?)
         }
     };
     if inputs.is_some() {
@@ -229,35 +229,42 @@
     }
     match request.route.stream {
         true => stream::serve(gateway, request, inputs, work).await,
-        false => plain(gateway, request, inputs).await,
+        false => serve_buffered(gateway, request, inputs).await,
     }
 }
 
 /// Serves a request whose answer is read as a whole before the caller gets any of it.
-async fn plain(
+async fn serve_buffered(
     gateway: &Arc<gateway::Gateway>,
     request: Arc<admission::Request>,
     mut inputs: Option<pipeline::Inputs>,
 ) -> Result<Response<reply::Body>, verdict::Refusal> {
-    let mut sends = Sends::new(gateway, &request)?;
+    let mut forwarder = Forwarder::new(gateway, &request)?;
     let mut fallback = None;
     loop {
         if inputs.is_none() && !request.route.stages.is_empty() {
-            match pipeline::run_again(gateway, &request).await {
+            match pipeline::rerun_stages(gateway, &request).await {
                 Ok(made) => inputs = Some(made),
-                Err(refusal) => return end(gateway, &request, fallback, sends.refuse(refusal)),
+                Err(refusal) => {
+                    return fallback_or_refusal(
+                        gateway,
+                        &request,
+                        fallback,
+                        forwarder.merge_verdict(refusal),
+                    );
+                }
             }
         }
-        let limit = try_limit(&request, &sends);
-        let failure = match sends.next(inputs.as_ref(), None, limit).await {
-            Ok(opened) => match answer(&request, opened, limit).await {
-                Ok((head, body)) if is_retried(&head, &request, &sends) => {
+        let limit = attempt_timeout(&request, &forwarder);
+        let failure = match forwarder.send_next(inputs.as_ref(), None, limit).await {
+            Ok(opened) => match read_response(&request, opened, limit).await {
+                Ok((head, body)) if can_retry(&head, &request, &forwarder) => {
                     fallback = Some((head, body));
                     verdict::Refusal::may_have_run(verdict::Reason::TargetFailed)
                 }
-                Ok((head, body)) => return Ok(pass(gateway, &request, &head, body)),
+                Ok((head, body)) => return Ok(forward_response(gateway, &request, &head, body)),
                 Err(refusal) => {
-                    sends.strike();
+                    forwarder.record_target_failure();
                     refusal
                 }
             },
@@ -267,8 +274,10 @@
             }
             Err(forward::Failure::Refused(refusal)) => refusal,
         };
-        if let retry::Decision::GiveUp(refusal) = sends.decide(failure, budgets::Way::Request) {
-            return end(gateway, &request, fallback, refusal);
+        if let retry::Decision::GiveUp(refusal) =
+            forwarder.decide_retry(failure, budgets::RepeatKind::Request)
+        {
+            return fallback_or_refusal(gateway, &request, fallback, refusal);
         }
     }
 }
@@ -276,37 +285,37 @@
 /// Ends a request without success.
 ///
 /// A failure that a target has answered says more than one of the gateway.
-fn end(
+fn fallback_or_refusal(
     gateway: &gateway::Gateway,
     request: &admission::Request,
     fallback: Option<(response::Parts, Bytes)>,
     refusal: verdict::Refusal,
 ) -> Result<Response<reply::Body>, verdict::Refusal> {
     match fallback {
-        Some((head, body)) => Ok(pass(gateway, request, &head, body)),
+        Some((head, body)) => Ok(forward_response(gateway, request, &head, body)),
         None => Err(refusal),
     }
 }
 
 /// Returns how long a target gets before the next one is asked.
-fn try_limit(request: &admission::Request, sends: &Sends) -> time::Duration {
-    let left = request.left();
-    if request.route.repeat == ingress::Repeat::Never || !sends.has_spare() {
+fn attempt_timeout(request: &admission::Request, forwarder: &Forwarder) -> time::Duration {
+    let left = request.remaining();
+    if request.route.repeat == ingress::Repeat::Never || !forwarder.has_spare_attempt() {
         return left;
     }
     let half = left / 2;
-    half.min(request.route.objective.max(TRY_MIN))
+    half.min(request.route.objective.max(ATTEMPT_TIMEOUT_MIN))
 }
 
 /// Reads the whole answer.
-async fn answer(
+async fn read_response(
     request: &admission::Request,
-    mut opened: forward::Opened,
+    mut opened: forward::TargetResponse,
     limit: time::Duration,
 ) -> Result<(response::Parts, Bytes), verdict::Refusal> {
     opened.seat.begin();
     let whole = opened.answer.whole(opened.reply.idle);
-    let result = match tokio::time::timeout(limit.min(request.left()), whole).await {
+    let result = match tokio::time::timeout(limit.min(request.remaining()), whole).await {
         Ok(result) => result,
         Err(_) => Err(crate::pool::Failure::Timeout),
     };
@@ -326,13 +335,16 @@
 }
 
 /// Reports whether another target may bring a better answer than this one.
-fn is_retried(head: &response::Parts, request: &admission::Request, sends: &Sends) -> bool {
+fn can_retry(head: &response::Parts, request: &admission::Request, forwarder: &Forwarder) -> bool {
     let repeatable = request.route.repeat != ingress::Repeat::Never;
-    head.status.is_server_error() && repeatable && sends.has_more() && sends.has_target()
+    head.status.is_server_error()
+        && repeatable
+        && forwarder.can_retry()
+        && forwarder.has_untried_target()
 }
 
 /// Passes a target's whole answer on.
-fn pass(
+fn forward_response(
     gateway: &gateway::Gateway,
     request: &admission::Request,
     head: &response::Parts,
@@ -350,22 +362,22 @@
         status = head.status.as_u16(),
         taken_ms = request.elapsed().as_millis()
     );
-    let mut response = Response::new(reply::whole(body));
+    let mut response = Response::new(reply::full_body(body));
     *response.status_mut() = head.status;
-    *response.headers_mut() = end_to_end(&head.headers);
+    *response.headers_mut() = end_to_end_headers(&head.headers);
     response
 }
 
 /// Returns the headers of an answer without those of the target's connection.
-pub(crate) fn end_to_end(headers: &HeaderMap) -> HeaderMap {
+pub(crate) fn end_to_end_headers(headers: &HeaderMap) -> HeaderMap {
     let mut kept = headers.clone();
-    strip_hop(&mut kept);
+    strip_hop_by_hop(&mut kept);
     kept.remove(header::CONTENT_LENGTH);
     kept
 }
 
 /// Removes the headers that concern one connection only, and those that `Connection` names.
-pub fn strip_hop(headers: &mut HeaderMap) {
+pub fn strip_hop_by_hop(headers: &mut HeaderMap) {
     let named: Vec<_> = headers
         .get_all(header::CONNECTION)
         .iter()
@@ -373,7 +385,7 @@
         .flat_map(|value| value.split(','))
         .filter_map(|name| name.trim().parse::<header::HeaderName>().ok())
         .collect();
-    for name in named.iter().chain(&HOP_HEADERS) {
+    for name in named.iter().chain(&HOP_BY_HOP_HEADERS) {
         headers.remove(name);
     }
     headers.remove("keep-alive");
--- a/laburnumcart_gateway/src/run.rs
+++ b/laburnumcart_gateway/src/run.rs
@@ -47,8 +47,8 @@
         copies, //
     },
     settings,
+    starvation,
     state,
-    strain,
     view, //
 };
 
@@ -137,7 +137,7 @@
     let _control =
         thread::spawn(move || control::run(store, directory, shared, own, copies, evacuates))?;
     tokio::spawn(gateway.clone().follow());
-    tokio::spawn(strain::watch(counters));
+    tokio::spawn(starvation::monitor(counters));
     tokio::spawn(gateway.dispatcher.clone().run());
     let (closing, closed) = watch::channel(false);
     tokio::spawn(callers::serve(gateway.clone(), listener, closed));
@@ -174,7 +174,7 @@
     let view = &gateway.view;
     let end = start + gateway.settings.bounds.grace.0.saturating_sub(RESERVE);
     view.leave(end - REFUSE);
-    gateway.dispatcher.hand_over();
+    gateway.dispatcher.hand_over_all();
     tokio::time::sleep_until(end.min(start + NOTICE)).await;
     // Without a receiver there is no connection.
     let _ = closing.send(true);
--- a/laburnumcart_gateway/src/strain.rs
+++ b/laburnumcart_gateway/src/starvation.rs
@@ -12,15 +12,15 @@
 use crate::metrics;
 
 /// Pause between two looks.
-const LOOK: time::Duration = time::Duration::from_millis(100);
+const SAMPLE_INTERVAL: time::Duration = time::Duration::from_millis(100);
 
 /// Looks at it until the process ends.
-pub async fn watch(metrics: metrics::Metrics) {
+pub async fn monitor(metrics: metrics::Metrics) {
     let mut strain = strain::Strain::default();
     loop {
         let start = Instant::now();
-        tokio::time::sleep(LOOK).await;
-        let has_changed = strain.observe(start.elapsed().saturating_sub(LOOK));
+        tokio::time::sleep(SAMPLE_INTERVAL).await;
+        let has_changed = strain.observe(start.elapsed().saturating_sub(SAMPLE_INTERVAL));
         metrics.late.set(strain.lateness().as_secs_f64());
         if has_changed {
             event!(
--- a/laburnumcart_gateway/src/state.rs
+++ b/laburnumcart_gateway/src/state.rs
@@ -77,7 +77,7 @@
     let queue = |service: &id::ServiceName| wire::Queue {
         service: service.clone(),
         owner: gateway.peers.owner_of(service),
-        waiting: gateway.dispatcher.waiting(service),
+        waiting: gateway.dispatcher.waiting_pieces(service),
     };
     let mut queues: Vec<_> = staged.map(|service| queue(&service.name)).collect();
     queues.sort_by(|a, b| a.service.cmp(&b.service));
@@ -100,7 +100,7 @@
     if let quota::Limit::Named(rate) = quotas.signals.heard(&target.key()).limit() {
         causes.push(wire::Cause::Limit(rate));
     }
-    let gates = quotas.gates(target);
+    let gates = quotas.limiters(target);
     let backoff = gates.requests.backoff(now);
     if !backoff.is_zero() {
         causes.push(wire::Cause::Backoff(rounded(backoff)));
--- a/laburnumcart_gateway/src/stream.rs
+++ b/laburnumcart_gateway/src/stream.rs
@@ -3,7 +3,7 @@
 //! Events are passed on whole and at once. When a target fails midway, a stream that may be resumed
 //! goes on at another one, within the same answer, after the last event that was passed on.
 
-mod source;
+mod target_stream;
 
 use std::{
     sync::Arc,
@@ -35,7 +35,7 @@
     budgets,
     forward::{
         self,
-        Sends, //
+        Forwarder, //
     },
     gateway,
     pipeline,
@@ -43,39 +43,39 @@
     request, //
 };
 
-use self::source::{
+use self::target_stream::{
     Chunk,
-    Source, //
+    TargetStream, //
 };
 
 /// Wait for a first event after which another target is asked, beside the reading of the prompt.
-const FIRST: time::Duration = time::Duration::from_millis(1500);
+const FIRST_EVENT_TIMEOUT: time::Duration = time::Duration::from_millis(1500);
 
 /// Prompt tokens that a loaded engine reads in a millisecond.
 const TOKENS_PER_MS: u64 = 20;
 
 /// Pause after which a stream is resumed elsewhere, as a multiple of the longest that is on time.
-const GAPS: u32 = 3;
+const GAP_FACTOR: u32 = 3;
 
 /// Least such pause: an engine that reads long prompts between two events may pause this long.
-const GAP_MIN: time::Duration = time::Duration::from_millis(900);
+const GAP_TIMEOUT_MIN: time::Duration = time::Duration::from_millis(900);
 
 /// An answer in progress.
-struct Run {
+struct StreamRun {
     gateway: Arc<gateway::Gateway>,
     request: Arc<admission::Request>,
-    sends: Sends,
+    forwarder: Forwarder,
     inputs: Option<pipeline::Inputs>,
-    source: Option<Source>,
+    current: Option<TargetStream>,
     /// Number of the last event that was passed on.
-    last: Option<u64>,
+    last_event: Option<u64>,
     /// Events that wait to be passed on.
-    ready: Option<Bytes>,
+    buffered: Option<Bytes>,
     _work: stop::Work,
 }
 
 /// What the first target has answered.
-enum Start {
+enum Opening {
     /// A stream, with its first events.
     Stream(Box<response::Parts>),
     /// A failure, passed on as it is.
@@ -83,16 +83,16 @@
 }
 
 /// Why no target has begun to answer.
-enum Unopened {
+enum OpenError {
     /// A send has failed.
-    Sent(verdict::Refusal),
+    Send(verdict::Refusal),
     /// The inputs could not be made again.
     Inputs(verdict::Refusal),
 }
 
-impl From<verdict::Refusal> for Unopened {
+impl From<verdict::Refusal> for OpenError {
     fn from(refusal: verdict::Refusal) -> Self {
-        Self::Sent(refusal)
+        Self::Send(refusal)
     }
 }
 
@@ -103,70 +103,74 @@
     inputs: Option<pipeline::Inputs>,
     work: stop::Work,
 ) -> Result<Response<reply::Body>, verdict::Refusal> {
-    let mut run = Run {
+    let mut run = StreamRun {
         gateway: gateway.clone(),
-        sends: Sends::new(gateway, &request)?,
-        last: request.call.after,
+        forwarder: Forwarder::new(gateway, &request)?,
+        last_event: request.call.after,
         request,
         inputs,
-        source: None,
-        ready: None,
+        current: None,
+        buffered: None,
         _work: work,
     };
-    let left = run.request.left();
+    let left = run.request.remaining();
     let view = gateway.view.clone();
     let start = tokio::select! {
-        start = tokio::time::timeout(left, run.start()) => start,
-        () = view.exiting() => return Err(run.ended(verdict::Reason::Leaving)),
+        start = tokio::time::timeout(left, run.open_first()) => start,
+        () = view.exiting() => return Err(run.unopened_refusal(verdict::Reason::Leaving)),
     };
     let start = match start {
         Ok(start) => start?,
-        Err(_) => return Err(run.ended(verdict::Reason::DeadlineExceeded)),
+        Err(_) => return Err(run.unopened_refusal(verdict::Reason::DeadlineExceeded)),
     };
     match start {
-        Start::Stream(head) => {
+        Opening::Stream(head) => {
             let seconds = run.request.elapsed().as_secs_f64();
             gateway.metrics.first.observe(seconds);
-            let events = stream::unfold(Some(run), step);
+            let events = stream::unfold(Some(run), next_frame);
             let body = BodyExt::boxed_unsync(StreamBody::new(events));
-            Ok(response(&head, body))
+            Ok(build_response(&head, body))
         }
-        Start::Whole(head, body) => Ok(response(&head, reply::whole(body))),
+        Opening::Whole(head, body) => Ok(build_response(&head, reply::full_body(body))),
     }
 }
 
-fn response(head: &response::Parts, body: reply::Body) -> Response<reply::Body> {
+fn build_response(head: &response::Parts, body: reply::Body) -> Response<reply::Body> {
     let mut response = Response::new(body);
     *response.status_mut() = head.status;
-    *response.headers_mut() = request::end_to_end(&head.headers);
+    *response.headers_mut() = request::end_to_end_headers(&head.headers);
     response
 }
 
-type Item = Result<Frame<Bytes>, reply::Broken>;
+type Item = Result<Frame<Bytes>, reply::Truncated>;
 
 /// Returns the next part of a body, and the run unless it has ended.
-async fn step(run: Option<Run>) -> Option<(Item, Option<Run>)> {
+async fn next_frame(run: Option<StreamRun>) -> Option<(Item, Option<StreamRun>)> {
     let mut run = run?;
-    match run.next().await {
+    match run.next_events().await {
         Ok(Some(bytes)) => Some((Ok(Frame::data(bytes)), Some(run))),
         Ok(None) => None,
         Err(broken) => Some((Err(broken), None)),
     }
 }
 
-impl Run {
+impl StreamRun {
     /// Brings the request to a target that begins to answer.
-    async fn start(&mut self) -> Result<Start, verdict::Refusal> {
+    async fn open_first(&mut self) -> Result<Opening, verdict::Refusal> {
         loop {
-            let failure = match self.open(self.limit_first()).await {
-                Ok(Start::Whole(head, _)) if self.is_retried(&head) => {
+            let failure = match self.open_next(self.first_event_timeout()).await {
+                Ok(Opening::Whole(head, _)) if self.can_retry(&head) => {
                     verdict::Refusal::may_have_run(verdict::Reason::TargetFailed)
                 }
                 Ok(start) => return Ok(start),
-                Err(Unopened::Inputs(refusal)) => return Err(self.sends.refuse(refusal)),
-                Err(Unopened::Sent(refusal)) => refusal,
+                Err(OpenError::Inputs(refusal)) => {
+                    return Err(self.forwarder.merge_verdict(refusal));
+                }
+                Err(OpenError::Send(refusal)) => refusal,
             };
-            let decision = self.sends.decide(failure, budgets::Way::Request);
+            let decision = self
+                .forwarder
+                .decide_retry(failure, budgets::RepeatKind::Request);
             if let retry::Decision::GiveUp(refusal) = decision {
                 return Err(refusal);
             }
@@ -174,13 +178,18 @@
     }
 
     /// Sends the request to one target and waits for its first events.
-    async fn open(&mut self, limit: time::Duration) -> Result<Start, Unopened> {
-        let after = self.last.filter(|_| self.last != self.request.call.after);
+    async fn open_next(&mut self, limit: time::Duration) -> Result<Opening, OpenError> {
+        let after = self
+            .last_event
+            .filter(|_| self.last_event != self.request.call.after);
         if self.inputs.is_none() && !self.request.route.stages.is_empty() {
-            let made = pipeline::run_again(&self.gateway, &self.request).await;
-            self.inputs = Some(made.map_err(Unopened::Inputs)?);
+            let made = pipeline::rerun_stages(&self.gateway, &self.request).await;
+            self.inputs = Some(made.map_err(OpenError::Inputs)?);
         }
-        let opened = self.sends.next(self.inputs.as_ref(), after, limit).await;
+        let opened = self
+            .forwarder
+            .send_next(self.inputs.as_ref(), after, limit)
+            .await;
         let mut opened = opened.map_err(|failure| match failure {
             forward::Failure::InputsGone => {
                 self.inputs = None;
@@ -193,45 +202,45 @@
             let whole = opened.answer.whole(opened.reply.idle).await;
             let corrupt = verdict::Refusal::may_have_run(verdict::Reason::Corrupt);
             let (head, body) = whole.map_err(|_| corrupt)?;
-            return Ok(Start::Whole(Box::new(head), body));
+            return Ok(Opening::Whole(Box::new(head), body));
         }
         let head = Box::new(opened.answer.head.clone());
-        let mut source = Source::new(opened);
-        match source.next(limit, self.last).await {
+        let mut source = TargetStream::new(opened);
+        match source.next_chunk(limit, self.last_event).await {
             Chunk::Events(bytes, last) => {
                 source.begin();
-                self.ready = Some(bytes);
-                self.last = last;
-                self.source = Some(source);
+                self.buffered = Some(bytes);
+                self.last_event = last;
+                self.current = Some(source);
                 // The target has read its inputs with the prompt; they only take room now.
                 self.inputs = None;
-                Ok(Start::Stream(head))
+                Ok(Opening::Stream(head))
             }
             Chunk::End => {
                 source.finish();
-                Ok(Start::Whole(head, Bytes::new()))
+                Ok(Opening::Whole(head, Bytes::new()))
             }
             Chunk::Failed => {
                 source.fail();
-                self.sends.strike();
+                self.forwarder.record_target_failure();
                 Err(verdict::Refusal::may_have_run(verdict::Reason::Lost).into())
             }
         }
     }
 
     /// Returns the next events, `None` at the end of the stream.
-    async fn next(&mut self) -> Result<Option<Bytes>, reply::Broken> {
+    async fn next_events(&mut self) -> Result<Option<Bytes>, reply::Truncated> {
         loop {
-            if let Some(bytes) = self.ready.take() {
+            if let Some(bytes) = self.buffered.take() {
                 return Ok(Some(bytes));
             }
-            let Some(source) = &mut self.source else {
-                return Err(reply::Broken);
+            let Some(source) = &mut self.current else {
+                return Err(reply::Truncated);
             };
-            let limit = limit_gap(&self.request, &self.sends);
-            match source.next(limit, self.last).await {
+            let limit = gap_timeout(&self.request, &self.forwarder);
+            match source.next_chunk(limit, self.last_event).await {
                 Chunk::Events(bytes, last) => {
-                    self.last = last;
+                    self.last_event = last;
                     return Ok(Some(bytes));
                 }
                 Chunk::End => {
@@ -244,63 +253,68 @@
     }
 
     /// Goes on at another target after the last event that was passed on.
-    async fn resume(&mut self) -> Result<(), reply::Broken> {
-        if let Some(mut source) = self.source.take() {
+    async fn resume(&mut self) -> Result<(), reply::Truncated> {
+        if let Some(mut source) = self.current.take() {
             source.fail();
         }
-        self.sends.strike();
+        self.forwarder.record_target_failure();
         let mut failure = verdict::Refusal::may_have_run(verdict::Reason::Lost);
         loop {
             // Without a number there is no place to go on from.
-            if !self.may_resume() || self.last.is_none() {
-                return Err(self.broken(failure.reason));
+            if !self.can_resume() || self.last_event.is_none() {
+                return Err(self.record_broken(failure.reason));
             }
-            let decision = self.sends.decide(failure, budgets::Way::Stream);
+            let decision = self
+                .forwarder
+                .decide_retry(failure, budgets::RepeatKind::Stream);
             if let retry::Decision::GiveUp(refusal) = decision {
-                return Err(self.broken(refusal.reason));
+                return Err(self.record_broken(refusal.reason));
             }
-            let limit = self.limit_first();
-            let opened = tokio::time::timeout(self.request.left(), self.open(limit)).await;
+            let limit = self.first_event_timeout();
+            let opened =
+                tokio::time::timeout(self.request.remaining(), self.open_next(limit)).await;
             match opened {
-                Ok(Ok(Start::Stream(_))) => {
+                Ok(Ok(Opening::Stream(_))) => {
                     self.gateway.metrics.resumed.inc();
                     event!(
                         Info,
                         "resumed",
                         request = self.request.call.attempt,
-                        after = self.last.unwrap_or(0)
+                        after = self.last_event.unwrap_or(0)
                     );
                     return Ok(());
                 }
-                Ok(Ok(Start::Whole(..))) => failure.reason = verdict::Reason::TargetFailed,
-                Ok(Err(Unopened::Sent(refusal))) => failure = refusal,
-                Ok(Err(Unopened::Inputs(refusal))) => return Err(self.broken(refusal.reason)),
-                Err(_) => return Err(self.broken(verdict::Reason::DeadlineExceeded)),
+                Ok(Ok(Opening::Whole(..))) => failure.reason = verdict::Reason::TargetFailed,
+                Ok(Err(OpenError::Send(refusal))) => failure = refusal,
+                Ok(Err(OpenError::Inputs(refusal))) => {
+                    return Err(self.record_broken(refusal.reason));
+                }
+                Err(_) => return Err(self.record_broken(verdict::Reason::DeadlineExceeded)),
             }
         }
     }
 
-    fn may_resume(&self) -> bool {
-        self.request.route.repeat == ingress::Repeat::Resume && self.sends.has_more()
+    fn can_resume(&self) -> bool {
+        self.request.route.repeat == ingress::Repeat::Resume && self.forwarder.can_retry()
     }
 
-    fn is_retried(&self, head: &response::Parts) -> bool {
-        head.status.is_server_error() && self.may_resume() && self.sends.has_target()
+    fn can_retry(&self, head: &response::Parts) -> bool {
+        head.status.is_server_error() && self.can_resume() && self.forwarder.has_untried_target()
     }
 
-    fn limit_first(&self) -> time::Duration {
-        let left = self.request.left();
+    fn first_event_timeout(&self) -> time::Duration {
+        let left = self.request.remaining();
         let resumable = self.request.route.repeat == ingress::Repeat::Resume;
-        if !resumable || !self.sends.has_spare() {
+        if !resumable || !self.forwarder.has_spare_attempt() {
             return left;
         }
         let tokens = self.request.call.prompt.as_ref().map_or(0, |p| p.input);
         let reading = time::Duration::from_millis(tokens / TOKENS_PER_MS);
-        left.min(FIRST + reading)
+        left.min(FIRST_EVENT_TIMEOUT + reading)
     }
 
     fn finish(&mut self) {
-        if let Some(source) = self.source.take() {
+        if let Some(source) = self.current.take() {
             source.finish();
         }
         self.gateway.metrics.answered.inc();
@@ -308,28 +322,28 @@
             Info,
             "answered",
             request = self.request.call.attempt,
-            last = self.last.unwrap_or(0),
+            last = self.last_event.unwrap_or(0),
             taken_ms = self.request.elapsed().as_millis()
         );
     }
 
-    fn broken(&self, reason: verdict::Reason) -> reply::Broken {
+    fn record_broken(&self, reason: verdict::Reason) -> reply::Truncated {
         self.gateway.metrics.broken.inc();
         event!(
             Info,
             "stream-broken",
             request = self.request.call.attempt,
             reason = reason,
-            last = self.last.unwrap_or(0),
+            last = self.last_event.unwrap_or(0),
             taken_ms = self.request.elapsed().as_millis()
         );
-        reply::Broken
+        reply::Truncated
     }
 
     /// Returns the answer for a request that no target has begun to answer in time.
-    fn ended(&self, reason: verdict::Reason) -> verdict::Refusal {
+    fn unopened_refusal(&self, reason: verdict::Reason) -> verdict::Refusal {
         verdict::Refusal {
-            verdict: self.sends.verdict(),
+            verdict: self.forwarder.verdict(),
             reason,
             retry: None,
         }
@@ -337,11 +351,11 @@
 }
 
 /// Returns how long the next event of a stream is waited for.
-fn limit_gap(request: &admission::Request, sends: &Sends) -> time::Duration {
-    let left = request.left();
-    let resumable = request.route.repeat == ingress::Repeat::Resume && sends.has_more();
+fn gap_timeout(request: &admission::Request, forwarder: &Forwarder) -> time::Duration {
+    let left = request.remaining();
+    let resumable = request.route.repeat == ingress::Repeat::Resume && forwarder.can_retry();
     match request.route.gap.filter(|_| resumable) {
-        Some(gap) => left.min((gap * GAPS).max(GAP_MIN)),
+        Some(gap) => left.min((gap * GAP_FACTOR).max(GAP_TIMEOUT_MIN)),
         None => left,
     }
 }
--- a/laburnumcart_gateway/src/stream/source.rs
+++ b/laburnumcart_gateway/src/stream/target_stream.rs
@@ -25,7 +25,7 @@
 }
 
 /// One target's part of a stream; the target is told to stop when it is dropped.
-pub(super) struct Source {
+pub(super) struct TargetStream {
     seat: gateway::Seat,
     body: Incoming,
     lease: pool::Lease,
@@ -33,8 +33,8 @@
     splitter: sse::Splitter,
 }
 
-impl Source {
-    pub(super) fn new(opened: forward::Opened) -> Self {
+impl TargetStream {
+    pub(super) fn new(opened: forward::TargetResponse) -> Self {
         Self {
             seat: opened.seat,
             body: opened.answer.body,
@@ -45,14 +45,14 @@
     }
 
     /// Waits for whole events after number `last`, at most for `limit`.
-    pub(super) async fn next(&mut self, limit: time::Duration, last: Option<u64>) -> Chunk {
-        let events = self.events(last);
+    pub(super) async fn next_chunk(&mut self, limit: time::Duration, last: Option<u64>) -> Chunk {
+        let events = self.read_chunk(last);
         tokio::time::timeout(limit, events)
             .await
             .unwrap_or(Chunk::Failed)
     }
 
-    async fn events(&mut self, last: Option<u64>) -> Chunk {
+    async fn read_chunk(&mut self, last: Option<u64>) -> Chunk {
         loop {
             let frame = match self.body.frame().await {
                 Some(Ok(frame)) => frame,
--- a/laburnumcart_gateway/tests/balancer.rs
+++ b/laburnumcart_gateway/tests/balancer.rs
@@ -32,29 +32,29 @@
     let start = Instant::now();
     let (first, second, other) = (target("a", 1), target("a", 2), target("b", 1));
     let mut balancer = balancer::Balancer::new("north".parse().unwrap(), start);
-    balancer.update(
+    balancer.update_targets(
         &[first.clone(), other.clone()],
         |_| Default::default(),
         start,
     );
-    balancer.update(
+    balancer.update_targets(
         &[second.clone(), other.clone()],
         |_| Default::default(),
         start,
     );
     for _ in 0..8 {
-        balancer.end(&first.key(), Some(eject::Outcome::Failure), start);
+        balancer.record_end(&first.key(), Some(eject::Outcome::Failure), start);
     }
     let full = placement::Report {
         running: 90,
         waiting: 90,
     };
-    balancer.report(&first.key(), full, Some(6), start);
+    balancer.record_load(&first.key(), full, Some(6), start);
     let mut chosen = 0;
     for _ in 0..40 {
         let target = balancer.choose(None, &[], start).unwrap();
         chosen += usize::from(target.name == second.name);
-        balancer.end(&target.key(), None, start);
+        balancer.record_end(&target.key(), None, start);
     }
     assert!(chosen > 10, "{chosen} of 40");
 }
--- a/laburnumcart_gateway/tests/peers.rs
+++ b/laburnumcart_gateway/tests/peers.rs
@@ -107,7 +107,7 @@
         }
     }
 
-    async fn announce(&self, _: dispatcher::Notice) -> RpcResult<Option<forecast::Outlook>> {
+    async fn announce(&self, _: dispatcher::Announcement) -> RpcResult<Option<forecast::Outlook>> {
         Ok(None)
     }
 
@@ -339,9 +339,9 @@
     }
 }
 
-fn notice(service: &id::ServiceName) -> dispatcher::Notice {
+fn notice(service: &id::ServiceName) -> dispatcher::Announcement {
     let limit = unit::Period::from_secs(2);
-    dispatcher::Notice {
+    dispatcher::Announcement {
         id: 1,
         service: service.clone(),
         pieces: 1,
