--- a/laburnumcart_gateway/src/admission.rs
+++ b/laburnumcart_gateway/src/admission.rs
@@ -1,4 +1,4 @@
-//! What is decided on a request before any work is done for it.
+//! Admission of callers' requests: route lookup and authentication.
 
 use std::{
     sync::Arc,
@@ -28,78 +28,77 @@
     view, //
 };
 
-/// Part of the bound on revocation for which the configuration is used without being confirmed.
+/// Share of the revocation bound up to which the configuration may go unconfirmed.
 ///
-/// The rest covers the time between this check and the caller's sending, and clocks that run
-/// apart.
+/// The rest covers the time between this check and the caller's sending, and clock drift.
 const REVOKE_AGE_SHARE: f64 = 0.9;
 
-/// Age beyond which the absence of a route is not told as final.
+/// Greatest age of the configuration at which an unknown route or key refuses a request for good.
 ///
-/// The route may have been added meanwhile; a caller takes 404 as final and would not come again.
+/// The route may have been added since; a caller takes 404 as final and does not retry.
 const NOT_FOUND_MAX_AGE: time::Duration = time::Duration::from_millis(3000);
 
-/// Time that a caller has spent from which its request counts as one that came again.
+/// Time spent on earlier attempts above which a request counts as a retry of the caller.
 const RETRY_MIN_SPENT: time::Duration = time::Duration::from_millis(150);
 
-/// A deadline for callers that name none, and the longest that one may name.
+/// Timeout for callers that state none, and the longest one that a caller may state.
 const TIMEOUT_MAX: time::Duration = time::Duration::from_secs(60);
 
-/// A request that was admitted.
+/// An admitted request.
 #[derive(Clone, Debug)]
 pub struct Request {
-    /// What its head says.
+    /// Parsed header fields.
     pub call: dialect::Call,
-    /// Method.
+    /// HTTP method.
     pub method: Method,
-    /// Path and query, as they came.
+    /// Path and query as received.
     pub path: String,
-    /// Headers, as they came.
+    /// Headers as received.
     pub headers: HeaderMap,
-    /// Whole body.
+    /// Complete body.
     pub body: Bytes,
-    /// Route.
+    /// Matched route.
     pub route: Arc<ingress::Route>,
-    /// Configuration under which it runs.
+    /// Configuration that applies to the request.
     pub table: Arc<ingress::Table>,
     /// Team of the caller.
     pub team: Option<id::TeamName>,
-    /// Data centres whose targets may run it; any without a list.
+    /// Data centres whose targets may run the request; `None` allows all.
     pub data_centres: Option<Vec<id::DataCentre>>,
-    /// Rank.
+    /// Rank that targets are told: that of the team, else that of the route.
     pub rank: u8,
-    /// Rank of the team, if it has one; it goes before that of the route.
+    /// Rank of the team, if it has one; it takes precedence over that of the route.
     pub team_rank: Option<u8>,
-    /// When it came.
+    /// Time of arrival.
     pub start: freshness::Moment,
-    /// Time that the caller had spent on it before.
+    /// Time that the caller had spent on earlier attempts.
     pub spent: time::Duration,
 }
 
 impl Request {
-    /// Returns the time that has passed, suspended time included.
+    /// Returns the time since arrival, suspended time included.
     pub fn elapsed(&self) -> time::Duration {
         clock::now().since(self.start)
     }
 
-    /// Returns the time until the caller must have the final answer.
+    /// Returns the time until the deadline.
     pub fn remaining(&self) -> time::Duration {
         self.timeout().saturating_sub(self.elapsed())
     }
 
-    /// Returns the time until the objective, zero when it has passed.
+    /// Returns the time until the objective, zero once it has passed.
     pub fn slack(&self) -> time::Duration {
         let spent = self.spent + self.elapsed();
         self.route.objective.saturating_sub(spent)
     }
 
-    /// Returns what tells its content from others', equal for one that comes again.
+    /// Returns a fingerprint of team, path and body, which is equal for a resent request.
     pub fn fingerprint(&self) -> id::Fingerprint {
         let team = self.team.as_ref().map_or("", |team| team.as_str());
         id::Fingerprint::digest([team, self.path.as_str()], &self.body)
     }
 
-    /// Returns its urgency in queues: that of its team first, then that of its route.
+    /// Returns the rank in batch queues: by team first, then by route.
     pub fn batch_rank(&self) -> batch::Rank {
         let own = self.team_rank.map(|major| batch::Rank {
             major,
@@ -108,30 +107,32 @@
         own.unwrap_or(self.route.rank.into())
     }
 
-    /// Reports whether the caller has come again after a refusal or a failure.
+    /// Reports whether the caller retries after a refusal or a failure.
     pub fn is_retry(&self) -> bool {
         self.spent > RETRY_MIN_SPENT
     }
 
-    /// Returns the longest time that the request may take.
+    /// Returns the time that the request may take, from its arrival.
     pub fn timeout(&self) -> time::Duration {
-        let patience = self.call.patience.unwrap_or(TIMEOUT_MAX).min(TIMEOUT_MAX);
-        patience.min(self.route.timeout)
+        let stated = self.call.patience.unwrap_or(TIMEOUT_MAX).min(TIMEOUT_MAX);
+        stated.min(self.route.timeout)
     }
 }
 
-/// Who asks, under which route.
+/// Route and team of an admitted request.
 #[derive(Clone, Debug)]
 pub struct Admitted {
-    /// Configuration.
+    /// Configuration in which they were found.
     pub table: Arc<ingress::Table>,
-    /// Route.
+    /// Matched route.
     pub route: Arc<ingress::Route>,
-    /// Team.
+    /// Team whose key the caller presented.
     pub team: Option<ingress::Team>,
 }
 
-/// Finds the route and the team of a request.
+/// Finds the route of a request and authenticates its caller.
+///
+/// Refuses the request while the configuration is unknown or too old to decide on.
 pub fn admit(
     view: &view::View,
     bounds: &settings::Bounds,
@@ -141,19 +142,19 @@
 ) -> Result<Admitted, verdict::Refusal> {
     let now = clock::now();
     let table = view.table.load_full().ok_or_else(not_ready)?;
-    let fresh = |limit| view.freshness.is_within(limit, now);
-    let absent = |reason| match fresh(NOT_FOUND_MAX_AGE) {
+    let is_fresh = |limit| view.freshness.is_within(limit, now);
+    let refuse_unknown = |reason| match is_fresh(NOT_FOUND_MAX_AGE) {
         true => verdict::Refusal::not_run(reason),
         false => not_ready(),
     };
     let host = headers.get(header::HOST).and_then(|h| h.to_str().ok());
     let route = host.and_then(|host| table.find(host, path));
-    let route = route.ok_or_else(|| absent(verdict::Reason::UnknownPipeline))?;
+    let route = route.ok_or_else(|| refuse_unknown(verdict::Reason::UnknownPipeline))?;
     let team = table.team(route, call.key.as_deref());
-    let team = team.map_err(|_| absent(verdict::Reason::Unauthorized))?;
-    // A key that was revoked while this process could not read the store, or was suspended, would
-    // work on. Nothing is honoured that was not confirmed within the bound.
-    if team.is_some() && !fresh(bounds.revoke.0.mul_f64(REVOKE_AGE_SHARE)) {
+    let team = team.map_err(|_| refuse_unknown(verdict::Reason::Unauthorized))?;
+    // The key may have been revoked while this process was suspended or could not read the store,
+    // so it is accepted only with a configuration that was confirmed within the bound.
+    if team.is_some() && !is_fresh(bounds.revoke.0.mul_f64(REVOKE_AGE_SHARE)) {
         return Err(not_ready());
     }
     Ok(Admitted {
--- a/laburnumcart_gateway/src/balancer.rs
+++ b/laburnumcart_gateway/src/balancer.rs
@@ -1,4 +1,4 @@
-//! Choice among the targets of plain services.
+//! Load balancing over the targets of plain services.
 
 use std::{
     sync::Arc,
@@ -19,17 +19,18 @@
 
 use crate::view;
 
-/// Most targets of a service that are excluded as outliers.
+/// Largest share of a service's targets that are ejected as outliers.
 const EJECTED_SHARE_MAX: unit::Share = unit::Share(0.5);
 
-/// Time of a request until the first one was measured.
+/// Assumed service time of a target before the first request has ended.
 const INITIAL_TIME: time::Duration = time::Duration::from_millis(50);
 
-/// Weight of the newest time in the mean.
+/// Weight of the newest service time in the moving average.
 const NEWEST_WEIGHT: f64 = 0.2;
 
-/// What a crossing between data centres costs: about two thirds of a millisecond each way.
-const CROSSING_COST: time::Duration = time::Duration::from_millis(2);
+/// Cost of sending a request to another data centre; the network takes about two thirds of a
+/// millisecond each way.
+const EXTRA_LATENCY: time::Duration = time::Duration::from_millis(2);
 
 #[derive(Debug)]
 struct Entry {
@@ -40,7 +41,7 @@
     limiter: quota::Gate,
 }
 
-/// Targets of one plain service.
+/// Load balancer over the targets of one plain service.
 #[derive(Debug)]
 pub struct Balancer {
     data_centre: id::DataCentre,
@@ -49,7 +50,7 @@
 }
 
 impl Balancer {
-    /// Creates a balancer for callers in a data centre.
+    /// Creates a balancer without targets for a gateway in data centre `own`.
     pub fn new(own: id::DataCentre, now: Instant) -> Self {
         Self {
             data_centre: own,
@@ -58,17 +59,17 @@
         }
     }
 
-    /// Takes in the list of targets; what is known of those that stay is kept.
+    /// Replaces the list of targets; the state of those that stay is kept.
     ///
-    /// `gate` returns what holds requests for one to what it takes.
+    /// `limiter` returns the rate limiter of requests to a target.
     pub fn update_targets(
         &mut self,
         targets: &[Arc<view::Target>],
         limiter: impl Fn(&view::Target) -> quota::Gate,
         now: Instant,
     ) {
-        let known = self.entries.iter().map(|e| e.target.key());
-        let (gone, new) = view::changes(known, targets);
+        let keys = self.entries.iter().map(|e| e.target.key());
+        let (gone, new) = view::changes(keys, targets);
         let ejector = &mut self.ejector;
         self.entries.retain(|entry| {
             let kept = !gone.contains(&entry.target.key());
@@ -88,7 +89,7 @@
         }
     }
 
-    /// Chooses a target other than those tried, in one of some data centres if these are given.
+    /// Chooses a target that was not tried, in one of the data centres `places` if given.
     pub fn choose(
         &mut self,
         places: Option<&[id::DataCentre]>,
@@ -106,11 +107,11 @@
         let names: Vec<_> = table.targets().iter().map(|t| t.name.clone()).collect();
         let positions = (0..names.len()).filter(|i| tried.contains(&names[*i]));
         let tried: Vec<_> = positions.collect();
-        let own = |i: usize| self.entry(&names[i]).map_or(0, |e| e.in_flight);
+        let in_flight = |i: usize| self.entry(&names[i]).map_or(0, |e| e.in_flight);
         let ask = route::Ask {
             tried: &tried,
             prefix: None,
-            own: &own,
+            own: &in_flight,
             now,
         };
         let chosen = table.choose(&ask, &mut rand::rng())?;
@@ -122,7 +123,7 @@
         Some(entry.target.clone())
     }
 
-    /// Records the end of a request; `None` says nothing of the target's health.
+    /// Records the end of a request; an outcome of `None` does not affect the target's health.
     pub fn record_end(
         &mut self,
         life: &id::TargetLife,
@@ -143,7 +144,7 @@
         }
     }
 
-    /// Takes in a target's report of its load.
+    /// Records the load that a target reports.
     pub fn record_load(
         &mut self,
         life: &id::TargetLife,
@@ -164,7 +165,7 @@
     }
 
     fn candidate(&self, entry: &Entry, now: Instant) -> route::Target {
-        let local = entry.target.data_centre == self.data_centre;
+        let is_local = entry.target.data_centre == self.data_centre;
         let state = match self.ejector.allows(entry.key, now) {
             true => route::State::Ready,
             false => route::State::Ejected,
@@ -173,11 +174,11 @@
             name: entry.target.name.clone(),
             state,
             load: entry.load,
-            local,
-            crossing: if local {
+            local: is_local,
+            crossing: if is_local {
                 time::Duration::ZERO
             } else {
-                CROSSING_COST
+                EXTRA_LATENCY
             },
         }
     }
--- a/laburnumcart_gateway/src/budgets.rs
+++ b/laburnumcart_gateway/src/budgets.rs
@@ -1,9 +1,8 @@
-//! What targets get beyond the first arrival of each request, and what allows it.
+//! Retry budgets of the services.
 //!
-//! All ways that lead to a target a second time draw on one budget a service: a request that is
-//! sent again, a stream that is resumed, a piece of a stage that has failed, and a stage that is
-//! run again. The budgets of all processes together stay within the operator's bound, see
-//! [`laburnumcart::allotment`].
+//! Everything that reaches a target more than once draws on one budget for each service: retried
+//! requests, resumed streams, requeued pieces and repeated stages. The budgets of all processes
+//! together stay within the operator's limit, see [`laburnumcart::allotment`].
 
 use std::{
     collections,
@@ -34,68 +33,68 @@
     view, //
 };
 
-/// How something reaches a target once more.
+/// Kind of a repeat.
 #[derive(Clone, Copy, Debug, Display, Eq, Hash, PartialEq)]
 #[display(rename_all = "kebab-case")]
 pub enum RepeatKind {
-    /// A request is sent again.
+    /// A request is retried.
     Request,
     /// A stream is resumed.
     Stream,
-    /// Pieces of a stage are asked for again, as a call has not brought them.
+    /// Pieces are requeued because a call did not return their results.
     Pieces,
-    /// A stage is run again, as its results or its queue's owner are gone.
+    /// A stage is run again because its results or its queue owner are gone.
     Stage,
 }
 
 impl registry::Closed for RepeatKind {}
 
-/// What was decided.
+/// Decision on a repeat.
 #[derive(Clone, Copy, Debug, Display, Eq, Hash, PartialEq)]
 #[display(rename_all = "kebab-case")]
 pub enum Outcome {
-    /// It is sent.
+    /// The repeat is sent.
     Granted,
-    /// It is not sent.
+    /// The repeat is not sent.
     Denied,
 }
 
 impl registry::Closed for Outcome {}
 
-/// Labels of what was decided on repeats.
+/// Labels of the counter of repeats.
 #[derive(Clone, Debug, EncodeLabelSet, Eq, Hash, PartialEq)]
 pub struct Labels {
-    /// Way.
+    /// Kind of the repeat.
     pub way: registry::Label<RepeatKind>,
-    /// Outcome.
+    /// Decision.
     pub outcome: registry::Label<Outcome>,
 }
 
-/// Something that would reach a target once more.
+/// Work that would be sent to a target again.
 #[derive(Clone, Copy, Debug)]
 pub struct Repeat<'a> {
-    /// Attempt of the caller.
+    /// Identifier of the caller's attempt.
     pub request: &'a str,
     /// Service of the target.
     pub service: &'a id::ServiceName,
-    /// Way.
+    /// Kind of the repeat.
     pub kind: RepeatKind,
-    /// Arrivals that it makes.
+    /// Number of repeated arrivals at targets.
     pub count: u32,
 }
 
-/// The budgets of all services.
+/// Retry budgets, one for each service.
 pub struct Budgets {
     view: Arc<view::View>,
     bound: allotment::Bound,
     metrics: metrics::Metrics,
     budgets: Mutex<collections::HashMap<id::ServiceName, budget::Budget>>,
-    /// One moment on both clocks.
+    /// The same moment on the runtime's clock and on the boot-time clock.
     clock_anchor: (Instant, freshness::Moment),
 }
 
 impl Budgets {
-    /// Creates budgets of which nothing is spent.
+    /// Creates budgets without requests or repeats.
     pub fn new(
         bounds: settings::Bounds,
         view: Arc<view::View>,
@@ -113,12 +112,12 @@
         })
     }
 
-    /// Counts a request for a service.
+    /// Records the first arrival of a request at a service.
     pub fn record_request(&self, service: &id::ServiceName) {
         self.with_budget(service, |budget, now| budget.earn(now));
     }
 
-    /// Takes a repeat from the budget of its service; returns whether it may be sent.
+    /// Charges a repeat to the budget of its service; returns whether it may be sent.
     pub fn try_spend(&self, repeat: &Repeat<'_>) -> bool {
         let granted = self.with_budget(repeat.service, |budget, now| {
             budget.spend_all(repeat.count, now) //
@@ -156,7 +155,7 @@
         );
     }
 
-    /// Does something with the budget of a service.
+    /// Calls `act` with the budget of a service and the present time.
     pub fn with_budget<T>(
         &self,
         service: &id::ServiceName,
@@ -170,9 +169,10 @@
         act(budget, now)
     }
 
-    /// Returns the present on a clock that goes on while the instance is suspended.
+    /// Returns the present time on a clock that includes suspended time.
     ///
-    /// On the runtime's clock, requests from before a suspension would pay for repeats after it.
+    /// The runtime's clock stops during a suspension, so requests from before it would still pay
+    /// for repeats after it.
     fn now(&self) -> Instant {
         let (instant, moment) = self.clock_anchor;
         instant + clock::now().since(moment)
--- a/laburnumcart_gateway/src/dispatcher.rs
+++ b/laburnumcart_gateway/src/dispatcher.rs
@@ -1,8 +1,8 @@
-//! Executes the jobs of stages that this process owns.
+//! Dispatches the jobs of stages to targets, in batch calls.
 //!
-//! One process owns the queue of a service, so that calls are filled with the pieces of all
-//! callers. Owners are chosen without agreement: two of them for a moment waste calls, as a piece
-//! may be executed twice, but no result is lost by it.
+//! One process owns the queue of a service, so that a call holds pieces of all callers. Owners are
+//! chosen without consensus: two owners at a time waste calls, as a piece may be executed twice, but
+//! lose no result.
 
 mod call;
 mod free;
@@ -46,18 +46,18 @@
 use self::owned_queue::OwnedQueue;
 
 pub use self::job::{
-    Announcement, //
+    Announcement,
     Arrival,
-    Job,
+    Job, //
 };
 
-/// Pause between two looks at queues in which something waits.
+/// Interval at which queues with waiting jobs are polled.
 const POLL_INTERVAL: time::Duration = time::Duration::from_millis(25);
 
-/// Pause between two looks at empty queues.
+/// Interval at which empty queues are polled.
 const IDLE_POLL_INTERVAL: time::Duration = time::Duration::from_millis(250);
 
-/// Queues of the services that this process owns jobs of.
+/// Batch queues of the services whose jobs were submitted to this process.
 pub struct Dispatcher {
     view: Arc<view::View>,
     outbound: Arc<outbound::Outbound>,
@@ -68,7 +68,7 @@
     consumed: mpsc::UnboundedSender<Vec<batch::Handle>>,
 }
 
-/// Cancels a job whose submitter has gone.
+/// Cancels a job when dropped.
 struct CancelGuard<'a> {
     dispatcher: &'a Arc<Dispatcher>,
     service: &'a id::ServiceName,
@@ -82,7 +82,9 @@
 }
 
 impl Dispatcher {
-    /// Creates a dispatcher without jobs; inputs that were read go to `consumed`.
+    /// Creates a dispatcher without queues.
+    ///
+    /// Results that a stage alone needed and has read are sent to `consumed`.
     pub fn new(
         view: Arc<view::View>,
         outbound: Arc<outbound::Outbound>,
@@ -102,7 +104,7 @@
         })
     }
 
-    /// Executes a job; dropping the future cancels it.
+    /// Executes a job and returns its results; dropping the future cancels the job.
     pub async fn submit(self: &Arc<Self>, job: Job) -> Result<Vec<batch::Handle>, batch::Failure> {
         let service = job.service.clone();
         let id = job.id;
@@ -116,7 +118,7 @@
         receiver.await.unwrap_or(Err(batch::Failure::Unavailable))
     }
 
-    /// Frees results that nobody needs any more.
+    /// Frees results at their targets.
     pub fn free(self: &Arc<Self>, service: &id::ServiceName, handles: Vec<batch::Handle>) {
         let mut queues = view::lock(&self.queues);
         if let Some(owned) = self.owned_queue(&mut queues, service) {
@@ -128,37 +130,37 @@
         self.dispatch_calls(service);
     }
 
-    /// Takes in that results have been read, though their request is not done with them.
+    /// Frees results that the next stage has read, if a full batch waits in the queue.
     ///
-    /// Their room is what binds a congested stage: held to the end of the next stage's call, it
-    /// would leave calls half empty, whose fixed time is the same. Without congestion they are
-    /// kept, as a piece that fails can be made again of them; its whole request would have to begin
-    /// again otherwise.
-    pub fn free_if_crowded(
+    /// A congested stage is limited by the room for its results: kept until the next stage's call
+    /// ends, they would leave calls half empty, and the fixed time of a call stays the same. Without
+    /// congestion they are kept, so that a failed piece of the next stage can be repeated; without
+    /// its inputs the whole request would start over.
+    pub fn free_if_congested(
         self: &Arc<Self>,
         service: &id::ServiceName,
         handles: Vec<batch::Handle>,
     ) {
-        let is_crowded = |owned: &OwnedQueue| owned.queue.is_crowded();
+        let is_congested = |owned: &OwnedQueue| owned.queue.is_crowded();
         if view::lock(&self.queues)
             .get(service)
-            .is_some_and(is_crowded)
+            .is_some_and(is_congested)
         {
             self.free(service, handles);
         }
     }
 
-    /// Looks after the queues until the process ends.
+    /// Drives the queues until the process ends.
     pub async fn run(self: Arc<Self>) {
         let mut changes = self.view.subscribe();
         loop {
-            let tick = if self.is_idle() {
+            let interval = if self.is_idle() {
                 IDLE_POLL_INTERVAL
             } else {
                 POLL_INTERVAL
             };
             tokio::select! {
-                () = tokio::time::sleep(tick) => {}
+                () = tokio::time::sleep(interval) => {}
                 _ = changes.changed() => self.update_queues(),
             }
             let services: Vec<_> = view::lock(&self.queues).keys().cloned().collect();
@@ -168,7 +170,7 @@
         }
     }
 
-    /// Gives the jobs that wait to other processes; theirs is the next choice of owner.
+    /// Gives up all waiting jobs, so that their senders submit them to the next owner.
     pub fn hand_over_all(&self) {
         for (service, owned) in view::lock(&self.queues).iter_mut() {
             let events = owned.queue.hand_over();
@@ -177,11 +179,12 @@
         }
     }
 
-    /// Gives away the jobs that wait for services whose queue another process owns from now on.
+    /// Gives up the waiting jobs of queues of which this process has just ceased to be the first
+    /// choice of owner, as `is_first` tells.
     ///
-    /// Processes that start together know nothing of each other, and each owns all queues at first.
-    /// With many queues before the same targets, each calls them in vain and with few pieces. Only
-    /// the change counts: a process that cannot reach the new owner goes on to submit jobs here.
+    /// Processes that start together do not know of each other, so each owns all queues at first.
+    /// With many queues for the same targets, calls hold few pieces and often find a target busy.
+    /// Jobs that arrive after the change stay: their senders cannot reach the new owner.
     pub fn hand_over_moved(&self, is_first: impl Fn(&id::ServiceName) -> bool) {
         for (service, owned) in view::lock(&self.queues).iter_mut() {
             let was_first = std::mem::replace(&mut owned.first_choice, is_first(service));
@@ -197,22 +200,22 @@
         view::lock(&self.queues).values().all(OwnedQueue::is_idle)
     }
 
-    /// Takes in the targets and the configuration.
+    /// Applies changes of targets and configuration to the queues.
     fn update_queues(&self) {
         let targets = self.view.targets.load_full();
         let table = self.view.table.load_full();
         for (service, owned) in view::lock(&self.queues).iter_mut() {
-            let known = table.as_ref().and_then(|t| t.service(service));
-            if let Some(shape) = known.and_then(|s| s.batching) {
-                owned.queue.set_shape(shape);
+            let config = table.as_ref().and_then(|t| t.service(service));
+            if let Some(batching) = config.and_then(|s| s.batching) {
+                owned.queue.set_shape(batching);
             }
             owned.update_targets(targets.service(service), |t| self.call_limiter(t));
-            let gone = owned.fail_lost(&targets, &*self.dialect);
-            owned.apply_events(gone, &*self.dialect);
+            let failed = owned.fail_lost_inputs(&targets, &*self.dialect);
+            owned.apply_events(failed, &*self.dialect);
         }
     }
 
-    /// Returns the queue of a service, made when it is needed first.
+    /// Returns the queue of a service, created on first use.
     fn owned_queue<'a>(
         &self,
         queues: &'a mut collections::HashMap<id::ServiceName, OwnedQueue>,
@@ -220,8 +223,8 @@
     ) -> Option<&'a mut OwnedQueue> {
         if !queues.contains_key(service) {
             let table = self.view.table.load();
-            let shape = table.as_ref()?.service(service)?.batching?;
-            let mut owned = OwnedQueue::new(shape);
+            let batching = table.as_ref()?.service(service)?.batching?;
+            let mut owned = OwnedQueue::new(batching);
             let targets = self.view.targets.load();
             owned.update_targets(targets.service(service), |t| self.call_limiter(t));
             event!(
@@ -250,51 +253,51 @@
         if job.input.is_lost(&self.view.targets.load(), &*self.dialect) {
             return Err(batch::Failure::Gone);
         }
-        self.check_outlook(owned, &job, now)?;
+        self.check_estimate(owned, &job, now)?;
         self.charge_budget(&job)?;
         let (sender, receiver) = oneshot::channel();
         owned.push(job, sender, now);
         Ok(receiver)
     }
 
-    /// Takes in that a job will come; returns when it would be done.
-    pub fn announce(&self, notice: &Announcement) -> Option<forecast::Outlook> {
+    /// Records a job that will be submitted later; returns an estimate of when it would be done.
+    pub fn announce(&self, announcement: &Announcement) -> Option<forecast::Outlook> {
         let mut queues = view::lock(&self.queues);
-        let owned = self.owned_queue(&mut queues, &notice.service)?;
+        let owned = self.owned_queue(&mut queues, &announcement.service)?;
         if owned.queue.engines.is_empty() {
             return None;
         }
         let now = Instant::now();
-        let spec = notice.spec(now);
-        let outlook = owned.queue.forecast(&spec, now);
-        owned.queue.expect(notice.id, spec);
-        Some(outlook)
+        let spec = announcement.spec(now);
+        let estimate = owned.queue.forecast(&spec, now);
+        owned.queue.expect(announcement.id, spec);
+        Some(estimate)
     }
 
-    /// Returns the number of pieces of a service that wait here.
+    /// Returns the number of pieces that wait in the queue of a service.
     pub fn waiting_pieces(&self, service: &id::ServiceName) -> usize {
         let queues = view::lock(&self.queues);
         queues.get(service).map_or(0, |owned| owned.queue.waiting())
     }
 
-    /// Forgets a job that will not come.
+    /// Withdraws the announcement of a job.
     pub fn withdraw(&self, service: &id::ServiceName, id: u64) {
         if let Some(owned) = view::lock(&self.queues).get_mut(service) {
             owned.queue.unexpect(id);
         }
     }
 
-    /// Refuses a job that cannot be done in time.
+    /// Refuses a job that cannot be done before its deadline.
     ///
-    /// Kept, it would wait for that until its deadline, in which its caller could have come again.
-    fn check_outlook(
+    /// It would wait until the deadline for nothing, while its caller could retry.
+    fn check_estimate(
         &self,
         owned: &OwnedQueue,
         job: &Job,
         now: Instant,
     ) -> Result<(), batch::Failure> {
-        let outlook = owned.queue.outlook(&job.spec(now), now);
-        if outlook <= job.deadline.0 {
+        let estimate = owned.queue.outlook(&job.spec(now), now);
+        if estimate <= job.deadline.0 {
             return Ok(());
         }
         self.metrics.refused_early.inc();
@@ -303,18 +306,18 @@
             "job-refused",
             request = job.attempt,
             service = job.service,
-            outlook_ms = outlook.as_millis(),
+            outlook_ms = estimate.as_millis(),
             due_ms = job.due.as_millis(),
             deadline_ms = job.deadline.as_millis(),
             waiting = owned.queue.waiting()
         );
-        let excess = outlook.saturating_sub(job.due.0);
+        let excess = estimate.saturating_sub(job.due.0);
         Err(batch::Failure::Busy(
             excess.as_millis().try_into().unwrap_or(u32::MAX),
         ))
     }
 
-    /// Counts a job's request, or takes the job from the budget if its pieces were sent before.
+    /// Counts the first job of a request in the retry budget, and charges a repeated job to it.
     fn charge_budget(&self, job: &Job) -> Result<(), batch::Failure> {
         match job.arrival {
             Arrival::First => self.budgets.record_request(&job.service),
@@ -334,7 +337,7 @@
         Ok(())
     }
 
-    /// Cancels a job; one that is not known has ended.
+    /// Cancels a job, unless it has ended.
     pub fn cancel(&self, service: &id::ServiceName, id: u64) {
         let mut queues = view::lock(&self.queues);
         if let Some(owned) = queues.get_mut(service) {
@@ -342,7 +345,7 @@
         }
     }
 
-    /// Makes all calls that can be made now.
+    /// Starts all calls that can be made now.
     fn dispatch_calls(self: &Arc<Self>, service: &id::ServiceName) {
         let now = Instant::now();
         let mut queues = view::lock(&self.queues);
@@ -357,16 +360,16 @@
         self.schedule_flush(service, owned);
     }
 
-    /// Returns the gate of calls of a target.
+    /// Returns the rate limiter of calls to a target.
     fn call_limiter(&self, target: &view::Target) -> quota::Gate {
         self.outbound.quotas.limiters(target).calls
     }
 
-    /// Returns the bounds of a call to a target of a service.
+    /// Returns the connection limits of calls to the targets of a service.
     fn connection_bounds(&self, service: &id::ServiceName) -> pool::Bounds {
         let table = self.view.table.load();
-        let known = table.as_ref().and_then(|t| t.service(service));
-        let connections = known.map_or(1, |s| s.connections / self.view.share());
+        let config = table.as_ref().and_then(|t| t.service(service));
+        let connections = config.map_or(1, |s| s.connections / self.view.share());
         pool::Bounds {
             connections: connections.max(2),
             idle: time::Duration::from_secs(60),
--- a/laburnumcart_gateway/src/dispatcher/call.rs
+++ b/laburnumcart_gateway/src/dispatcher/call.rs
@@ -1,4 +1,4 @@
-//! Calls of the targets that execute pieces.
+//! Batch calls to the targets that execute pieces.
 
 use std::{
     sync::Arc,
@@ -30,26 +30,26 @@
     view, //
 };
 
-/// Time that a call may take, as a multiple of what is expected.
+/// Timeout of a call as a multiple of its expected time.
 const TIMEOUT_FACTOR: f64 = 2.5;
 
-/// Time that a call may take beside that.
+/// Time that is added to this timeout.
 const TIMEOUT_EXTRA: time::Duration = time::Duration::from_millis(300);
 
-/// Why a call brought no outcomes.
+/// Failure of a whole call.
 enum CallError {
     /// Nothing was sent.
     Unsent(&'static str),
-    /// The target proves that it did nothing.
+    /// The target proved that it did not execute the call.
     NotRun(&'static str),
-    /// It may have executed the pieces.
+    /// The target may have executed the call.
     Lost(pool::Failure),
 }
 
-/// How many pieces of a call ended in which way.
+/// Numbers of pieces of a call by outcome.
 #[derive(Default)]
 struct OutcomeCounts {
-    made: usize,
+    stored: usize,
     no_room: usize,
     gone: usize,
 }
@@ -58,7 +58,7 @@
     let mut counts = OutcomeCounts::default();
     for outcome in result.iter().flatten() {
         match outcome {
-            batch::Outcome::Made(_) => counts.made += 1,
+            batch::Outcome::Made(_) => counts.stored += 1,
             batch::Outcome::NoRoom => counts.no_room += 1,
             batch::Outcome::Gone => counts.gone += 1,
             batch::Outcome::Late | batch::Outcome::Failed => {}
@@ -72,17 +72,17 @@
     service: id::ServiceName,
     target: Arc<view::Target>,
     call: batch::Call,
-    /// What the target must echo.
+    /// Identifier of the call that the target must echo.
     label: String,
     request: Request<Bytes>,
     timeout: time::Duration,
-    /// When its inputs have been read, if that can be told.
+    /// Time until the target has read the inputs, if it can be estimated.
     read_time: Option<time::Duration>,
     bounds: pool::Bounds,
 }
 
 impl Dispatcher {
-    /// Sends a call on a task of its own.
+    /// Spawns a task that sends a call and handles its outcomes.
     pub(super) fn start_call(
         self: &Arc<Self>,
         service: &id::ServiceName,
@@ -103,7 +103,7 @@
         };
         let items: Vec<_> = call.pieces.iter().map(item).collect();
         let attempt = items.first().map_or("", |item| item.attempt);
-        let oldest = call.pieces.iter().map(|p| now - waiter(p).since).max();
+        let oldest = call.pieces.iter().map(|p| now - waiter(p).queued_at).max();
         event!(
             Info,
             "call-sent",
@@ -115,8 +115,8 @@
             waiting = owned.queue.waiting(),
             used = owned.queue.engines.used(call.engine)
         );
-        // Drawn for each call: a late second answer to an earlier one on the connection, perhaps of
-        // the same request, must not be taken for this one's results.
+        // Unique for each call: a late duplicate response to an earlier call on the connection, even
+        // of the same request, must not be taken for the results of this one.
         let label = format!("{:016x}", rand::random::<u64>());
         let request = self.dialect.batch(&target.name, &label, &items);
         let expected = owned.queue.engines.expected(call.engine, call.pieces.len());
@@ -138,20 +138,20 @@
     async fn run_call(self: Arc<Self>, prepared: PreparedCall) {
         let count = prepared.call.pieces.len();
         let start = Instant::now();
-        let sent = self.exchange(
+        let exchange = self.exchange(
             &prepared.target,
             prepared.request.clone(),
             &prepared.label,
             &prepared.bounds,
             count,
         );
-        let sent = tokio::time::timeout(prepared.timeout, sent);
-        let result = match self.await_result(&prepared, sent).await {
+        let exchange = tokio::time::timeout(prepared.timeout, exchange);
+        let result = match self.await_result(&prepared, exchange).await {
             Ok(result) => result,
             Err(_) => Err(CallError::Lost(pool::Failure::Timeout)),
         };
         let now = Instant::now();
-        let taken = now - start;
+        let elapsed = now - start;
         let mut queues = view::lock(&self.queues);
         let Some(owned) = queues.get_mut(&prepared.service) else {
             return;
@@ -181,10 +181,10 @@
             target = prepared.target.name,
             pieces = count,
             outcome = outcome,
-            made = counts.made,
+            made = counts.stored,
             no_room = counts.no_room,
             gone = counts.gone,
-            taken_ms = taken.as_millis(),
+            taken_ms = elapsed.as_millis(),
             used = owned.queue.engines.used(prepared.call.engine)
         );
         owned.apply_events(events, &*self.dialect);
@@ -196,7 +196,7 @@
         self.dispatch_calls(&prepared.service);
     }
 
-    /// Takes the pieces that wait once more from the budget; gives up the jobs that exceed it.
+    /// Charges requeued pieces to the retry budget; fails the jobs that exceed it.
     fn charge_repeats(
         &self,
         service: &id::ServiceName,
@@ -204,7 +204,7 @@
     ) -> Vec<batch::Event> {
         let mut denied = Vec::new();
         for (key, count) in owned.queue.repeated() {
-            // A job that nobody waits for any more has failed already.
+            // A job without a waiter has failed already.
             let Some(waiter) = owned.waiters.get(*key) else {
                 continue;
             };
@@ -225,22 +225,26 @@
             .collect()
     }
 
-    /// Waits for a call to end, and passes on when the inputs of its pieces have been read.
-    async fn await_result<T>(&self, prepared: &PreparedCall, sent: impl Future<Output = T>) -> T {
-        tokio::pin!(sent);
-        let Some(reading) = prepared.read_time else {
-            return sent.await;
+    /// Waits for the result of a call, and reports its inputs as read after the estimated time.
+    async fn await_result<T>(
+        &self,
+        prepared: &PreparedCall,
+        exchange: impl Future<Output = T>,
+    ) -> T {
+        tokio::pin!(exchange);
+        let Some(read_time) = prepared.read_time else {
+            return exchange.await;
         };
         tokio::select! {
-            result = &mut sent => return result,
-            () = tokio::time::sleep(reading) => {}
+            result = &mut exchange => return result,
+            () = tokio::time::sleep(read_time) => {}
         }
         if let Some(owned) = view::lock(&self.queues).get_mut(&prepared.service) {
             let read = owned.record_read(&prepared.call.pieces);
-            // Without a receiver the process is about to end; the results expire by themselves.
+            // The receiver is dropped only at exit; the results then expire at their targets.
             let _ = self.consumed.send(read);
         }
-        sent.await
+        exchange.await
     }
 
     async fn exchange(
@@ -262,10 +266,12 @@
         })?;
         let answer = match reply.attempt.as_deref() {
             Some(echoed) if echoed == label => answer,
-            // The connection ends here, as the answer to this call may still come on it.
+            // Dropping the answer closes the connection, on which the response to this call may
+            // still arrive.
             Some(_) => return Err(CallError::Lost(pool::Failure::Malformed)),
-            // Nothing tells a late second answer on this connection from the next one's, which
-            // would give a request the results of another; so there is no next one.
+            // Without an echo, a late duplicate of this response would pass for the response to
+            // the next call and give a request the results of another. The connection is not
+            // used again.
             None => answer.last(),
         };
         let (head, body) = answer.whole(reply.idle).await.map_err(CallError::Lost)?;
--- a/laburnumcart_gateway/src/dispatcher/free.rs
+++ b/laburnumcart_gateway/src/dispatcher/free.rs
@@ -1,4 +1,4 @@
-//! Freeing of results at their targets.
+//! Calls that free results at their targets.
 
 use std::{
     sync::Arc,
@@ -23,14 +23,14 @@
     view, //
 };
 
-/// Time in which the results to free at one target are collected into one call.
+/// Time for which results to free at one target are collected into one call.
 const FREE_DELAY: time::Duration = time::Duration::from_millis(10);
 
-/// Longest time for a call that frees results; they expire by themselves in any case.
+/// Timeout of a call that frees results, which also expire without it.
 const FREE_TIMEOUT: time::Duration = time::Duration::from_millis(1500);
 
 impl Dispatcher {
-    /// Frees what has been collected, after a short while.
+    /// Schedules a task that frees the collected results, unless one is scheduled.
     pub(super) fn schedule_flush(
         self: &Arc<Self>,
         service: &id::ServiceName,
@@ -58,15 +58,16 @@
         for (holder, handles) in std::mem::take(&mut owned.to_free) {
             let (addr, life) = holder;
             let Some(target) = targets.at(&addr, life) else {
-                // Its results have gone with that life of the target.
+                // The target has restarted or is gone, and its results with it.
                 continue;
             };
-            // Nobody needs the room of a target that makes nothing any more.
+            // A target that executes no more pieces needs no room.
             if target.leaving {
                 continue;
             }
             let limiter = self.call_limiter(target);
-            // Without its last request it would make nothing; results expire by themselves.
+            // The last request that the limit allows is left to a call that executes pieces;
+            // results expire without being freed.
             if !limiter.is_wide(now) {
                 owned.defer_free(holder, handles);
                 continue;
@@ -93,7 +94,7 @@
     bounds: pool::Bounds,
 ) {
     let request = dispatcher.dialect.free(&target.name, &handles);
-    let sent = async {
+    let exchange = async {
         let sent = dispatcher
             .outbound
             .send(&target, request, &bounds, None)
@@ -101,9 +102,9 @@
         let outbound::Received { answer, reply } = sent?;
         answer.whole(reply.idle).await
     };
-    let result = tokio::time::timeout(FREE_TIMEOUT, sent).await;
+    let result = tokio::time::timeout(FREE_TIMEOUT, exchange).await;
     if !matches!(result, Ok(Ok(_))) {
-        // They expire by themselves; until then their room stays accounted.
+        // Their room stays accounted until they expire.
         event!(
             Warn,
             "free-failed",
--- a/laburnumcart_gateway/src/dispatcher/job.rs
+++ b/laburnumcart_gateway/src/dispatcher/job.rs
@@ -1,4 +1,4 @@
-//! Jobs of a queue, and what announces them.
+//! Jobs of a queue and their announcements, as they are sent between processes.
 
 use serde::{
     Deserialize,
@@ -14,59 +14,59 @@
 
 use crate::dialect;
 
-/// What a job is to the budget of its service.
+/// How a job counts in the retry budget of its service.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Arrival {
-    /// The first of its request at the service.
+    /// The first job of its request at the service.
     First,
-    /// Another one of its request, whose pieces were not sent before.
+    /// A further job of its request, whose pieces were not sent before.
     #[default]
     Further,
-    /// Its pieces were, or may have been, sent before.
+    /// A job whose pieces were, or may have been, sent before.
     Repeated,
 }
 
-/// A job of another process or of this one.
+/// Pieces of one stage of a request, submitted to the queue owner.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Job {
-    /// Identity, drawn by the sender.
+    /// Random identifier, chosen by the sender.
     pub id: u64,
-    /// Attempt of the caller.
+    /// Identifier of the caller's attempt.
     pub attempt: String,
-    /// Number of the stage.
+    /// Index of the stage in the route.
     pub stage: u32,
-    /// Service that executes it.
+    /// Service that executes the pieces.
     pub service: id::ServiceName,
-    /// Number of its pieces.
+    /// Number of pieces.
     pub pieces: u32,
     /// Approximate size of one result.
     pub size: unit::Size,
-    /// What each piece works on.
+    /// Input of each piece.
     pub input: dialect::Input,
-    /// Time until the results are due.
+    /// Time left until the objective of the results.
     pub due: unit::Period,
-    /// Time until the results are of no use.
+    /// Time left until the results are useless.
     pub deadline: unit::Period,
-    /// Urgency.
+    /// Rank in the queue.
     pub rank: batch::Rank,
-    /// Data centre where it is best executed.
+    /// Preferred data centre.
     pub near: Option<id::DataCentre>,
-    /// Bytes that cross between data centres when it is executed in another one.
+    /// Bytes that are sent between data centres if the job is executed in another one.
     pub moved: unit::Size,
-    /// Data centres where it may be executed; any without a list.
+    /// Data centres where the job may be executed; `None` allows all.
     pub places: Option<Vec<id::DataCentre>>,
-    /// Whether nothing else reads its inputs.
+    /// Whether no other stage reads the inputs.
     pub consumes: bool,
-    /// Whether a process that is leaving takes it too, as no other does.
+    /// Whether the owner accepts the job even while it is leaving, as no other process accepts it.
     pub last: bool,
-    /// Whether its pieces were sent before.
+    /// How the job counts in the retry budget.
     #[serde(default)]
     pub arrival: Arrival,
 }
 
 impl Job {
-    /// Returns what the queue is told of it.
+    /// Converts the job to a specification for the queue, with times relative to `now`.
     pub(super) fn spec(&self, now: Instant) -> batch::Spec {
         batch::Spec::new(self.pieces, self.size, now + self.due.0)
             .deadline(now + self.deadline.0)
@@ -76,22 +76,22 @@
     }
 }
 
-/// What the owner of a stage's queue is told when a request begins.
+/// Announcement of a later job to the queue owner, sent when a request begins.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Announcement {
-    /// Identity of the job that will come.
+    /// Identifier of the job.
     pub id: u64,
-    /// Service that will execute it.
+    /// Service that will execute the pieces.
     pub service: id::ServiceName,
-    /// Number of its pieces.
+    /// Number of pieces.
     pub pieces: u32,
     /// Approximate size of one result.
     pub size: unit::Size,
-    /// Time until its results are due.
+    /// Time left until the objective of the results.
     pub due: unit::Period,
-    /// Time until its results are of no use.
+    /// Time left until the results are useless.
     pub deadline: unit::Period,
-    /// Urgency.
+    /// Rank in the queue.
     pub rank: batch::Rank,
 }
 
--- a/laburnumcart_gateway/src/dispatcher/owned_queue.rs
+++ b/laburnumcart_gateway/src/dispatcher/owned_queue.rs
@@ -1,4 +1,4 @@
-//! The queue of one service with those who wait for its jobs.
+//! Batch queue of one service, with its targets and the callers that wait for its jobs.
 
 use std::{
     collections,
@@ -26,12 +26,12 @@
     view, //
 };
 
-/// Pause between two looks for what has expired; jobs and results last for seconds.
+/// Interval at which expired jobs and results are dropped; both last for seconds.
 const EXPIRY_INTERVAL: time::Duration = time::Duration::from_millis(10);
 
 type ResultSender = oneshot::Sender<Result<Vec<batch::Handle>, batch::Failure>>;
 
-/// Who waits for a job, and what a call of it says.
+/// Caller that waits for a job, and the data that calls with its pieces carry.
 #[derive(Debug)]
 pub(super) struct Waiter {
     pub(super) id: u64,
@@ -39,16 +39,16 @@
     pub(super) stage: u32,
     pub(super) input: dialect::Input,
     pub(super) deadline: Instant,
-    pub(super) since: Instant,
-    /// Whether nothing else reads the inputs.
+    pub(super) queued_at: Instant,
+    /// Whether no other stage reads the inputs, and they were not reported as read yet.
     consumes: bool,
-    /// Pieces that have not read their inputs.
+    /// Number of pieces that have not read their inputs.
     unread: u32,
     sender: ResultSender,
 }
 
 impl Waiter {
-    /// Takes the inputs that only this job reads.
+    /// Returns the inputs that only this job reads, once.
     fn take_consumed(&mut self) -> Vec<batch::Handle> {
         let consumes = std::mem::take(&mut self.consumes);
         match &self.input {
@@ -58,27 +58,27 @@
     }
 }
 
-/// The queue of one service.
+/// Batch queue of one service and its state in this process.
 pub(super) struct OwnedQueue {
     pub(super) queue: batch::Queue,
     pub(super) targets: SecondaryMap<batch::EngineKey, Arc<view::Target>>,
     pub(super) waiters: SecondaryMap<batch::JobKey, Waiter>,
     engine_keys: collections::HashMap<id::TargetLife, batch::EngineKey>,
     job_keys: collections::HashMap<u64, batch::JobKey>,
-    /// Results to free, by the address and the life of their target.
+    /// Results to free, by the address and start time of their target.
     pub(super) to_free: collections::HashMap<(net::SocketAddr, id::Life), Vec<batch::Handle>>,
-    /// When it was last looked for what has expired.
+    /// When expired jobs and results were last dropped.
     last_expiry: Option<Instant>,
-    /// Whether a task will send them.
+    /// Whether a task is scheduled that frees the collected results.
     pub(super) flush_scheduled: bool,
-    /// Whether this process is the first choice of owner, as last looked up.
+    /// Whether this process was the first choice of owner at the last check.
     pub(super) first_choice: bool,
 }
 
 impl OwnedQueue {
-    pub(super) fn new(shape: ingress::Batching) -> Self {
+    pub(super) fn new(batching: ingress::Batching) -> Self {
         Self {
-            queue: batch::Queue::new(shape),
+            queue: batch::Queue::new(batching),
             targets: SecondaryMap::new(),
             waiters: SecondaryMap::new(),
             engine_keys: collections::HashMap::new(),
@@ -94,9 +94,9 @@
         self.waiters.is_empty()
     }
 
-    /// Takes in the list of targets; what is known of those that stay is kept.
+    /// Replaces the list of targets; the state of those that stay is kept.
     ///
-    /// `gate` returns what holds calls of one to what it takes.
+    /// `limiter` returns the rate limiter of calls to a target.
     pub(super) fn update_targets(
         &mut self,
         targets: &[Arc<view::Target>],
@@ -117,7 +117,7 @@
         }
     }
 
-    pub(super) fn push(&mut self, job: Job, done: ResultSender, now: Instant) {
+    pub(super) fn push(&mut self, job: Job, sender: ResultSender, now: Instant) {
         let spec = job.spec(now);
         let key = self.queue.push(spec);
         self.job_keys.insert(job.id, key);
@@ -127,10 +127,10 @@
             stage: job.stage,
             input: job.input,
             deadline: now + job.deadline.0,
-            since: now,
+            queued_at: now,
             consumes: job.consumes,
             unread: job.pieces,
-            sender: done,
+            sender,
         };
         self.waiters.insert(key, waiter);
     }
@@ -138,13 +138,14 @@
     pub(super) fn cancel(&mut self, id: u64, dialect: &dyn dialect::Dialect) {
         if let Some(key) = self.job_keys.remove(&id) {
             self.waiters.remove(key);
-            let made = self.queue.cancel(key);
-            made.into_iter()
+            let results = self.queue.cancel(key);
+            results
+                .into_iter()
                 .for_each(|handle| self.schedule_free(handle, dialect));
         }
     }
 
-    /// Gives up jobs whose time is over, and forgets results that have expired.
+    /// Fails jobs past their deadline and drops results that have expired.
     pub(super) fn expire(&mut self, now: Instant) -> Vec<batch::Event> {
         if self
             .last_expiry
@@ -156,11 +157,10 @@
         self.queue.expire(now)
     }
 
-    /// Gives up the jobs whose inputs have gone with an earlier life of their target.
+    /// Fails the jobs whose inputs were lost in a restart of the target that held them.
     ///
-    /// Sent to a target, which asks the next life for them, they would fail after the fixed time of
-    /// a call.
-    pub(super) fn fail_lost(
+    /// In a call they would fail as well, but only after its fixed time.
+    pub(super) fn fail_lost_inputs(
         &mut self,
         targets: &view::Targets,
         dialect: &dyn dialect::Dialect,
@@ -169,13 +169,14 @@
         let lost = lost.filter(|(_, waiter)| waiter.input.is_lost(targets, dialect));
         let keys: Vec<_> = lost.map(|(key, _)| key).collect();
         let queue = &mut self.queue;
-        let gone = keys
+        let events = keys
             .into_iter()
             .flat_map(|key| queue.fail(key, batch::Failure::Gone));
-        gone.collect()
+        events.collect()
     }
 
-    /// Takes in that the pieces of a call have read their inputs; returns what nothing else reads.
+    /// Records that the pieces of a call have read their inputs; returns those that are not needed
+    /// any more.
     pub(super) fn record_read(&mut self, pieces: &[batch::Piece]) -> Vec<batch::Handle> {
         let mut read = Vec::new();
         for piece in pieces {
@@ -190,7 +191,7 @@
         read
     }
 
-    /// Tells those who wait of what a call has decided.
+    /// Sends results and failures to the waiting callers, and frees results without one.
     pub(super) fn apply_events(
         &mut self,
         events: Vec<batch::Event>,
@@ -205,9 +206,9 @@
         }
     }
 
-    /// Collects a result that is to be freed.
+    /// Adds a result to those that the next call frees.
     ///
-    /// Its room counts as taken until the target has freed it, or the next call could come first
+    /// Its room stays accounted until the target has freed it, or a batch call could arrive first
     /// and find no room.
     pub(super) fn schedule_free(&mut self, handle: batch::Handle, dialect: &dyn dialect::Dialect) {
         if let Some(addr) = dialect.holder(&handle) {
@@ -216,16 +217,16 @@
         }
     }
 
-    /// Keeps results to be freed later, those that have not expired by themselves.
+    /// Puts back results that could not be freed yet, except those that have expired.
     pub(super) fn defer_free(
         &mut self,
         holder: (net::SocketAddr, id::Life),
         handles: Vec<batch::Handle>,
     ) {
-        let held = |handle: &batch::Handle| self.queue.engines.holds(handle);
-        let held: Vec<_> = handles.into_iter().filter(held).collect();
-        if !held.is_empty() {
-            self.to_free.entry(holder).or_default().extend(held);
+        let is_kept = |handle: &batch::Handle| self.queue.engines.holds(handle);
+        let kept: Vec<_> = handles.into_iter().filter(is_kept).collect();
+        if !kept.is_empty() {
+            self.to_free.entry(holder).or_default().extend(kept);
         }
     }
 
--- a/laburnumcart_gateway/src/engines.rs
+++ b/laburnumcart_gateway/src/engines.rs
@@ -1,4 +1,4 @@
-//! Choice among the model engines of a service, over the list of targets.
+//! Placement of requests on the model engines of a service.
 
 use std::{
     collections,
@@ -18,10 +18,10 @@
 
 use crate::view;
 
-/// Engines of one service and their targets.
+/// Engines of one service and the targets that they stand for.
 #[derive(Debug)]
 pub struct Engines {
-    /// What decides.
+    /// Load of the engines and the placement policy.
     pub placement: placement::Fleet,
     targets: SecondaryMap<placement::EngineKey, Arc<view::Target>>,
     engine_keys: collections::HashMap<id::TargetLife, placement::EngineKey>,
@@ -37,9 +37,9 @@
         }
     }
 
-    /// Takes in the list of targets; what is known of those that stay is kept.
+    /// Replaces the list of targets; the state of those that stay is kept.
     ///
-    /// `gate` returns what holds requests for one to what it takes.
+    /// `limiter` returns the rate limiter of requests to a target.
     pub fn update_targets(
         &mut self,
         targets: &[Arc<view::Target>],
@@ -53,28 +53,32 @@
             }
         }
         for target in new {
-            let zone = target.data_centre.clone();
-            let key = self.placement.add(target.name.as_str(), zone);
+            let data_centre = target.data_centre.clone();
+            let key = self.placement.add(target.name.as_str(), data_centre);
             self.placement.set_gate(key, limiter(target));
             self.engine_keys.insert(target.key(), key);
             self.targets.insert(key, target.clone());
         }
     }
 
-    /// Returns the keys of the engines that have these names, or stand where a request may not run.
+    /// Returns the engines with one of these names or outside the data centres where a request may
+    /// run.
     pub fn excluded(
         &self,
         names: &[id::TargetName],
         places: Option<&[id::DataCentre]>,
     ) -> Vec<placement::EngineKey> {
-        let is_avoided = |target: &view::Target| {
+        let is_excluded = |target: &view::Target| {
             names.contains(&target.name) || !residency::allows(places, &target.data_centre)
         };
-        let avoided = self.targets.iter().filter(|(_, target)| is_avoided(target));
-        avoided.map(|(key, _)| key).collect()
+        let excluded = self
+            .targets
+            .iter()
+            .filter(|(_, target)| is_excluded(target));
+        excluded.map(|(key, _)| key).collect()
     }
 
-    /// Chooses an engine and counts the request there.
+    /// Chooses an engine and records the request as sent to it.
     pub fn assign(
         &mut self,
         ask: &placement::Ask<'_>,
--- a/laburnumcart_gateway/src/forward.rs
+++ b/laburnumcart_gateway/src/forward.rs
@@ -1,4 +1,4 @@
-//! Sends a request to one target after another until one answers.
+//! Forwarding of a request to targets, with retries at other targets.
 
 use std::{
     sync::Arc,
@@ -30,32 +30,32 @@
     pool, //
 };
 
-/// Least time in which another send can still bring an answer.
+/// Least time left in which another attempt can still bring a response.
 const ATTEMPT_MIN: time::Duration = time::Duration::from_millis(20);
 
-/// Most sends of one request that are refused without being run.
+/// Most attempts of one request that targets refuse without running it.
 const REFUSALS_MAX: u32 = 3;
 
-/// An answer whose head has come.
+/// Response of a target, of which the head has been received.
 pub struct TargetResponse {
-    /// Place at the target.
+    /// The request's assignment to the target.
     pub seat: gateway::Seat,
-    /// Answer.
+    /// Head, body and connection.
     pub answer: pool::Answer,
-    /// What its head says.
+    /// Parsed header fields.
     pub reply: dialect::Reply,
 }
 
-/// Why a send brought no answer.
+/// Why an attempt brought no response.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Failure {
-    /// The target refused or failed.
+    /// The target refused the request or failed.
     Refused(verdict::Refusal),
     /// The inputs no longer exist; the target did not run the request.
     InputsGone,
 }
 
-/// The sends of one request.
+/// Sends one request to one target after another.
 pub struct Forwarder {
     gateway: Arc<gateway::Gateway>,
     request: Arc<admission::Request>,
@@ -64,19 +64,19 @@
     tried: Vec<id::TargetName>,
     sent: u32,
     refused: u32,
-    /// Whether a target has received the request, whatever came of it.
+    /// Whether any target may have received the request.
     reached: bool,
-    /// Whether no target could be chosen.
+    /// Whether no target was left to choose.
     exhausted: bool,
-    /// Whether a send is in flight, or its answer is being read.
+    /// Whether an attempt awaits its response or the response is being read.
     in_flight: bool,
-    /// Target of the last send, and when that was.
+    /// Target and time of the last attempt.
     last_send: Option<(id::TargetLife, Instant)>,
     attempts: retry::Attempts,
 }
 
 impl Forwarder {
-    /// Starts with a request that was not sent yet.
+    /// Chooses a service for a request and counts the request in the service's retry budget.
     pub fn new(
         gateway: &Arc<gateway::Gateway>,
         request: &Arc<admission::Request>,
@@ -101,27 +101,27 @@
         })
     }
 
-    /// Reports whether another target may still be asked.
+    /// Reports whether the request may be sent again.
     pub fn can_retry(&self) -> bool {
         let sends = self.request.route.sends.max(1);
         self.sent < sends && self.refused < REFUSALS_MAX && !self.exhausted
     }
 
-    /// Reports whether there is a target that was not asked and takes requests now.
+    /// Reports whether a target that was not tried yet accepts requests now.
     pub fn has_untried_target(&self) -> bool {
         let (request, service) = (&self.request, &self.service);
         self.gateway.has_target(request, service, &self.tried)
     }
 
-    /// Reports whether another target may be asked should the next send fail.
+    /// Reports whether another attempt is left if the next one fails.
     pub fn has_spare_attempt(&self) -> bool {
         self.sent + 1 < self.request.route.sends && self.refused < REFUSALS_MAX
     }
 
-    /// Returns what is known of the request as a whole.
+    /// Returns the verdict on all attempts of the request.
     ///
-    /// The failures that were taken in do not tell of a send that is in flight. A caller whose
-    /// request ends meanwhile would be told "not run" while a target begins to run it.
+    /// Recorded failures do not cover an attempt in flight: a caller whose request ends during it
+    /// would be told "not run" while a target begins to run the request.
     pub fn verdict(&self) -> verdict::Verdict {
         match self.in_flight {
             true => verdict::Verdict::MayHaveRun,
@@ -129,7 +129,7 @@
         }
     }
 
-    /// Returns a refusal of the request as a whole.
+    /// Combines the verdict of a refusal with that on all earlier attempts.
     pub fn merge_verdict(&self, refusal: verdict::Refusal) -> verdict::Refusal {
         verdict::Refusal {
             verdict: self.verdict().and(refusal.verdict),
@@ -137,7 +137,9 @@
         }
     }
 
-    /// Sends the request to the next target; `limit` bounds the wait for the head.
+    /// Sends the request to the next target and waits up to `limit` for the response head.
+    ///
+    /// `after` is the last event that was passed on, if a stream is resumed.
     pub async fn send_next(
         &mut self,
         inputs: Option<&Inputs>,
@@ -149,10 +151,10 @@
         if handles.any(|handle| self.gateway.is_lost(handle)) {
             return Err(Failure::InputsGone);
         }
-        let places = inputs.map_or(&[][..], |inputs| &inputs.locations);
+        let locations = inputs.map_or(&[][..], |inputs| &inputs.locations);
         let seat = self
             .gateway
-            .seat(&request, &self.service, places, &self.tried);
+            .seat(&request, &self.service, locations, &self.tried);
         let Some(mut seat) = seat else {
             self.exhausted = true;
             return Err(Failure::Refused(not_run(verdict::Reason::NoTarget)));
@@ -160,7 +162,7 @@
         self.tried.push(seat.target.name.clone());
         self.sent += 1;
         let bounds = self.gateway.bounds(&request, &self.service);
-        let onward = self.build_request(&seat, inputs, after);
+        let forwarded = self.build_request(&seat, inputs, after);
         let outbound = self.gateway.outbound.clone();
         let target = seat.target.clone();
         event!(
@@ -176,30 +178,30 @@
         self.last_send = Some((target.key(), start));
         self.in_flight = true;
         let label = Some(request.call.attempt.as_str());
-        let sent = outbound.send(&target, onward, &bounds, label);
-        let result = match tokio::time::timeout(limit, sent).await {
+        let exchange = outbound.send(&target, forwarded, &bounds, label);
+        let result = match tokio::time::timeout(limit, exchange).await {
             Ok(result) => result,
             Err(_) => Err(pool::Failure::Timeout),
         };
-        let unsent = |failure: &pool::Failure| failure.verdict() == verdict::Verdict::NotRun;
-        self.reached |= !result.as_ref().is_err_and(unsent);
+        let is_unsent = |failure: &pool::Failure| failure.verdict() == verdict::Verdict::NotRun;
+        self.reached |= !result.as_ref().is_err_and(is_unsent);
         match result {
             Ok(received) => self.check_response(seat, received, start),
             Err(failure) => {
                 if failure.verdict() == verdict::Verdict::NotRun {
-                    // Nothing was sent to this target.
+                    // The target did not receive the request.
                     self.sent -= 1;
                     self.refused += 1;
                 }
-                let is_own = [pool::Failure::Exhausted, pool::Failure::Closed].contains(&failure);
-                if !is_own {
+                let is_local = [pool::Failure::Exhausted, pool::Failure::Closed].contains(&failure);
+                if !is_local {
                     seat.fail();
                 }
                 let verdict = failure.verdict();
                 if verdict == verdict::Verdict::MayHaveRun {
                     self.record_target_failure();
                 }
-                // A target that is slow is no reason to stop while the request has time.
+                // A slow target does not end the request while there is time for another one.
                 let reason = match failure {
                     pool::Failure::Timeout if request.remaining() > ATTEMPT_MIN => {
                         verdict::Reason::Lost
@@ -218,11 +220,11 @@
         }
     }
 
-    /// Takes in a failure and decides whether the request goes to another target.
+    /// Records a failure and decides whether the request is sent to another target.
     pub fn decide_retry(
         &mut self,
         failure: verdict::Refusal,
-        way: budgets::RepeatKind,
+        kind: budgets::RepeatKind,
     ) -> retry::Decision {
         let time = retry::Time {
             remaining: self.request.remaining(),
@@ -235,15 +237,16 @@
             resumable: false,
         };
         self.in_flight = false;
-        // Charged for sends that nobody makes, the budget would be gone for all other requests.
-        let more = self.can_retry() && self.has_untried_target();
+        // The budget is charged only if another attempt will be made, or it would be exhausted for
+        // all other requests.
+        let can_continue = self.can_retry() && self.has_untried_target();
         let attempts = &mut self.attempts;
         let budgets = &self.gateway.budgets;
-        let decision = budgets.with_budget(&self.service, |budget, now| match more {
+        let decision = budgets.with_budget(&self.service, |budget, now| match can_continue {
             true => attempts.decide(&failure, retry::Time { now, ..time }, budget),
             false => retry::Decision::GiveUp(attempts.end(failure.refusal, now, budget)),
         });
-        self.record_decision(&decision, way);
+        self.record_decision(&decision, kind);
         if let retry::Decision::GiveUp(refusal) = decision {
             let refusal = self.gateway.advise(&self.request, &self.service, refusal);
             return retry::Decision::GiveUp(refusal);
@@ -252,7 +255,9 @@
         decision
     }
 
-    /// Tells all processes that the target of the last send has failed under this request.
+    /// Records that the target of the last attempt failed while it ran this request.
+    ///
+    /// Content under which several targets crash is refused by all processes.
     pub fn record_target_failure(&mut self) {
         let Some((target, sent)) = self.last_send.take() else {
             return;
@@ -265,8 +270,8 @@
         self.gateway.outbound.quotas.signals.fail(&target, strike);
     }
 
-    /// Logs a decision on what would reach a target once more.
-    fn record_decision(&self, decision: &retry::Decision, way: budgets::RepeatKind) {
+    /// Logs and counts the decision on a retry, unless no target has received the request.
+    fn record_decision(&self, decision: &retry::Decision, kind: budgets::RepeatKind) {
         if !self.reached {
             return;
         }
@@ -277,7 +282,7 @@
         let repeat = budgets::Repeat {
             request: &self.request.call.attempt,
             service: &self.service,
-            kind: way,
+            kind,
             count: 1,
         };
         let cause = self.attempts.cause();
@@ -293,11 +298,14 @@
         after: Option<u64>,
     ) -> Request<bytes::Bytes> {
         let request = &self.request;
-        let mut onward = Request::new(request.body.clone());
-        *onward.method_mut() = request.method.clone();
-        *onward.uri_mut() = request.path.parse().expect("it was a path before");
-        *onward.headers_mut() = request.headers.clone();
-        let told = dialect::Onward {
+        let mut forwarded = Request::new(request.body.clone());
+        *forwarded.method_mut() = request.method.clone();
+        *forwarded.uri_mut() = request
+            .path
+            .parse()
+            .expect("the path was parsed from a valid URI");
+        *forwarded.headers_mut() = request.headers.clone();
+        let fields = dialect::Onward {
             target: &seat.target.name,
             team: request.team.as_ref(),
             left: request.remaining(),
@@ -305,11 +313,13 @@
             after,
             rank: request.rank,
         };
-        self.gateway.dialect.onward(onward.headers_mut(), &told);
-        onward
+        self.gateway
+            .dialect
+            .onward(forwarded.headers_mut(), &fields);
+        forwarded
     }
 
-    /// Tells an answer of the target from its refusals.
+    /// Returns the response of a target, or a failure if the target refused or failed.
     fn check_response(
         &mut self,
         mut seat: gateway::Seat,
@@ -327,11 +337,11 @@
             not_run = reply.not_run,
             taken_ms = start.elapsed().as_millis()
         );
-        let own = reply.attempt.as_ref() == Some(&self.request.call.attempt);
-        // An answer to an earlier request on this connection, or none that the target vouches for,
-        // must not reach the caller, and its refusal proves nothing of this request. What became of
-        // this one is not known then.
-        if !own || status.is_success() && !reply.signed {
+        let is_echoed = reply.attempt.as_ref() == Some(&self.request.call.attempt);
+        // A response to an earlier request on this connection, or one that lacks the target's
+        // stamp, must not reach the caller, and a refusal in it proves nothing about this request.
+        // Whether this request has run is unknown.
+        if !is_echoed || status.is_success() && !reply.signed {
             seat.fail();
             return Err(self.send_failure(&seat, may_have_run(verdict::Reason::Corrupt)));
         }
@@ -348,14 +358,15 @@
             }
             return Err(self.send_failure(&seat, not_run(verdict::Reason::Overloaded)));
         }
-        // These promise that the request has not run, which this answer does not prove.
-        let promises = [
+        // A caller takes these statuses as proof that the request has not run, which this response
+        // does not give.
+        let not_run_statuses = [
             StatusCode::REQUEST_TIMEOUT,
             StatusCode::MISDIRECTED_REQUEST,
             StatusCode::TOO_MANY_REQUESTS,
             StatusCode::SERVICE_UNAVAILABLE,
         ];
-        if promises.contains(&status) {
+        if not_run_statuses.contains(&status) {
             seat.fail();
             return Err(self.send_failure(&seat, may_have_run(verdict::Reason::TargetFailed)));
         }
--- a/laburnumcart_gateway/src/peers.rs
+++ b/laburnumcart_gateway/src/peers.rs
@@ -173,7 +173,7 @@
     }
 
     async fn read(&self, service: id::ServiceName, handles: Vec<batch::Handle>) -> RpcResult<()> {
-        self.dispatcher.free_if_crowded(&service, handles);
+        self.dispatcher.free_if_congested(&service, handles);
         Ok(())
     }
 
@@ -307,7 +307,7 @@
             return;
         };
         if owner.instance == self.own {
-            self.dispatcher.free_if_crowded(service, handles);
+            self.dispatcher.free_if_congested(service, handles);
             return;
         }
         if let Some(link) = self.link(&owner) {
--- a/laburnumcart_gateway/src/pipeline.rs
+++ b/laburnumcart_gateway/src/pipeline.rs
@@ -1,4 +1,4 @@
-//! Runs the stages of a request before it goes to its target.
+//! Execution of a request's stages, before the request is sent to its target.
 
 mod admit;
 mod announcements;
@@ -35,47 +35,46 @@
 
 use self::announcements::Announcements;
 
-/// Longest time after which a refused caller is told to come again.
+/// Longest retry delay that a refused caller is told.
 const RETRY_MAX: time::Duration = time::Duration::from_secs(2);
 
-/// Failures of stages that a request survives, less one: their inputs are made again.
+/// Number of failed stages at which the request fails; after fewer, lost inputs are made again.
 const FAILURE_LIMIT: usize = 3;
 
-/// Results that a target needs; freed when dropped.
+/// Results that the request's target needs; freed when dropped.
 pub struct Inputs {
     /// Results of the last stages.
     pub handles: Vec<batch::Handle>,
-    /// Sizes by data centre.
+    /// Data centre and size of each result.
     pub locations: Vec<(id::DataCentre, unit::Size)>,
     _results: Vec<StageResults>,
 }
 
-/// One run of the stages of a request.
+/// Execution of the stages of one request.
 struct StageRun<'a> {
     gateway: &'a Arc<gateway::Gateway>,
     request: &'a admission::Request,
     near: Option<id::DataCentre>,
     results: Vec<Option<StageResults>>,
     announcements: Announcements,
-    /// Whether its caller was refused before, or work was done for it in vain.
+    /// Whether the caller retries, or results for the request were lost.
     is_retry: bool,
-    /// Whether it was admitted although it will be late.
+    /// Whether the request was admitted although it will miss its objective.
     late: bool,
-    /// Stages whose pieces were, or may have been, sent before.
+    /// Whether the pieces of each stage were, or may have been, sent before.
     sent_before: Vec<bool>,
 }
 
-/// Results of one stage, freed when dropped.
+/// Results of one stage; freed when dropped, as they take room at targets that others wait for.
 struct StageResults {
     gateway: Arc<gateway::Gateway>,
     service: id::ServiceName,
     handles: Vec<batch::Handle>,
-    /// Process that accounts for their room; none for a stage without pieces.
+    /// Queue owner that accounts for their room; `None` for a stage without pieces.
     owner: Option<Arc<view::Member>>,
 }
 
 impl Drop for StageResults {
-    /// Frees the results: they take room at their target that other requests wait for.
     fn drop(&mut self) {
         if let Some(owner) = &self.owner {
             let handles = std::mem::take(&mut self.handles);
@@ -84,7 +83,7 @@
     }
 }
 
-/// Runs the stages; a refusal is a proof that the request itself did not run.
+/// Runs the stages; a refusal proves that the request itself did not run.
 pub async fn run_stages(
     gateway: &Arc<gateway::Gateway>,
     request: &admission::Request,
@@ -93,7 +92,7 @@
     run_until_exit(gateway, request, request.is_retry(), sent_before).await
 }
 
-/// Runs the stages once more, as their results have disappeared before they were used.
+/// Runs the stages again, because results were lost before the target used them.
 pub async fn rerun_stages(
     gateway: &Arc<gateway::Gateway>,
     request: &admission::Request,
@@ -102,8 +101,7 @@
     run_until_exit(gateway, request, true, sent_before).await
 }
 
-/// Runs the stages; with `again`, a request is taken that will be late. `asked` are the stages
-/// whose pieces were sent before.
+/// Runs the stages until they end, the deadline passes or the process exits.
 async fn run_until_exit(
     gateway: &Arc<gateway::Gateway>,
     request: &admission::Request,
@@ -120,10 +118,10 @@
         late: false,
         sent_before,
     };
-    let finish = tokio::time::timeout(request.remaining(), run.run_all());
+    let run = tokio::time::timeout(request.remaining(), run.run_all());
     let result = tokio::select! {
-        result = finish => result,
-        // A request that waits when the process must exit is refused while there is time.
+        result = run => result,
+        // A request that still waits just before the exit is refused while there is time to answer.
         () = gateway.view.exiting() => {
             return Err(verdict::Refusal::not_run(verdict::Reason::Leaving));
         }
@@ -158,9 +156,9 @@
         let mut failures_left = FAILURE_LIMIT;
         loop {
             self.remake_lost(&mut started);
-            for (i, begun) in started.iter_mut().enumerate() {
-                if !*begun && self.is_ready(i) {
-                    *begun = true;
+            for (i, is_started) in started.iter_mut().enumerate() {
+                if !*is_started && self.is_ready(i) {
+                    *is_started = true;
                     running.push(self.run_stage(i));
                 }
             }
@@ -180,15 +178,14 @@
         Ok(self.into_inputs())
     }
 
-    /// Returns the number of pieces of a stage.
     fn piece_count(&self, i: usize) -> u32 {
         self.request.call.pieces.get(i).copied().unwrap_or(0)
     }
 
-    /// Has the inputs of a stage made again, as they have disappeared.
+    /// Resets a stage and the stages before it, so that the lost inputs of the stage are made again.
     ///
-    /// They were at a target that has gone, or were freed when they had been read and a piece then
-    /// failed. What those inputs were made of often still exists.
+    /// The inputs were lost with their target, or were freed after they were read and a piece then
+    /// failed. The inputs of the stages before often still exist.
     fn remake_inputs(&mut self, i: usize, started: &mut [bool]) {
         started[i] = false;
         for k in &self.request.route.stages[i].after {
@@ -197,45 +194,44 @@
         }
     }
 
-    /// Has the results made again that are still to be read and whose target has started again
-    /// since it made them.
+    /// Resets the stages whose results are still needed but were lost in a restart of their target.
     fn remake_lost(&mut self, started: &mut [bool]) {
         for i in 0..started.len() {
-            if self.is_unread(i, started) && self.is_lost(i) {
+            if self.is_needed(i, started) && self.has_lost_results(i) {
                 self.results[i] = None;
                 started[i] = false;
             }
         }
     }
 
-    /// Reports whether a stage that has not begun, or the target itself, will read the results of
-    /// one.
-    fn is_unread(&self, i: usize, started: &[bool]) -> bool {
+    /// Reports whether the results of a stage are still needed, by a stage that has not started or
+    /// by the request's target.
+    fn is_needed(&self, i: usize, started: &[bool]) -> bool {
         let stages = &self.request.route.stages;
         let mut readers = (0..stages.len()).filter(|k| stages[*k].after.contains(&i));
         let is_last = readers.clone().next().is_none();
         is_last || readers.any(|k| !started[k])
     }
 
-    fn is_lost(&self, i: usize) -> bool {
+    fn has_lost_results(&self, i: usize) -> bool {
         let mut handles = self.results[i].iter().flat_map(|results| &results.handles);
         handles.any(|handle| self.gateway.is_lost(handle))
     }
 
-    /// Reports whether a stage alone reads the results that it takes.
+    /// Reports whether a stage is the only reader of its inputs.
     fn consumes_inputs(&self, i: usize) -> bool {
         let stages = &self.request.route.stages;
         let readers = |k: usize| stages.iter().filter(|s| s.after.contains(&k)).count();
         self.piece_count(i) > 0 && stages[i].after.iter().all(|k| readers(*k) == 1)
     }
 
-    /// Reports whether all that a stage takes has been made.
+    /// Reports whether all inputs of a stage exist.
     fn is_ready(&self, i: usize) -> bool {
         let after = &self.request.route.stages[i].after;
         after.iter().all(|k| self.results[*k].is_some())
     }
 
-    /// Runs one stage.
+    /// Returns a future that submits a stage to the queue owner and waits for the results.
     fn run_stage(
         &mut self,
         i: usize,
@@ -282,12 +278,12 @@
             true => dialect::Input::Key(request.call.key_input.clone().unwrap_or_default()),
             false => dialect::Input::Results(self.result_handles(&stage.after)),
         };
-        // A request that will be late in any case must not delay those that can be on time.
+        // A request that will be late anyway must not delay those that can be on time.
         let due = match self.late {
             true => time::Duration::ZERO,
             false => request.slack().saturating_sub(self.time_after(i)),
         };
-        let (near, moved) = self.best_location(i);
+        let (near, moved) = self.preferred_data_centre(i);
         dispatcher::Job {
             id: self.announcements.take_id(i).unwrap_or_else(rand::random),
             attempt: request.call.attempt.clone(),
@@ -308,7 +304,7 @@
         }
     }
 
-    /// Returns what a stage's job is to the budget of its service, for a job that is made now.
+    /// Returns how a new job of a stage counts in the retry budget, and marks the stage as sent.
     fn arrival(&mut self, i: usize) -> dispatcher::Arrival {
         let is_repeated = std::mem::replace(&mut self.sent_before[i], true);
         match (is_repeated, self.is_first_arrival(i)) {
@@ -318,7 +314,7 @@
         }
     }
 
-    /// Reports whether nothing else of the request counts it at the service of a stage.
+    /// Reports whether no earlier stage and not the request itself is counted at a stage's service.
     fn is_first_arrival(&self, i: usize) -> bool {
         let route = &self.request.route;
         let service = &route.stages[i].service;
@@ -327,25 +323,26 @@
         before.all(is_other) && route.backend(0) != Some(service)
     }
 
-    /// Returns where a stage is best executed, and the bytes that cross when it is not.
+    /// Returns the preferred data centre of a stage, and the bytes that are sent between data
+    /// centres if it is executed in another one.
     ///
-    /// Each piece reads all its inputs, which is often far more than the stage makes of them.
-    fn best_location(&self, i: usize) -> (Option<id::DataCentre>, unit::Size) {
+    /// Each piece reads all inputs of the stage, which are often far larger than its results.
+    fn preferred_data_centre(&self, i: usize) -> (Option<id::DataCentre>, unit::Size) {
         let stages = &self.request.route.stages;
-        let mut places: collections::HashMap<id::DataCentre, u64> = collections::HashMap::new();
+        let mut bytes: collections::HashMap<id::DataCentre, u64> = collections::HashMap::new();
         if let Some(near) = &self.near {
-            places.insert(near.clone(), stages[i].size.0);
+            bytes.insert(near.clone(), stages[i].size.0);
         }
         for k in &stages[i].after {
             let results = self.results[*k].iter().flat_map(|results| &results.handles);
-            for place in results.filter_map(|handle| self.location(handle)) {
-                *places.entry(place).or_default() += stages[*k].size.0;
+            for data_centre in results.filter_map(|handle| self.data_centre(handle)) {
+                *bytes.entry(data_centre).or_default() += stages[*k].size.0;
             }
         }
         let pieces = u64::from(self.piece_count(i));
-        let best = places.into_iter().max_by_key(|(_, bytes)| *bytes);
-        best.map_or((None, unit::Size(0)), |(place, bytes)| {
-            (Some(place), unit::Size(bytes.saturating_mul(pieces)))
+        let best = bytes.into_iter().max_by_key(|(_, bytes)| *bytes);
+        best.map_or((None, unit::Size(0)), |(data_centre, bytes)| {
+            (Some(data_centre), unit::Size(bytes.saturating_mul(pieces)))
         })
     }
 
@@ -354,7 +351,7 @@
         results.flat_map(|h| h.handles.iter().cloned()).collect()
     }
 
-    /// Keeps the results of the last stages and frees the others.
+    /// Returns the results of the last stages and frees the others.
     fn into_inputs(mut self) -> Inputs {
         let route = &self.request.route;
         let mut inputs = Inputs {
@@ -367,10 +364,10 @@
                 continue;
             };
             for handle in &results.handles {
-                let places = self
-                    .location(handle)
-                    .map(|zone| (zone, route.stages[i].size));
-                inputs.locations.extend(places);
+                let location = self
+                    .data_centre(handle)
+                    .map(|data_centre| (data_centre, route.stages[i].size));
+                inputs.locations.extend(location);
             }
             inputs.handles.extend(results.handles.iter().cloned());
             inputs._results.push(results);
@@ -378,7 +375,7 @@
         inputs
     }
 
-    fn location(&self, handle: &batch::Handle) -> Option<id::DataCentre> {
+    fn data_centre(&self, handle: &batch::Handle) -> Option<id::DataCentre> {
         let addr = self.gateway.dialect.holder(handle)?;
         let targets = self.gateway.view.targets.load();
         Some(targets.at(&addr, handle.life)?.data_centre.clone())
--- a/laburnumcart_gateway/src/pipeline/admit.rs
+++ b/laburnumcart_gateway/src/pipeline/admit.rs
@@ -1,4 +1,4 @@
-//! Whether the stages of a request are begun at all.
+//! Admission of a request by estimates of the queues of its stages.
 
 use std::time;
 
@@ -17,8 +17,8 @@
 };
 
 impl StageRun<'_> {
-    /// Tells the owners of the stages' queues of their jobs, and judges the request by what they
-    /// say.
+    /// Announces the jobs to the queue owners, and admits or refuses the request by the estimates
+    /// that they return.
     pub(super) async fn admit(&mut self) -> Result<(), batch::Failure> {
         let stages = &self.request.route.stages;
         if !(0..stages.len())
@@ -27,14 +27,17 @@
             return Err(batch::Failure::Unavailable);
         }
         let needed = (0..stages.len()).filter(|i| self.piece_count(*i) > 0);
-        let notices: Vec<_> = needed
+        let announcements: Vec<_> = needed
             .map(|i| (i, self.announcement(i, &stages[i])))
             .collect();
-        let asked: Vec<_> = notices.iter().map(|(i, _)| *i).collect();
-        let outlooks = self.announcements.announce(self.gateway, notices).await;
-        let mut steps: Vec<_> = (0..stages.len()).map(|i| self.forecast_step(i)).collect();
-        for (i, outlook) in asked.into_iter().zip(outlooks) {
-            steps[i].outlook = outlook;
+        let indices: Vec<_> = announcements.iter().map(|(i, _)| *i).collect();
+        let estimates = self
+            .announcements
+            .announce(self.gateway, announcements)
+            .await;
+        let mut steps: Vec<_> = (0..stages.len()).map(|i| self.forecast_stage(i)).collect();
+        for (i, estimate) in indices.into_iter().zip(estimates) {
+            steps[i].outlook = estimate;
         }
         let time = forecast::Time {
             slack: self.request.slack(),
@@ -59,7 +62,7 @@
         }
     }
 
-    fn forecast_step(&self, i: usize) -> forecast::Step {
+    fn forecast_stage(&self, i: usize) -> forecast::Step {
         let own = match self.piece_count(i) {
             0 => time::Duration::ZERO,
             _ => self.stage_time(i),
@@ -73,7 +76,7 @@
 
     fn log_judgement(&self, judgement: &str, steps: &[forecast::Step], time: forecast::Time) {
         let turn = |step: &forecast::Step| {
-            let turn = step.outlook.map(|outlook| outlook.turn.0);
+            let turn = step.outlook.map(|estimate| estimate.turn.0);
             turn.map_or("?".into(), |turn| turn.as_millis().to_string())
         };
         let turns: Vec<_> = steps.iter().map(turn).collect();
@@ -103,16 +106,16 @@
         }
     }
 
-    /// Reports whether a service has a target where the request may run.
+    /// Reports whether a service has a target in a data centre where the request may run.
     ///
-    /// Without one the job of a confined request would wait for its deadline, behind targets that
-    /// are free.
+    /// Without one, a job that is confined to data centres would wait until its deadline although
+    /// targets elsewhere are free.
     fn has_target(&self, service: &id::ServiceName) -> bool {
-        let Some(places) = &self.request.data_centres else {
+        let Some(data_centres) = &self.request.data_centres else {
             return true;
         };
         let targets = self.gateway.view.targets.load();
         let mut targets = targets.service(service).iter();
-        targets.any(|target| places.contains(&target.data_centre))
+        targets.any(|target| data_centres.contains(&target.data_centre))
     }
 }
--- a/laburnumcart_gateway/src/pipeline/announcements.rs
+++ b/laburnumcart_gateway/src/pipeline/announcements.rs
@@ -1,4 +1,4 @@
-//! Announcements of the stages of a request to the owners of their queues.
+//! Announcements of a request's jobs to the queue owners.
 
 use std::sync::Arc;
 
@@ -14,7 +14,7 @@
     gateway, //
 };
 
-/// A job that was announced; withdrawn when dropped before it has come.
+/// An announced job; withdrawn when dropped before it is submitted.
 struct Announced {
     gateway: Arc<gateway::Gateway>,
     service: id::ServiceName,
@@ -30,30 +30,30 @@
     }
 }
 
-/// Announcements of one request, by stage.
+/// Announcements of one request, indexed by stage.
 pub(super) struct Announcements(Vec<Option<Announced>>);
 
 impl Announcements {
-    /// Creates the announcements of a request with so many stages, none of them made.
+    /// Creates an empty list for a request with a number of stages.
     pub(super) fn new(stages: usize) -> Self {
         Self((0..stages).map(|_| None).collect())
     }
 
-    /// Announces the jobs of stages; returns what their owners answer, in the same order.
+    /// Announces the jobs of stages; returns the estimates of the queue owners in the same order.
     pub(super) async fn announce(
         &mut self,
         gateway: &Arc<gateway::Gateway>,
-        notices: Vec<(usize, dispatcher::Announcement)>,
+        announcements: Vec<(usize, dispatcher::Announcement)>,
     ) -> Vec<Option<forecast::Outlook>> {
         let mut calls = Vec::new();
-        for (stage, notice) in notices {
+        for (stage, announcement) in announcements {
             self.0[stage] = Some(Announced {
                 gateway: gateway.clone(),
-                service: notice.service.clone(),
-                id: notice.id,
+                service: announcement.service.clone(),
+                id: announcement.id,
                 is_submitted: false,
             });
-            calls.push(gateway.peers.announce(notice));
+            calls.push(gateway.peers.announce(announcement));
         }
         future::join_all(calls).await
     }
@@ -63,7 +63,7 @@
         self.0.iter_mut().for_each(|announced| *announced = None);
     }
 
-    /// Returns the identity of a stage's job, which comes now.
+    /// Returns the identifier of a stage's announced job and marks the job as submitted.
     pub(super) fn take_id(&mut self, stage: usize) -> Option<u64> {
         let announced = self.0[stage].as_mut()?;
         announced.is_submitted = true;
--- a/laburnumcart_gateway/src/quotas.rs
+++ b/laburnumcart_gateway/src/quotas.rs
@@ -1,4 +1,4 @@
-//! What targets take, as their entries and answers tell, and this process's part of it.
+//! Rate limits of targets, and this process's share of them.
 
 use std::{
     collections,
@@ -23,21 +23,22 @@
     view, //
 };
 
-/// Time for which a target that is not listed is remembered.
+/// Time for which the state of a target that is no longer listed is kept.
 ///
-/// Entries can lapse with a store that is away and come back after it. What was sent before counts.
+/// Entries can expire during an outage of the store and return after it. Requests that were sent
+/// before then still count against the rate limit.
 const UNLISTED_TTL: time::Duration = time::Duration::from_secs(30);
 
-/// Longest time for which a target can ask for no requests, so that a senseless one does not shut it
-/// out for ever.
+/// Longest backoff that is accepted from a target, so that an absurd value does not exclude it
+/// for good.
 const BACKOFF_MAX: time::Duration = time::Duration::from_secs(600);
 
-/// The gates of one target; clones share them.
+/// Rate limiters of one target; clones share their state.
 #[derive(Clone, Debug, Default)]
 pub struct Limiters {
-    /// For requests.
+    /// Limiter of requests.
     pub requests: quota::Gate,
-    /// For calls of stages and the freeing of their results.
+    /// Limiter of batch calls and of calls that free results.
     pub calls: quota::Gate,
 }
 
@@ -45,18 +46,19 @@
 struct TargetState {
     target: view::Target,
     limiters: Limiters,
-    /// Limit that the gates hold to.
+    /// Rate limit in force.
     limit: quota::Limit,
-    /// When that came into force, and the own sends since.
+    /// When the limit came into force.
     since: Instant,
+    /// Sends of this process since then.
     sends: u64,
-    /// Moment until which the target wants nothing from this process.
+    /// End of the backoff that the target asked this process for.
     backoff: Option<Instant>,
     last_listed: Instant,
 }
 
 impl TargetState {
-    /// Returns the bound on a target that takes nothing.
+    /// Returns the bound that stops all sends, if the target is leaving or asked for a backoff.
     fn closed_bound(&self, heard: &quota::Heard) -> Option<quota::Bound> {
         let closed = quota::Bound::closed();
         match heard.left() {
@@ -70,19 +72,19 @@
     }
 }
 
-/// The gates of all targets.
+/// Rate limiters of all targets.
 #[derive(Debug)]
 pub struct Quotas {
     instance: id::InstanceName,
     view: Arc<view::View>,
-    /// What targets have said of themselves.
+    /// Limits, departures and failures of targets that are shared between processes.
     pub signals: Arc<signals::Signals>,
     states: Mutex<collections::HashMap<id::TargetLife, TargetState>>,
     metrics: metrics::Held,
 }
 
 impl Quotas {
-    /// Creates the quotas of the process `own`.
+    /// Creates the quotas of the instance `own`.
     pub fn new(
         own: id::InstanceName,
         view: Arc<view::View>,
@@ -97,13 +99,13 @@
         })
     }
 
-    /// Returns the gates of a target.
+    /// Returns the limiters of a target.
     pub fn limiters(&self, target: &view::Target) -> Limiters {
         let mut states = view::lock(&self.states);
         self.target_state(&mut states, target).limiters.clone()
     }
 
-    /// Counts a send to a target.
+    /// Counts a send to a target with a rate limit.
     pub fn record_send(&self, target: &view::Target) {
         let mut states = view::lock(&self.states);
         let state = states.get_mut(&target.key());
@@ -113,10 +115,11 @@
         }
     }
 
-    /// Takes in that an answer of a target says that it is leaving.
+    /// Records that a target has announced in a response that it is leaving.
     pub fn record_leaving(&self, target: &view::Target) {
         if self.signals.leave(&target.key()) {
-            // Work that is placed before the list of targets has changed must not go there either.
+            // The list of targets changes later; work that is assigned until then must not go to
+            // this target either.
             let mut states = view::lock(&self.states);
             let state = self.target_state(&mut states, target);
             self.update_limiters(state, Instant::now());
@@ -131,9 +134,9 @@
         }
     }
 
-    /// Takes in that a target has refused a request and wants no other from this process for so long.
+    /// Records that a target has refused a request and asked for a backoff of `wait`.
     ///
-    /// A shorter time that it names later does not take back the longer one.
+    /// A shorter backoff that the target asks for later does not end a longer one.
     pub fn back_off(&self, target: &view::Target, wait: time::Duration) {
         let now = Instant::now();
         let until = now + wait.min(BACKOFF_MAX);
@@ -154,15 +157,16 @@
         self.set_gauges(&states, now);
     }
 
-    /// Reports whether a target takes nothing now, as it has said itself.
+    /// Reports whether a target accepts nothing at present, because it is leaving or asked for a
+    /// backoff.
     pub fn is_closed(&self, target: &view::Target) -> bool {
-        let gates = self.limiters(target);
-        gates.requests.is_closed(Instant::now())
+        let limiters = self.limiters(target);
+        limiters.requests.is_closed(Instant::now())
     }
 
-    /// Takes in what an answer of a target says of its limit.
-    pub fn record_limit(&self, target: &view::Target, word: quota::Word) {
-        if !self.signals.answer(&target.key(), word) {
+    /// Records the rate limit that a response of a target states.
+    pub fn record_limit(&self, target: &view::Target, observation: quota::Word) {
+        if !self.signals.answer(&target.key(), observation) {
             return;
         }
         let mut states = view::lock(&self.states);
@@ -172,7 +176,7 @@
         self.set_gauges(&states, now);
     }
 
-    /// Takes in changes of targets, members, configuration and limits.
+    /// Updates all limiters after a change of targets, members, configuration or rate limits.
     pub fn refresh(&self) {
         let now = Instant::now();
         let targets = self.view.targets.load();
@@ -205,7 +209,7 @@
         self.metrics.evacuated.set(evacuated.len() as i64);
     }
 
-    /// Counts anew what ends by itself.
+    /// Updates the gauges of states that end with time.
     pub fn update_gauges(&self) {
         self.set_gauges(&view::lock(&self.states), Instant::now());
     }
@@ -231,7 +235,7 @@
         })
     }
 
-    /// Sets the gates of a target by what is known of it.
+    /// Sets the limiters of a target to the bounds that apply to it.
     fn update_limiters(&self, state: &mut TargetState, now: Instant) {
         let heard = self.signals.heard(&state.target.key());
         let (mut requests, mut calls) = self.shared_bounds(&state.target, heard.named(), now);
@@ -260,7 +264,7 @@
         state.sends = 0;
     }
 
-    /// Returns the bounds on requests and on calls, this process's parts of what all may send.
+    /// Returns this process's shares of the bounds on requests and on calls to a target.
     fn shared_bounds(
         &self,
         target: &view::Target,
--- a/laburnumcart_gateway/src/reply.rs
+++ b/laburnumcart_gateway/src/reply.rs
@@ -1,4 +1,4 @@
-//! Answers that the gateway gives by itself.
+//! Responses that the gateway itself creates for callers.
 
 use std::time;
 
@@ -17,17 +17,17 @@
 
 use laburnumcart::verdict;
 
-/// Body of an answer to a caller.
+/// Body of a response to a caller.
 pub type Body = combinators::UnsyncBoxBody<Bytes, Truncated>;
 
-/// A stream that ended before its end, after which the caller's connection is cut.
+/// Error of a truncated response body, upon which the caller's connection is closed.
 ///
-/// An answer that ends early must not look complete.
+/// Otherwise the response would look complete.
 #[derive(Clone, Copy, Debug, derive_more::Display, derive_more::Error)]
-#[display("the answer ended early")]
+#[display("the response body was truncated")]
 pub struct Truncated;
 
-/// When a refused caller should come again, unless there is a better estimate.
+/// Default retry delay of refused callers.
 pub const RETRY_AFTER: time::Duration = time::Duration::from_millis(300);
 
 /// Creates a body of known length.
@@ -37,9 +37,9 @@
         .boxed_unsync()
 }
 
-/// Returns the status that tells a caller of a refusal.
+/// Returns the status of the response to a refused request.
 ///
-/// 503 promises that the request did not run and never will; only a proof of that may give it.
+/// 503 promises that the request has not run and never will, so it is returned only with proof.
 pub fn status(refusal: &verdict::Refusal) -> StatusCode {
     use verdict::Reason;
     match (refusal.reason, refusal.verdict) {
@@ -53,7 +53,7 @@
     }
 }
 
-/// Creates the answer to a refused request.
+/// Creates the response to a refused request.
 pub fn refusal_response(refusal: &verdict::Refusal) -> Response<Body> {
     let status = status(refusal);
     let mut response = Response::new(full_body(format!("{refusal}\n")));
--- a/laburnumcart_gateway/src/request.rs
+++ b/laburnumcart_gateway/src/request.rs
@@ -1,4 +1,4 @@
-//! From a caller's request to its answer.
+//! Handling of callers' requests, and the exchange of those that are answered as a whole.
 
 use std::{
     sync::Arc,
@@ -48,19 +48,19 @@
     stream, //
 };
 
-/// Largest body while no configuration is known.
+/// Largest request body; the configuration may set a lower limit.
 const BODY_MAX: usize = 4 << 20;
 
-/// Most pieces of one stage of a request: forty times what the largest known requests have.
+/// Most pieces of one stage of a request, forty times as many as the largest known requests have.
 const PIECES_MAX: u32 = 1024;
 
-/// When a caller that came to a leaving process should come again, to another one.
+/// Delay in milliseconds after which a caller of a leaving process may retry at another one.
 const LEAVING_RETRY_MS: u64 = 100;
 
-/// Least time that a send of a request that may be repeated gets before the next target is asked.
+/// Least timeout of an attempt after which another target can be tried.
 const ATTEMPT_TIMEOUT_MIN: time::Duration = time::Duration::from_millis(150);
 
-/// Headers that concern one connection only.
+/// Hop-by-hop headers, which apply to one connection only.
 const HOP_BY_HOP_HEADERS: [header::HeaderName; 7] = [
     header::CONNECTION,
     header::PROXY_AUTHENTICATE,
@@ -71,7 +71,7 @@
     header::UPGRADE,
 ];
 
-/// Answers a caller's request; dropping the future cancels all its work.
+/// Handles a caller's request; dropping the future cancels all work for it.
 pub async fn handle(
     gateway: Arc<gateway::Gateway>,
     incoming: http::Request<Incoming>,
@@ -93,7 +93,7 @@
     result.unwrap_or_else(|refusal| refusal_response(&gateway, &id, refusal))
 }
 
-/// Answers a request that was not served.
+/// Records a refusal and returns the response for the caller.
 fn refusal_response(
     gateway: &gateway::Gateway,
     id: &str,
@@ -115,7 +115,7 @@
     reply::refusal_response(&refusal)
 }
 
-/// Reads and admits a request.
+/// Reads and admits a request; `id` is set to the identifier of the attempt.
 async fn read_request(
     gateway: &gateway::Gateway,
     incoming: http::Request<Incoming>,
@@ -126,7 +126,7 @@
     let invalid = |_| verdict::Refusal::not_run(verdict::Reason::Invalid);
     let call = gateway.dialect.call(&head.headers).map_err(invalid)?;
     id.clone_from(&call.attempt);
-    // The owner of a queue keeps a place for each piece.
+    // The queue owner allocates memory for each piece.
     if call.pieces.iter().any(|pieces| *pieces > PIECES_MAX) {
         return Err(verdict::Refusal::not_run(verdict::Reason::Invalid));
     }
@@ -142,18 +142,18 @@
         head.uri.path(),
         &call,
     )?;
-    let most = admitted.table.limits.body.min(BODY_MAX);
-    let body = read_body(body, most).await?;
+    let limit = admitted.table.limits.body.min(BODY_MAX);
+    let body = read_body(body, limit).await?;
     let spent = gateway.spent(&admitted.route, call.patience);
     let rank = admitted.team.as_ref().and_then(|t| t.rank);
-    let places = allowed_data_centres(gateway, &admitted);
+    let data_centres = allowed_data_centres(gateway, &admitted);
     let request = admission::Request {
         call,
         method: head.method,
         path,
         headers: head.headers,
         body,
-        data_centres: places,
+        data_centres,
         rank: rank.unwrap_or(admitted.route.rank),
         team_rank: rank,
         route: admitted.route,
@@ -185,7 +185,8 @@
     Ok(request)
 }
 
-/// Returns the data centres whose targets may run a request, if it is confined to regions.
+/// Returns the data centres whose targets may run a request, or `None` if it is not confined to
+/// regions.
 fn allowed_data_centres(
     gateway: &gateway::Gateway,
     admitted: &admission::Admitted,
@@ -196,12 +197,12 @@
     residency.data_centres(&gateway.settings.regions)
 }
 
-async fn read_body(body: Incoming, most: usize) -> Result<Bytes, verdict::Refusal> {
+async fn read_body(body: Incoming, limit: usize) -> Result<Bytes, verdict::Refusal> {
     let too_large = verdict::Refusal::not_run(verdict::Reason::TooLarge);
-    if body.size_hint().lower() > most as u64 {
+    if body.size_hint().lower() > limit as u64 {
         return Err(too_large);
     }
-    match Limited::new(body, most).collect().await {
+    match Limited::new(body, limit).collect().await {
         Ok(body) => Ok(body.to_bytes()),
         Err(error) if error.is::<http_body_util::LengthLimitError>() => Err(too_large),
         Err(_) => Err(verdict::Refusal::not_run(verdict::Reason::Invalid)),
@@ -233,7 +234,7 @@
     }
 }
 
-/// Serves a request whose answer is read as a whole before the caller gets any of it.
+/// Serves a request whose response is read completely before it is passed on.
 async fn serve_buffered(
     gateway: &Arc<gateway::Gateway>,
     request: Arc<admission::Request>,
@@ -244,7 +245,7 @@
     loop {
         if inputs.is_none() && !request.route.stages.is_empty() {
             match pipeline::rerun_stages(gateway, &request).await {
-                Ok(made) => inputs = Some(made),
+                Ok(results) => inputs = Some(results),
                 Err(refusal) => {
                     return fallback_or_refusal(
                         gateway,
@@ -257,7 +258,7 @@
         }
         let limit = attempt_timeout(&request, &forwarder);
         let failure = match forwarder.send_next(inputs.as_ref(), None, limit).await {
-            Ok(opened) => match read_response(&request, opened, limit).await {
+            Ok(response) => match read_response(&request, response, limit).await {
                 Ok((head, body)) if can_retry(&head, &request, &forwarder) => {
                     fallback = Some((head, body));
                     verdict::Refusal::may_have_run(verdict::Reason::TargetFailed)
@@ -282,9 +283,9 @@
     }
 }
 
-/// Ends a request without success.
+/// Returns the last error response of a target if there is one, else the refusal.
 ///
-/// A failure that a target has answered says more than one of the gateway.
+/// The target's response says more about the failure than the gateway's refusal.
 fn fallback_or_refusal(
     gateway: &gateway::Gateway,
     request: &admission::Request,
@@ -297,53 +298,53 @@
     }
 }
 
-/// Returns how long a target gets before the next one is asked.
+/// Returns the timeout of an attempt, which leaves time for another target if one may be tried.
 fn attempt_timeout(request: &admission::Request, forwarder: &Forwarder) -> time::Duration {
-    let left = request.remaining();
+    let remaining = request.remaining();
     if request.route.repeat == ingress::Repeat::Never || !forwarder.has_spare_attempt() {
-        return left;
+        return remaining;
     }
-    let half = left / 2;
+    let half = remaining / 2;
     half.min(request.route.objective.max(ATTEMPT_TIMEOUT_MIN))
 }
 
-/// Reads the whole answer.
+/// Reads a complete response and records the outcome of the target.
 async fn read_response(
     request: &admission::Request,
-    mut opened: forward::TargetResponse,
+    mut response: forward::TargetResponse,
     limit: time::Duration,
 ) -> Result<(response::Parts, Bytes), verdict::Refusal> {
-    opened.seat.begin();
-    let whole = opened.answer.whole(opened.reply.idle);
-    let result = match tokio::time::timeout(limit.min(request.remaining()), whole).await {
+    response.seat.begin();
+    let body = response.answer.whole(response.reply.idle);
+    let result = match tokio::time::timeout(limit.min(request.remaining()), body).await {
         Ok(result) => result,
         Err(_) => Err(crate::pool::Failure::Timeout),
     };
     match result {
         Ok((head, body)) => {
             match head.status.is_server_error() {
-                true => opened.seat.fail(),
-                false => opened.seat.succeed(),
+                true => response.seat.fail(),
+                false => response.seat.succeed(),
             }
             Ok((head, body))
         }
         Err(_) => {
-            opened.seat.fail();
+            response.seat.fail();
             Err(verdict::Refusal::may_have_run(verdict::Reason::Corrupt))
         }
     }
 }
 
-/// Reports whether another target may bring a better answer than this one.
+/// Reports whether a response is an error for which another target may be tried.
 fn can_retry(head: &response::Parts, request: &admission::Request, forwarder: &Forwarder) -> bool {
-    let repeatable = request.route.repeat != ingress::Repeat::Never;
+    let is_repeatable = request.route.repeat != ingress::Repeat::Never;
     head.status.is_server_error()
-        && repeatable
+        && is_repeatable
         && forwarder.can_retry()
         && forwarder.has_untried_target()
 }
 
-/// Passes a target's whole answer on.
+/// Records an answered request and returns the target's response for the caller.
 fn forward_response(
     gateway: &gateway::Gateway,
     request: &admission::Request,
@@ -368,7 +369,7 @@
     response
 }
 
-/// Returns the headers of an answer without those of the target's connection.
+/// Returns the end-to-end headers of a target's response.
 pub(crate) fn end_to_end_headers(headers: &HeaderMap) -> HeaderMap {
     let mut kept = headers.clone();
     strip_hop_by_hop(&mut kept);
@@ -376,7 +377,7 @@
     kept
 }
 
-/// Removes the headers that concern one connection only, and those that `Connection` names.
+/// Removes the hop-by-hop headers, including those that `Connection` names.
 pub fn strip_hop_by_hop(headers: &mut HeaderMap) {
     let named: Vec<_> = headers
         .get_all(header::CONNECTION)
--- a/laburnumcart_gateway/src/starvation.rs
+++ b/laburnumcart_gateway/src/starvation.rs
@@ -1,4 +1,4 @@
-//! How late this process gets to its work, looked at by a timer of its own.
+//! Detection of processor starvation by the lateness of a timer.
 
 use std::time;
 
@@ -11,10 +11,10 @@
 
 use crate::metrics;
 
-/// Pause between two looks.
+/// Interval of the timer.
 const SAMPLE_INTERVAL: time::Duration = time::Duration::from_millis(100);
 
-/// Looks at it until the process ends.
+/// Measures the lateness of the timer until the process ends, and logs changes of starvation.
 pub async fn monitor(metrics: metrics::Metrics) {
     let mut strain = strain::Strain::default();
     loop {
--- a/laburnumcart_gateway/src/stream.rs
+++ b/laburnumcart_gateway/src/stream.rs
@@ -1,7 +1,8 @@
-//! Serves requests whose answer is an event stream.
+//! Requests that are answered with an event stream.
 //!
-//! Events are passed on whole and at once. When a target fails midway, a stream that may be resumed
-//! goes on at another one, within the same answer, after the last event that was passed on.
+//! Complete events are passed on as they arrive. When a target fails during a resumable stream, the
+//! stream is resumed at another one, within the same response, after the last event that was passed
+//! on.
 
 mod target_stream;
 
@@ -48,19 +49,21 @@
     TargetStream, //
 };
 
-/// Wait for a first event after which another target is asked, beside the reading of the prompt.
+/// Timeout of the first event, without the prefill of the prompt, after which another target is
+/// tried.
 const FIRST_EVENT_TIMEOUT: time::Duration = time::Duration::from_millis(1500);
 
-/// Prompt tokens that a loaded engine reads in a millisecond.
+/// Prompt tokens that a loaded engine prefills in a millisecond.
 const TOKENS_PER_MS: u64 = 20;
 
-/// Pause after which a stream is resumed elsewhere, as a multiple of the longest that is on time.
+/// Gap between events after which a stream is resumed at another target, as a multiple of the
+/// route's target gap.
 const GAP_FACTOR: u32 = 3;
 
-/// Least such pause: an engine that reads long prompts between two events may pause this long.
+/// Least such gap; an engine may pause this long while it prefills long prompts.
 const GAP_TIMEOUT_MIN: time::Duration = time::Duration::from_millis(900);
 
-/// An answer in progress.
+/// State of a stream that is passed on to the caller.
 struct StreamRun {
     gateway: Arc<gateway::Gateway>,
     request: Arc<admission::Request>,
@@ -69,24 +72,24 @@
     current: Option<TargetStream>,
     /// Number of the last event that was passed on.
     last_event: Option<u64>,
-    /// Events that wait to be passed on.
+    /// Events that were received and not passed on yet.
     buffered: Option<Bytes>,
     _work: stop::Work,
 }
 
-/// What the first target has answered.
+/// First part of a target's response.
 enum Opening {
-    /// A stream, with its first events.
+    /// Head of a stream whose first events have been received.
     Stream(Box<response::Parts>),
-    /// A failure, passed on as it is.
+    /// Complete response: an error, or a stream without events.
     Whole(Box<response::Parts>, Bytes),
 }
 
-/// Why no target has begun to answer.
+/// Failure to open a stream.
 enum OpenError {
-    /// A send has failed.
+    /// An attempt failed.
     Send(verdict::Refusal),
-    /// The inputs could not be made again.
+    /// The stages could not be run again.
     Inputs(verdict::Refusal),
 }
 
@@ -96,7 +99,7 @@
     }
 }
 
-/// Serves a request.
+/// Serves a request with an event stream.
 pub async fn serve(
     gateway: &Arc<gateway::Gateway>,
     request: Arc<admission::Request>,
@@ -113,17 +116,17 @@
         buffered: None,
         _work: work,
     };
-    let left = run.request.remaining();
+    let remaining = run.request.remaining();
     let view = gateway.view.clone();
-    let start = tokio::select! {
-        start = tokio::time::timeout(left, run.open_first()) => start,
+    let opening = tokio::select! {
+        opening = tokio::time::timeout(remaining, run.open_first()) => opening,
         () = view.exiting() => return Err(run.unopened_refusal(verdict::Reason::Leaving)),
     };
-    let start = match start {
-        Ok(start) => start?,
+    let opening = match opening {
+        Ok(opening) => opening?,
         Err(_) => return Err(run.unopened_refusal(verdict::Reason::DeadlineExceeded)),
     };
-    match start {
+    match opening {
         Opening::Stream(head) => {
             let seconds = run.request.elapsed().as_secs_f64();
             gateway.metrics.first.observe(seconds);
@@ -144,25 +147,25 @@
 
 type Item = Result<Frame<Bytes>, reply::Truncated>;
 
-/// Returns the next part of a body, and the run unless it has ended.
+/// Returns the next frame of a body, and the state unless the body has ended.
 async fn next_frame(run: Option<StreamRun>) -> Option<(Item, Option<StreamRun>)> {
     let mut run = run?;
     match run.next_events().await {
         Ok(Some(bytes)) => Some((Ok(Frame::data(bytes)), Some(run))),
         Ok(None) => None,
-        Err(broken) => Some((Err(broken), None)),
+        Err(error) => Some((Err(error), None)),
     }
 }
 
 impl StreamRun {
-    /// Brings the request to a target that begins to answer.
+    /// Sends the request to targets until one begins to answer.
     async fn open_first(&mut self) -> Result<Opening, verdict::Refusal> {
         loop {
             let failure = match self.open_next(self.first_event_timeout()).await {
                 Ok(Opening::Whole(head, _)) if self.can_retry(&head) => {
                     verdict::Refusal::may_have_run(verdict::Reason::TargetFailed)
                 }
-                Ok(start) => return Ok(start),
+                Ok(opening) => return Ok(opening),
                 Err(OpenError::Inputs(refusal)) => {
                     return Err(self.forwarder.merge_verdict(refusal));
                 }
@@ -177,68 +180,68 @@
         }
     }
 
-    /// Sends the request to one target and waits for its first events.
+    /// Sends the request to the next target and waits for its first events.
     async fn open_next(&mut self, limit: time::Duration) -> Result<Opening, OpenError> {
         let after = self
             .last_event
             .filter(|_| self.last_event != self.request.call.after);
         if self.inputs.is_none() && !self.request.route.stages.is_empty() {
-            let made = pipeline::rerun_stages(&self.gateway, &self.request).await;
-            self.inputs = Some(made.map_err(OpenError::Inputs)?);
+            let results = pipeline::rerun_stages(&self.gateway, &self.request).await;
+            self.inputs = Some(results.map_err(OpenError::Inputs)?);
         }
-        let opened = self
+        let response = self
             .forwarder
             .send_next(self.inputs.as_ref(), after, limit)
             .await;
-        let mut opened = opened.map_err(|failure| match failure {
+        let mut response = response.map_err(|failure| match failure {
             forward::Failure::InputsGone => {
                 self.inputs = None;
                 verdict::Refusal::not_run(verdict::Reason::TargetFailed)
             }
             forward::Failure::Refused(refusal) => refusal,
         })?;
-        if !opened.answer.head.status.is_success() {
-            opened.seat.fail();
-            let whole = opened.answer.whole(opened.reply.idle).await;
+        if !response.answer.head.status.is_success() {
+            response.seat.fail();
+            let whole = response.answer.whole(response.reply.idle).await;
             let corrupt = verdict::Refusal::may_have_run(verdict::Reason::Corrupt);
             let (head, body) = whole.map_err(|_| corrupt)?;
             return Ok(Opening::Whole(Box::new(head), body));
         }
-        let head = Box::new(opened.answer.head.clone());
-        let mut source = TargetStream::new(opened);
-        match source.next_chunk(limit, self.last_event).await {
+        let head = Box::new(response.answer.head.clone());
+        let mut target_stream = TargetStream::new(response);
+        match target_stream.next_chunk(limit, self.last_event).await {
             Chunk::Events(bytes, last) => {
-                source.begin();
+                target_stream.begin();
                 self.buffered = Some(bytes);
                 self.last_event = last;
-                self.current = Some(source);
-                // The target has read its inputs with the prompt; they only take room now.
+                self.current = Some(target_stream);
+                // The target has read the inputs before its first event; freeing them makes room.
                 self.inputs = None;
                 Ok(Opening::Stream(head))
             }
             Chunk::End => {
-                source.finish();
+                target_stream.finish();
                 Ok(Opening::Whole(head, Bytes::new()))
             }
             Chunk::Failed => {
-                source.fail();
+                target_stream.fail();
                 self.forwarder.record_target_failure();
                 Err(verdict::Refusal::may_have_run(verdict::Reason::Lost).into())
             }
         }
     }
 
-    /// Returns the next events, `None` at the end of the stream.
+    /// Returns the next events, or `None` at the end of the stream.
     async fn next_events(&mut self) -> Result<Option<Bytes>, reply::Truncated> {
         loop {
             if let Some(bytes) = self.buffered.take() {
                 return Ok(Some(bytes));
             }
-            let Some(source) = &mut self.current else {
+            let Some(target_stream) = &mut self.current else {
                 return Err(reply::Truncated);
             };
             let limit = gap_timeout(&self.request, &self.forwarder);
-            match source.next_chunk(limit, self.last_event).await {
+            match target_stream.next_chunk(limit, self.last_event).await {
                 Chunk::Events(bytes, last) => {
                     self.last_event = last;
                     return Ok(Some(bytes));
@@ -252,15 +255,15 @@
         }
     }
 
-    /// Goes on at another target after the last event that was passed on.
+    /// Resumes the stream at another target after the last event that was passed on.
     async fn resume(&mut self) -> Result<(), reply::Truncated> {
-        if let Some(mut source) = self.current.take() {
-            source.fail();
+        if let Some(mut target_stream) = self.current.take() {
+            target_stream.fail();
         }
         self.forwarder.record_target_failure();
         let mut failure = verdict::Refusal::may_have_run(verdict::Reason::Lost);
         loop {
-            // Without a number there is no place to go on from.
+            // Without an event number there is no position to resume from.
             if !self.can_resume() || self.last_event.is_none() {
                 return Err(self.record_broken(failure.reason));
             }
@@ -271,9 +274,9 @@
                 return Err(self.record_broken(refusal.reason));
             }
             let limit = self.first_event_timeout();
-            let opened =
+            let response =
                 tokio::time::timeout(self.request.remaining(), self.open_next(limit)).await;
-            match opened {
+            match response {
                 Ok(Ok(Opening::Stream(_))) => {
                     self.gateway.metrics.resumed.inc();
                     event!(
@@ -303,19 +306,19 @@
     }
 
     fn first_event_timeout(&self) -> time::Duration {
-        let left = self.request.remaining();
-        let resumable = self.request.route.repeat == ingress::Repeat::Resume;
-        if !resumable || !self.forwarder.has_spare_attempt() {
-            return left;
+        let remaining = self.request.remaining();
+        let is_resumable = self.request.route.repeat == ingress::Repeat::Resume;
+        if !is_resumable || !self.forwarder.has_spare_attempt() {
+            return remaining;
         }
         let tokens = self.request.call.prompt.as_ref().map_or(0, |p| p.input);
-        let reading = time::Duration::from_millis(tokens / TOKENS_PER_MS);
-        left.min(FIRST_EVENT_TIMEOUT + reading)
+        let prefill = time::Duration::from_millis(tokens / TOKENS_PER_MS);
+        remaining.min(FIRST_EVENT_TIMEOUT + prefill)
     }
 
     fn finish(&mut self) {
-        if let Some(source) = self.current.take() {
-            source.finish();
+        if let Some(target_stream) = self.current.take() {
+            target_stream.finish();
         }
         self.gateway.metrics.answered.inc();
         event!(
@@ -340,7 +343,7 @@
         reply::Truncated
     }
 
-    /// Returns the answer for a request that no target has begun to answer in time.
+    /// Returns the refusal of a request that no target has begun to answer.
     fn unopened_refusal(&self, reason: verdict::Reason) -> verdict::Refusal {
         verdict::Refusal {
             verdict: self.forwarder.verdict(),
@@ -350,12 +353,12 @@
     }
 }
 
-/// Returns how long the next event of a stream is waited for.
+/// Returns the timeout of the next event.
 fn gap_timeout(request: &admission::Request, forwarder: &Forwarder) -> time::Duration {
-    let left = request.remaining();
-    let resumable = request.route.repeat == ingress::Repeat::Resume && forwarder.can_retry();
-    match request.route.gap.filter(|_| resumable) {
-        Some(gap) => left.min((gap * GAP_FACTOR).max(GAP_TIMEOUT_MIN)),
-        None => left,
+    let remaining = request.remaining();
+    let is_resumable = request.route.repeat == ingress::Repeat::Resume && forwarder.can_retry();
+    match request.route.gap.filter(|_| is_resumable) {
+        Some(gap) => remaining.min((gap * GAP_FACTOR).max(GAP_TIMEOUT_MIN)),
+        None => remaining,
     }
 }
--- a/laburnumcart_gateway/src/stream/target_stream.rs
+++ b/laburnumcart_gateway/src/stream/target_stream.rs
@@ -1,4 +1,4 @@
-//! One target's part of a stream.
+//! Event stream from one target.
 
 use std::time;
 
@@ -14,17 +14,17 @@
     pool, //
 };
 
-/// What a target sends next.
+/// Next part of a target's stream.
 pub(super) enum Chunk {
-    /// Whole events, and the number of the last one.
+    /// Complete events, and the number of the last one.
     Events(Bytes, Option<u64>),
     /// End of the stream.
     End,
-    /// The target failed or fell silent.
+    /// Failure or timeout of the target.
     Failed,
 }
 
-/// One target's part of a stream; the target is told to stop when it is dropped.
+/// Event stream from one target; dropping it closes the connection, which stops the target.
 pub(super) struct TargetStream {
     seat: gateway::Seat,
     body: Incoming,
@@ -34,17 +34,17 @@
 }
 
 impl TargetStream {
-    pub(super) fn new(opened: forward::TargetResponse) -> Self {
+    pub(super) fn new(response: forward::TargetResponse) -> Self {
         Self {
-            seat: opened.seat,
-            body: opened.answer.body,
-            lease: opened.answer.lease,
-            idle: opened.reply.idle,
+            seat: response.seat,
+            body: response.answer.body,
+            lease: response.answer.lease,
+            idle: response.reply.idle,
             splitter: sse::Splitter::default(),
         }
     }
 
-    /// Waits for whole events after number `last`, at most for `limit`.
+    /// Waits up to `limit` for complete events after number `last`.
     pub(super) async fn next_chunk(&mut self, limit: time::Duration, last: Option<u64>) -> Chunk {
         let events = self.read_chunk(last);
         tokio::time::timeout(limit, events)
@@ -57,7 +57,7 @@
             let frame = match self.body.frame().await {
                 Some(Ok(frame)) => frame,
                 Some(Err(_)) => return Chunk::Failed,
-                // A stream that ends within an event was cut, however well it is framed.
+                // A stream that ends within an event is truncated, even if its framing is valid.
                 None if !self.splitter.is_empty() => return Chunk::Failed,
                 None => return Chunk::End,
             };
@@ -70,7 +70,7 @@
             let mut number = last;
             let mut bytes = Vec::new();
             for event in events {
-                // A target that resumes may begin with events that the caller has.
+                // A resumed stream may begin with events that were passed on already.
                 if event.id.is_some_and(|id| Some(id) <= number) {
                     continue;
                 }
@@ -93,7 +93,7 @@
         self.seat.fail();
     }
 
-    /// Ends a whole stream.
+    /// Records a complete stream and gives its connection back.
     pub(super) fn finish(mut self) {
         self.seat.succeed();
         self.lease.give_back(self.idle);
--- a/laburnumcart_gateway/tests/balancer.rs
+++ b/laburnumcart_gateway/tests/balancer.rs
@@ -1,4 +1,4 @@
-//! What a balancer remembers of targets that start again.
+//! Load balancing over targets that restart under the same name.
 
 use std::sync::Arc;
 
@@ -25,10 +25,10 @@
     })
 }
 
-// A target fails its requests and starts again under its name. Answers and reports of the earlier
-// life come late. Taken for the new one's they would exclude it, or show it as full, for seconds.
+// A target restarts, and late responses and load reports from before the restart arrive. If they
+// counted for the new run, it would be ejected or taken for full for seconds.
 #[tokio::test(start_paused = true)]
-async fn a_new_life_does_not_answer_for_the_one_before() {
+async fn late_reports_from_before_a_restart_do_not_affect_the_new_run() {
     let start = Instant::now();
     let (first, second, other) = (target("a", 1), target("a", 2), target("b", 1));
     let mut balancer = balancer::Balancer::new("north".parse().unwrap(), start);
