--- a/laburnumcart_gateway/src/admission.rs
+++ b/laburnumcart_gateway/src/admission.rs
@@ -33,7 +33,7 @@
 /// The rest covers the time between this check and the caller's sending, and clock drift.
 const REVOKE_AGE_SHARE: f64 = 0.9;
 
-/// Greatest age of the configuration at which an unknown route or key refuses a request for good.
+/// Greatest age of the configuration at which an unknown route or key is reported as final.
 ///
 /// The route may have been added since; a caller takes 404 as final and does not retry.
 const NOT_FOUND_MAX_AGE: time::Duration = time::Duration::from_millis(3000);
--- a/laburnumcart_gateway/src/balancer.rs
+++ b/laburnumcart_gateway/src/balancer.rs
@@ -89,10 +89,10 @@
         }
     }
 
-    /// Chooses a target that was not tried, in one of the data centres `places` if given.
+    /// Chooses a target that was not tried, in one of the given data centres; `None` allows all.
     pub fn choose(
         &mut self,
-        places: Option<&[id::DataCentre]>,
+        data_centres: Option<&[id::DataCentre]>,
         tried: &[id::TargetName],
         now: Instant,
     ) -> Option<Arc<view::Target>> {
@@ -100,7 +100,7 @@
             self.entries
                 .iter()
                 .filter(|e| e.limiter.is_open(now))
-                .filter(|e| residency::allows(places, &e.target.data_centre))
+                .filter(|e| residency::allows(data_centres, &e.target.data_centre))
                 .map(|e| self.candidate(e, now))
                 .collect(),
         );
--- a/laburnumcart_gateway/src/dispatcher.rs
+++ b/laburnumcart_gateway/src/dispatcher.rs
@@ -84,7 +84,7 @@
 impl Dispatcher {
     /// Creates a dispatcher without queues.
     ///
-    /// Results that a stage alone needed and has read are sent to `consumed`.
+    /// Results that were read and that no other stage needs are sent to `consumed`.
     pub fn new(
         view: Arc<view::View>,
         outbound: Arc<outbound::Outbound>,
--- a/laburnumcart_gateway/src/engines.rs
+++ b/laburnumcart_gateway/src/engines.rs
@@ -18,7 +18,7 @@
 
 use crate::view;
 
-/// Engines of one service and the targets that they stand for.
+/// Model engines of one service, with their targets.
 #[derive(Debug)]
 pub struct Engines {
     /// Load of the engines and the placement policy.
@@ -66,10 +66,10 @@
     pub fn excluded(
         &self,
         names: &[id::TargetName],
-        places: Option<&[id::DataCentre]>,
+        data_centres: Option<&[id::DataCentre]>,
     ) -> Vec<placement::EngineKey> {
         let is_excluded = |target: &view::Target| {
-            names.contains(&target.name) || !residency::allows(places, &target.data_centre)
+            names.contains(&target.name) || !residency::allows(data_centres, &target.data_centre)
         };
         let excluded = self
             .targets
--- a/laburnumcart_gateway/src/pipeline.rs
+++ b/laburnumcart_gateway/src/pipeline.rs
@@ -35,7 +35,7 @@
 
 use self::announcements::Announcements;
 
-/// Longest retry delay that a refused caller is told.
+/// Longest retry delay that is sent with a refusal.
 const RETRY_MAX: time::Duration = time::Duration::from_secs(2);
 
 /// Number of failed stages at which the request fails; after fewer, lost inputs are made again.
