--- a/laburnumcart_gateway/src/balancer.rs
+++ b/laburnumcart_gateway/src/balancer.rs
@@ -1,4 +1,4 @@
-//! Choice among the targets of plain services.
+//! Load balancing over the targets of plain services.
 
 use std::{
     sync::Arc,
@@ -19,56 +19,57 @@
 
 use crate::view;
 
-/// Most targets of a service that are excluded as outliers.
-const EJECTED: unit::Share = unit::Share(0.5);
+/// Largest share of a service's targets that are ejected as outliers.
+const EJECTED_SHARE_MAX: unit::Share = unit::Share(0.5);
 
-/// Time of a request until the first one was measured.
-const FIRST: time::Duration = time::Duration::from_millis(50);
+/// Assumed service time of a target before the first request has ended.
+const INITIAL_TIME: time::Duration = time::Duration::from_millis(50);
 
-/// Weight of the newest time in the mean.
-const WEIGHT: f64 = 0.2;
+/// Weight of the newest service time in the moving average.
+const NEWEST_WEIGHT: f64 = 0.2;
 
-/// What a crossing between data centres costs: about two thirds of a millisecond each way.
-const CROSSING: time::Duration = time::Duration::from_millis(2);
+/// Cost of sending a request to another data centre; the network takes about two thirds of a
+/// millisecond each way.
+const EXTRA_LATENCY: time::Duration = time::Duration::from_millis(2);
 
 #[derive(Debug)]
 struct Entry {
     target: Arc<view::Target>,
     key: outlier::TargetKey,
-    own: u32,
+    in_flight: u32,
     load: balancer::Load,
-    gate: quota::Limiter,
+    limiter: quota::Limiter,
 }
 
-/// Targets of one plain service.
+/// Load balancer over the targets of one plain service.
 #[derive(Debug)]
 pub struct Balancer {
-    own: id::DataCentre,
+    data_centre: id::DataCentre,
     entries: Vec<Entry>,
     ejector: outlier::Detector,
 }
 
 impl Balancer {
-    /// Creates a balancer for callers in a data centre.
+    /// Creates a balancer without targets for a gateway in data centre `own`.
     pub fn new(own: id::DataCentre, now: Instant) -> Self {
         Self {
-            own,
+            data_centre: own,
             entries: Vec::new(),
-            ejector: outlier::Detector::new(EJECTED, now),
+            ejector: outlier::Detector::new(EJECTED_SHARE_MAX, now),
         }
     }
 
-    /// Takes in the list of targets; what is known of those that stay is kept.
+    /// Replaces the list of targets; the state of those that stay is kept.
     ///
-    /// `gate` returns what holds requests for one to what it takes.
-    pub fn update(
+    /// `limiter` returns the rate limiter of requests to a target.
+    pub fn update_targets(
         &mut self,
         targets: &[Arc<view::Target>],
-        gate: impl Fn(&view::Target) -> quota::Limiter,
+        limiter: impl Fn(&view::Target) -> quota::Limiter,
         now: Instant,
     ) {
-        let known = self.entries.iter().map(|e| e.target.key());
-        let (gone, new) = view::diff_targets(known, targets);
+        let keys = self.entries.iter().map(|e| e.target.key());
+        let (gone, new) = view::diff_targets(keys, targets);
         let ejector = &mut self.ejector;
         self.entries.retain(|entry| {
             let kept = !gone.contains(&entry.target.key());
@@ -81,56 +82,61 @@
             self.entries.push(Entry {
                 target: target.clone(),
                 key: self.ejector.add(),
-                own: 0,
-                load: unknown(now),
-                gate: gate(target),
+                in_flight: 0,
+                load: initial_load(now),
+                limiter: limiter(target),
             });
         }
     }
 
-    /// Chooses a target other than those tried, in one of some data centres if these are given.
+    /// Chooses a target that was not tried, in one of the given data centres; `None` allows all.
     pub fn choose(
         &mut self,
-        places: Option<&[id::DataCentre]>,
+        data_centres: Option<&[id::DataCentre]>,
         tried: &[id::TargetName],
         now: Instant,
     ) -> Option<Arc<view::Target>> {
         let table = balancer::Table::new(
             self.entries
                 .iter()
-                .filter(|e| e.gate.is_open(now))
-                .filter(|e| residency::is_allowed(places, &e.target.data_centre))
+                .filter(|e| e.limiter.is_open(now))
+                .filter(|e| residency::is_allowed(data_centres, &e.target.data_centre))
                 .map(|e| self.candidate(e, now))
                 .collect(),
         );
         let names: Vec<_> = table.targets().iter().map(|t| t.name.clone()).collect();
         let positions = (0..names.len()).filter(|i| tried.contains(&names[*i]));
         let tried: Vec<_> = positions.collect();
-        let own = |i: usize| self.entry(&names[i]).map_or(0, |e| e.own);
+        let in_flight = |i: usize| self.entry(&names[i]).map_or(0, |e| e.in_flight);
         let ask = balancer::Request {
             tried: &tried,
             prefix: None,
-            own: &own,
+            own: &in_flight,
             now,
         };
         let chosen = table.choose(&ask, &mut rand::rng())?;
         let name = names[chosen].clone();
         let entry = self.entries.iter_mut().find(|e| e.target.name == name)?;
-        entry.own += 1;
-        entry.gate.record_send(now);
+        entry.in_flight += 1;
+        entry.limiter.record_send(now);
         self.ejector.record_send(entry.key, now);
         Some(entry.target.clone())
     }
 
-    /// Records the end of a request; `None` says nothing of the target's health.
-    pub fn end(&mut self, life: &id::TargetLife, outcome: Option<outlier::Outcome>, now: Instant) {
+    /// Records the end of a request; an outcome of `None` does not affect the target's health.
+    pub fn record_end(
+        &mut self,
+        life: &id::TargetLife,
+        outcome: Option<outlier::Outcome>,
+        now: Instant,
+    ) {
         let Some(entry) = self.entries.iter_mut().find(|e| e.target.key() == *life) else {
             return;
         };
-        entry.own = entry.own.saturating_sub(1);
+        entry.in_flight = entry.in_flight.saturating_sub(1);
         if let Some(outlier::Outcome::Success(taken)) = outcome {
             let mean = entry.load.service_time.as_secs_f64();
-            let mean = mean + WEIGHT * (taken.as_secs_f64() - mean);
+            let mean = mean + NEWEST_WEIGHT * (taken.as_secs_f64() - mean);
             entry.load.service_time = time::Duration::from_secs_f64(mean);
         }
         if let Some(outcome) = outcome {
@@ -138,8 +144,8 @@
         }
     }
 
-    /// Takes in a target's report of its load.
-    pub fn report(
+    /// Records the load that a target reports.
+    pub fn record_load(
         &mut self,
         life: &id::TargetLife,
         report: placement::Report,
@@ -148,7 +154,7 @@
     ) {
         if let Some(entry) = self.entries.iter_mut().find(|e| e.target.key() == *life) {
             entry.load.pending = report.running + report.waiting;
-            entry.load.own = entry.own;
+            entry.load.own = entry.in_flight;
             entry.load.limit = slots.unwrap_or(entry.load.limit);
             entry.load.at = now;
         }
@@ -159,7 +165,7 @@
     }
 
     fn candidate(&self, entry: &Entry, now: Instant) -> balancer::Target {
-        let local = entry.target.data_centre == self.own;
+        let is_local = entry.target.data_centre == self.data_centre;
         let state = match self.ejector.can_send(entry.key, now) {
             true => balancer::State::Ready,
             false => balancer::State::Ejected,
@@ -168,22 +174,22 @@
             name: entry.target.name.clone(),
             state,
             load: entry.load,
-            local,
-            extra_latency: if local {
+            local: is_local,
+            extra_latency: if is_local {
                 time::Duration::ZERO
             } else {
-                CROSSING
+                EXTRA_LATENCY
             },
         }
     }
 }
 
-fn unknown(now: Instant) -> balancer::Load {
+fn initial_load(now: Instant) -> balancer::Load {
     balancer::Load {
         pending: 0,
         own: 0,
         limit: 1,
-        service_time: FIRST,
+        service_time: INITIAL_TIME,
         at: now,
     }
 }
--- a/laburnumcart_gateway/src/dispatcher/frees.rs
+++ b/laburnumcart_gateway/src/dispatcher/free.rs
@@ -1,4 +1,4 @@
-//! Freeing of results at their targets.
+//! Calls that free results at their targets.
 
 use std::{
     sync::Arc,
@@ -16,26 +16,30 @@
 use crate::{
     dispatcher::{
         Dispatcher,
-        line::Line, //
+        owned_queue::OwnedQueue, //
     },
     outbound,
     pool,
     view, //
 };
 
-/// Time in which the results to free at one target are collected into one call.
+/// Time for which results to free at one target are collected into one call.
 const FREE_DELAY: time::Duration = time::Duration::from_millis(10);
 
-/// Longest time for a call that frees results; they expire by themselves in any case.
-const FREE_LIMIT: time::Duration = time::Duration::from_millis(1500);
+/// Timeout of a call that frees results, which also expire without it.
+const FREE_TIMEOUT: time::Duration = time::Duration::from_millis(1500);
 
 impl Dispatcher {
-    /// Frees what has been collected, after a short while.
-    pub(super) fn flush_later(self: &Arc<Self>, service: &id::ServiceName, line: &mut Line) {
-        if line.flushing || line.frees.is_empty() {
+    /// Schedules a task that frees the collected results, unless one is scheduled.
+    pub(super) fn schedule_flush(
+        self: &Arc<Self>,
+        service: &id::ServiceName,
+        owned: &mut OwnedQueue,
+    ) {
+        if owned.flush_scheduled || owned.to_free.is_empty() {
             return;
         }
-        line.flushing = true;
+        owned.flush_scheduled = true;
         let (dispatcher, service) = (self.clone(), service.clone());
         tokio::spawn(async move {
             tokio::time::sleep(FREE_DELAY).await;
@@ -44,31 +48,32 @@
     }
 
     fn flush(self: &Arc<Self>, service: &id::ServiceName) {
-        let mut lines = view::lock(&self.lines);
-        let Some(line) = lines.get_mut(service) else {
+        let mut queues = view::lock(&self.queues);
+        let Some(owned) = queues.get_mut(service) else {
             return;
         };
-        line.flushing = false;
+        owned.flush_scheduled = false;
         let targets = self.view.targets.load();
         let now = Instant::now();
-        for (holder, handles) in std::mem::take(&mut line.frees) {
+        for (holder, handles) in std::mem::take(&mut owned.to_free) {
             let (addr, life) = holder;
             let Some(target) = targets.find(&addr, life) else {
-                // Its results have gone with that life of the target.
+                // The target has restarted or is gone, and its results with it.
                 continue;
             };
-            // Nobody needs the room of a target that makes nothing any more.
+            // A target that executes no more pieces needs no room.
             if target.leaving {
                 continue;
             }
-            let gate = self.gate(target);
-            // Without its last request it would make nothing; results expire by themselves.
-            if !gate.has_spare(now) {
-                line.keep(holder, handles);
+            let limiter = self.call_limiter(target);
+            // The last request that the limit allows is left to a call that executes pieces;
+            // results expire without being freed.
+            if !limiter.has_spare(now) {
+                owned.defer_free(holder, handles);
                 continue;
             }
-            gate.record_send(now);
-            let bounds = self.bounds(service);
+            limiter.record_send(now);
+            let bounds = self.connection_bounds(service);
             tokio::spawn(free(
                 self.clone(),
                 service.clone(),
@@ -89,7 +94,7 @@
     bounds: pool::Bounds,
 ) {
     let request = dispatcher.dialect.encode_free(&target.name, &handles);
-    let sent = async {
+    let exchange = async {
         let sent = dispatcher
             .outbound
             .send(&target, request, &bounds, None)
@@ -100,9 +105,9 @@
         } = sent?;
         answer.read_all(reply.idle_timeout).await
     };
-    let result = tokio::time::timeout(FREE_LIMIT, sent).await;
+    let result = tokio::time::timeout(FREE_TIMEOUT, exchange).await;
     if !matches!(result, Ok(Ok(_))) {
-        // They expire by themselves; until then their room stays accounted.
+        // Their room stays accounted until they expire.
         event!(
             Warn,
             "free-failed",
@@ -111,10 +116,10 @@
         );
         return;
     }
-    if let Some(line) = view::lock(&dispatcher.lines).get_mut(&service) {
+    if let Some(owned) = view::lock(&dispatcher.queues).get_mut(&service) {
         for handle in &handles {
-            line.queue.free_result(handle);
+            owned.queue.free_result(handle);
         }
     }
-    dispatcher.pump(&service);
+    dispatcher.dispatch_calls(&service);
 }
--- a/laburnumcart_gateway/src/engines.rs
+++ b/laburnumcart_gateway/src/engines.rs
@@ -1,4 +1,4 @@
-//! Choice among the model engines of a service, over the list of targets.
+//! Placement of requests on the model engines of a service.
 
 use std::{
     collections,
@@ -18,71 +18,76 @@
 
 use crate::view;
 
-/// Engines of one service and their targets.
+/// Model engines of one service, with their targets.
 #[derive(Debug)]
 pub struct Engines {
-    /// What decides.
-    pub fleet: placement::Engines,
+    /// Load of the engines and the placement policy.
+    pub placement: placement::Engines,
     targets: SecondaryMap<placement::EngineKey, Arc<view::Target>>,
-    keys: collections::HashMap<id::TargetLife, placement::EngineKey>,
+    engine_keys: collections::HashMap<id::TargetLife, placement::EngineKey>,
 }
 
 impl Engines {
     /// Creates a service without engines.
     pub fn new(limits: ingress::Engine) -> Self {
         Self {
-            fleet: placement::Engines::new(limits),
+            placement: placement::Engines::new(limits),
             targets: SecondaryMap::new(),
-            keys: collections::HashMap::new(),
+            engine_keys: collections::HashMap::new(),
         }
     }
 
-    /// Takes in the list of targets; what is known of those that stay is kept.
+    /// Replaces the list of targets; the state of those that stay is kept.
     ///
-    /// `gate` returns what holds requests for one to what it takes.
-    pub fn update(
+    /// `limiter` returns the rate limiter of requests to a target.
+    pub fn update_targets(
         &mut self,
         targets: &[Arc<view::Target>],
-        gate: impl Fn(&view::Target) -> quota::Limiter,
+        limiter: impl Fn(&view::Target) -> quota::Limiter,
     ) {
-        let (gone, new) = view::diff_targets(self.keys.keys().cloned(), targets);
+        let (gone, new) = view::diff_targets(self.engine_keys.keys().cloned(), targets);
         for life in gone {
-            if let Some(key) = self.keys.remove(&life) {
-                self.fleet.remove(key);
+            if let Some(key) = self.engine_keys.remove(&life) {
+                self.placement.remove(key);
                 self.targets.remove(key);
             }
         }
         for target in new {
-            let zone = target.data_centre.clone();
-            let key = self.fleet.add(target.name.as_str(), zone);
-            self.fleet.set_limiter(key, gate(target));
-            self.keys.insert(target.key(), key);
+            let data_centre = target.data_centre.clone();
+            let key = self.placement.add(target.name.as_str(), data_centre);
+            self.placement.set_limiter(key, limiter(target));
+            self.engine_keys.insert(target.key(), key);
             self.targets.insert(key, target.clone());
         }
     }
 
-    /// Returns the keys of the engines that have these names, or stand where a request may not run.
-    pub fn avoided(
+    /// Returns the engines with one of these names or outside the data centres where a request may
+    /// run.
+    pub fn excluded(
         &self,
         names: &[id::TargetName],
-        places: Option<&[id::DataCentre]>,
+        data_centres: Option<&[id::DataCentre]>,
     ) -> Vec<placement::EngineKey> {
-        let is_avoided = |target: &view::Target| {
-            names.contains(&target.name) || !residency::is_allowed(places, &target.data_centre)
+        let is_excluded = |target: &view::Target| {
+            names.contains(&target.name)
+                || !residency::is_allowed(data_centres, &target.data_centre)
         };
-        let avoided = self.targets.iter().filter(|(_, target)| is_avoided(target));
-        avoided.map(|(key, _)| key).collect()
+        let excluded = self
+            .targets
+            .iter()
+            .filter(|(_, target)| is_excluded(target));
+        excluded.map(|(key, _)| key).collect()
     }
 
-    /// Chooses an engine and counts the request there.
-    pub fn start(
+    /// Chooses an engine and records the request as sent to it.
+    pub fn assign(
         &mut self,
         ask: &placement::Request<'_>,
         now: Instant,
     ) -> Option<(placement::Assignment, Arc<view::Target>)> {
-        let place = self.fleet.choose(ask, now)?;
+        let place = self.placement.choose(ask, now)?;
         let target = self.targets.get(place.engine)?.clone();
-        self.fleet.record_sent(ask, place, now);
+        self.placement.record_sent(ask, place, now);
         Some((place, target))
     }
 }
--- a/laburnumcart_gateway/src/gateway.rs
+++ b/laburnumcart_gateway/src/gateway.rs
@@ -138,7 +138,7 @@
             tokio::select! {
                 _ = sweep.tick() => {
                     self.outbound.pool.sweep(Instant::now());
-                    self.outbound.quotas.sweep();
+                    self.outbound.quotas.update_gauges();
                 }
                 _ = changes.changed() => self.apply_changes(),
                 _ = signals.changed() => {
@@ -172,23 +172,23 @@
 
     fn apply_changes(&self) {
         self.dispatcher
-            .consolidate(|service| self.peers.is_first_owner(service));
+            .hand_over_moved(|service| self.peers.is_first_owner(service));
         self.outbound.quotas.refresh();
         let targets = self.view.targets.load();
         let signals = &self.outbound.quotas.signals;
         signals.update_listed(|life| targets.all().any(|target| target.key() == *life));
         for (service, engines) in view::lock(&self.engines).iter_mut() {
-            engines.update(targets.service(service), |t| self.request_limiter(t));
+            engines.update_targets(targets.service(service), |t| self.request_limiter(t));
         }
         let now = Instant::now();
         for (service, balancer) in view::lock(&self.balancers).iter_mut() {
-            balancer.update(targets.service(service), |t| self.request_limiter(t), now);
+            balancer.update_targets(targets.service(service), |t| self.request_limiter(t), now);
         }
     }
 
     /// Returns the rate limiter of requests to a target.
     fn request_limiter(&self, target: &view::Target) -> quota::Limiter {
-        self.outbound.quotas.gates(target).requests
+        self.outbound.quotas.limiters(target).requests
     }
 
     /// Returns the data centre in which the inputs of a request should be produced.
@@ -198,7 +198,7 @@
         let mut engines = view::lock(&self.engines);
         let engines = self.service_engines(&mut engines, &request.table, service)?;
         engines
-            .fleet
+            .placement
             .preferred_data_centre(&prompt.parts, Instant::now())
     }
 
@@ -230,7 +230,7 @@
                 (Some(place), target)
             }
             None => {
-                let places = request.places.as_deref();
+                let places = request.data_centres.as_deref();
                 let target = self.choose_balanced(service, places, tried, now)?;
                 (None, target)
             }
@@ -255,7 +255,7 @@
         if !engines.contains_key(service) {
             let limits = table.service(service)?.engine?;
             let mut added = engines::Engines::new(limits);
-            added.update(self.view.targets.load().service(service), |t| {
+            added.update_targets(self.view.targets.load().service(service), |t| {
                 self.request_limiter(t)
             });
             engines.insert(service.clone(), added);
@@ -275,7 +275,7 @@
             let own = self.settings.data_centre.clone();
             let mut balancer = balancer::Balancer::new(own, now);
             let targets = self.view.targets.load();
-            balancer.update(targets.service(service), |t| self.request_limiter(t), now);
+            balancer.update_targets(targets.service(service), |t| self.request_limiter(t), now);
             balancer
         });
         balancer.choose(places, tried, now)
@@ -323,7 +323,7 @@
     now: Instant,
 ) -> Option<(placement::Assignment, Arc<view::Target>)> {
     let prompt = request.call.prompt.as_ref();
-    let avoid = engines.avoided(tried, request.places.as_deref());
+    let avoid = engines.excluded(tried, request.data_centres.as_deref());
     let ask = placement::Request {
         parts: prompt.map_or(&[], |p| &p.parts),
         tokens: prompt.map_or(0, |p| p.input + p.output),
@@ -331,7 +331,7 @@
         avoid: &avoid,
         slack: request.slack(),
     };
-    engines.start(&ask, now)
+    engines.assign(&ask, now)
 }
 
 impl Assignment {
@@ -342,8 +342,12 @@
         };
         let now = Instant::now();
         match self.engine {
-            Some(place) => self.with_engines(|e| e.fleet.record_report(place.engine, report, now)),
-            None => self.with_balancer(|b| b.report(&self.target.key(), report, head.slots, now)),
+            Some(place) => {
+                self.with_engines(|e| e.placement.record_report(place.engine, report, now))
+            }
+            None => {
+                self.with_balancer(|b| b.record_load(&self.target.key(), report, head.slots, now))
+            }
         }
     }
 
@@ -351,7 +355,7 @@
     pub fn record_first_byte(&mut self) {
         self.answered = true;
         if let Some(place) = self.engine {
-            self.with_engines(|e| e.fleet.record_first_token(place));
+            self.with_engines(|e| e.placement.record_first_token(place));
         }
     }
 
@@ -385,12 +389,12 @@
         let failed = self.outcome == Some(outlier::Outcome::Failure);
         match self.engine {
             Some(place) => self.with_engines(|e| {
-                e.fleet.record_end(place, self.answered);
+                e.placement.record_end(place, self.answered);
                 if failed {
-                    e.fleet.record_failure(place.engine, now);
+                    e.placement.record_failure(place.engine, now);
                 }
             }),
-            None => self.with_balancer(|b| b.end(&self.target.key(), self.outcome, now)),
+            None => self.with_balancer(|b| b.record_end(&self.target.key(), self.outcome, now)),
         }
     }
 }
--- a/laburnumcart_gateway/src/gateway/availability.rs
+++ b/laburnumcart_gateway/src/gateway/availability.rs
@@ -26,7 +26,7 @@
         tried: &[id::TargetName],
     ) -> bool {
         let now = Instant::now();
-        let places = request.places.as_deref();
+        let places = request.data_centres.as_deref();
         let targets = self.view.targets.load();
         let mut targets = targets.service(service).iter();
         targets.any(|target| {
@@ -42,7 +42,7 @@
         service: &id::ServiceName,
         now: Instant,
     ) -> Option<time::Duration> {
-        let places = request.places.as_deref();
+        let places = request.data_centres.as_deref();
         let targets = self.view.targets.load();
         let targets = targets.service(service).iter();
         let allowed = targets.filter(|t| residency::is_allowed(places, &t.data_centre));
@@ -75,7 +75,7 @@
     /// Refuses a request whose content has crashed several targets.
     pub fn check_content(&self, request: &admission::Request) -> Result<(), verdict::Refusal> {
         let signals = &self.outbound.quotas.signals;
-        let Some(until) = signals.quarantined_until(|| request.content()) else {
+        let Some(until) = signals.quarantined_until(|| request.fingerprint()) else {
             return Ok(());
         };
         let wait = unit::Period(until.saturating_duration_since(Instant::now()));
@@ -86,7 +86,7 @@
     ///
     /// Otherwise its stages would be executed in vain, and the caller would be refused later.
     pub fn check_targets(&self, request: &admission::Request) -> Result<(), verdict::Refusal> {
-        let remaining = request.left();
+        let remaining = request.remaining();
         let backends = request.route.backends.iter().filter(|b| b.weight > 0);
         let services: Vec<_> = backends.map(|backend| &backend.service).collect();
         if services.iter().any(|s| self.has_target(request, s, &[])) {
--- a/laburnumcart_gateway/src/outbound.rs
+++ b/laburnumcart_gateway/src/outbound.rs
@@ -66,7 +66,7 @@
         label: Option<&str>,
     ) -> Result<Received, pool::Failure> {
         let sent = Instant::now();
-        self.quotas.count(target);
+        self.quotas.record_send(target);
         let is_open = || !self.quotas.is_closed(target);
         let response = self.pool.send_if(target, request, bounds, is_open).await?;
         let head = self.dialect.parse_response(&response.head);
@@ -81,9 +81,9 @@
                 own: response.head.status.is_success() && label.is_some_and(echoed),
                 sent,
             };
-            self.quotas.note(target, observation);
+            self.quotas.record_limit(target, observation);
             if head.leaving {
-                self.quotas.leave(target);
+                self.quotas.record_leaving(target);
             }
             if let Some(wait) = head.backoff {
                 self.quotas.back_off(target, wait);
--- a/laburnumcart_gateway/src/peers.rs
+++ b/laburnumcart_gateway/src/peers.rs
@@ -98,7 +98,10 @@
 
     /// Announces a future job and returns an estimate of its completion time.
     #[method(name = "announce")]
-    async fn announce(&self, notice: dispatcher::Notice) -> RpcResult<Option<forecast::Estimate>>;
+    async fn announce(
+        &self,
+        notice: dispatcher::Announcement,
+    ) -> RpcResult<Option<forecast::Estimate>>;
 
     /// Withdraws the announcement of a job.
     #[method(name = "withdraw")]
@@ -144,7 +147,10 @@
         })
     }
 
-    async fn announce(&self, notice: dispatcher::Notice) -> RpcResult<Option<forecast::Estimate>> {
+    async fn announce(
+        &self,
+        notice: dispatcher::Announcement,
+    ) -> RpcResult<Option<forecast::Estimate>> {
         // The job will go to another owner's queue, which this process cannot estimate.
         if self.view.is_leaving() {
             return Ok(None);
@@ -168,7 +174,7 @@
     }
 
     async fn read(&self, service: id::ServiceName, handles: Vec<batch::Handle>) -> RpcResult<()> {
-        self.dispatcher.read(&service, handles);
+        self.dispatcher.free_if_congested(&service, handles);
         Ok(())
     }
 
@@ -239,7 +245,7 @@
     /// Announces a job to the queue owner and returns an estimate of its completion time.
     ///
     /// Without an answer the job isn't delayed: an unreachable owner's queue moves elsewhere.
-    pub async fn announce(&self, notice: dispatcher::Notice) -> Option<forecast::Estimate> {
+    pub async fn announce(&self, notice: dispatcher::Announcement) -> Option<forecast::Estimate> {
         let owner = self.owner(&notice.service)?;
         match owner.instance == self.own {
             true => self.dispatcher.announce(&notice),
@@ -302,7 +308,7 @@
             return;
         };
         if owner.instance == self.own {
-            self.dispatcher.read(service, handles);
+            self.dispatcher.free_if_congested(service, handles);
             return;
         }
         if let Some(link) = self.link(&owner) {
--- a/laburnumcart_gateway/src/peers/link.rs
+++ b/laburnumcart_gateway/src/peers/link.rs
@@ -170,7 +170,7 @@
     /// Announces a job and returns an estimate of its completion time.
     pub(super) async fn announce(
         self: &Arc<Self>,
-        notice: dispatcher::Notice,
+        notice: dispatcher::Announcement,
     ) -> Option<forecast::Estimate> {
         let call = async {
             let open = self.connection().await?;
--- a/laburnumcart_gateway/src/run.rs
+++ b/laburnumcart_gateway/src/run.rs
@@ -47,8 +47,8 @@
         cache, //
     },
     settings,
+    starvation,
     state,
-    strain,
     view, //
 };
 
@@ -137,7 +137,7 @@
     let _control =
         thread::spawn(move || control::run(store, directory, shared, own, cache, has_evacuations))?;
     tokio::spawn(gateway.clone().follow_changes());
-    tokio::spawn(strain::watch(counters));
+    tokio::spawn(starvation::monitor(counters));
     tokio::spawn(gateway.dispatcher.clone().run());
     let (closing, closed) = watch::channel(false);
     tokio::spawn(http_server::serve(gateway.clone(), listener, closed));
@@ -177,7 +177,7 @@
     let view = &gateway.view;
     let end = start + gateway.settings.bounds.grace.0.saturating_sub(EXIT_RESERVE);
     view.start_leaving(end - REFUSAL_PERIOD);
-    gateway.dispatcher.hand_over();
+    gateway.dispatcher.hand_over_all();
     tokio::time::sleep_until(end.min(start + BALANCER_DELAY)).await;
     // It fails only without receivers, when there are no connections.
     let _ = closing.send(true);
--- a/laburnumcart_gateway/src/strain.rs
+++ b/laburnumcart_gateway/src/starvation.rs
@@ -1,4 +1,4 @@
-//! How late this process gets to its work, looked at by a timer of its own.
+//! Detection of processor starvation by the lateness of a timer.
 
 use std::time;
 
@@ -11,16 +11,16 @@
 
 use crate::metrics;
 
-/// Pause between two looks.
-const LOOK: time::Duration = time::Duration::from_millis(100);
+/// Interval of the timer.
+const SAMPLE_INTERVAL: time::Duration = time::Duration::from_millis(100);
 
-/// Looks at it until the process ends.
-pub async fn watch(metrics: metrics::Metrics) {
+/// Measures the lateness of the timer until the process ends, and logs changes of starvation.
+pub async fn monitor(metrics: metrics::Metrics) {
     let mut strain = starvation::Detector::default();
     loop {
         let start = Instant::now();
-        tokio::time::sleep(LOOK).await;
-        let has_changed = strain.record_lateness(start.elapsed().saturating_sub(LOOK));
+        tokio::time::sleep(SAMPLE_INTERVAL).await;
+        let has_changed = strain.record_lateness(start.elapsed().saturating_sub(SAMPLE_INTERVAL));
         metrics.timer_lag.set(strain.lateness().as_secs_f64());
         if has_changed {
             event!(
--- a/laburnumcart_gateway/src/state.rs
+++ b/laburnumcart_gateway/src/state.rs
@@ -81,7 +81,7 @@
     let queue = |service: &id::ServiceName| wire::Queue {
         service: service.clone(),
         owner: gateway.peers.owner_name(service),
-        waiting: gateway.dispatcher.waiting(service),
+        waiting: gateway.dispatcher.waiting_pieces(service),
     };
     let mut queues: Vec<_> = staged.map(|service| queue(&service.name)).collect();
     queues.sort_by(|a, b| a.service.cmp(&b.service));
@@ -108,7 +108,7 @@
     if let quota::Limit::Named(rate) = quotas.signals.get(&target.key()).limit() {
         causes.push(wire::Cause::Limit(rate));
     }
-    let limiters = quotas.gates(target);
+    let limiters = quotas.limiters(target);
     let backoff = limiters.requests.backoff(now);
     if !backoff.is_zero() {
         causes.push(wire::Cause::Backoff(rounded(backoff)));
--- a/laburnumcart_gateway/src/stream/source.rs
+++ b/laburnumcart_gateway/src/stream/target_stream.rs
@@ -1,4 +1,4 @@
-//! One target's part of a stream.
+//! Event stream from one target.
 
 use std::time;
 
@@ -14,18 +14,18 @@
     pool, //
 };
 
-/// What a target sends next.
+/// Next part of a target's stream.
 pub(super) enum Chunk {
-    /// Whole events, and the number of the last one.
+    /// Complete events, and the number of the last one.
     Events(Bytes, Option<u64>),
     /// End of the stream.
     End,
-    /// The target failed or fell silent.
+    /// Failure or timeout of the target.
     Failed,
 }
 
-/// One target's part of a stream; the target is told to stop when it is dropped.
-pub(super) struct Source {
+/// Event stream from one target; dropping it closes the connection, which stops the target.
+pub(super) struct TargetStream {
     seat: gateway::Assignment,
     body: Incoming,
     lease: pool::Lease,
@@ -33,31 +33,31 @@
     splitter: sse::Splitter,
 }
 
-impl Source {
-    pub(super) fn new(opened: forward::Opened) -> Self {
+impl TargetStream {
+    pub(super) fn new(response: forward::TargetResponse) -> Self {
         Self {
-            seat: opened.seat,
-            body: opened.answer.body,
-            lease: opened.answer.lease,
-            idle: opened.reply.idle_timeout,
+            seat: response.seat,
+            body: response.answer.body,
+            lease: response.answer.lease,
+            idle: response.reply.idle_timeout,
             splitter: sse::Splitter::default(),
         }
     }
 
-    /// Waits for whole events after number `last`, at most for `limit`.
-    pub(super) async fn next(&mut self, limit: time::Duration, last: Option<u64>) -> Chunk {
-        let events = self.events(last);
+    /// Waits up to `limit` for complete events after number `last`.
+    pub(super) async fn next_chunk(&mut self, limit: time::Duration, last: Option<u64>) -> Chunk {
+        let events = self.read_chunk(last);
         tokio::time::timeout(limit, events)
             .await
             .unwrap_or(Chunk::Failed)
     }
 
-    async fn events(&mut self, last: Option<u64>) -> Chunk {
+    async fn read_chunk(&mut self, last: Option<u64>) -> Chunk {
         loop {
             let frame = match self.body.frame().await {
                 Some(Ok(frame)) => frame,
                 Some(Err(_)) => return Chunk::Failed,
-                // A stream that ends within an event was cut, however well it is framed.
+                // A stream that ends within an event is truncated, even if its framing is valid.
                 None if !self.splitter.is_empty() => return Chunk::Failed,
                 None => return Chunk::End,
             };
@@ -70,7 +70,7 @@
             let mut number = last;
             let mut bytes = Vec::new();
             for event in events {
-                // A target that resumes may begin with events that the caller has.
+                // A resumed stream may begin with events that were passed on already.
                 if event.id.is_some_and(|id| Some(id) <= number) {
                     continue;
                 }
@@ -93,7 +93,7 @@
         self.seat.record_failure();
     }
 
-    /// Ends a whole stream.
+    /// Records a complete stream and gives its connection back.
     pub(super) fn finish(mut self) {
         self.seat.record_success();
         self.lease.release(self.idle);
--- a/laburnumcart_gateway/tests/peers.rs
+++ b/laburnumcart_gateway/tests/peers.rs
@@ -112,7 +112,7 @@
         }
     }
 
-    async fn announce(&self, _: dispatcher::Notice) -> RpcResult<Option<forecast::Estimate>> {
+    async fn announce(&self, _: dispatcher::Announcement) -> RpcResult<Option<forecast::Estimate>> {
         Ok(None)
     }
 
@@ -345,9 +345,9 @@
     }
 }
 
-fn notice(service: &id::ServiceName) -> dispatcher::Notice {
+fn notice(service: &id::ServiceName) -> dispatcher::Announcement {
     let limit = unit::Period::from_secs(2);
-    dispatcher::Notice {
+    dispatcher::Announcement {
         id: 1,
         service: service.clone(),
         pieces: 1,
