--- a/laburnumcart_gateway/src/dispatcher.rs
+++ b/laburnumcart_gateway/src/dispatcher.rs
@@ -1,13 +1,13 @@
-//! Executes the jobs of stages that this process owns.
+//! Dispatches the jobs of stages to targets, in batch calls.
 //!
-//! One process owns the queue of a service, so that calls are filled with the pieces of all
-//! callers. Owners are chosen without agreement: two of them for a moment waste calls, as a piece
-//! may be executed twice, but no result is lost by it.
+//! One process owns the queue of a service, so that a call holds pieces of all callers. Owners are
+//! chosen without consensus: two owners at a time waste calls, as a piece may be executed twice, but
+//! lose no result.
 
 mod call;
-mod frees;
+mod free;
 mod job;
-mod line;
+mod owned_queue;
 
 use std::{
     collections,
@@ -43,46 +43,48 @@
     view, //
 };
 
-use self::line::Line;
+use self::owned_queue::OwnedQueue;
 
 pub use self::job::{
+    Announcement,
     Arrival,
-    Job,
-    Notice, //
+    Job, //
 };
 
-/// Pause between two looks at queues in which something waits.
-const TICK: time::Duration = time::Duration::from_millis(25);
+/// Interval at which queues with waiting jobs are polled.
+const POLL_INTERVAL: time::Duration = time::Duration::from_millis(25);
 
-/// Pause between two looks at empty queues.
-const IDLE_TICK: time::Duration = time::Duration::from_millis(250);
+/// Interval at which empty queues are polled.
+const IDLE_POLL_INTERVAL: time::Duration = time::Duration::from_millis(250);
 
-/// Queues of the services that this process owns jobs of.
+/// Batch queues of the services whose jobs were submitted to this process.
 pub struct Dispatcher {
     view: Arc<view::View>,
     outbound: Arc<outbound::Outbound>,
     budgets: Arc<budgets::Budgets>,
     dialect: Arc<dyn dialect::Dialect>,
     metrics: metrics::Metrics,
-    lines: Mutex<collections::HashMap<id::ServiceName, Line>>,
+    queues: Mutex<collections::HashMap<id::ServiceName, OwnedQueue>>,
     consumed: mpsc::UnboundedSender<Vec<batch::Handle>>,
 }
 
-/// Cancels a job whose submitter has gone.
-struct Submitted<'a> {
+/// Cancels a job when dropped.
+struct CancelGuard<'a> {
     dispatcher: &'a Arc<Dispatcher>,
     service: &'a id::ServiceName,
     id: u64,
 }
 
-impl Drop for Submitted<'_> {
+impl Drop for CancelGuard<'_> {
     fn drop(&mut self) {
         self.dispatcher.cancel(self.service, self.id);
     }
 }
 
 impl Dispatcher {
-    /// Creates a dispatcher without jobs; inputs that were read go to `consumed`.
+    /// Creates a dispatcher without queues.
+    ///
+    /// Results that were read and that no other stage needs are sent to `consumed`.
     pub fn new(
         view: Arc<view::View>,
         outbound: Arc<outbound::Outbound>,
@@ -97,188 +99,207 @@
             budgets,
             dialect,
             metrics,
-            lines: Mutex::default(),
+            queues: Mutex::default(),
             consumed,
         })
     }
 
-    /// Executes a job; dropping the future cancels it.
+    /// Executes a job and returns its results; dropping the future cancels the job.
     pub async fn submit(self: &Arc<Self>, job: Job) -> Result<Vec<batch::Handle>, batch::Failure> {
         let service = job.service.clone();
         let id = job.id;
         let receiver = self.enqueue(job)?;
-        let _submitted = Submitted {
+        let _guard = CancelGuard {
             dispatcher: self,
             service: &service,
             id,
         };
-        self.pump(&service);
+        self.dispatch_calls(&service);
         receiver.await.unwrap_or(Err(batch::Failure::Unavailable))
     }
 
-    /// Frees results that nobody needs any more.
+    /// Frees results at their targets.
     pub fn free(self: &Arc<Self>, service: &id::ServiceName, handles: Vec<batch::Handle>) {
-        let mut lines = view::lock(&self.lines);
-        if let Some(line) = self.line(&mut lines, service) {
+        let mut queues = view::lock(&self.queues);
+        if let Some(owned) = self.owned_queue(&mut queues, service) {
             handles
                 .into_iter()
-                .for_each(|handle| line.free(handle, &*self.dialect));
+                .for_each(|handle| owned.schedule_free(handle, &*self.dialect));
         }
-        drop(lines);
-        self.pump(service);
+        drop(queues);
+        self.dispatch_calls(service);
     }
 
-    /// Takes in that results have been read, though their request is not done with them.
+    /// Frees results that the next stage has read, if a full batch waits in the queue.
     ///
-    /// Their room is what binds a congested stage: held to the end of the next stage's call, it
-    /// would leave calls half empty, whose fixed time is the same. Without congestion they are
-    /// kept, as a piece that fails can be made again of them; its whole request would have to begin
-    /// again otherwise.
-    pub fn read(self: &Arc<Self>, service: &id::ServiceName, handles: Vec<batch::Handle>) {
-        let is_crowded = |line: &Line| line.queue.has_full_batch();
-        if view::lock(&self.lines).get(service).is_some_and(is_crowded) {
+    /// A congested stage is limited by the room for its results: kept until the next stage's call
+    /// ends, they would leave calls half empty, and the fixed time of a call stays the same. Without
+    /// congestion they are kept, so that a failed piece of the next stage can be repeated; without
+    /// its inputs the whole request would start over.
+    pub fn free_if_congested(
+        self: &Arc<Self>,
+        service: &id::ServiceName,
+        handles: Vec<batch::Handle>,
+    ) {
+        let is_congested = |owned: &OwnedQueue| owned.queue.has_full_batch();
+        if view::lock(&self.queues)
+            .get(service)
+            .is_some_and(is_congested)
+        {
             self.free(service, handles);
         }
     }
 
-    /// Looks after the queues until the process ends.
+    /// Drives the queues until the process ends.
     pub async fn run(self: Arc<Self>) {
         let mut changes = self.view.subscribe();
         loop {
-            let tick = if self.is_idle() { IDLE_TICK } else { TICK };
+            let interval = if self.is_idle() {
+                IDLE_POLL_INTERVAL
+            } else {
+                POLL_INTERVAL
+            };
             tokio::select! {
-                () = tokio::time::sleep(tick) => {}
-                _ = changes.changed() => self.refresh(),
+                () = tokio::time::sleep(interval) => {}
+                _ = changes.changed() => self.update_queues(),
             }
-            let services: Vec<_> = view::lock(&self.lines).keys().cloned().collect();
-            services.iter().for_each(|service| self.pump(service));
+            let services: Vec<_> = view::lock(&self.queues).keys().cloned().collect();
+            services
+                .iter()
+                .for_each(|service| self.dispatch_calls(service));
         }
     }
 
-    /// Gives the jobs that wait to other processes; theirs is the next choice of owner.
-    pub fn hand_over(&self) {
-        for (service, line) in view::lock(&self.lines).iter_mut() {
-            let events = line.queue.release_unstarted();
+    /// Gives up all waiting jobs, so that their senders submit them to the next owner.
+    pub fn hand_over_all(&self) {
+        for (service, owned) in view::lock(&self.queues).iter_mut() {
+            let events = owned.queue.release_unstarted();
             event!(Info, "queue-left", service = service, jobs = events.len());
-            line.settle(events, &*self.dialect);
+            owned.apply_events(events, &*self.dialect);
         }
     }
 
-    /// Gives away the jobs that wait for services whose queue another process owns from now on.
+    /// Gives up the waiting jobs of queues of which this process has just ceased to be the first
+    /// choice of owner, as `is_first` tells.
     ///
-    /// Processes that start together know nothing of each other, and each owns all queues at first.
-    /// With many queues before the same targets, each calls them in vain and with few pieces. Only
-    /// the change counts: a process that cannot reach the new owner goes on to submit jobs here.
-    pub fn consolidate(&self, is_first: impl Fn(&id::ServiceName) -> bool) {
-        for (service, line) in view::lock(&self.lines).iter_mut() {
-            let was_first = std::mem::replace(&mut line.first, is_first(service));
-            if was_first && !line.first {
-                let events = line.queue.release_unstarted();
+    /// Processes that start together do not know of each other, so each owns all queues at first.
+    /// With many queues for the same targets, calls hold few pieces and often find a target busy.
+    /// Jobs that arrive after the change stay: their senders cannot reach the new owner.
+    pub fn hand_over_moved(&self, is_first: impl Fn(&id::ServiceName) -> bool) {
+        for (service, owned) in view::lock(&self.queues).iter_mut() {
+            let was_first = std::mem::replace(&mut owned.first_choice, is_first(service));
+            if was_first && !owned.first_choice {
+                let events = owned.queue.release_unstarted();
                 event!(Info, "queue-moved", service = service, jobs = events.len());
-                line.settle(events, &*self.dialect);
+                owned.apply_events(events, &*self.dialect);
             }
         }
     }
 
     fn is_idle(&self) -> bool {
-        view::lock(&self.lines).values().all(Line::is_idle)
+        view::lock(&self.queues).values().all(OwnedQueue::is_idle)
     }
 
-    /// Takes in the targets and the configuration.
-    fn refresh(&self) {
+    /// Applies changes of targets and configuration to the queues.
+    fn update_queues(&self) {
         let targets = self.view.targets.load_full();
         let table = self.view.table.load_full();
-        for (service, line) in view::lock(&self.lines).iter_mut() {
-            let known = table.as_ref().and_then(|t| t.service(service));
-            if let Some(shape) = known.and_then(|s| s.batching) {
-                line.queue.set_batching(shape);
+        for (service, owned) in view::lock(&self.queues).iter_mut() {
+            let config = table.as_ref().and_then(|t| t.service(service));
+            if let Some(batching) = config.and_then(|s| s.batching) {
+                owned.queue.set_batching(batching);
             }
-            line.update(targets.service(service), |t| self.gate(t));
-            let gone = line.drop_lost(&targets, &*self.dialect);
-            line.settle(gone, &*self.dialect);
+            owned.update_targets(targets.service(service), |t| self.call_limiter(t));
+            let failed = owned.fail_lost_inputs(&targets, &*self.dialect);
+            owned.apply_events(failed, &*self.dialect);
         }
     }
 
-    /// Returns the queue of a service, made when it is needed first.
-    fn line<'a>(
+    /// Returns the queue of a service, created on first use.
+    fn owned_queue<'a>(
         &self,
-        lines: &'a mut collections::HashMap<id::ServiceName, Line>,
+        queues: &'a mut collections::HashMap<id::ServiceName, OwnedQueue>,
         service: &id::ServiceName,
-    ) -> Option<&'a mut Line> {
-        if !lines.contains_key(service) {
+    ) -> Option<&'a mut OwnedQueue> {
+        if !queues.contains_key(service) {
             let table = self.view.table.load();
-            let shape = table.as_ref()?.service(service)?.batching?;
-            let mut line = Line::new(shape);
+            let batching = table.as_ref()?.service(service)?.batching?;
+            let mut owned = OwnedQueue::new(batching);
             let targets = self.view.targets.load();
-            line.update(targets.service(service), |t| self.gate(t));
+            owned.update_targets(targets.service(service), |t| self.call_limiter(t));
             event!(
                 Info,
                 "queue-owned",
                 service = service,
-                targets = line.queue.targets.len()
+                targets = owned.queue.targets.len()
             );
-            lines.insert(service.clone(), line);
+            queues.insert(service.clone(), owned);
         }
-        lines.get_mut(service)
+        queues.get_mut(service)
     }
 
     fn enqueue(
         &self,
         job: Job,
     ) -> Result<oneshot::Receiver<Result<Vec<batch::Handle>, batch::Failure>>, batch::Failure> {
-        let mut lines = view::lock(&self.lines);
-        let line = self.line(&mut lines, &job.service);
-        let line = line.ok_or(batch::Failure::Unavailable)?;
-        if line.queue.targets.is_empty() {
+        let mut queues = view::lock(&self.queues);
+        let owned = self.owned_queue(&mut queues, &job.service);
+        let owned = owned.ok_or(batch::Failure::Unavailable)?;
+        if owned.queue.targets.is_empty() {
             return Err(batch::Failure::Unavailable);
         }
         let now = Instant::now();
-        line.queue.withdraw(job.id);
+        owned.queue.withdraw(job.id);
         if job.input.is_lost(&self.view.targets.load(), &*self.dialect) {
             return Err(batch::Failure::Gone);
         }
-        self.check(line, &job, now)?;
-        self.count(&job)?;
+        self.check_estimate(owned, &job, now)?;
+        self.charge_budget(&job)?;
         let (sender, receiver) = oneshot::channel();
-        line.push(job, sender, now);
+        owned.push(job, sender, now);
         Ok(receiver)
     }
 
-    /// Takes in that a job will come; returns when it would be done.
-    pub fn announce(&self, notice: &Notice) -> Option<forecast::Estimate> {
-        let mut lines = view::lock(&self.lines);
-        let line = self.line(&mut lines, &notice.service)?;
-        if line.queue.targets.is_empty() {
+    /// Records a job that will be submitted later; returns an estimate of when it would be done.
+    pub fn announce(&self, announcement: &Announcement) -> Option<forecast::Estimate> {
+        let mut queues = view::lock(&self.queues);
+        let owned = self.owned_queue(&mut queues, &announcement.service)?;
+        if owned.queue.targets.is_empty() {
             return None;
         }
         let now = Instant::now();
-        let spec = notice.spec(now);
-        let outlook = line.queue.estimate_future(&spec, now);
-        line.queue.announce(notice.id, spec);
-        Some(outlook)
+        let spec = announcement.spec(now);
+        let estimate = owned.queue.estimate_future(&spec, now);
+        owned.queue.announce(announcement.id, spec);
+        Some(estimate)
     }
 
-    /// Returns the number of pieces of a service that wait here.
-    pub fn waiting(&self, service: &id::ServiceName) -> usize {
-        let lines = view::lock(&self.lines);
-        lines
+    /// Returns the number of pieces that wait in the queue of a service.
+    pub fn waiting_pieces(&self, service: &id::ServiceName) -> usize {
+        let queues = view::lock(&self.queues);
+        queues
             .get(service)
-            .map_or(0, |line| line.queue.waiting_pieces())
+            .map_or(0, |owned| owned.queue.waiting_pieces())
     }
 
-    /// Forgets a job that will not come.
+    /// Withdraws the announcement of a job.
     pub fn withdraw(&self, service: &id::ServiceName, id: u64) {
-        if let Some(line) = view::lock(&self.lines).get_mut(service) {
-            line.queue.withdraw(id);
+        if let Some(owned) = view::lock(&self.queues).get_mut(service) {
+            owned.queue.withdraw(id);
         }
     }
 
-    /// Refuses a job that cannot be done in time.
+    /// Refuses a job that cannot be done before its deadline.
     ///
-    /// Kept, it would wait for that until its deadline, in which its caller could have come again.
-    fn check(&self, line: &Line, job: &Job, now: Instant) -> Result<(), batch::Failure> {
-        let outlook = line.queue.estimate_time(&job.spec(now), now);
-        if outlook <= job.deadline.0 {
+    /// It would wait until the deadline for nothing, while its caller could retry.
+    fn check_estimate(
+        &self,
+        owned: &OwnedQueue,
+        job: &Job,
+        now: Instant,
+    ) -> Result<(), batch::Failure> {
+        let estimate = owned.queue.estimate_time(&job.spec(now), now);
+        if estimate <= job.deadline.0 {
             return Ok(());
         }
         self.metrics.refused_early.inc();
@@ -287,30 +308,30 @@
             "job-refused",
             request = job.attempt,
             service = job.service,
-            outlook_ms = outlook.as_millis(),
+            outlook_ms = estimate.as_millis(),
             due_ms = job.due.as_millis(),
             deadline_ms = job.deadline.as_millis(),
-            waiting = line.queue.waiting_pieces()
+            waiting = owned.queue.waiting_pieces()
         );
-        let excess = outlook.saturating_sub(job.due.0);
+        let excess = estimate.saturating_sub(job.due.0);
         Err(batch::Failure::Busy(
             excess.as_millis().try_into().unwrap_or(u32::MAX),
         ))
     }
 
-    /// Counts a job's request, or takes the job from the budget if its pieces were sent before.
-    fn count(&self, job: &Job) -> Result<(), batch::Failure> {
+    /// Counts the first job of a request in the retry budget, and charges a repeated job to it.
+    fn charge_budget(&self, job: &Job) -> Result<(), batch::Failure> {
         match job.arrival {
-            Arrival::First => self.budgets.earn(&job.service),
+            Arrival::First => self.budgets.record_request(&job.service),
             Arrival::Further => {}
             Arrival::Repeated => {
                 let repeat = budgets::Repeat {
                     request: &job.attempt,
                     service: &job.service,
-                    way: budgets::Way::Stage,
+                    kind: budgets::RepeatKind::Stage,
                     count: job.pieces,
                 };
-                if !self.budgets.spend(&repeat) {
+                if !self.budgets.try_spend(&repeat) {
                     return Err(batch::Failure::Failed);
                 }
             }
@@ -318,42 +339,42 @@
         Ok(())
     }
 
-    /// Cancels a job; one that is not known has ended.
+    /// Cancels a job, unless it has ended.
     pub fn cancel(&self, service: &id::ServiceName, id: u64) {
-        let mut lines = view::lock(&self.lines);
-        if let Some(line) = lines.get_mut(service) {
-            line.cancel(id, &*self.dialect);
+        let mut queues = view::lock(&self.queues);
+        if let Some(owned) = queues.get_mut(service) {
+            owned.cancel(id, &*self.dialect);
         }
     }
 
-    /// Makes all calls that can be made now.
-    fn pump(self: &Arc<Self>, service: &id::ServiceName) {
+    /// Starts all calls that can be made now.
+    fn dispatch_calls(self: &Arc<Self>, service: &id::ServiceName) {
         let now = Instant::now();
-        let mut lines = view::lock(&self.lines);
-        let Some(line) = lines.get_mut(service) else {
+        let mut queues = view::lock(&self.queues);
+        let Some(owned) = queues.get_mut(service) else {
             return;
         };
-        let expired = line.expire(now);
-        line.settle(expired, &*self.dialect);
-        while let Some(call) = line.queue.next_call(now) {
-            self.start(service, line, call, now);
+        let expired = owned.expire(now);
+        owned.apply_events(expired, &*self.dialect);
+        while let Some(call) = owned.queue.next_call(now) {
+            self.start_call(service, owned, call, now);
         }
-        self.flush_later(service, line);
+        self.schedule_flush(service, owned);
     }
 
-    /// Returns the gate of calls of a target.
-    fn gate(&self, target: &view::Target) -> quota::Limiter {
-        self.outbound.quotas.gates(target).calls
+    /// Returns the rate limiter of calls to a target.
+    fn call_limiter(&self, target: &view::Target) -> quota::Limiter {
+        self.outbound.quotas.limiters(target).calls
     }
 
-    /// Returns the bounds of a call to a target of a service.
-    fn bounds(&self, service: &id::ServiceName) -> pool::Bounds {
+    /// Returns the connection limits of calls to the targets of a service.
+    fn connection_bounds(&self, service: &id::ServiceName) -> pool::Bounds {
         let table = self.view.table.load();
-        let known = table.as_ref().and_then(|t| t.service(service));
-        let connections = known.map_or(1, |s| s.connections / self.view.share());
+        let config = table.as_ref().and_then(|t| t.service(service));
+        let connections = config.map_or(1, |s| s.connections / self.view.member_count());
         pool::Bounds {
-            connections: connections.max(2),
-            idle: time::Duration::from_secs(60),
+            max_connections: connections.max(2),
+            max_idle: time::Duration::from_secs(60),
         }
     }
 }
--- a/laburnumcart_gateway/src/lib.rs
+++ b/laburnumcart_gateway/src/lib.rs
@@ -1,12 +1,11 @@
 //! HTTP gateway: ingress by host and path, batched stages, model engines and plain services.
 //!
-//! The crate knows no names of a platform. What a header is called, how a call of a target looks
-//! and what the store holds is told by a [`dialect::Dialect`] and a [`dialect::Directory`].
+//! The crate is independent of the platform: header names, the form of calls to targets and the
+//! contents of the store are supplied by a [`dialect::Dialect`] and a [`dialect::Directory`].
 
 pub mod admission;
 pub mod balancer;
 pub mod budgets;
-pub mod callers;
 pub mod clock;
 pub mod control;
 pub mod dialect;
@@ -14,6 +13,7 @@
 pub mod engines;
 pub mod forward;
 pub mod gateway;
+pub mod http_server;
 pub mod metrics;
 pub mod outbound;
 pub mod peers;
@@ -25,7 +25,7 @@
 pub mod request;
 pub mod run;
 pub mod settings;
+pub mod starvation;
 pub mod state;
-pub mod strain;
 pub mod stream;
 pub mod view;
--- a/laburnumcart_gateway/tests/balancer.rs
+++ b/laburnumcart_gateway/tests/balancer.rs
@@ -1,4 +1,4 @@
-//! What a balancer remembers of targets that start again.
+//! Load balancing over targets that restart under the same name.
 
 use std::sync::Arc;
 
@@ -21,40 +21,40 @@
         data_centre: "north".parse().unwrap(),
         service: "desk".parse().unwrap(),
         leaving: false,
-        cold: None,
+        cold_until: None,
     })
 }
 
-// A target fails its requests and starts again under its name. Answers and reports of the earlier
-// life come late. Taken for the new one's they would exclude it, or show it as full, for seconds.
+// A target restarts, and late responses and load reports from before the restart arrive. If they
+// counted for the new run, it would be ejected or taken for full for seconds.
 #[tokio::test(start_paused = true)]
-async fn a_new_life_does_not_answer_for_the_one_before() {
+async fn late_reports_from_before_a_restart_do_not_affect_the_new_run() {
     let start = Instant::now();
     let (first, second, other) = (target("a", 1), target("a", 2), target("b", 1));
     let mut balancer = balancer::Balancer::new("north".parse().unwrap(), start);
-    balancer.update(
+    balancer.update_targets(
         &[first.clone(), other.clone()],
         |_| Default::default(),
         start,
     );
-    balancer.update(
+    balancer.update_targets(
         &[second.clone(), other.clone()],
         |_| Default::default(),
         start,
     );
     for _ in 0..8 {
-        balancer.end(&first.key(), Some(outlier::Outcome::Failure), start);
+        balancer.record_end(&first.key(), Some(outlier::Outcome::Failure), start);
     }
     let full = placement::Report {
         running: 90,
         waiting: 90,
     };
-    balancer.report(&first.key(), full, Some(6), start);
+    balancer.record_load(&first.key(), full, Some(6), start);
     let mut chosen = 0;
     for _ in 0..40 {
         let target = balancer.choose(None, &[], start).unwrap();
         chosen += usize::from(target.name == second.name);
-        balancer.end(&target.key(), None, start);
+        balancer.record_end(&target.key(), None, start);
     }
     assert!(chosen > 10, "{chosen} of 40");
 }
