--- a/laburnumcart/src/batch.rs
+++ b/laburnumcart/src/batch.rs
@@ -200,7 +200,7 @@
         let keys: Vec<_> = self.jobs.iter().filter(|(_, j)| passed(j)).collect();
         let keys: Vec<_> = keys.into_iter().map(|(key, _)| key).collect();
         let passed = keys.into_iter();
-        events.extend(passed.flat_map(|key| self.fail(key, Failure::Late)));
+        events.extend(passed.flat_map(|key| self.fail_job(key, Failure::Late)));
         events
     }
 
@@ -214,7 +214,7 @@
                     true => Failure::Moved,
                     false => Failure::Unavailable,
                 };
-                self.fail(key, failure)
+                self.fail_job(key, failure)
             })
             .collect()
     }
@@ -385,8 +385,8 @@
         let Outcome::Stored(handle) = outcome else {
             self.targets.release(engine, piece.size);
             match outcome {
-                Outcome::Late => events.extend(self.fail(piece.job, Failure::Late)),
-                Outcome::Gone => events.extend(self.fail(piece.job, Failure::Gone)),
+                Outcome::Late => events.extend(self.fail_job(piece.job, Failure::Late)),
+                Outcome::Gone => events.extend(self.fail_job(piece.job, Failure::Gone)),
                 Outcome::NoRoom => {
                     self.targets.crowd(engine, piece.size, now);
                     self.again(piece, false, events);
@@ -424,12 +424,12 @@
         let is_spent = job.tries >= TRIES * job.spec.pieces;
         self.count(piece.job);
         if is_spent {
-            events.extend(self.fail(piece.job, Failure::Failed));
+            events.extend(self.fail_job(piece.job, Failure::Failed));
         }
     }
 
     /// Gives up a job.
-    pub fn fail(&mut self, key: JobKey, failure: Failure) -> Vec<Event> {
+    pub fn fail_job(&mut self, key: JobKey, failure: Failure) -> Vec<Event> {
         let Some(job) = self.remove(key) else {
             return Vec::new();
         };
--- a/laburnumcart/src/batch/estimate.rs
+++ b/laburnumcart/src/batch/estimate.rs
@@ -109,7 +109,7 @@
         }
         let hopeless = hopeless.into_iter();
         hopeless
-            .flat_map(|(key, failure)| self.fail(key, failure))
+            .flat_map(|(key, failure)| self.fail_job(key, failure))
             .collect()
     }
 
--- a/laburnumcart/src/forecast.rs
+++ b/laburnumcart/src/forecast.rs
@@ -67,7 +67,7 @@
     /// Until its answer is late.
     pub slack: time::Duration,
     /// Until its answer is of no use.
-    pub left: time::Duration,
+    pub remaining: time::Duration,
     /// Needed after the last stage.
     pub rest: time::Duration,
     /// Whether the caller was refused before.
@@ -89,7 +89,7 @@
 ///         behind: unit::Period(ms(9000)),
 ///     }),
 /// };
-/// let time = forecast::TimeBudget { slack: ms(1000), left: ms(6000), rest: ms(200), is_repeat: false };
+/// let time = forecast::TimeBudget { slack: ms(1000), remaining: ms(6000), rest: ms(200), is_repeat: false };
 /// let calm = [stage(&[], 300), stage(&[0], 300)];
 /// assert_eq!(forecast::judge(&calm, time), forecast::Judgement::OnTime);
 /// let congested = [stage(&[], 300), stage(&[0], 1500)];
@@ -106,7 +106,7 @@
         LATE_SHARE
     };
     let late = end(steps, |_, outlook| outlook.behind.0).saturating_add(time.rest);
-    if late <= time.left.mul_f64(share) {
+    if late <= time.remaining.mul_f64(share) {
         return Judgement::Late;
     }
     Judgement::Refused(on_time - time.slack)
--- a/laburnumcart/tests/batch/burst.rs
+++ b/laburnumcart/tests/batch/burst.rs
@@ -207,7 +207,7 @@
             |limit: time::Duration| (request.start + limit).saturating_duration_since(self.now);
         let time = forecast::TimeBudget {
             slack: left(OBJECTIVE),
-            left: left(DEADLINE),
+            remaining: left(DEADLINE),
             rest: REST,
             is_repeat: request.again,
         };
--- a/laburnumcart/tests/forecast.rs
+++ b/laburnumcart/tests/forecast.rs
@@ -24,7 +24,7 @@
 
 const TIME: forecast::TimeBudget = forecast::TimeBudget {
     slack: time::Duration::from_millis(1100),
-    left: time::Duration::from_millis(6000),
+    remaining: time::Duration::from_millis(6000),
     rest: time::Duration::from_millis(200),
     is_repeat: false,
 };
--- a/laburnumcart_gateway/src/dispatcher/call.rs
+++ b/laburnumcart_gateway/src/dispatcher/call.rs
@@ -216,7 +216,7 @@
         let queue = &mut line.queue;
         let denied = denied.into_iter();
         denied
-            .flat_map(|key| queue.fail(key, batch::Failure::Failed))
+            .flat_map(|key| queue.fail_job(key, batch::Failure::Failed))
             .collect()
     }
 
--- a/laburnumcart_gateway/src/dispatcher/line.rs
+++ b/laburnumcart_gateway/src/dispatcher/line.rs
@@ -168,7 +168,7 @@
         let queue = &mut self.queue;
         let gone = keys
             .into_iter()
-            .flat_map(|key| queue.fail(key, batch::Failure::Gone));
+            .flat_map(|key| queue.fail_job(key, batch::Failure::Gone));
         gone.collect()
     }
 
--- a/laburnumcart_gateway/src/pipeline/admit.rs
+++ b/laburnumcart_gateway/src/pipeline/admit.rs
@@ -34,7 +34,7 @@
         }
         let time = forecast::TimeBudget {
             slack: self.request.slack(),
-            left: self.request.left(),
+            remaining: self.request.left(),
             rest: self.prompt(),
             is_repeat: self.again,
         };
@@ -80,7 +80,7 @@
             judgement = judgement,
             queues_ms = turns.join(","),
             slack_ms = time.slack.as_millis(),
-            left_ms = time.left.as_millis(),
+            left_ms = time.remaining.as_millis(),
             again = time.is_repeat
         );
     }
