--- a/laburnumcart/src/batch.rs
+++ b/laburnumcart/src/batch.rs
@@ -1,18 +1,18 @@
-//! Queue of the pieces of stages before the targets that execute them in batches.
+//! Batch queue of one service: pieces of jobs wait for targets that execute them in batches.
 //!
-//! A call costs a fixed time beside its pieces, so that a target keeps up only with well filled
-//! calls. One queue for the callers of all instances fills them. A result takes room at its target
-//! until it is freed; a call for which there is no room wastes the call's fixed time, so room is
-//! accounted before a call is made.
+//! A call has a fixed time besides that of its pieces, so targets keep up only with well filled
+//! calls. One queue for the callers of all instances fills them. A result occupies room at its
+//! target until it is freed, and a call without room for its results wastes its fixed time;
+//! therefore room is reserved before a call is sent.
 
-mod draft;
+mod builder;
 mod estimate;
-mod fit;
 mod job;
 mod load;
-mod order;
+mod ordering;
+mod precheck;
+mod schedule;
 mod targets;
-mod turns;
 
 use std::collections;
 
@@ -40,56 +40,56 @@
     },
 };
 
-/// Most times that a piece is sent to a target before its job fails.
-const TRIES: u32 = 4;
+/// Failed sends per piece, on average over a job, after which the job fails.
+const MAX_FAILED_SENDS: u32 = 4;
 
-/// Why a job was given up; what it made is freed.
+/// Reason why a job failed; its results are freed.
 #[derive(
     Clone, Copy, Debug, derive_more::Display, Eq, PartialEq, serde::Serialize, serde::Deserialize,
 )]
 #[serde(rename_all = "kebab-case")]
 pub enum Failure {
-    /// Its deadline passed, or will before it can be done.
+    /// The deadline passed.
     #[display("late")]
     Late,
-    /// It would be late; after so many milliseconds a new try may not be.
+    /// The job would miss its objective or deadline; a retry after this many milliseconds may not.
     #[display("busy")]
     Busy(u32),
     /// An input no longer exists.
     #[display("gone")]
     Gone,
-    /// Its pieces failed time and again.
+    /// Too many sends of its pieces failed.
     #[display("failed")]
     Failed,
-    /// Nobody executes the pieces of this service here, and none were sent.
+    /// This process does not own the queue of the service, and no piece was sent.
     #[display("unavailable")]
     Unavailable,
-    /// Another process executes the rest of it; some pieces were sent.
+    /// Another process takes over the rest of the job; some pieces were sent.
     #[display("moved")]
     Moved,
 }
 
-/// What the end of a call decides.
+/// Consequence of a call's outcome or of a failed job.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Event {
-    /// All results of a job, in the order of its pieces.
+    /// A job is done, with its results in the order of its pieces.
     Done(JobKey, Vec<Handle>),
     /// A job has failed.
     Failed(JobKey, Failure),
-    /// A result that nobody needs any more.
+    /// A result is no longer needed and should be freed at its target.
     Orphan(Handle),
 }
 
-/// A call to make.
+/// A call to send.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Call {
-    /// Target.
+    /// Target that executes the call.
     pub target: TargetKey,
-    /// Its pieces, in order.
+    /// Pieces in the order in which they are sent.
     pub pieces: Vec<Piece>,
 }
 
-/// Jobs that wait for one service, and the targets that execute them.
+/// Queue of the jobs for one service and the targets that execute them.
 ///
 /// ```
 /// use std::time::Duration;
@@ -97,105 +97,106 @@
 /// use tokio::time::Instant;
 ///
 /// let now = Instant::now();
-/// let shape = ingress::Batching {
+/// let batching = ingress::Batching {
 ///     pieces: 8,
 ///     call_time: Duration::from_millis(200),
 ///     piece_time: Duration::from_millis(20),
 ///     capacity: unit::Size(1 << 20),
 ///     ttl: Duration::from_secs(4),
 /// };
-/// let mut queue = batch::Queue::new(shape);
-/// let engine = queue.targets.add("north".parse().unwrap());
+/// let mut queue = batch::Queue::new(batching);
+/// let target = queue.targets.add("north".parse().unwrap());
 /// let spec = batch::Spec::new(2, unit::Size(1000), now + Duration::from_secs(1));
 /// let job = queue.push(spec);
 /// let call = queue.next_call(now).unwrap();
-/// assert_eq!((call.target, call.pieces.len()), (engine, 2));
-/// let made = |i| batch::Outcome::Stored(batch::Handle::new(format!("result-{i}"), id::Life(1)));
-/// let events = queue.complete_call(&call, vec![made(0), made(1)], now);
+/// assert_eq!((call.target, call.pieces.len()), (target, 2));
+/// let stored = |i| batch::Outcome::Stored(batch::Handle::new(format!("result-{i}"), id::Life(1)));
+/// let events = queue.complete_call(&call, vec![stored(0), stored(1)], now);
 /// assert!(matches!(&events[..], [batch::Event::Done(key, _)] if *key == job));
 /// ```
 #[derive(Clone, Debug)]
 pub struct Queue {
-    shape: ingress::Batching,
+    batching: ingress::Batching,
     jobs: SlotMap<JobKey, Job>,
-    /// Turns of the jobs.
-    turns: turns::Turns,
-    /// Jobs that will come, by the identity that was announced.
-    expected: collections::HashMap<u64, turns::TurnKey>,
-    /// Turns of the jobs that will come.
-    coming: turns::Turns,
-    /// Pieces of jobs on time that calls have taken of late.
+    /// Entries of the jobs.
+    schedule: schedule::Schedule,
+    /// Announced jobs by the id of their announcement.
+    announced_ids: collections::HashMap<u64, schedule::EntryKey>,
+    /// Entries of the announced jobs.
+    announced: schedule::Schedule,
+    /// Recent throughput of jobs on time.
     load: load::Load,
-    /// Jobs whose pieces wait once more after the last call, with the number of these pieces.
-    repeated: Vec<(JobKey, u32)>,
-    /// When it was last looked for jobs to give up.
-    checked: Option<Instant>,
+    /// Jobs with pieces that were queued again after the last call, and the number of these pieces.
+    requeued: Vec<(JobKey, u32)>,
+    /// Time of the last search for jobs that would miss their deadline.
+    last_check: Option<Instant>,
     /// Targets with their room and speed.
     pub targets: Targets,
 }
 
 impl Queue {
     /// Creates a queue without targets.
-    pub fn new(shape: ingress::Batching) -> Self {
+    pub fn new(batching: ingress::Batching) -> Self {
         Self {
-            shape,
+            batching,
             jobs: SlotMap::with_key(),
-            turns: turns::Turns::default(),
-            expected: collections::HashMap::new(),
-            coming: turns::Turns::default(),
+            schedule: schedule::Schedule::default(),
+            announced_ids: collections::HashMap::new(),
+            announced: schedule::Schedule::default(),
             load: load::Load::default(),
-            repeated: Vec::new(),
-            checked: None,
-            targets: Targets::new(shape),
+            requeued: Vec::new(),
+            last_check: None,
+            targets: Targets::new(batching),
         }
     }
 
-    /// Changes the shape of the calls; those in progress keep theirs.
-    pub fn set_batching(&mut self, shape: ingress::Batching) {
-        self.shape = shape;
-        self.targets.set_shape(shape);
+    /// Changes the batching parameters; calls in flight are not affected.
+    pub fn set_batching(&mut self, batching: ingress::Batching) {
+        self.batching = batching;
+        self.targets.set_batching(batching);
     }
 
     /// Adds a job.
     pub fn push(&mut self, spec: Spec) -> JobKey {
-        let turn = self.turns.add(turns::Turn::new(&spec));
-        self.jobs.insert(Job::new(spec, turn))
+        let entry = self.schedule.add(schedule::Entry::new(&spec));
+        self.jobs.insert(Job::new(spec, entry))
     }
 
-    /// Returns the number of pieces that wait.
+    /// Returns the number of waiting pieces.
     pub fn waiting_pieces(&self) -> usize {
-        self.turns.pieces()
+        self.schedule.pieces()
     }
 
-    /// Reports whether a full call waits, so that room is wanted.
+    /// Reports whether enough pieces wait to fill a call.
     pub fn has_full_batch(&self) -> bool {
-        self.waiting_pieces() >= self.shape.pieces
+        self.waiting_pieces() >= self.batching.pieces
     }
 
-    /// Drops a job that nobody waits for; returns what it has made.
+    /// Removes a job whose caller has gone; returns its results, which should be freed.
     pub fn cancel(&mut self, key: JobKey) -> Vec<Handle> {
-        self.remove(key).map(Job::made).unwrap_or_default()
+        self.remove(key).map(Job::into_results).unwrap_or_default()
     }
 
     fn remove(&mut self, key: JobKey) -> Option<Job> {
         let job = self.jobs.remove(key)?;
-        self.turns.remove(job.turn);
+        self.schedule.remove(job.entry);
         Some(job)
     }
 
-    /// Gives up the jobs whose deadline has passed, and forgets results that have expired.
+    /// Fails the jobs that have passed or would miss their deadline; drops expired results and
+    /// announcements.
     pub fn expire(&mut self, now: Instant) -> Vec<Event> {
         self.targets.expire(now);
-        // The process that has announced it may be gone.
-        let coming = &mut self.coming;
-        self.expected.retain(|_, turn| {
-            let comes = coming.get(*turn).is_some_and(|turn| turn.due > now);
-            if !comes {
-                coming.remove(*turn);
+        // The process that announced the job may have crashed before it withdrew the announcement.
+        let announced = &mut self.announced;
+        self.announced_ids.retain(|_, entry| {
+            let is_current = announced.get(*entry).is_some_and(|entry| entry.due > now);
+            if !is_current {
+                announced.remove(*entry);
             }
-            comes
+            is_current
         });
-        let mut events = self.give_up(now);
+        let mut events = self.fail_hopeless(now);
         let passed = |j: &Job| !j.waiting.is_empty() && j.spec.deadline <= now;
         let keys: Vec<_> = self.jobs.iter().filter(|(_, j)| passed(j)).collect();
         let keys: Vec<_> = keys.into_iter().map(|(key, _)| key).collect();
@@ -204,7 +205,7 @@
         events
     }
 
-    /// Gives up the jobs that are not wholly in calls, so that another owner takes them.
+    /// Fails the jobs with waiting pieces, so that the next owner of the queue takes them.
     pub fn release_unstarted(&mut self) -> Vec<Event> {
         let waiting = self.jobs.iter().filter(|(_, j)| !j.waiting.is_empty());
         let keys: Vec<_> = waiting.map(|(key, _)| key).collect();
@@ -219,22 +220,24 @@
             .collect()
     }
 
-    /// Lists the jobs whose pieces wait once more after the last call, with the number of these
-    /// pieces. Who has a bound on that gives up what exceeds it before the next call.
+    /// Lists the jobs with pieces that were queued again after the last call, and the number of
+    /// these pieces.
+    ///
+    /// A caller with a retry budget fails the jobs that exceed it before the next call.
     pub fn requeued_pieces(&self) -> &[(JobKey, u32)] {
-        &self.repeated
+        &self.requeued
     }
 
-    /// Chooses the next call, if a target is free and has room.
+    /// Returns the next call, if some target is idle and has room for the results.
     pub fn next_call(&mut self, now: Instant) -> Option<Call> {
-        let smallest = self.turns.smallest()?;
-        if !self.targets.is_any_free(smallest, now) || !self.may_call(now) {
+        let smallest = self.schedule.smallest_result()?;
+        if !self.targets.is_any_free(smallest, now) || !self.can_call(now) {
             return None;
         }
-        let order = self.order(now);
+        let order = self.sorted_jobs(now);
         let waiting = self.waiting_pieces();
         let mut tried = Vec::new();
-        // Size for which no target is left.
+        // Result size from which no target is left to try.
         let mut blocked: Option<unit::Size> = None;
         for (first, _) in &order {
             let spec = &self.jobs[*first].spec;
@@ -243,197 +246,197 @@
                 continue;
             }
             let near = spec.near.clone();
-            while let Some(engine) = self.targets.choose(near.as_ref(), size, &tried, now) {
-                let most = self.fill(waiting, now);
-                let order = self.order_at(engine, &order);
-                if let Some(call) = self.call(&order, engine, most, now) {
+            while let Some(target) = self.targets.choose(near.as_ref(), size, &tried, now) {
+                let wanted = self.batch_size(waiting, now);
+                let order = self.sorted_for_target(target, &order);
+                if let Some(call) = self.build_call(&order, target, wanted, now) {
                     return Some(call);
                 }
-                tried.push(engine);
+                tried.push(target);
             }
             blocked = Some(size);
         }
         None
     }
 
-    /// Makes a call to a free target, if a job fits there.
-    fn call(
+    /// Builds a call to an idle target, if any job fits there.
+    fn build_call(
         &mut self,
-        order: &[(JobKey, turns::Place)],
-        engine: TargetKey,
-        most: usize,
+        order: &[(JobKey, schedule::Position)],
+        target: TargetKey,
+        wanted: usize,
         now: Instant,
     ) -> Option<Call> {
-        let mut draft = draft::Draft::new(self.bounds(engine, most));
+        let mut builder = builder::CallBuilder::new(self.limits(target, wanted));
         for (key, _) in order {
             let job = &self.jobs[*key];
-            if !self.targets.allows(engine, &job.spec) || self.is_left(engine, &job.spec, now) {
+            let is_allowed = self.targets.is_allowed(target, &job.spec);
+            if !is_allowed || self.has_nearer_target(target, &job.spec, now) {
                 continue;
             }
-            draft.offer(*key, job.waiting.len(), job.spec.size);
-            if draft.is_full() {
+            builder.try_add(*key, job.waiting.len(), job.spec.size);
+            if builder.is_full() {
                 break;
             }
         }
-        let jobs = draft.into_jobs();
-        self.load.add(self.on_time(&jobs, now), now);
-        let pieces = self.reserve(engine, jobs);
+        let jobs = builder.into_jobs();
+        self.load.add(self.pieces_on_time(&jobs, now), now);
+        let pieces = self.take_pieces(target, jobs);
         if pieces.is_empty() {
             return None;
         }
-        if self.waiting_pieces() >= self.shape.pieces {
-            self.targets.filled(pieces.len());
+        if self.waiting_pieces() >= self.batching.pieces {
+            self.targets.record_batch_size(pieces.len());
         }
-        self.targets.start(engine, pieces.len(), now);
-        Some(Call {
-            target: engine,
-            pieces,
-        })
+        self.targets.record_start(target, pieces.len(), now);
+        Some(Call { target, pieces })
     }
 
-    /// Returns what a target can take in a call of at most so many pieces.
-    fn bounds(&self, engine: TargetKey, most: usize) -> draft::Bounds {
-        draft::Bounds {
-            room: self.targets.room(engine),
-            whole: self.shape.capacity,
-            most,
-            limit: self.shape.pieces,
+    /// Returns the limits of a call to a target that should take `wanted` pieces.
+    fn limits(&self, target: TargetKey, wanted: usize) -> builder::Limits {
+        builder::Limits {
+            room: self.targets.room(target),
+            capacity: self.batching.capacity,
+            wanted,
+            max: self.batching.pieces,
         }
     }
 
-    /// Takes pieces out of their jobs and reserves room for their results.
-    fn reserve(&mut self, engine: TargetKey, jobs: Vec<(JobKey, usize)>) -> Vec<Piece> {
+    /// Takes pieces from their jobs and reserves room for their results.
+    fn take_pieces(&mut self, target: TargetKey, jobs: Vec<(JobKey, usize)>) -> Vec<Piece> {
         let mut pieces = Vec::new();
         for (key, count) in jobs {
             let job = &mut self.jobs[key];
             for _ in 0..count {
-                self.targets.reserve(engine, job.spec.size);
-                pieces.extend(job.take(key));
+                self.targets.reserve(target, job.spec.size);
+                pieces.extend(job.take_piece(key));
             }
-            self.count(key);
+            self.update_schedule(key);
         }
         pieces
     }
 
-    /// Takes in how many pieces of a job wait now.
-    fn count(&mut self, key: JobKey) {
+    /// Updates the schedule entry of a job after its waiting pieces have changed.
+    fn update_schedule(&mut self, key: JobKey) {
         if let Some(job) = self.jobs.get(key) {
             let waiting = job.waiting.len() as u32;
-            self.turns.set(job.turn, waiting, job.is_started());
+            self.schedule.update(job.entry, waiting, job.is_started());
         }
     }
 
-    /// Takes the outcomes of a call, one for each of its pieces.
+    /// Records the outcomes of a call, one for each of its pieces.
     pub fn complete_call(
         &mut self,
         call: &Call,
         outcomes: Vec<Outcome>,
         now: Instant,
     ) -> Vec<Event> {
-        self.targets.finish(call.target, call.pieces.len(), now);
-        self.repeated.clear();
+        let pieces = call.pieces.len();
+        self.targets.record_completion(call.target, pieces, now);
+        self.requeued.clear();
         let mut events = Vec::new();
         for (piece, outcome) in call.pieces.iter().zip(outcomes) {
-            self.settle(call.target, piece, outcome, now, &mut events);
+            self.record_outcome(call.target, piece, outcome, now, &mut events);
         }
         events
     }
 
-    /// Takes the failure of a whole call, after which its pieces go elsewhere.
+    /// Records the failure of a whole call and queues its pieces again.
     ///
-    /// A call that may have been executed has results at the target that nobody can name. Their
-    /// room stays accounted for as long as the target keeps them.
+    /// A call that may have been executed (`ran`) may have left results at the target whose names
+    /// are unknown. Their room stays reserved for as long as the target keeps them.
     pub fn fail_call(&mut self, call: &Call, ran: bool, now: Instant) -> Vec<Event> {
-        self.targets.fail(call.target, now);
-        self.repeated.clear();
+        self.targets.record_failure(call.target, now);
+        self.requeued.clear();
         let mut events = Vec::new();
         for piece in &call.pieces {
             match ran {
-                true => self.targets.strand(call.target, piece.size, now),
+                true => self.targets.add_unnamed(call.target, piece.size, now),
                 false => self.targets.release(call.target, piece.size),
             }
-            self.again(piece, ran, &mut events);
+            self.requeue(piece, ran, &mut events);
         }
         events
     }
 
-    /// Frees a result; returns the target that holds it, if it is known.
+    /// Releases the room of a result; returns the target that stores it, if the result is known.
     pub fn free_result(&mut self, handle: &Handle) -> Option<TargetKey> {
-        self.targets.free(handle)
+        self.targets.free_result(handle)
     }
 
-    /// Returns how many pieces the next call should take.
+    /// Returns the number of pieces that the next call should have.
     ///
-    /// What waits is spread over the free targets, as smaller calls end sooner; but a call is at
-    /// least half full where there is that much, as the fixed time of calls binds the service.
-    fn fill(&self, waiting: usize, now: Instant) -> usize {
+    /// The waiting pieces are spread over the idle targets, because smaller calls end sooner. But a
+    /// call is at least half full if that many pieces wait, because the fixed time of calls limits
+    /// the throughput of the service.
+    fn batch_size(&self, waiting: usize, now: Instant) -> usize {
         let free = self.targets.free_count(now).max(1);
-        let half = self.shape.pieces.div_ceil(2);
+        let half = self.batching.pieces.div_ceil(2);
         waiting
             .div_ceil(free)
-            .clamp(half.min(waiting).max(1), self.shape.pieces.max(1))
+            .clamp(half.min(waiting).max(1), self.batching.pieces.max(1))
     }
 
-    fn settle(
+    fn record_outcome(
         &mut self,
-        engine: TargetKey,
+        target: TargetKey,
         piece: &Piece,
         outcome: Outcome,
         now: Instant,
         events: &mut Vec<Event>,
     ) {
         let Outcome::Stored(handle) = outcome else {
-            self.targets.release(engine, piece.size);
+            self.targets.release(target, piece.size);
             match outcome {
                 Outcome::Late => events.extend(self.fail_job(piece.job, Failure::Late)),
                 Outcome::Gone => events.extend(self.fail_job(piece.job, Failure::Gone)),
                 Outcome::NoRoom => {
-                    self.targets.crowd(engine, piece.size, now);
-                    self.again(piece, false, events);
+                    self.targets.record_no_room(target, piece.size, now);
+                    self.requeue(piece, false, events);
                 }
-                _ => self.again(piece, true, events),
+                _ => self.requeue(piece, true, events),
             }
             return;
         };
-        self.targets.hold(engine, &handle, piece.size, now);
+        self.targets.add_result(target, &handle, piece.size, now);
         let Some(job) = self.jobs.get_mut(piece.job) else {
             events.push(Event::Orphan(handle));
             return;
         };
-        job.done[piece.index as usize] = Some(handle);
+        job.results[piece.index as usize] = Some(handle);
         if job.is_done()
             && let Some(job) = self.remove(piece.job)
         {
-            events.push(Event::Done(piece.job, job.made()));
+            events.push(Event::Done(piece.job, job.into_results()));
         }
     }
 
-    /// Queues a piece once more; `counts` says whether a target may have worked on it.
-    fn again(&mut self, piece: &Piece, counts: bool, events: &mut Vec<Event>) {
+    /// Queues a piece again; `is_failure` if the target may have worked on it.
+    fn requeue(&mut self, piece: &Piece, is_failure: bool, events: &mut Vec<Event>) {
         let Some(job) = self.jobs.get_mut(piece.job) else {
             return;
         };
         job.waiting.push_front(piece.index);
-        match self.repeated.last_mut() {
+        match self.requeued.last_mut() {
             Some((key, count)) if *key == piece.job => *count += 1,
-            _ => self.repeated.push((piece.job, 1)),
+            _ => self.requeued.push((piece.job, 1)),
         }
-        if counts {
-            job.tries += 1;
+        if is_failure {
+            job.failed_sends += 1;
         }
-        let is_spent = job.tries >= TRIES * job.spec.pieces;
-        self.count(piece.job);
+        let is_spent = job.failed_sends >= MAX_FAILED_SENDS * job.spec.pieces;
+        self.update_schedule(piece.job);
         if is_spent {
             events.extend(self.fail_job(piece.job, Failure::Failed));
         }
     }
 
-    /// Gives up a job.
+    /// Fails a job; its results become orphans.
     pub fn fail_job(&mut self, key: JobKey, failure: Failure) -> Vec<Event> {
         let Some(job) = self.remove(key) else {
             return Vec::new();
         };
-        let orphans = job.made().into_iter().map(Event::Orphan);
+        let orphans = job.into_results().into_iter().map(Event::Orphan);
         orphans.chain([Event::Failed(key, failure)]).collect()
     }
 }
--- a/laburnumcart/src/batch/estimate.rs
+++ b/laburnumcart/src/batch/estimate.rs
@@ -1,4 +1,4 @@
-//! How long jobs will take, and which cannot be done in time.
+//! Completion estimates of jobs, and early failure of jobs that would miss their deadline.
 
 use std::{
     array,
@@ -10,98 +10,103 @@
 use crate::{
     batch::{
         Event, Failure, JobKey, Queue, Spec,
-        targets::Supply,
-        turns::{
-            Place,
-            Turn, //
+        schedule::{
+            Entry,
+            Position, //
         },
+        targets::Throughput,
     },
     forecast,
     unit, //
 };
 
-/// Pause between two looks for jobs that cannot be done in time.
-const CHECK: time::Duration = time::Duration::from_millis(100);
+/// Pause between two searches for jobs that would miss their deadline.
+const CHECK_INTERVAL: time::Duration = time::Duration::from_millis(100);
 
-/// Longest time that is forecast; a queue without targets would never be done.
-const FORECAST_MAX: time::Duration = time::Duration::from_secs(600);
+/// Longest estimate; the completion time of a queue without targets is unbounded.
+const ESTIMATE_MAX: time::Duration = time::Duration::from_secs(600);
 
 impl Queue {
-    /// Takes in that a job will come, when the stages before it are done.
+    /// Counts a job that will arrive once the earlier stages of its request are done.
     pub fn announce(&mut self, id: u64, spec: Spec) {
         self.withdraw(id);
-        let turn = self.coming.add(Turn::new(&spec));
-        self.expected.insert(id, turn);
+        let entry = self.announced.add(Entry::new(&spec));
+        self.announced_ids.insert(id, entry);
     }
 
-    /// Forgets a job that has come, or will not come any more.
+    /// Removes an announced job that has arrived or was given up.
     pub fn withdraw(&mut self, id: u64) {
-        if let Some(turn) = self.expected.remove(&id) {
-            self.coming.remove(turn);
+        if let Some(entry) = self.announced_ids.remove(&id) {
+            self.announced.remove(entry);
         }
     }
 
-    /// Returns how long a job will take, as far as is known.
+    /// Returns the estimated completion time of a job that arrives now.
     pub fn estimate_time(&self, spec: &Spec, now: Instant) -> time::Duration {
-        let supply = self.targets.supply(now);
-        let [turn] = self.ends(spec, [self.place(spec, now)], &supply, now);
+        let throughput = self.targets.throughput(now);
+        let positions = [self.position(spec, now)];
+        let [turn] = self.completion_times(spec, positions, &throughput, now);
         turn
     }
 
-    /// Returns how long a job that will come would take from now on.
+    /// Returns the estimated completion time, from now on, of a job that has yet to arrive.
     pub fn estimate_future(&self, spec: &Spec, now: Instant) -> forecast::Estimate {
-        let supply = self.targets.supply(now);
-        let places = [self.place(spec, now), (true, now)];
-        let [turn, behind] = self.ends(spec, places, &supply, now);
+        let throughput = self.targets.throughput(now);
+        let positions = [self.position(spec, now), (true, now)];
+        let [turn, behind] = self.completion_times(spec, positions, &throughput, now);
         forecast::Estimate {
-            turn: unit::Period(turn.min(FORECAST_MAX)),
-            behind: unit::Period(behind.min(FORECAST_MAX)),
+            turn: unit::Period(turn.min(ESTIMATE_MAX)),
+            behind: unit::Period(behind.min(ESTIMATE_MAX)),
         }
     }
 
-    /// Returns how long a job takes at each of these places.
+    /// Returns the estimated completion time of a job at each of some positions in the queue.
     ///
-    /// A job that is not on time gets what those on time leave, now and in the time to come.
-    fn ends<const N: usize>(
+    /// A late job gets only the throughput that jobs on time leave unused.
+    fn completion_times<const N: usize>(
         &self,
         spec: &Spec,
-        places: [Place; N],
-        supply: &Supply,
+        positions: [Position; N],
+        throughput: &Throughput,
         now: Instant,
     ) -> [time::Duration; N] {
         let horizon = self.horizon(now);
-        let waiting = self.turns.ahead(places, horizon);
-        let coming = self.coming.ahead(places, horizon);
-        let spare = self.load.spare(supply.capacity, now);
+        let waiting = self.schedule.pieces_ahead(positions, horizon);
+        let announced = self.announced.pieces_ahead(positions, horizon);
+        let spare = self.load.spare_share(throughput.rate, now);
         array::from_fn(|i| {
-            let ahead = (waiting[i] + coming[i]) as f64;
-            let (late, _) = places[i];
+            let ahead = (waiting[i] + announced[i]) as f64;
+            let (late, _) = positions[i];
             let ahead = if late { ahead / spare } else { ahead };
-            self.targets.outlook(supply, ahead, spec.pieces as usize)
+            let pieces = spec.pieces as usize;
+            self.targets.completion_time(throughput, ahead, pieces)
         })
     }
 
-    /// Gives up the late jobs that cannot be done before their deadline.
+    /// Fails the late jobs that cannot be done before their deadline.
     ///
-    /// They were on time when they came, and what came after them goes first. Kept to the deadline,
-    /// their callers would have no time left to come again.
-    pub(super) fn give_up(&mut self, now: Instant) -> Vec<Event> {
-        let checked = self.checked.is_some_and(|at| now < at + CHECK);
-        if checked || self.targets.is_empty() {
+    /// They were on time on arrival, but later jobs go first. If they waited until the deadline,
+    /// their callers would have no time left for another attempt.
+    pub(super) fn fail_hopeless(&mut self, now: Instant) -> Vec<Event> {
+        let is_recent = self.last_check.is_some_and(|at| now < at + CHECK_INTERVAL);
+        if is_recent || self.targets.is_empty() {
             return Vec::new();
         }
-        self.checked = Some(now);
-        let order = self.order(now);
-        let supply = self.targets.supply(now);
-        let spare = self.load.spare(supply.capacity, now);
+        self.last_check = Some(now);
+        let order = self.sorted_jobs(now);
+        let throughput = self.targets.throughput(now);
+        let spare = self.load.spare_share(throughput.rate, now);
         let mut ahead = 0;
         let mut hopeless = Vec::new();
         for (key, (late, _)) in order {
             let job = &self.jobs[key];
             let pieces = job.waiting.len();
-            let outlook = self.targets.outlook(&supply, ahead as f64 / spare, pieces);
-            if late && now + outlook.min(FORECAST_MAX) > job.spec.deadline {
-                let excess = outlook.min(FORECAST_MAX).as_millis() as u32;
+            let ahead_scaled = ahead as f64 / spare;
+            let estimate = self
+                .targets
+                .completion_time(&throughput, ahead_scaled, pieces);
+            if late && now + estimate.min(ESTIMATE_MAX) > job.spec.deadline {
+                let excess = estimate.min(ESTIMATE_MAX).as_millis() as u32;
                 hopeless.push((key, Failure::Busy(excess)));
                 continue;
             }
@@ -113,12 +118,12 @@
             .collect()
     }
 
-    /// Returns how many of the pieces are of jobs that are on time.
-    pub(super) fn on_time(&self, jobs: &[(JobKey, usize)], now: Instant) -> usize {
+    /// Returns how many of the pieces belong to jobs that are on time.
+    pub(super) fn pieces_on_time(&self, jobs: &[(JobKey, usize)], now: Instant) -> usize {
         let horizon = self.horizon(now);
         let is_late = |key: JobKey| {
-            let turn = self.turns.get(self.jobs[key].turn);
-            turn.is_some_and(|turn| turn.place(horizon).0)
+            let entry = self.schedule.get(self.jobs[key].entry);
+            entry.is_some_and(|entry| entry.position(horizon).0)
         };
         let on_time = jobs.iter().filter(|(key, _)| !is_late(*key));
         on_time.map(|(_, pieces)| pieces).sum()
--- a/laburnumcart/src/batch/job.rs
+++ b/laburnumcart/src/batch/job.rs
@@ -1,4 +1,4 @@
-//! A job: the pieces that one stage of one request needs.
+//! Jobs: the pieces that one stage of one request needs, and the results of finished pieces.
 
 use std::collections;
 
@@ -10,23 +10,23 @@
 use tokio::time::Instant;
 
 use crate::{
-    batch::turns,
+    batch::schedule,
     id,
     unit, //
 };
 
 slotmap::new_key_type! {
-    /// A job in the queue.
+    /// Key of a job in the queue.
     pub struct JobKey;
 }
 
-/// A result, which lies at the target that made it and is gone with that life of the target.
+/// Handle of a result that is stored at its target and lost when the target restarts.
 #[derive(Clone, Debug, Display, Eq, Hash, PartialEq, Serialize, Deserialize)]
 #[display("{name}")]
 pub struct Handle {
-    /// Name of the result, as its target gave it.
+    /// Name that the target gave to the result.
     pub name: String,
-    /// Life of the target.
+    /// Start time of the target.
     pub life: id::Life,
 }
 
@@ -40,14 +40,14 @@
     }
 }
 
-/// What came of one piece.
+/// Outcome of one piece of a call.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Outcome {
-    /// Its result lies at the target.
+    /// The result is stored at the target.
     Stored(Handle),
-    /// Its time was over before its turn came.
+    /// The time limit passed before the target started the piece.
     Late,
-    /// One of its inputs no longer exists.
+    /// An input no longer exists.
     Gone,
     /// The target had no room for the result.
     NoRoom,
@@ -55,13 +55,13 @@
     Failed,
 }
 
-/// Urgency of a job.
+/// Urgency of a job; lower ranks go first.
 #[derive(Clone, Copy, Debug, Default, Display, Eq, PartialEq, Serialize, Deserialize)]
 #[display("{major}.{minor}")]
 pub struct Rank {
-    /// Rank of its team, or of its route where teams have none; 0 goes first.
+    /// Rank of the team, or of the route where teams have none.
     pub major: u8,
-    /// Rank of its route among those of equal teams; 0 goes first.
+    /// Rank of the route among the routes of teams of equal rank.
     pub minor: u8,
 }
 
@@ -71,29 +71,29 @@
     }
 }
 
-/// What a job needs.
+/// Requirements of a job.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Spec {
-    /// Number of its pieces.
+    /// Number of pieces.
     pub pieces: u32,
     /// Approximate size of one result.
     pub size: unit::Size,
-    /// Latest moment at which its results let the request be on time.
+    /// Latest time at which the results still let the request meet its objective.
     pub due: Instant,
-    /// Moment after which its results are of no use.
+    /// Time after which the results are useless.
     pub deadline: Instant,
     /// Urgency.
     pub rank: Rank,
-    /// Data centre where it is best executed.
+    /// Preferred data centre, where the inputs are.
     pub near: Option<id::DataCentre>,
-    /// Bytes that cross between data centres when it is executed in another one.
+    /// Bytes transferred between data centres if the job is executed in another one.
     pub moved: unit::Size,
-    /// Data centres where it may be executed; any without a list.
+    /// Data centres where the job may be executed; `None` allows all.
     pub places: Option<Vec<id::DataCentre>>,
 }
 
 impl Spec {
-    /// Creates a job of the first rank that is of no use after it is due.
+    /// Creates the requirements of a job of the first rank whose deadline is `due`.
     pub fn new(pieces: u32, size: unit::Size, due: Instant) -> Self {
         Self {
             pieces,
@@ -107,7 +107,7 @@
         }
     }
 
-    /// Sets the moment after which results are of no use.
+    /// Sets the time after which the results are useless.
     #[must_use]
     pub fn deadline(mut self, deadline: Instant) -> Self {
         self.deadline = deadline;
@@ -121,14 +121,14 @@
         self
     }
 
-    /// Confines it to some data centres.
+    /// Restricts the job to some data centres; `None` allows all.
     #[must_use]
     pub fn places(mut self, places: Option<Vec<id::DataCentre>>) -> Self {
         self.places = places;
         self
     }
 
-    /// Sets where it is best executed, and what crosses between data centres elsewhere.
+    /// Sets the preferred data centre and the bytes that execution in another one transfers.
     #[must_use]
     pub fn near(mut self, near: Option<id::DataCentre>, moved: unit::Size) -> Self {
         self.near = near;
@@ -137,46 +137,46 @@
     }
 }
 
-/// A piece that a call takes.
+/// One piece of a call.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Piece {
-    /// Job that it belongs to.
+    /// Job that the piece belongs to.
     pub job: JobKey,
-    /// Its number in the job.
+    /// Index within the job.
     pub index: u32,
-    /// Approximate size of its result.
+    /// Approximate size of the result.
     pub size: unit::Size,
 }
 
-/// A job and how far it is.
+/// State of a queued job.
 #[derive(Clone, Debug)]
 pub struct Job {
     pub(super) spec: Spec,
-    /// Its turn among those that wait.
-    pub(super) turn: turns::TurnKey,
-    /// Pieces in no call.
+    /// Entry in the schedule of waiting jobs.
+    pub(super) entry: schedule::EntryKey,
+    /// Pieces that are not in flight and not done.
     pub(super) waiting: collections::VecDeque<u32>,
     /// Results by piece.
-    pub(super) done: Vec<Option<Handle>>,
-    /// Pieces that were sent in vain.
-    pub(super) tries: u32,
-    /// Whether a call has taken any of its pieces.
+    pub(super) results: Vec<Option<Handle>>,
+    /// Sends of a piece after which it had to be queued again.
+    pub(super) failed_sends: u32,
+    /// Whether any piece was ever sent.
     pub(super) sent: bool,
 }
 
 impl Job {
-    pub(super) fn new(spec: Spec, turn: turns::TurnKey) -> Self {
+    pub(super) fn new(spec: Spec, entry: schedule::EntryKey) -> Self {
         Self {
-            turn,
+            entry,
             waiting: (0..spec.pieces).collect(),
-            done: vec![None; spec.pieces as usize],
-            tries: 0,
+            results: vec![None; spec.pieces as usize],
+            failed_sends: 0,
             sent: false,
             spec,
         }
     }
 
-    pub(super) fn take(&mut self, key: JobKey) -> Option<Piece> {
+    pub(super) fn take_piece(&mut self, key: JobKey) -> Option<Piece> {
         let index = self.waiting.pop_front()?;
         self.sent = true;
         Some(Piece {
@@ -186,16 +186,17 @@
         })
     }
 
-    /// Reports whether any of its pieces is in a call or done.
+    /// Reports whether any piece is in flight or done.
     pub(super) fn is_started(&self) -> bool {
         self.waiting.len() < self.spec.pieces as usize
     }
 
     pub(super) fn is_done(&self) -> bool {
-        self.done.iter().all(Option::is_some)
+        self.results.iter().all(Option::is_some)
     }
 
-    pub(super) fn made(self) -> Vec<Handle> {
-        self.done.into_iter().flatten().collect()
+    /// Returns the results that exist, in the order of the pieces.
+    pub(super) fn into_results(self) -> Vec<Handle> {
+        self.results.into_iter().flatten().collect()
     }
 }
--- a/laburnumcart/src/batch/load.rs
+++ b/laburnumcart/src/batch/load.rs
@@ -1,21 +1,21 @@
-//! How much of a queue's capacity goes to jobs that are on time.
+//! Share of the queue's throughput that jobs on time use.
 
 use std::time;
 
 use tokio::time::Instant;
 
-/// Time after which a call counts half.
+/// Time after which the pieces of a call count half.
 const HALF_LIFE: time::Duration = time::Duration::from_millis(1000);
 
-/// Least share of the capacity that is held to be left for late jobs; it bounds their outlook.
+/// Least share of the throughput that late jobs are assumed to get; it bounds their estimates.
 ///
-/// What was full for a second is seldom full for the ten that a late job may still have. After a
-/// loss of all instances, callers that came back were told of 28 s where 0.8 s of work waited, and
-/// were refused for good. With much more than this, callers would wait in vain where load stays
-/// above capacity.
+/// A second of full load says little about the ten seconds that a late job may have left: without
+/// this bound, callers that retried after a loss of all instances were told 28 s where 0.8 s of
+/// work waited, and were refused permanently. With a much higher value, callers would wait in vain
+/// while load stays above capacity.
 const SPARE_MIN: f64 = 0.12;
 
-/// Pieces that calls have taken, weighted by age.
+/// Exponentially decayed count of the pieces of jobs on time that calls have taken.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Load {
     pieces: f64,
@@ -23,21 +23,21 @@
 }
 
 impl Load {
-    /// Takes in the pieces of a call.
+    /// Adds the pieces of a call.
     pub(super) fn add(&mut self, pieces: usize, now: Instant) {
-        self.pieces = self.at(now) + pieces as f64;
+        self.pieces = self.decayed(now) + pieces as f64;
         self.last = Some(now);
     }
 
-    /// Returns the share of a capacity, in pieces a second, that is left.
-    pub(super) fn spare(&self, capacity: f64, now: Instant) -> f64 {
-        // What comes in at a steady rate adds up to that rate times the mean age.
-        let mean = HALF_LIFE.as_secs_f64() / std::f64::consts::LN_2;
-        let rate = self.at(now) / mean;
-        (1.0 - rate / capacity.max(1.0)).clamp(SPARE_MIN, 1.0)
+    /// Returns the unused share of a throughput in pieces per second.
+    pub(super) fn spare_share(&self, throughput: f64, now: Instant) -> f64 {
+        // At a steady rate, the decayed count is that rate times the mean age.
+        let mean_age = HALF_LIFE.as_secs_f64() / std::f64::consts::LN_2;
+        let rate = self.decayed(now) / mean_age;
+        (1.0 - rate / throughput.max(1.0)).clamp(SPARE_MIN, 1.0)
     }
 
-    fn at(&self, now: Instant) -> f64 {
+    fn decayed(&self, now: Instant) -> f64 {
         let age = self.last.map_or(time::Duration::ZERO, |last| {
             now.saturating_duration_since(last)
         });
--- a/laburnumcart/src/batch/targets.rs
+++ b/laburnumcart/src/batch/targets.rs
@@ -1,4 +1,4 @@
-//! Targets that execute batches: which is free, how much room it has, how fast it is.
+//! Targets of a batch queue: which are idle, their room for results and their speed.
 
 use std::{
     collections,
@@ -21,103 +21,104 @@
 };
 
 slotmap::new_key_type! {
-    /// A target in the queue.
+    /// Key of a target in the queue.
     pub struct TargetKey;
 }
 
-/// First pause of a target whose call failed; it doubles with each failure in a row.
-const PAUSE: time::Duration = time::Duration::from_millis(100);
+/// Pause after the first failed call to a target; it doubles with each failure in a row.
+const FIRST_PAUSE: time::Duration = time::Duration::from_millis(100);
 
-/// Longest pause; short beside the seconds in which a crashed target is back.
-const PAUSE_MAX: time::Duration = time::Duration::from_millis(1600);
+/// Longest pause; short compared with the seconds that a crashed target takes to restart.
+const LONGEST_PAUSE: time::Duration = time::Duration::from_millis(1600);
 
-/// Time for which room is taken by results that are not known here, about the time in which the
-/// requests that hold them read their inputs.
-const UNKNOWN_TTL: time::Duration = time::Duration::from_millis(500);
+/// Time for which room is assumed to be taken by unknown results after a target has reported that
+/// it has no room: about as long as the requests that own them need to read their inputs.
+const NO_ROOM_TTL: time::Duration = time::Duration::from_millis(500);
 
-/// Weight of the newest call in the measured speed.
-const WEIGHT: f64 = 0.4;
+/// Weight of the newest call in the moving average of the slowdown.
+const SLOWDOWN_WEIGHT: f64 = 0.4;
 
-/// Weight of the newest call in the measured size of calls: about the last second of them counts.
-const FILL_WEIGHT: f64 = 0.05;
+/// Weight of the newest call in the moving average of the batch size: about the last second counts.
+const BATCH_SIZE_WEIGHT: f64 = 0.05;
 
-/// A call that took less than this multiple of its promised time has not waited for its turn.
-const STEADY: f64 = 1.3;
+/// Slowdown below which a call has not waited for its turn at the target.
+const PROMPT_SLOWDOWN: f64 = 1.3;
 
-/// Part of a call's fixed time after which its inputs have been read.
+/// Share of a call's fixed time after which the target has read its inputs.
 ///
-/// They come over links of several gigabits a second, in tens of milliseconds of the usual 200.
-const READING: f64 = 0.5;
+/// Links of several gigabits per second transfer them in tens of milliseconds; the fixed time is
+/// usually 200 ms.
+const INPUT_READ_SHARE: f64 = 0.5;
 
-/// Least time until a call ends whose time is over.
-const SOON: time::Duration = time::Duration::from_millis(10);
+/// Assumed remaining time of a call that is overdue.
+const MIN_REMAINING: time::Duration = time::Duration::from_millis(10);
 
-/// A target this many times slower than promised gets work only when no other is free.
+/// Slowdown from which a target is used only if no other is idle.
 const SLOW: f64 = 2.0;
 
 #[derive(Clone, Debug)]
 struct Target {
     data_centre: id::DataCentre,
-    /// When the call in progress started, and its pieces.
+    /// Start time and number of pieces of the call in flight.
     call: Option<(Instant, usize)>,
-    /// Bytes of results that are reserved or held.
+    /// Bytes of results that are reserved or stored.
     used: u64,
-    /// No call before this moment.
-    paused: Option<Instant>,
+    /// No calls are sent before this time.
+    paused_until: Option<Instant>,
     /// Failures in a row.
-    failed: u32,
-    /// Whether the last call was answered, in about the promised time.
-    steady: bool,
-    /// Time of calls, as a multiple of the promised one.
-    pace: f64,
-    /// Own calls, and what frees results there.
-    gate: quota::Limiter,
+    failures: u32,
+    /// Whether the last call succeeded without having waited for its turn.
+    is_prompt: bool,
+    /// Moving average of call times, as a multiple of the nominal call time.
+    slowdown: f64,
+    /// Limits the calls and the requests that free results.
+    limiter: quota::Limiter,
 }
 
 #[derive(Clone, Debug)]
-struct Held {
-    engine: TargetKey,
+struct StoredResult {
+    target: TargetKey,
     size: u64,
     expiry: Instant,
 }
 
-/// Targets that take calls, added up.
+/// Sums over the available targets.
 #[derive(Clone, Copy, Debug, Default)]
-pub(super) struct Supply {
-    count: usize,
-    /// Pieces that they do in a second while enough wait.
-    pub(super) capacity: f64,
-    /// Time until their calls should end.
+pub(super) struct Throughput {
+    targets: usize,
+    /// Pieces per second while enough wait.
+    pub(super) rate: f64,
+    /// Sum of the remaining times of the calls in flight.
     busy: time::Duration,
-    /// Time until the first of them takes any.
+    /// Time until any of them accepts calls.
     wait: time::Duration,
 }
 
-/// The targets of one service.
+/// Targets of one service.
 #[derive(Clone, Debug)]
 pub struct Targets {
-    shape: ingress::Batching,
+    batching: ingress::Batching,
     targets: SlotMap<TargetKey, Target>,
-    held: collections::HashMap<Handle, Held>,
-    /// Results without a known name, until they expire.
-    stranded: Vec<Held>,
-    /// Pieces of a call while more wait: all that there is room for.
-    fill: f64,
+    results: collections::HashMap<Handle, StoredResult>,
+    /// Results whose names are unknown.
+    unnamed: Vec<StoredResult>,
+    /// Mean number of pieces in a call while more wait; room for results limits it.
+    batch_size: f64,
 }
 
 impl Targets {
-    pub(super) fn new(shape: ingress::Batching) -> Self {
+    pub(super) fn new(batching: ingress::Batching) -> Self {
         Self {
-            shape,
+            batching,
             targets: SlotMap::with_key(),
-            held: collections::HashMap::new(),
-            stranded: Vec::new(),
-            fill: shape.pieces as f64,
+            results: collections::HashMap::new(),
+            unnamed: Vec::new(),
+            batch_size: batching.pieces as f64,
         }
     }
 
-    pub(super) fn set_shape(&mut self, shape: ingress::Batching) {
-        self.shape = shape;
+    pub(super) fn set_batching(&mut self, batching: ingress::Batching) {
+        self.batching = batching;
     }
 
     /// Adds a target.
@@ -126,49 +127,51 @@
             data_centre,
             call: None,
             used: 0,
-            paused: None,
-            failed: 0,
-            steady: false,
-            pace: 1.0,
-            gate: quota::Limiter::default(),
+            paused_until: None,
+            failures: 0,
+            is_prompt: false,
+            slowdown: 1.0,
+            limiter: quota::Limiter::default(),
         })
     }
 
-    /// Holds calls of a target, and requests that free results there, to what its gate lets through.
-    pub fn set_limiter(&mut self, key: TargetKey, gate: quota::Limiter) {
-        if let Some(engine) = self.targets.get_mut(key) {
-            engine.gate = gate;
+    /// Sets the rate limiter for calls to a target and for requests that free results there.
+    pub fn set_limiter(&mut self, key: TargetKey, limiter: quota::Limiter) {
+        if let Some(target) = self.targets.get_mut(key) {
+            target.limiter = limiter;
         }
     }
 
-    /// Removes a target; its results are gone with it or will expire.
+    /// Removes a target; its results are lost or will expire.
     pub fn remove(&mut self, key: TargetKey) {
         self.targets.remove(key);
-        self.held.retain(|_, held| held.engine != key);
-        self.stranded.retain(|held| held.engine != key);
+        self.results.retain(|_, result| result.target != key);
+        self.unnamed.retain(|result| result.target != key);
     }
 
-    /// Returns how long a call of so many pieces should take at a target.
+    /// Returns the expected duration of a call at a target, by its recent speed.
     pub fn expected_call_time(&self, key: TargetKey, pieces: usize) -> time::Duration {
-        let pace = self.targets.get(key).map_or(1.0, |e| e.pace.max(1.0));
-        self.nominal_call_time(pieces).mul_f64(pace)
+        let target = self.targets.get(key);
+        let slowdown = target.map_or(1.0, |t| t.slowdown.max(1.0));
+        self.nominal_call_time(pieces).mul_f64(slowdown)
     }
 
-    /// Returns how long after its start a call has read its inputs, if that can be told.
+    /// Returns the time from the start of a call until it has read its inputs, `None` if unknown.
     ///
-    /// A target reads them when the call's turn comes, and works for the fixed time after that. The
-    /// turn comes at once where the last call was answered in time. Behind one that was given up,
-    /// or those of another owner of the queue, it may come much later: inputs that were freed then
-    /// would be missed, and the whole request would have to begin again.
+    /// A target reads the inputs when the call's turn comes, and works for the fixed time after
+    /// that. The turn comes at once if the last call succeeded on time. Behind a call that was
+    /// given up, or calls of another owner of the queue, it may come much later. If the inputs were
+    /// freed before, the whole request would have to start again.
     pub fn input_read_time(&self, key: TargetKey) -> Option<time::Duration> {
-        let engine = self.targets.get(key)?;
-        engine.steady.then(|| self.shape.call_time.mul_f64(READING))
+        let target = self.targets.get(key)?;
+        let read_time = || self.batching.call_time.mul_f64(INPUT_READ_SHARE);
+        target.is_prompt.then(read_time)
     }
 
-    /// Returns when a pause ends, for the next look at the queue.
+    /// Returns the time at which the next pause of a target ends.
     pub fn next_wakeup(&self, now: Instant) -> Option<Instant> {
-        let paused = self.targets.values().filter_map(|e| e.paused);
-        paused.filter(|at| *at > now).min()
+        let pauses = self.targets.values().filter_map(|t| t.paused_until);
+        pauses.filter(|at| *at > now).min()
     }
 
     /// Returns the number of targets.
@@ -176,148 +179,163 @@
         self.targets.len()
     }
 
-    /// Reports whether there is no target.
+    /// Reports whether there are no targets.
     pub fn is_empty(&self) -> bool {
         self.targets.is_empty()
     }
 
-    /// Returns the bytes of results that are accounted at a target.
+    /// Returns the bytes of results that are reserved or stored at a target.
     pub fn used_bytes(&self, key: TargetKey) -> unit::Size {
-        unit::Size(self.targets.get(key).map_or(0, |e| e.used))
+        unit::Size(self.targets.get(key).map_or(0, |t| t.used))
     }
 
-    /// Takes in a call that was made while more waited.
-    pub(super) fn filled(&mut self, pieces: usize) {
-        self.fill += FILL_WEIGHT * (pieces as f64 - self.fill);
+    /// Records the size of a call that left enough pieces for another full one.
+    pub(super) fn record_batch_size(&mut self, pieces: usize) {
+        self.batch_size += BATCH_SIZE_WEIGHT * (pieces as f64 - self.batch_size);
     }
 
-    /// Returns how long a job of `own` pieces takes when as many as `ahead` go before it.
-    pub(super) fn outlook(&self, supply: &Supply, ahead: f64, own: usize) -> time::Duration {
-        if supply.count == 0 || supply.capacity == 0.0 {
+    /// Returns the estimated completion time of a job with `own` pieces behind `ahead` others.
+    pub(super) fn completion_time(
+        &self,
+        throughput: &Throughput,
+        ahead: f64,
+        own: usize,
+    ) -> time::Duration {
+        if throughput.targets == 0 || throughput.rate == 0.0 {
             return time::Duration::MAX;
         }
-        let most = self.shape.pieces.max(1);
-        let queued = time::Duration::try_from_secs_f64(ahead / supply.capacity);
+        let max = self.batching.pieces.max(1);
+        let queued = time::Duration::try_from_secs_f64(ahead / throughput.rate);
         let queued = queued.unwrap_or(time::Duration::MAX);
-        let waves = own.div_ceil(most).div_ceil(supply.count).max(1) as u32;
-        let own = self.nominal_call_time(own.min(most)) * waves;
-        queued.saturating_add(supply.wait + supply.busy / supply.count as u32 + own)
+        let rounds = own.div_ceil(max).div_ceil(throughput.targets).max(1) as u32;
+        let own = self.nominal_call_time(own.min(max)) * rounds;
+        let busy = throughput.busy / throughput.targets as u32;
+        queued.saturating_add(throughput.wait + busy + own)
     }
 
-    /// Adds up the targets that take calls; where none does, those that will first.
-    pub(super) fn supply(&self, now: Instant) -> Supply {
-        let supply = self.supply_after(time::Duration::ZERO, now);
-        if supply.count > 0 {
-            return supply;
+    /// Returns the throughput of the targets that accept calls, or else of those that will first.
+    pub(super) fn throughput(&self, now: Instant) -> Throughput {
+        let throughput = self.throughput_after(time::Duration::ZERO, now);
+        if throughput.targets > 0 {
+            return throughput;
         }
-        let waits = self.targets.values().map(|e| e.gate.backoff(now));
-        self.supply_after(waits.min().unwrap_or_default(), now)
+        let waits = self.targets.values().map(|t| t.limiter.backoff(now));
+        self.throughput_after(waits.min().unwrap_or_default(), now)
     }
 
-    /// Adds up the targets that take calls after a time.
-    fn supply_after(&self, wait: time::Duration, now: Instant) -> Supply {
-        let fill = self.fill.max(1.0);
+    /// Returns the throughput of the targets that accept calls after `wait`.
+    fn throughput_after(&self, wait: time::Duration, now: Instant) -> Throughput {
+        let batch_size = self.batch_size.max(1.0);
         let call = self
-            .nominal_call_time(fill as usize)
+            .nominal_call_time(batch_size as usize)
             .as_secs_f64()
             .max(0.001);
-        let mut supply = Supply {
+        let mut throughput = Throughput {
             wait,
-            ..Supply::default()
+            ..Throughput::default()
         };
-        for engine in self.targets.values() {
-            if engine.gate.backoff(now) > wait {
+        for target in self.targets.values() {
+            if target.limiter.backoff(now) > wait {
                 continue;
             }
-            // One that has failed may be back; with none counted, all requests would be refused.
-            let failed = 0.5f64.powi(engine.failed.min(8) as i32);
-            let speed = failed / engine.pace.max(1.0) / call;
-            let bound = engine.gate.rate(now).map_or(f64::INFINITY, |rate| rate.0);
-            supply.capacity += speed.min(bound) * fill;
-            supply.busy += self.left(engine, now);
-            supply.count += 1;
+            // A target that failed may have recovered; if it counted as lost, an outage of all
+            // targets would make the queue refuse every request.
+            let discount = 0.5f64.powi(target.failures.min(8) as i32);
+            let calls = discount / target.slowdown.max(1.0) / call;
+            let limit = target.limiter.rate(now);
+            let limit = limit.map_or(f64::INFINITY, |rate| rate.0);
+            throughput.rate += calls.min(limit) * batch_size;
+            throughput.busy += self.remaining_call_time(target, now);
+            throughput.targets += 1;
         }
-        supply
+        throughput
     }
 
+    /// Returns the number of idle targets that are not slow.
     pub(super) fn free_count(&self, now: Instant) -> usize {
-        let free = |e: &&Target| is_free(e, now) && e.pace < SLOW;
+        let free = |t: &&Target| is_free(t, now) && t.slowdown < SLOW;
         self.targets.values().filter(free).count()
     }
 
-    /// Reports whether any target is free and has room for a result.
+    /// Reports whether any target is idle and has room for a result.
     pub(super) fn is_any_free(&self, size: unit::Size, now: Instant) -> bool {
-        let mut engines = self.targets.values();
-        engines.any(|e| self.has_room(e, size) && is_free(e, now))
+        let mut targets = self.targets.values();
+        targets.any(|t| self.has_room(t, size) && is_free(t, now))
     }
 
-    /// Lists the free target with the most room of each data centre.
+    /// Returns for each data centre the idle target with the most room.
     pub(super) fn roomiest(&self, now: Instant) -> Vec<TargetKey> {
-        let mut least: collections::HashMap<&id::DataCentre, (u64, TargetKey)> =
+        let mut least_used: collections::HashMap<&id::DataCentre, (u64, TargetKey)> =
             collections::HashMap::new();
-        for (key, engine) in self.targets.iter().filter(|(_, e)| is_free(e, now)) {
-            let best = least.entry(&engine.data_centre);
-            let best = best.or_insert((engine.used, key));
-            *best = (*best).min((engine.used, key));
+        for (key, target) in self.targets.iter().filter(|(_, t)| is_free(t, now)) {
+            let best = least_used.entry(&target.data_centre);
+            let best = best.or_insert((target.used, key));
+            *best = (*best).min((target.used, key));
         }
-        least.into_values().map(|(_, key)| key).collect()
+        least_used.into_values().map(|(_, key)| key).collect()
     }
 
     /// Reports whether a job may be executed at a target.
-    pub(super) fn allows(&self, key: TargetKey, spec: &Spec) -> bool {
+    pub(super) fn is_allowed(&self, key: TargetKey, spec: &Spec) -> bool {
         let places = spec.places.as_deref();
-        let engine = self.targets.get(key);
-        engine.is_some_and(|e| residency::is_allowed(places, &e.data_centre))
+        let target = self.targets.get(key);
+        target.is_some_and(|t| residency::is_allowed(places, &t.data_centre))
     }
 
-    pub(super) fn is_far(&self, key: TargetKey, near: Option<&id::DataCentre>) -> bool {
-        let engine = self.targets.get(key);
-        near.is_some_and(|near| engine.is_some_and(|e| e.data_centre != *near))
+    /// Reports whether a target is outside the preferred data centre.
+    pub(super) fn is_remote(&self, key: TargetKey, near: Option<&id::DataCentre>) -> bool {
+        let target = self.targets.get(key);
+        near.is_some_and(|near| target.is_some_and(|t| t.data_centre != *near))
     }
 
-    /// Returns the time until a fast target in a data centre with room for a result is free, zero
-    /// if one is now. Without such a target there is no time.
-    pub(super) fn wait_near(
+    /// Returns the time until a healthy target with room for a result is idle in the preferred data
+    /// centre, `None` if there is no such target.
+    pub(super) fn local_wait(
         &self,
         near: Option<&id::DataCentre>,
         size: unit::Size,
         now: Instant,
     ) -> Option<time::Duration> {
-        let is_near = |e: &&Target| near.is_some_and(|near| e.data_centre == *near);
-        let fits = |e: &&Target| e.failed == 0 && e.pace < SLOW && self.has_room(e, size);
+        let is_near = |t: &&Target| near.is_some_and(|near| t.data_centre == *near);
+        let fits = |t: &&Target| t.failures == 0 && t.slowdown < SLOW && self.has_room(t, size);
         let near = self.targets.values().filter(is_near).filter(fits);
-        near.filter_map(|e| self.wait(e, now)).min()
+        near.filter_map(|t| self.wait_time(t, now)).min()
     }
 
-    /// Returns the time until a target is free; nobody knows it once a call takes far too long.
-    fn wait(&self, engine: &Target, now: Instant) -> Option<time::Duration> {
-        let held = engine.gate.wait_time(now);
-        if held == time::Duration::MAX {
+    /// Returns the time until a target is idle, `None` if its call takes far longer than expected
+    /// or if its limiter allows no calls.
+    fn wait_time(&self, target: &Target, now: Instant) -> Option<time::Duration> {
+        let limited = target.limiter.wait_time(now);
+        if limited == time::Duration::MAX {
             return None;
         }
-        let Some((start, pieces)) = engine.call else {
-            return Some(held);
+        let Some((start, pieces)) = target.call else {
+            return Some(limited);
         };
-        let length = self.nominal_call_time(pieces).mul_f64(engine.pace.max(1.0));
-        let is_over = now > start + length.mul_f64(STEADY);
-        (!is_over).then(|| self.left(engine, now).max(SOON).max(held))
+        let expected = self.nominal_call_time(pieces);
+        let expected = expected.mul_f64(target.slowdown.max(1.0));
+        let is_overdue = now > start + expected.mul_f64(PROMPT_SLOWDOWN);
+        let remaining = || self.remaining_call_time(target, now).max(MIN_REMAINING);
+        (!is_overdue).then(|| remaining().max(limited))
     }
 
-    /// Returns the time until a target should end its call.
-    fn left(&self, engine: &Target, now: Instant) -> time::Duration {
-        let Some((start, pieces)) = engine.call else {
+    /// Returns the expected time until a target ends its call.
+    fn remaining_call_time(&self, target: &Target, now: Instant) -> time::Duration {
+        let Some((start, pieces)) = target.call else {
             return time::Duration::ZERO;
         };
-        let end = start + self.nominal_call_time(pieces).mul_f64(engine.pace);
+        let end = start + self.nominal_call_time(pieces).mul_f64(target.slowdown);
         end.saturating_duration_since(now)
     }
 
-    /// Returns the room for results that is left at a target.
+    /// Returns the free room for results at a target.
     pub(super) fn room(&self, key: TargetKey) -> unit::Size {
-        unit::Size(self.shape.capacity.0.saturating_sub(self.used_bytes(key).0))
+        let used = self.used_bytes(key).0;
+        unit::Size(self.batching.capacity.0.saturating_sub(used))
     }
 
-    /// Chooses a free target with room for a result: fast ones first, then near ones.
+    /// Chooses an idle target with room for a result: one that is not slow, then a near one, then
+    /// the one with the most room.
     pub(super) fn choose(
         &self,
         near: Option<&id::DataCentre>,
@@ -325,135 +343,150 @@
         tried: &[TargetKey],
         now: Instant,
     ) -> Option<TargetKey> {
-        let fits = |e: &Target| is_free(e, now) && self.has_room(e, size);
-        let cost = |e: &Target| {
-            let far = near.is_some_and(|near| *near != e.data_centre);
-            (e.pace >= SLOW, far, e.used)
+        let fits = |t: &Target| is_free(t, now) && self.has_room(t, size);
+        let cost = |t: &Target| {
+            let is_remote = near.is_some_and(|near| *near != t.data_centre);
+            (t.slowdown >= SLOW, is_remote, t.used)
         };
         let free = self
             .targets
             .iter()
-            .filter(|(key, e)| !tried.contains(key) && fits(e));
-        free.min_by_key(|(_, e)| cost(e)).map(|(key, _)| key)
+            .filter(|(key, t)| !tried.contains(key) && fits(t));
+        free.min_by_key(|(_, t)| cost(t)).map(|(key, _)| key)
     }
 
+    /// Reserves room for a result.
     pub(super) fn reserve(&mut self, key: TargetKey, size: unit::Size) {
-        if let Some(engine) = self.targets.get_mut(key) {
-            engine.used += size.0;
+        if let Some(target) = self.targets.get_mut(key) {
+            target.used += size.0;
         }
     }
 
+    /// Releases the room of a result.
     pub(super) fn release(&mut self, key: TargetKey, size: unit::Size) {
-        if let Some(engine) = self.targets.get_mut(key) {
-            engine.used = engine.used.saturating_sub(size.0);
+        if let Some(target) = self.targets.get_mut(key) {
+            target.used = target.used.saturating_sub(size.0);
         }
     }
 
-    pub(super) fn start(&mut self, key: TargetKey, pieces: usize, now: Instant) {
-        if let Some(engine) = self.targets.get_mut(key) {
-            engine.call = Some((now, pieces));
-            engine.gate.record_send(now);
+    /// Records that a call was sent.
+    pub(super) fn record_start(&mut self, key: TargetKey, pieces: usize, now: Instant) {
+        if let Some(target) = self.targets.get_mut(key) {
+            target.call = Some((now, pieces));
+            target.limiter.record_send(now);
         }
     }
 
-    pub(super) fn finish(&mut self, key: TargetKey, pieces: usize, now: Instant) {
-        let promised = self.nominal_call_time(pieces).as_secs_f64();
-        let Some(engine) = self.targets.get_mut(key) else {
+    /// Records that a call was answered.
+    pub(super) fn record_completion(&mut self, key: TargetKey, pieces: usize, now: Instant) {
+        let nominal = self.nominal_call_time(pieces).as_secs_f64();
+        let Some(target) = self.targets.get_mut(key) else {
             return;
         };
-        let mut steady = false;
-        if let Some((start, _)) = engine.call.take() {
-            let pace = now.duration_since(start).as_secs_f64() / promised.max(0.001);
-            engine.pace += WEIGHT * (pace - engine.pace);
-            steady = pace < STEADY;
+        let mut is_prompt = false;
+        if let Some((start, _)) = target.call.take() {
+            let slowdown = now.duration_since(start).as_secs_f64() / nominal.max(0.001);
+            target.slowdown += SLOWDOWN_WEIGHT * (slowdown - target.slowdown);
+            is_prompt = slowdown < PROMPT_SLOWDOWN;
         }
-        engine.failed = 0;
-        engine.steady = steady;
-        engine.paused = None;
-    }
-
-    /// Pauses a target whose call failed.
-    pub(super) fn fail(&mut self, key: TargetKey, now: Instant) {
-        if let Some(engine) = self.targets.get_mut(key) {
-            engine.call = None;
-            engine.steady = false;
-            let pause = PAUSE * (1 << engine.failed.min(8));
-            engine.failed += 1;
-            engine.paused = Some(now + pause.min(PAUSE_MAX));
+        target.failures = 0;
+        target.is_prompt = is_prompt;
+        target.paused_until = None;
+    }
+
+    /// Records that a call failed, and pauses the target.
+    pub(super) fn record_failure(&mut self, key: TargetKey, now: Instant) {
+        if let Some(target) = self.targets.get_mut(key) {
+            target.call = None;
+            target.is_prompt = false;
+            let pause = FIRST_PAUSE * (1 << target.failures.min(8));
+            target.failures += 1;
+            target.paused_until = Some(now + pause.min(LONGEST_PAUSE));
         }
     }
 
-    /// Accounts for room that is taken by more than is known here.
+    /// Records that a target had no room for a result, and reserves that room for a while.
     ///
-    /// Sizes are approximate, and results that an earlier owner of the queue had made are unknown.
-    /// Without this the next call would send as many pieces in vain.
-    pub(super) fn crowd(&mut self, key: TargetKey, size: unit::Size, now: Instant) {
-        if let Some(engine) = self.targets.get_mut(key) {
-            engine.used += size.0;
-            self.stranded.push(Held {
-                engine: key,
+    /// Sizes are approximate, and results of an earlier owner of the queue are unknown here.
+    /// Without the reservation, the next call would send as many pieces in vain.
+    pub(super) fn record_no_room(&mut self, key: TargetKey, size: unit::Size, now: Instant) {
+        if let Some(target) = self.targets.get_mut(key) {
+            target.used += size.0;
+            self.unnamed.push(StoredResult {
+                target: key,
                 size: size.0,
-                expiry: now + UNKNOWN_TTL,
+                expiry: now + NO_ROOM_TTL,
             });
         }
     }
 
-    pub(super) fn hold(&mut self, key: TargetKey, handle: &Handle, size: unit::Size, now: Instant) {
-        let held = Held {
-            engine: key,
+    /// Adds a stored result whose room is already reserved.
+    pub(super) fn add_result(
+        &mut self,
+        key: TargetKey,
+        handle: &Handle,
+        size: unit::Size,
+        now: Instant,
+    ) {
+        let result = StoredResult {
+            target: key,
             size: size.0,
-            expiry: now + self.shape.ttl,
+            expiry: now + self.batching.ttl,
         };
-        self.held.insert(handle.clone(), held);
+        self.results.insert(handle.clone(), result);
     }
 
-    pub(super) fn strand(&mut self, key: TargetKey, size: unit::Size, now: Instant) {
-        self.stranded.push(Held {
-            engine: key,
+    /// Adds a result that a call may have left under an unknown name; its room is already reserved.
+    pub(super) fn add_unnamed(&mut self, key: TargetKey, size: unit::Size, now: Instant) {
+        self.unnamed.push(StoredResult {
+            target: key,
             size: size.0,
-            expiry: now + self.shape.ttl,
+            expiry: now + self.batching.ttl,
         });
     }
 
-    /// Reports whether a result is accounted at a target, which keeps it until it expires.
+    /// Reports whether a result is stored at a target and has not expired.
     pub fn has_result(&self, handle: &Handle) -> bool {
-        self.held.contains_key(handle)
+        self.results.contains_key(handle)
     }
 
-    pub(super) fn free(&mut self, handle: &Handle) -> Option<TargetKey> {
-        let held = self.held.remove(handle)?;
-        self.release(held.engine, unit::Size(held.size));
-        Some(held.engine)
+    /// Removes a result and releases its room; returns its target.
+    pub(super) fn free_result(&mut self, handle: &Handle) -> Option<TargetKey> {
+        let result = self.results.remove(handle)?;
+        self.release(result.target, unit::Size(result.size));
+        Some(result.target)
     }
 
+    /// Removes expired results and releases their room.
     pub(super) fn expire(&mut self, now: Instant) {
-        let mut ended = Vec::new();
-        let mut live = |held: &Held| {
-            let expired = held.expiry <= now;
-            if expired {
-                ended.push(held.clone());
+        let mut expired = Vec::new();
+        let mut is_live = |result: &StoredResult| {
+            let has_expired = result.expiry <= now;
+            if has_expired {
+                expired.push(result.clone());
             }
-            !expired
+            !has_expired
         };
-        self.held.retain(|_, held| live(held));
-        self.stranded.retain(live);
-        for held in ended {
-            self.release(held.engine, unit::Size(held.size));
+        self.results.retain(|_, result| is_live(result));
+        self.unnamed.retain(is_live);
+        for result in expired {
+            self.release(result.target, unit::Size(result.size));
         }
     }
 
-    /// Returns how long a call of so many pieces is promised to take.
+    /// Returns the duration of a call by the configured times.
     pub fn nominal_call_time(&self, pieces: usize) -> time::Duration {
-        self.shape.call_time + self.shape.piece_time * pieces as u32
+        self.batching.call_time + self.batching.piece_time * pieces as u32
     }
 
-    fn has_room(&self, engine: &Target, size: unit::Size) -> bool {
-        // A result larger than all the room is left to the target to refuse.
-        engine.used == 0 || engine.used + size.0 <= self.shape.capacity.0
+    fn has_room(&self, target: &Target, size: unit::Size) -> bool {
+        // The target itself refuses a result that exceeds its whole capacity.
+        target.used == 0 || target.used + size.0 <= self.batching.capacity.0
     }
 }
 
-fn is_free(engine: &Target, now: Instant) -> bool {
-    let is_paused = engine.paused.is_some_and(|at| at > now);
-    engine.call.is_none() && !is_paused && engine.gate.is_open(now)
+/// Reports whether a target has no call in flight, is not paused and is below its rate limit.
+fn is_free(target: &Target, now: Instant) -> bool {
+    let is_paused = target.paused_until.is_some_and(|at| at > now);
+    target.call.is_none() && !is_paused && target.limiter.is_open(now)
 }
--- a/laburnumcart/tests/batch/calls.rs
+++ b/laburnumcart/tests/batch/calls.rs
@@ -1,4 +1,4 @@
-//! Full calls, room, failures.
+//! Filling of calls, room for results, and failures.
 
 use std::time;
 
@@ -11,13 +11,13 @@
 use tokio::time::Instant;
 
 use crate::support::{
+    BATCHING,
     MS,
-    SHAPE,
-    all,
-    hold,
-    made,
     push,
-    queue, //
+    queue,
+    repeat,
+    store_results,
+    stored, //
 };
 
 #[test]
@@ -28,18 +28,17 @@
     let call = queue.next_call(now).unwrap();
     assert_eq!(call.pieces.len(), 8);
     assert!(queue.next_call(now).is_none(), "one call at a time");
-    let events = queue.complete_call(&call, made(&call), now);
+    let events = queue.complete_call(&call, stored(&call), now);
     assert_eq!(events.len(), 3);
     let call = queue.next_call(now).unwrap();
-    let events = queue.complete_call(&call, made(&call), now);
+    let events = queue.complete_call(&call, stored(&call), now);
     let batch::Event::Done(job, handles) = &events[0] else {
         panic!("{events:?}");
     };
     assert!(jobs.contains(job) && handles.len() == 1);
 }
 
-// Three jobs of three pieces wait, and a call takes eight. With the third job split, the results of
-// its first pieces would lie at the target, unused, until another call has made the last one.
+// The results of a split job's first pieces would occupy room until another call does the rest.
 #[test]
 fn a_job_is_not_split_over_calls() {
     let now = Instant::now();
@@ -49,7 +48,7 @@
     }
     let call = queue.next_call(now).unwrap();
     assert_eq!(call.pieces.len(), 6);
-    let events = queue.complete_call(&call, made(&call), now);
+    let events = queue.complete_call(&call, stored(&call), now);
     assert!(
         matches!(
             &events[..],
@@ -59,14 +58,12 @@
     );
 }
 
-// Under load a job of many pieces finds no room, and jobs of few pieces would always find some. They
-// must not take the room that the first one waits for, or callers with much to do would be served
-// never.
+// Small jobs that use up all room as it is freed would starve jobs with many pieces.
 #[test]
 fn small_jobs_do_not_take_the_room_of_large_ones() {
     let now = Instant::now();
     let mut queue = queue(1);
-    let handles = hold(&mut queue, now);
+    let handles = store_results(&mut queue, now);
     let large = push(&mut queue, 8, 2000 * MS, now);
     for _ in 0..4 {
         push(&mut queue, 1, 2100 * MS, now);
@@ -79,9 +76,9 @@
     assert!(call.pieces.iter().all(|p| p.job == large));
 }
 
-// A job needs more room than a target has. It is made in parts, as nothing else would ever end it.
+// A job that waits for more room than a target has would never start.
 #[test]
-fn a_job_larger_than_all_room_is_made_in_parts() {
+fn a_job_larger_than_the_capacity_is_split() {
     let now = Instant::now();
     let mut queue = queue(1);
     let spec = batch::Spec::new(6, unit::Size(4000), now + 1000 * MS);
@@ -92,8 +89,8 @@
             break;
         };
         assert!(call.pieces.len() <= 3);
-        done.extend(queue.complete_call(&call, made(&call), now));
-        queue.expire(now + SHAPE.ttl);
+        done.extend(queue.complete_call(&call, stored(&call), now));
+        queue.expire(now + BATCHING.ttl);
     }
     assert!(
         matches!(&done[..], [batch::Event::Done(key, _)] if *key == job),
@@ -102,7 +99,7 @@
 }
 
 #[test]
-fn what_waits_is_spread_over_free_targets() {
+fn waiting_pieces_are_spread_over_idle_targets() {
     let now = Instant::now();
     let mut queue = queue(2);
     push(&mut queue, 12, 1000 * MS, now);
@@ -111,22 +108,22 @@
 }
 
 #[test]
-fn results_take_room_until_they_are_freed() {
+fn results_occupy_room_until_they_are_freed() {
     let now = Instant::now();
     let mut queue = queue(1);
-    let handles = hold(&mut queue, now);
+    let handles = store_results(&mut queue, now);
     for _ in 0..2 {
         push(&mut queue, 4, 1000 * MS, now);
     }
     let next = queue.next_call(now).unwrap();
-    assert_eq!(next.pieces.len(), 4, "12 results fit, 8 lie there");
-    queue.complete_call(&next, made(&next), now);
+    assert_eq!(next.pieces.len(), 4, "room for 12 results, 8 are stored");
+    queue.complete_call(&next, stored(&next), now);
     assert!(queue.next_call(now).is_none());
     handles
         .iter()
         .for_each(|handle| assert!(queue.free_result(handle).is_some()));
     assert_eq!(queue.next_call(now).unwrap().pieces.len(), 4);
-    assert!(queue.free_result(&handles[0]).is_none(), "freed once");
+    assert!(queue.free_result(&handles[0]).is_none(), "already freed");
 }
 
 #[test]
@@ -135,39 +132,39 @@
     let mut queue = queue(1);
     push(&mut queue, 8, 1000 * MS, now);
     let call = queue.next_call(now).unwrap();
-    queue.complete_call(&call, made(&call), now);
+    queue.complete_call(&call, stored(&call), now);
     assert_eq!(queue.targets.used_bytes(call.target), unit::Size(8000));
-    queue.expire(now + SHAPE.ttl);
+    queue.expire(now + BATCHING.ttl);
     assert_eq!(queue.targets.used_bytes(call.target), unit::Size(0));
 }
 
-// An earlier owner of the queue had results made that this one does not know of. The target has no
-// room for some pieces; the same number must not be sent again at once, in vain.
+// Results of an earlier queue owner occupy room that this one does not know of; sending as many
+// pieces again at once would fail again.
 #[test]
-fn room_that_others_take_is_left_alone() {
+fn a_target_without_room_gets_fewer_pieces_for_a_while() {
     let now = Instant::now();
     let mut queue = queue(1);
     for _ in 0..2 {
         push(&mut queue, 4, 3000 * MS, now);
     }
     let call = queue.next_call(now).unwrap();
-    let events = queue.complete_call(&call, all(&call, batch::Outcome::NoRoom), now);
+    let events = queue.complete_call(&call, repeat(&call, batch::Outcome::NoRoom), now);
     assert!(events.is_empty());
     let next = queue.next_call(now).unwrap();
     assert_eq!(next.pieces.len(), 4);
-    queue.complete_call(&next, all(&next, batch::Outcome::NoRoom), now);
+    queue.complete_call(&next, repeat(&next, batch::Outcome::NoRoom), now);
     assert!(queue.next_call(now).is_none());
     let later = now + 600 * MS;
     queue.expire(later);
     assert!(
         queue.next_call(later).is_some(),
-        "tried again after a while"
+        "the room is tried again later"
     );
 }
 
-// A target dies during a call. Its pieces go to the other one, and the job is done all the same.
+// A target crashes during a call.
 #[test]
-fn pieces_of_a_lost_call_go_elsewhere() {
+fn pieces_of_a_failed_call_go_to_another_target() {
     let now = Instant::now();
     let mut queue = queue(2);
     let job = push(&mut queue, 4, 1000 * MS, now);
@@ -178,48 +175,47 @@
         other.target, call.target,
         "the target that failed is paused"
     );
-    let events = queue.complete_call(&other, made(&other), now);
+    let events = queue.complete_call(&other, stored(&other), now);
     assert!(matches!(&events[..], [batch::Event::Done(key, _)] if *key == job));
-    // What the lost call may have made still takes room at its target.
+    // Results that the failed call may have left still occupy room at its target.
     assert_eq!(queue.targets.used_bytes(call.target), unit::Size(4000));
 }
 
-// A piece that fails everywhere must not be sent for ever.
+// A piece that fails at every target must not be sent forever.
 #[test]
-fn a_job_that_fails_everywhere_is_given_up() {
+fn a_job_fails_after_too_many_failed_sends() {
     let start = Instant::now();
     let mut queue = queue(1);
     let job = push(&mut queue, 1, 1000 * MS, start);
     for i in 1..100 {
         let now = start + i * 10 * MS;
         let Some(call) = queue.next_call(now) else {
-            panic!("neither waiting nor given up");
+            panic!("the job is neither waiting nor failed");
         };
-        let events = queue.complete_call(&call, all(&call, batch::Outcome::Failed), now);
+        let events = queue.complete_call(&call, repeat(&call, batch::Outcome::Failed), now);
         if !events.is_empty() {
             assert_eq!(events, [batch::Event::Failed(job, batch::Failure::Failed)]);
             return;
         }
     }
-    panic!("sent for ever");
+    panic!("the piece is sent forever");
 }
 
-// An input is gone with its target. The job fails at once, and what it has made is freed, or it
-// would take room for seconds that nobody uses.
+// Results of a job that fails for a lost input would otherwise occupy room until they expire.
 #[test]
-fn a_failed_job_leaves_nothing_behind() {
+fn results_of_a_failed_job_are_orphans() {
     let now = Instant::now();
     let mut queue = queue(1);
     let job = push(&mut queue, 2, 1000 * MS, now);
     let call = queue.next_call(now).unwrap();
-    let kept = batch::Handle::new("kept", id::Life(1));
-    let outcomes = vec![batch::Outcome::Stored(kept.clone()), batch::Outcome::Gone];
+    let handle = batch::Handle::new("result", id::Life(1));
+    let outcomes = vec![batch::Outcome::Stored(handle.clone()), batch::Outcome::Gone];
     let events = queue.complete_call(&call, outcomes, now);
     let failed = batch::Event::Failed(job, batch::Failure::Gone);
-    assert_eq!(events, [batch::Event::Orphan(kept), failed]);
+    assert_eq!(events, [batch::Event::Orphan(handle), failed]);
 }
 
-// The caller leaves while its pieces are being made. The results that come later are freed.
+// The caller disconnects while its pieces are in flight.
 #[test]
 fn results_of_a_cancelled_job_are_orphans() {
     let now = Instant::now();
@@ -227,7 +223,7 @@
     let job = push(&mut queue, 2, 1000 * MS, now);
     let call = queue.next_call(now).unwrap();
     assert!(queue.cancel(job).is_empty());
-    let events = queue.complete_call(&call, made(&call), now);
+    let events = queue.complete_call(&call, stored(&call), now);
     assert!(matches!(
         &events[..],
         [batch::Event::Orphan(_), batch::Event::Orphan(_)]
@@ -235,19 +231,18 @@
 }
 
 #[test]
-fn jobs_end_at_their_deadline() {
+fn jobs_fail_at_their_deadline() {
     let now = Instant::now();
-    let mut queue = batch::Queue::new(SHAPE);
+    let mut queue = batch::Queue::new(BATCHING);
     let job = push(&mut queue, 2, 1000 * MS, now);
     assert!(queue.expire(now + 4999 * MS).is_empty());
     let late = batch::Event::Failed(job, batch::Failure::Late);
     assert_eq!(queue.expire(now + 5000 * MS), [late]);
 }
 
-// The owner leaves. Jobs that wait fail over to the next owner; those that are wholly in calls are
-// answered here, as their results would be made twice otherwise.
+// Jobs wholly in flight are completed by the leaving owner; the next one would execute them twice.
 #[test]
-fn a_leaving_owner_gives_up_what_waits() {
+fn a_leaving_owner_fails_only_jobs_with_waiting_pieces() {
     let now = Instant::now();
     let mut queue = queue(1);
     let running = push(&mut queue, 8, 900 * MS, now);
@@ -255,15 +250,15 @@
     let call = queue.next_call(now).unwrap();
     let failed = batch::Event::Failed(waiting, batch::Failure::Unavailable);
     assert_eq!(queue.release_unstarted(), [failed]);
-    let events = queue.complete_call(&call, made(&call), now);
+    let events = queue.complete_call(&call, stored(&call), now);
     assert!(matches!(&events[..], [batch::Event::Done(key, _)] if *key == running));
 }
 
-/// One step of a random run.
+/// Step of a random run.
 #[derive(Clone, Debug)]
 enum Step {
     Push(u32),
-    Take,
+    Call,
     End(u8),
     Free,
     Wait(u32),
@@ -272,7 +267,7 @@
 fn steps() -> impl Strategy<Value = Vec<Step>> {
     let step = prop_oneof![
         (1u32..12).prop_map(Step::Push),
-        Just(Step::Take),
+        Just(Step::Call),
         (0u8..6).prop_map(Step::End),
         Just(Step::Free),
         (1u32..400).prop_map(Step::Wait),
@@ -281,35 +276,34 @@
 }
 
 proptest! {
-    /// Whatever happens, each job ends once, no call exceeds its batch, and what is accounted at a
-    /// target never exceeds its room by more than what was lost there.
+    /// Under any sequence of events, each job ends exactly once and no call exceeds the batch size.
     #[test]
     fn each_job_ends_once(steps in steps()) {
         let mut now = Instant::now();
         let mut queue = queue(2);
         let mut open = std::collections::HashSet::new();
         let mut calls: Vec<batch::Call> = Vec::new();
-        let mut held = Vec::new();
+        let mut handles = Vec::new();
         let mut events = Vec::new();
         for step in steps {
             match step {
                 Step::Push(pieces) => {
                     open.insert(push(&mut queue, pieces, 700 * MS, now));
                 }
-                Step::Take => calls.extend(queue.next_call(now)),
+                Step::Call => calls.extend(queue.next_call(now)),
                 Step::End(kind) => {
                     let Some(call) = calls.pop() else { continue };
-                    prop_assert!(call.pieces.len() <= SHAPE.pieces);
+                    prop_assert!(call.pieces.len() <= BATCHING.pieces);
                     events.extend(match kind {
                         0 => queue.fail_call(&call, true, now),
                         1 => queue.fail_call(&call, false, now),
-                        2 => queue.complete_call(&call, all(&call, batch::Outcome::NoRoom), now),
-                        3 => queue.complete_call(&call, all(&call, batch::Outcome::Gone), now),
-                        _ => queue.complete_call(&call, made(&call), now),
+                        2 => queue.complete_call(&call, repeat(&call, batch::Outcome::NoRoom), now),
+                        3 => queue.complete_call(&call, repeat(&call, batch::Outcome::Gone), now),
+                        _ => queue.complete_call(&call, stored(&call), now),
                     });
                 }
                 Step::Free => {
-                    if let Some(handle) = held.pop() {
+                    if let Some(handle) = handles.pop() {
                         queue.free_result(&handle);
                     }
                 }
@@ -320,9 +314,9 @@
             }
             for event in events.drain(..) {
                 match event {
-                    batch::Event::Done(key, handles) => {
+                    batch::Event::Done(key, results) => {
                         prop_assert!(open.remove(&key));
-                        held.extend(handles);
+                        handles.extend(results);
                     }
                     batch::Event::Failed(key, _) => prop_assert!(open.remove(&key)),
                     batch::Event::Orphan(handle) => {
@@ -331,7 +325,7 @@
                 }
             }
         }
-        // Time ends all that is left.
+        // The remaining jobs end at their deadline.
         for call in calls {
             queue.fail_call(&call, false, now);
         }
@@ -345,10 +339,10 @@
     }
 }
 
-// Inputs may be freed once they were read. When that is can be told only of a call whose turn comes
-// at once; behind one that was given up it may come much later, and would find its inputs gone.
+// Behind a call that was given up, the next one reads its inputs much later; they must not be freed
+// by then.
 #[test]
-fn only_calls_after_an_answered_one_tell_when_they_have_read() {
+fn input_read_time_is_known_only_after_an_answered_call() {
     let now = Instant::now();
     let mut queue = queue(1);
     push(&mut queue, 8, 1000 * MS, now);
@@ -356,17 +350,17 @@
     assert_eq!(
         queue.targets.input_read_time(call.target),
         None,
-        "none was answered"
+        "no call was answered yet"
     );
-    queue.complete_call(&call, made(&call), now + 300 * MS);
-    let read = queue.targets.input_read_time(call.target).unwrap();
-    assert!(read > time::Duration::ZERO && read < SHAPE.call_time);
+    queue.complete_call(&call, stored(&call), now + 300 * MS);
+    let read_time = queue.targets.input_read_time(call.target).unwrap();
+    assert!(read_time > time::Duration::ZERO && read_time < BATCHING.call_time);
     push(&mut queue, 4, 1000 * MS, now);
     let call = queue.next_call(now + 300 * MS).unwrap();
     queue.fail_call(&call, true, now + 900 * MS);
     assert_eq!(
         queue.targets.input_read_time(call.target),
         None,
-        "the last was given up"
+        "the last call failed"
     );
 }
--- a/laburnumcart/tests/batch/estimate.rs
+++ b/laburnumcart/tests/batch/estimate.rs
@@ -1,4 +1,4 @@
-//! How long jobs will take, and which are given up.
+//! Completion estimates of jobs, and early failure of hopeless ones.
 
 use std::time;
 
@@ -9,16 +9,16 @@
 use tokio::time::Instant;
 
 use crate::support::{
+    BATCHING,
     MS,
-    SHAPE,
     SIZE,
-    made,
     push,
-    queue, //
+    queue,
+    stored, //
 };
 
 #[test]
-fn the_outlook_grows_with_what_waits() {
+fn the_estimate_grows_with_the_waiting_jobs() {
     let now = Instant::now();
     let mut queue = queue(2);
     let spec = |due: u32| batch::Spec::new(4, SIZE, now + due * MS);
@@ -28,17 +28,17 @@
         push(&mut queue, 8, 900 * MS, now);
     }
     assert!(queue.estimate_time(&spec(1000), now) > empty + 1000 * MS);
-    // Jobs that are due later, or of a lower rank, do not hold up this one.
+    // Jobs that are due later, or of a lower rank, do not delay this one.
     assert_eq!(queue.estimate_time(&spec(500), now), empty);
     assert!(queue.estimate_time(&spec(500).rank(2), now) > empty);
-    let none = batch::Queue::new(SHAPE);
+    let none = batch::Queue::new(BATCHING);
     assert_eq!(none.estimate_time(&spec(1000), now), time::Duration::MAX);
 }
 
-// Jobs that earlier stages will bring in a moment do not wait yet. Left out, as many requests again
-// would be admitted as the queue can do, and all of them would be late together.
+// Jobs still in earlier stages do not wait yet. If they were ignored, twice as many requests as the
+// queue can serve would be admitted, and all would be late.
 #[test]
-fn jobs_that_will_come_count() {
+fn announced_jobs_count() {
     let now = Instant::now();
     let mut queue = queue(2);
     let spec = batch::Spec::new(4, SIZE, now + 900 * MS);
@@ -52,16 +52,16 @@
         queue.withdraw(id);
     }
     assert!(queue.estimate_future(&spec, now).turn < behind.turn);
-    // Those who announced the rest have gone.
+    // The rest are dropped at their due time, as their announcers may have crashed.
     queue.expire(now + 1000 * MS);
     let later = batch::Spec::new(4, SIZE, now + 1900 * MS);
     assert_eq!(queue.estimate_future(&later, now + 1000 * MS), empty);
 }
 
-// All that the targets can do goes to jobs on time. A late job would be told of the few that wait
-// before it now, and wait for ever behind those that come.
+// Jobs on time use the whole throughput. An estimate by the present queue alone would make a late
+// job wait forever behind those that arrive later.
 #[test]
-fn late_jobs_get_what_those_on_time_leave() {
+fn estimates_of_late_jobs_count_arriving_jobs() {
     let mut now = Instant::now();
     let mut queue = queue(1);
     let spec = |now| batch::Spec::new(2, SIZE, now);
@@ -71,7 +71,7 @@
         push(&mut queue, 8, 1000 * MS, now);
         let call = queue.next_call(now).unwrap();
         now += 360 * MS;
-        let events = queue.complete_call(&call, made(&call), now);
+        let events = queue.complete_call(&call, stored(&call), now);
         let batch::Event::Done(_, handles) = &events[0] else {
             panic!("{events:?}");
         };
@@ -81,15 +81,14 @@
     }
     let loaded = queue.estimate_time(&spec(now), now);
     assert!(loaded > 3 * idle, "{idle:?} {loaded:?}");
-    // A job on time is not held up by that.
+    // A job on time is not affected.
     assert!(queue.estimate_time(&spec(now + 2000 * MS), now) < loaded / 2);
 }
 
-// All instances were lost, and every target has just had some seconds of nothing but jobs on time. Callers come
-// back with ten seconds left for what takes one. Judged by them alone, they would be refused for
-// good, as no one comes back twice.
+// After a loss of all instances, callers retry with ten seconds left for one second of work. If the
+// preceding seconds of full load decided alone, they would be refused permanently.
 #[test]
-fn full_seconds_do_not_count_for_ever() {
+fn past_full_load_is_not_extrapolated_to_the_deadline() {
     let mut now = Instant::now();
     let mut queue = queue(4);
     for _ in 0..20 {
@@ -101,7 +100,7 @@
             .collect();
         now += 360 * MS;
         for call in calls {
-            let events = queue.complete_call(&call, made(&call), now);
+            let events = queue.complete_call(&call, stored(&call), now);
             let batch::Event::Done(_, handles) = &events[0] else {
                 panic!("{events:?}");
             };
@@ -117,55 +116,57 @@
     for _ in 0..10 {
         push(&mut queue, 8, time::Duration::ZERO, now);
     }
-    let back = batch::Spec::new(4, SIZE, now).deadline(now + 10_000 * MS);
-    let outlook = queue.estimate_time(&back, now);
-    assert!(outlook < 10_000 * MS, "{outlook:?}");
+    let retry = batch::Spec::new(4, SIZE, now).deadline(now + 10_000 * MS);
+    let estimate = queue.estimate_time(&retry, now);
+    assert!(estimate < 10_000 * MS, "{estimate:?}");
 }
 
-// Jobs that came in time have become late, as others keep coming that go before them. Kept to the
-// deadline, their callers would have no time left to come again; they are told once it is known.
+// If jobs that have become late were kept until the deadline, their callers could not retry.
 #[test]
-fn late_jobs_that_cannot_be_done_are_given_up() {
+fn late_jobs_that_would_miss_their_deadline_fail_early() {
     let mut now = Instant::now();
     let mut queue = queue(1);
     let spec = |now| batch::Spec::new(8, SIZE, now + 300 * MS).deadline(now + 3000 * MS);
     let jobs: Vec<_> = (0..12).map(|_| queue.push(spec(now))).collect();
-    assert!(queue.expire(now).is_empty(), "they are on time");
+    assert!(queue.expire(now).is_empty(), "all jobs are on time");
     now += 200 * MS;
     let events = queue.expire(now);
-    let given_up =
+    let is_busy =
         |event: &batch::Event| matches!(event, batch::Event::Failed(_, batch::Failure::Busy(_)));
-    // A call takes 0.36 s, so that seven are done in 2.8 s, and the rest never.
+    // A call takes 0.36 s, so seven jobs are done within 2.8 s and the others are not.
     assert!(
-        !events.is_empty() && events.iter().all(given_up),
+        !events.is_empty() && events.iter().all(is_busy),
         "{events:?}"
     );
     assert!(events.len() < jobs.len());
-    assert!(queue.next_call(now).is_some(), "the others are done");
+    assert!(
+        queue.next_call(now).is_some(),
+        "the other jobs are executed"
+    );
 }
 
-// Jobs are refused for a target that backs off for minutes while another one is free.
+// One target that backs off for minutes must not cause refusals while another one is available.
 #[tokio::test(start_paused = true)]
 async fn the_outlook_counts_the_time_for_which_all_targets_back_off() {
     let now = Instant::now();
-    let mut queue = batch::Queue::new(SHAPE);
-    let gates = ["north", "south"].map(|place| {
+    let mut queue = batch::Queue::new(BATCHING);
+    let limiters = ["north", "south"].map(|place| {
         let key = queue.targets.add(place.parse().unwrap());
-        let gate = quota::Limiter::default();
-        queue.targets.set_limiter(key, gate.clone());
-        gate
+        let limiter = quota::Limiter::default();
+        queue.targets.set_limiter(key, limiter.clone());
+        limiter
     });
     let spec = batch::Spec::new(4, SIZE, now + 5000 * MS);
     let free = queue.estimate_time(&spec, now);
-    let close = |gate: &quota::Limiter, left: time::Duration| {
-        gate.set(quota::Bounds {
+    let close = |limiter: &quota::Limiter, left: time::Duration| {
+        limiter.set(quota::Bounds {
             closed: Some(quota::Bound::closed().until(now + left)),
             ..quota::Bounds::default()
         });
     };
-    close(&gates[0], 600_000 * MS);
+    close(&limiters[0], 600_000 * MS);
     assert_eq!(queue.estimate_time(&spec, now), free);
-    close(&gates[1], 2000 * MS);
+    close(&limiters[1], 2000 * MS);
     assert_eq!(queue.estimate_time(&spec, now), free + 2000 * MS);
     push(&mut queue, 4, 900 * MS, now);
     assert!(queue.next_call(now).is_none());
--- a/laburnumcart/tests/batch/main.rs
+++ b/laburnumcart/tests/batch/main.rs
@@ -1,11 +1,11 @@
-//! The queue of pieces.
+//! Tests of the batch queue.
 
 mod admission;
 mod burst;
 mod calls;
 mod cost;
 mod estimate;
-mod load;
-mod order;
+mod locality;
+mod ordering;
 mod owners;
 mod support;
