--- a/laburnumcart/src/fair.rs
+++ b/laburnumcart/src/fair.rs
@@ -1,9 +1,9 @@
-//! Weighted fair queue of the teams at one target.
+//! Weighted fair queueing of the teams at one target.
 //!
-//! Each team has a virtual time: the cost that it was served, divided by its weight. The team that
-//! is furthest behind is served next. A priority below the highest adds a fixed lead to the
-//! comparison, so that urgent work overtakes, yet only by that lead: a team that floods the target
-//! with urgent work comes back to its share, and nobody starves.
+//! Each team has a virtual time: the cost of its served work divided by its weight. The team with
+//! the least virtual time is served next. Each step of priority below the highest adds a fixed lead
+//! in this comparison. Urgent work therefore goes first, but only by that lead: a team that floods
+//! the target with urgent work falls back to its share, and no team starves.
 
 use std::{
     collections,
@@ -23,68 +23,68 @@
 use team::Team;
 
 slotmap::new_key_type! {
-    /// A team of one queue.
+    /// Key of a team in one queue.
     pub struct TeamKey;
 
-    /// A waiting entry of one queue.
+    /// Key of a waiting entry in one queue.
     pub struct EntryKey;
 }
 
 /// Virtual time of one unit of cost at weight 1.
 const UNIT: u128 = 1 << 20;
 
-/// Requests of unit cost by which a team of mean weight overtakes for each step of priority.
-const LEAD: u128 = 8;
+/// Lead of each step of priority, in requests of unit cost for a team of mean weight.
+const LEAD_REQUESTS: u128 = 8;
 
 /// Number of priorities.
-const LEVELS: usize = 3;
+const PRIORITIES: usize = 3;
 
-/// Time by which each step of priority overtakes a deadline within one team.
-const SLACK: time::Duration = time::Duration::from_secs(1);
+/// Delay of the deadline, within one team, for each step of priority below the highest.
+const PRIORITY_DELAY: time::Duration = time::Duration::from_secs(1);
 
-/// Work that asks for a place.
+/// Request to be queued.
 #[derive(Clone, Debug)]
 pub struct Request<T> {
     /// Priority under contention.
     pub priority: bundle::Priority,
-    /// Moment after which it is dropped.
+    /// Time after which the request is dropped.
     pub deadline: Instant,
-    /// Expected cost in any unit that all requests of the queue share; 0 counts as 1.
+    /// Expected cost, in a unit common to all requests of the queue; 0 counts as 1.
     pub cost: u32,
-    /// What the caller wants back.
+    /// Caller's own data.
     pub value: T,
 }
 
-/// An entry that leaves the queue to be served.
+/// Entry taken from the queue to be served.
 #[derive(Debug)]
 pub struct Popped<T> {
-    /// Its key, now free.
+    /// Key of the entry, no longer valid.
     pub key: EntryKey,
-    /// Its team.
+    /// Team of the entry.
     pub team: TeamKey,
-    /// The work.
+    /// Queued request.
     pub request: Request<T>,
 }
 
-/// An entry that leaves the queue unserved; it provably did not run.
+/// Entry dropped from the queue, proven not executed.
 #[derive(Debug)]
 pub struct Dropped<T> {
-    /// Its key, now free.
+    /// Key of the entry, no longer valid.
     pub key: EntryKey,
-    /// Its team.
+    /// Team of the entry.
     pub team: TeamKey,
-    /// The work.
+    /// Queued request.
     pub request: Request<T>,
-    /// Cause.
+    /// Refusal to return to the caller.
     pub refusal: verdict::Refusal,
 }
 
 /// Outcome of [`Queue::push`].
 #[derive(Debug)]
 pub struct Pushed<T> {
-    /// Key of the new entry; free again if `dropped` names it.
+    /// Key of the new entry; not valid if that entry was dropped.
     pub key: EntryKey,
-    /// Entry that had to go, possibly the new one itself.
+    /// Entry dropped for the new one, possibly the new one itself.
     pub dropped: Option<Dropped<T>>,
 }
 
@@ -94,7 +94,7 @@
     request: Request<T>,
 }
 
-/// Weighted fair queue; each operation takes logarithmic time.
+/// Weighted fair queue whose operations take logarithmic time.
 ///
 /// ```
 /// use std::time::Duration;
@@ -115,41 +115,41 @@
 /// ```
 #[derive(Debug)]
 pub struct Queue<T> {
-    bound: usize,
+    capacity: usize,
     teams: SlotMap<TeamKey, Team>,
     entries: SlotMap<EntryKey, Entry<T>>,
     /// Sum of all weights.
     weights: u128,
-    /// Teams with entries by virtual time, for each priority of the entry they serve next.
-    levels: [collections::BTreeSet<(u128, TeamKey)>; LEVELS],
-    /// Teams with entries, by waiting cost a weight.
-    excess: collections::BTreeSet<(u128, TeamKey)>,
+    /// Teams with entries by virtual time, for each priority of their next entry.
+    by_priority: [collections::BTreeSet<(u128, TeamKey)>; PRIORITIES],
+    /// Teams with entries by waiting cost per weight.
+    by_excess: collections::BTreeSet<(u128, TeamKey)>,
     /// Entries by deadline.
-    deadlines: collections::BTreeSet<(Instant, EntryKey)>,
+    by_deadline: collections::BTreeSet<(Instant, EntryKey)>,
     expired: Vec<Dropped<T>>,
     clock: Clock,
 }
 
-/// How far the teams with entries have come; never goes back.
+/// Progress of the teams with entries; it never decreases.
 #[derive(Clone, Copy, Debug, Default)]
 struct Clock {
     /// Least virtual time.
     time: u128,
-    /// Least virtual time with the lead of priorities counted in.
+    /// Least virtual time including the lead of priorities.
     rank: u128,
 }
 
 impl<T> Queue<T> {
-    /// Creates a queue that holds at most `bound` entries in all.
-    pub fn new(bound: usize) -> Self {
+    /// Creates a queue of at most `capacity` entries.
+    pub fn new(capacity: usize) -> Self {
         Self {
-            bound,
+            capacity,
             teams: SlotMap::with_key(),
             entries: SlotMap::with_key(),
             weights: 0,
-            levels: Default::default(),
-            excess: collections::BTreeSet::new(),
-            deadlines: collections::BTreeSet::new(),
+            by_priority: Default::default(),
+            by_excess: collections::BTreeSet::new(),
+            by_deadline: collections::BTreeSet::new(),
             expired: Vec::new(),
             clock: Clock::default(),
         }
@@ -160,7 +160,7 @@
         self.entries.len()
     }
 
-    /// Reports whether nothing waits.
+    /// Reports whether the queue has no entries.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
@@ -170,31 +170,31 @@
         self.teams.get(team).map_or(0, Team::len)
     }
 
-    /// Returns when the next entry expires.
+    /// Returns the earliest deadline of an entry.
     pub fn next_expiry(&self) -> Option<Instant> {
-        self.deadlines.first().map(|(at, _)| *at)
+        self.by_deadline.first().map(|(at, _)| *at)
     }
 
-    /// Adds a team; a weight of 0 counts as 1, and at most `bound` of its entries wait.
+    /// Adds a team with at most `bound` entries; a weight of 0 counts as 1.
     pub fn add_team(&mut self, weight: u32, bound: usize) -> TeamKey {
         let team = Team::new(weight, bound, self.clock.time);
         self.weights += team.weight();
         self.teams.insert(team)
     }
 
-    /// Changes the weight and bound of a team; entries above the new bound stay.
+    /// Changes the weight and bound of a team; entries beyond the new bound stay.
     pub fn set_team(&mut self, key: TeamKey, weight: u32, bound: usize) {
         let before = self.teams.get(key).map_or(0, Team::weight);
-        self.change(key, |team| team.set(weight, bound));
+        self.update_team(key, |team| team.set(weight, bound));
         let after = self.teams.get(key).map_or(0, Team::weight);
         self.weights = self.weights + after - before;
     }
 
-    /// Removes a team and returns what waited.
+    /// Removes a team and returns its entries.
     pub fn remove_team(&mut self, key: TeamKey) -> Vec<Dropped<T>> {
         let keys = self.teams.get(key).map(Team::keys).unwrap_or_default();
         let reason = verdict::Reason::UnknownPipeline;
-        let dropped = keys.iter().filter_map(|k| self.discard(*k, reason));
+        let dropped = keys.iter().filter_map(|k| self.drop_entry(*k, reason));
         let dropped = dropped.collect();
         if let Some(team) = self.teams.remove(key) {
             self.weights -= team.weight();
@@ -202,33 +202,36 @@
         dropped
     }
 
-    /// Adds work of a team; at a bound, the least important entry of the team at fault goes.
+    /// Adds a request of a team.
+    ///
+    /// If the bound of the team is exceeded, its least important entry is dropped; if the capacity
+    /// of the queue is, that of the team with the highest waiting cost per weight.
     ///
     /// # Panics
     ///
     /// Panics if the team was removed.
     pub fn push(&mut self, key: TeamKey, request: Request<T>) -> Pushed<T> {
-        let place = team::Place::new(&request);
+        let sort_key = team::SortKey::new(&request);
         let entry = self.entries.insert(Entry { team: key, request });
-        self.deadlines.insert((place.deadline, entry));
-        let start = self.start(place.priority);
-        self.change(key, |team| team.insert(place, entry, start));
-        let dropped = self.shed(key);
+        self.by_deadline.insert((sort_key.deadline, entry));
+        let start = self.start_time(sort_key.priority);
+        self.update_team(key, |team| team.insert(sort_key, entry, start));
+        let dropped = self.shed_excess(key);
         Pushed {
             key: entry,
             dropped,
         }
     }
 
-    /// Takes the entry to serve next; entries past their deadline go to [`Queue::take_expired`].
+    /// Takes the entry to serve next; expired entries are returned by [`Queue::take_expired`].
     pub fn pop(&mut self, now: Instant) -> Option<Popped<T>> {
         self.expire(now);
-        let (rank, team) = self.next()?;
-        self.advance(rank);
-        let key = self.teams[team].head()?;
-        let entry = self.unlink(key)?;
+        let (rank, team) = self.next_team()?;
+        self.advance_clock(rank);
+        let key = self.teams[team].next_served()?;
+        let entry = self.remove_entry(key)?;
         let cost = u128::from(entry.request.cost.max(1));
-        self.change(team, |t| t.charge(cost * UNIT));
+        self.update_team(team, |t| t.charge(cost * UNIT));
         Some(Popped {
             key,
             team,
@@ -236,15 +239,15 @@
         })
     }
 
-    /// Removes a waiting entry, for a caller that has gone.
+    /// Removes an entry whose caller has gone.
     pub fn remove(&mut self, key: EntryKey) -> Option<Request<T>> {
-        self.unlink(key).map(|entry| entry.request)
+        self.remove_entry(key).map(|entry| entry.request)
     }
 
-    /// Corrects a team's account once the true cost of served work is known.
+    /// Corrects the charged cost of a served request once its actual cost is known.
     pub fn correct_cost(&mut self, key: TeamKey, expected: u32, actual: u32) {
         let (expected, actual) = (u128::from(expected.max(1)), u128::from(actual.max(1)));
-        self.change(key, |team| {
+        self.update_team(key, |team| {
             if actual >= expected {
                 team.charge((actual - expected) * UNIT);
             } else {
@@ -255,10 +258,10 @@
 
     /// Drops all entries whose deadline has passed.
     pub fn expire(&mut self, now: Instant) {
-        while let Some((at, key)) = self.deadlines.first().copied()
+        while let Some((at, key)) = self.by_deadline.first().copied()
             && at <= now
         {
-            let dropped = self.discard(key, verdict::Reason::DeadlineExceeded);
+            let dropped = self.drop_entry(key, verdict::Reason::DeadlineExceeded);
             self.expired.extend(dropped);
         }
     }
@@ -269,21 +272,21 @@
     }
 
     /// Drops one entry if a bound is exceeded after a push to `team`.
-    fn shed(&mut self, team: TeamKey) -> Option<Dropped<T>> {
-        if self.teams[team].is_over() {
-            let key = self.teams[team].tail()?;
-            return self.discard(key, verdict::Reason::OverShare);
+    fn shed_excess(&mut self, team: TeamKey) -> Option<Dropped<T>> {
+        if self.teams[team].is_over_bound() {
+            let key = self.teams[team].next_shed()?;
+            return self.drop_entry(key, verdict::Reason::OverShare);
         }
-        if self.entries.len() <= self.bound {
+        if self.entries.len() <= self.capacity {
             return None;
         }
-        let (_, most) = *self.excess.last()?;
-        let key = self.teams[most].tail()?;
-        self.discard(key, verdict::Reason::Overloaded)
+        let (_, largest) = *self.by_excess.last()?;
+        let key = self.teams[largest].next_shed()?;
+        self.drop_entry(key, verdict::Reason::Overloaded)
     }
 
-    fn discard(&mut self, key: EntryKey, reason: verdict::Reason) -> Option<Dropped<T>> {
-        let entry = self.unlink(key)?;
+    fn drop_entry(&mut self, key: EntryKey, reason: verdict::Reason) -> Option<Dropped<T>> {
+        let entry = self.remove_entry(key)?;
         Some(Dropped {
             key,
             team: entry.team,
@@ -292,60 +295,60 @@
         })
     }
 
-    fn unlink(&mut self, key: EntryKey) -> Option<Entry<T>> {
+    fn remove_entry(&mut self, key: EntryKey) -> Option<Entry<T>> {
         let entry = self.entries.remove(key)?;
-        let place = team::Place::new(&entry.request);
-        self.deadlines.remove(&(place.deadline, key));
-        self.change(entry.team, |team| team.remove(place, key));
+        let sort_key = team::SortKey::new(&entry.request);
+        self.by_deadline.remove(&(sort_key.deadline, key));
+        self.update_team(entry.team, |team| team.remove(sort_key, key));
         Some(entry)
     }
 
-    /// Changes a team and keeps the orders over teams in step.
-    fn change(&mut self, key: TeamKey, f: impl FnOnce(&mut Team)) {
+    /// Changes a team and updates the indices over teams.
+    fn update_team(&mut self, key: TeamKey, change: impl FnOnce(&mut Team)) {
         let Some(team) = self.teams.get_mut(key) else {
             return;
         };
         if let Some(ranks) = team.ranks() {
-            self.levels[ranks.level].remove(&(ranks.time, key));
-            self.excess.remove(&(ranks.excess, key));
+            self.by_priority[ranks.priority].remove(&(ranks.time, key));
+            self.by_excess.remove(&(ranks.excess, key));
         }
-        f(team);
+        change(team);
         if let Some(ranks) = team.ranks() {
-            self.levels[ranks.level].insert((ranks.time, key));
-            self.excess.insert((ranks.excess, key));
+            self.by_priority[ranks.priority].insert((ranks.time, key));
+            self.by_excess.insert((ranks.excess, key));
         }
     }
 
-    /// Returns the virtual time by which one step of priority overtakes.
+    /// Returns the virtual time of one step of priority.
     fn lead(&self) -> u128 {
-        LEAD * UNIT * self.teams.len() as u128 / self.weights.max(1)
+        LEAD_REQUESTS * UNIT * self.teams.len() as u128 / self.weights.max(1)
     }
 
     /// Returns the team to serve next, with its rank.
-    fn next(&self) -> Option<(u128, TeamKey)> {
+    fn next_team(&self) -> Option<(u128, TeamKey)> {
         let lead = self.lead();
-        let heads = self.levels.iter().zip(0..);
-        let ranks = heads.filter_map(|(level, step)| {
+        let levels = self.by_priority.iter().zip(0..);
+        let ranks = levels.filter_map(|(level, step)| {
             let (time, key) = *level.first()?;
             Some((time + lead * step, key))
         });
         ranks.min()
     }
 
-    /// Moves the clock to the teams that are furthest behind.
-    fn advance(&mut self, rank: u128) {
-        let heads = self.levels.iter().filter_map(|level| level.first());
+    /// Advances the clock to the least virtual times.
+    fn advance_clock(&mut self, rank: u128) {
+        let heads = self.by_priority.iter().filter_map(|level| level.first());
         let time = heads.map(|(time, _)| *time).min().unwrap_or(0);
         self.clock.time = self.clock.time.max(time);
         self.clock.rank = self.clock.rank.max(rank);
     }
 
-    /// Returns the least virtual time of a team that comes back with work of a priority.
+    /// Returns the least virtual time of a team that was idle and has new work of a priority.
     ///
-    /// A team that was idle is owed nothing for the past, or it would shut the others out on its
-    /// return. What it is behind by the lead of more urgent teams, it keeps: a team with a single
-    /// request at a time would otherwise lose that lead again and again.
-    fn start(&self, priority: bundle::Priority) -> u128 {
+    /// An idle team accumulates no credit, which would let it block the others on its return. But
+    /// it keeps the lag caused by the lead of more urgent teams: a team with a single request at a
+    /// time would otherwise lose that lag again and again.
+    fn start_time(&self, priority: bundle::Priority) -> u128 {
         let lead = self.lead() * priority as u128;
         self.clock.time.min(self.clock.rank.saturating_sub(lead))
     }
--- a/laburnumcart/src/fair/team.rs
+++ b/laburnumcart/src/fair/team.rs
@@ -1,4 +1,4 @@
-//! Account and entries of one team.
+//! Virtual time and entries of one team.
 
 use std::collections;
 
@@ -9,15 +9,15 @@
     fair, //
 };
 
-/// What decides the order of an entry within its team.
+/// Data that decides the order of an entry within its team.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Place {
+pub(super) struct SortKey {
     pub(super) deadline: Instant,
     pub(super) priority: bundle::Priority,
     cost: u32,
 }
 
-impl Place {
+impl SortKey {
     pub(super) fn new<T>(request: &fair::Request<T>) -> Self {
         Self {
             deadline: request.deadline,
@@ -26,20 +26,23 @@
         }
     }
 
-    /// Returns the deadline, put off by the slack of its priority.
-    fn urgency(&self) -> Instant {
-        self.deadline + fair::SLACK * self.priority as u32
+    /// Returns the deadline with the delay of the priority.
+    fn delayed_deadline(&self) -> Instant {
+        self.deadline + fair::PRIORITY_DELAY * self.priority as u32
     }
 }
 
-/// Position of a team in the orders of its queue.
+/// Sort keys of a team in the indices of its queue.
 pub(super) struct Ranks {
-    pub(super) level: usize,
+    /// Priority of the next entry to serve.
+    pub(super) priority: usize,
+    /// Virtual time.
     pub(super) time: u128,
+    /// Waiting cost per weight.
     pub(super) excess: u128,
 }
 
-/// Account and entries of one team.
+/// Virtual time and entries of one team.
 #[derive(Debug)]
 pub(super) struct Team {
     weight: u32,
@@ -47,11 +50,11 @@
     /// Virtual time.
     time: u128,
     /// Cost of all entries.
-    waiting: u128,
-    /// Entries, the next to serve first.
-    order: collections::BTreeMap<(Instant, fair::EntryKey), bundle::Priority>,
-    /// Entries, the next to shed last.
-    worth: collections::BTreeSet<(bundle::Priority, Instant, fair::EntryKey)>,
+    waiting_cost: u128,
+    /// Entries in the order of service.
+    serve_order: collections::BTreeMap<(Instant, fair::EntryKey), bundle::Priority>,
+    /// Entries by importance; the last one is shed first.
+    shed_order: collections::BTreeSet<(bundle::Priority, Instant, fair::EntryKey)>,
 }
 
 impl Team {
@@ -60,9 +63,9 @@
             weight: weight.max(1),
             bound,
             time,
-            waiting: 0,
-            order: collections::BTreeMap::new(),
-            worth: collections::BTreeSet::new(),
+            waiting_cost: 0,
+            serve_order: collections::BTreeMap::new(),
+            shed_order: collections::BTreeSet::new(),
         }
     }
 
@@ -71,34 +74,34 @@
     }
 
     pub(super) fn len(&self) -> usize {
-        self.order.len()
+        self.serve_order.len()
     }
 
-    pub(super) fn is_over(&self) -> bool {
-        self.order.len() > self.bound
+    pub(super) fn is_over_bound(&self) -> bool {
+        self.serve_order.len() > self.bound
     }
 
     pub(super) fn keys(&self) -> Vec<fair::EntryKey> {
-        self.order.keys().map(|(_, key)| *key).collect()
+        self.serve_order.keys().map(|(_, key)| *key).collect()
     }
 
     /// Returns the entry to serve next.
-    pub(super) fn head(&self) -> Option<fair::EntryKey> {
-        self.order.keys().next().map(|(_, key)| *key)
+    pub(super) fn next_served(&self) -> Option<fair::EntryKey> {
+        self.serve_order.keys().next().map(|(_, key)| *key)
     }
 
     /// Returns the entry to shed next.
-    pub(super) fn tail(&self) -> Option<fair::EntryKey> {
-        self.worth.last().map(|(_, _, key)| *key)
+    pub(super) fn next_shed(&self) -> Option<fair::EntryKey> {
+        self.shed_order.last().map(|(_, _, key)| *key)
     }
 
-    /// Returns the positions while anything waits.
+    /// Returns the sort keys of the team, if it has entries.
     pub(super) fn ranks(&self) -> Option<Ranks> {
-        let (_, priority) = self.order.first_key_value()?;
+        let (_, priority) = self.serve_order.first_key_value()?;
         Some(Ranks {
-            level: *priority as usize,
+            priority: *priority as usize,
             time: self.time,
-            excess: self.waiting * fair::UNIT / u128::from(self.weight),
+            excess: self.waiting_cost * fair::UNIT / u128::from(self.weight),
         })
     }
 
@@ -107,27 +110,31 @@
         self.bound = bound;
     }
 
-    pub(super) fn insert(&mut self, place: Place, key: fair::EntryKey, start: u128) {
-        if self.order.is_empty() {
+    /// Adds an entry; a team without entries resumes at least at the virtual time `start`.
+    pub(super) fn insert(&mut self, sort_key: SortKey, key: fair::EntryKey, start: u128) {
+        if self.serve_order.is_empty() {
             self.time = self.time.max(start);
         }
-        self.order.insert((place.urgency(), key), place.priority);
-        self.worth.insert((place.priority, place.deadline, key));
-        self.waiting += u128::from(place.cost);
+        self.serve_order
+            .insert((sort_key.delayed_deadline(), key), sort_key.priority);
+        self.shed_order
+            .insert((sort_key.priority, sort_key.deadline, key));
+        self.waiting_cost += u128::from(sort_key.cost);
     }
 
-    pub(super) fn remove(&mut self, place: Place, key: fair::EntryKey) {
-        self.order.remove(&(place.urgency(), key));
-        self.worth.remove(&(place.priority, place.deadline, key));
-        self.waiting -= u128::from(place.cost);
+    pub(super) fn remove(&mut self, sort_key: SortKey, key: fair::EntryKey) {
+        self.serve_order.remove(&(sort_key.delayed_deadline(), key));
+        self.shed_order
+            .remove(&(sort_key.priority, sort_key.deadline, key));
+        self.waiting_cost -= u128::from(sort_key.cost);
     }
 
-    /// Moves the virtual time forward.
+    /// Adds served cost to the virtual time.
     pub(super) fn charge(&mut self, cost: u128) {
         self.time += cost / u128::from(self.weight);
     }
 
-    /// Moves the virtual time back.
+    /// Subtracts cost that was charged in excess from the virtual time.
     pub(super) fn refund(&mut self, cost: u128) {
         self.time = self.time.saturating_sub(cost / u128::from(self.weight));
     }
--- a/laburnumcart/src/owners.rs
+++ b/laburnumcart/src/owners.rs
@@ -1,12 +1,13 @@
-//! Which process owns the queue of each service.
+//! Assignment of batch queues to owner processes.
 //!
-//! An owner makes the calls of all processes for its service, on a processor that its callers need
-//! as well. With several queues on one instance its calls take longer than the targets do: these
-//! stand idle while jobs wait, callers are refused and come again, and each of them costs the same
-//! owner more. So owners are chosen for all services at once, and never meet while there are others
-//! as strong.
+//! An owner sends the calls of all processes for its service, on a processor that its own callers
+//! need as well. If one instance owned several queues, its processor would be the bottleneck:
+//! targets would idle while jobs wait, and refused callers would retry and load the same owner
+//! further. Therefore owners are chosen for all services at once, and no instance owns two queues
+//! while another one as strong owns none.
 //!
-//! Nothing is agreed on. Who knows the same members and services finds the same owners.
+//! There is no agreement protocol. Processes that know the same members and services compute the
+//! same owners.
 
 use std::collections;
 
@@ -16,14 +17,13 @@
     rendezvous, //
 };
 
-/// Members by the service whose queue they may own, the first choice first.
+/// Members that may own the queue of each service, the preferred one first.
 pub type Rankings<'a> = collections::BTreeMap<&'a id::ServiceName, Vec<readers::Member<'a>>>;
 
-/// Lists for each service which members may own its queue, the first choice first.
+/// Ranks the members as owners of each service's queue, the preferred one first.
 ///
-/// Which members can be reached is left out on purpose. Each process sees that differently, and if
-/// the loss of one member moved the owners of other services, two processes would disagree on all
-/// of them.
+/// Reachability is deliberately ignored. Each process sees it differently, and if the loss of one
+/// member changed the owners of other services, processes would disagree on all of them.
 pub fn rankings<'a>(
     members: &[readers::Member<'a>],
     services: impl IntoIterator<Item = &'a id::ServiceName>,
@@ -31,49 +31,49 @@
     let services: collections::BTreeSet<_> = services.into_iter().collect();
     let mut owners = Vec::new();
     for service in &services {
-        let order = sorted(members, service, |member| cost(member, &owners));
-        owners.extend(order.first().copied());
+        let ranking = rank(members, service, |member| cost(member, &owners));
+        owners.extend(ranking.first().copied());
     }
-    let order = |(i, service): (usize, &'a id::ServiceName)| {
-        let own = owners.get(i).map(|owner| owner.name);
-        // Who stands in for an owner that is gone should own no other queue.
-        let mut order = sorted(members, service, |member| cost(member, &owners));
-        order.sort_by_key(|member| own != Some(member.name));
-        (service, order)
+    let ranking = |(i, service): (usize, &'a id::ServiceName)| {
+        let owner = owners.get(i).map(|owner| owner.name);
+        // The successor of a lost owner should own no other queue.
+        let mut ranking = rank(members, service, |member| cost(member, &owners));
+        ranking.sort_by_key(|member| owner != Some(member.name));
+        (service, ranking)
     };
-    services.into_iter().enumerate().map(order).collect()
+    services.into_iter().enumerate().map(ranking).collect()
 }
 
-/// What speaks against a member as the owner of one more queue, the weightier first.
+/// Cost of a member as the owner of another queue, in the order of importance.
 #[derive(Clone, Copy, Debug, Default, Eq, Ord, PartialEq, PartialOrd)]
 struct Cost {
-    /// Queues that it owns.
-    queues: usize,
-    /// Queues that are owned in its data centre, and would all be lost with it.
-    near: usize,
+    /// Number of queues that the member owns.
+    own_queues: usize,
+    /// Number of queues owned in its data centre, which would all be lost with it.
+    near_queues: usize,
 }
 
 fn cost(member: &readers::Member<'_>, owners: &[readers::Member<'_>]) -> Cost {
     let is_same = |owner: &&readers::Member<'_>| owner.name == member.name;
     let is_near = |owner: &&readers::Member<'_>| owner.data_centre == member.data_centre;
     Cost {
-        queues: owners.iter().filter(is_same).count(),
-        near: owners.iter().filter(is_near).count(),
+        own_queues: owners.iter().filter(is_same).count(),
+        near_queues: owners.iter().filter(is_near).count(),
     }
 }
 
-/// Sorts members for a service: strong ones first, then those of least cost.
-fn sorted<'a>(
+/// Ranks members for a service: strong ones first, among these by least cost.
+fn rank<'a>(
     members: &[readers::Member<'a>],
     service: &id::ServiceName,
     cost: impl Fn(&readers::Member<'a>) -> Cost,
 ) -> Vec<readers::Member<'a>> {
-    let mut order = members.to_vec();
-    rendezvous::order_by(
-        &mut order,
+    let mut ranking = members.to_vec();
+    rendezvous::rank_by(
+        &mut ranking,
         service.as_str(),
         readers::Member::candidate,
         cost,
     );
-    order
+    ranking
 }
--- a/laburnumcart/src/patience.rs
+++ b/laburnumcart/src/patience.rs
@@ -1,16 +1,16 @@
-//! How much of its time a caller has spent before, inferred from how long it says that it will
+//! Estimate of the time that a caller spent on earlier attempts, from the time that it says it will
 //! wait.
 
 use std::time;
 
-/// Part of the longest patience by which that of first attempts differs.
+/// Spread of the patience of first attempts, as a share of the longest patience of the route.
 ///
-/// Callers may begin with less than the route's longest patience. Taken for time spent, that puts
-/// requests behind, or refuses them as late, that are not. Where all begin with the same patience,
-/// nothing is lost by leaving small differences out.
+/// Callers may start with less than the longest patience. If that difference counted as time spent,
+/// requests that are not late would be delayed or refused. Where all callers start with the same
+/// patience, ignoring small differences does no harm.
 const SPREAD: f64 = 0.16;
 
-/// Callers of one route.
+/// Patience of the callers of one route.
 ///
 /// ```
 /// use std::time::Duration;
@@ -23,20 +23,23 @@
 /// ```
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Patience {
-    /// The longest that one of them has named.
-    most: time::Duration,
+    /// Longest patience of any caller.
+    longest: time::Duration,
 }
 
 impl Patience {
-    /// Takes in the patience that a caller names; returns what it has spent before this attempt.
+    /// Records the patience of a caller; returns the estimated time that it spent on earlier
+    /// attempts.
     ///
-    /// Callers that come again name what is left of the patience that they began with. That is
-    /// known only up to the spread, so the middle is taken.
-    pub fn estimate_spent(&mut self, named: time::Duration) -> time::Duration {
-        self.most = self.most.max(named);
-        if named >= self.most.mul_f64(1.0 - SPREAD) {
+    /// Callers that retry state the remainder of their initial patience. That is known only up to
+    /// the spread, so the middle of the range is assumed.
+    pub fn estimate_spent(&mut self, patience: time::Duration) -> time::Duration {
+        self.longest = self.longest.max(patience);
+        if patience >= self.longest.mul_f64(1.0 - SPREAD) {
             return time::Duration::ZERO;
         }
-        self.most.mul_f64(1.0 - SPREAD / 2.0).saturating_sub(named)
+        self.longest
+            .mul_f64(1.0 - SPREAD / 2.0)
+            .saturating_sub(patience)
     }
 }
--- a/laburnumcart/src/placement.rs
+++ b/laburnumcart/src/placement.rs
@@ -1,8 +1,8 @@
-//! Choice of the model engine for a prompt.
+//! Placement of prompts on model engines, with affinity for cached prefixes.
 //!
-//! What counts is the time to the first token: prompts that are queued, the part of this prompt
-//! that the engine has not cached, and where the inputs lie. The same session goes to the same
-//! engine from every instance, without a word between them: a rendezvous hash names its home.
+//! The cost of an engine approximates the time to the first token: queued prompts, the uncached
+//! tokens of this prompt, and the transfer of its inputs. Every instance sends a session to the
+//! same engine without coordination: the one that a rendezvous hash of the shared prefix selects.
 
 use std::{
     collections,
@@ -21,108 +21,110 @@
 };
 
 slotmap::new_key_type! {
-    /// A model engine.
+    /// Key of a model engine.
     pub struct EngineKey;
 }
 
-/// Prompt tokens that an engine reads in a millisecond; only ratios to the other costs matter.
-const TOKENS_PER_MS: f64 = 50.0;
+/// Prefill speed in tokens per millisecond; only its ratio to the other costs matters.
+const PREFILL_TOKENS_PER_MS: f64 = 50.0;
 
-/// What moving a mebibyte of inputs between data centres is worth in milliseconds.
+/// Cost of moving inputs between data centres, in milliseconds per mebibyte.
 ///
-/// Bytes between data centres are paid for.
-const CROSSING_MS_PER_MIB: f64 = 20.0;
+/// Traffic between data centres is billed.
+const TRANSFER_MS_PER_MIB: f64 = 20.0;
 
-/// Share of the time to read a shared part that its home is ahead.
+/// Cost advantage of the affinity engine, as a multiple of the prefill time of the shared prefix.
 ///
-/// Other instances send the session there as well, of which this one knows nothing.
-const HOME: f64 = 1.0;
+/// Other instances send the session there as well, so the prefix may be cached although this
+/// instance has not seen it.
+const AFFINITY: f64 = 1.0;
 
-/// The same share where the home gives the first token well before it is late.
+/// The same multiple if the affinity engine should give the first token well within the slack.
 ///
-/// A session that moves has its shared part read once more by another engine, and again by the next
-/// one when it moves back.
-const HOME_TIMELY: f64 = 3.0;
+/// A session that moves has its prefix prefilled by another engine, and once more when it moves
+/// back.
+const AFFINITY_ON_TIME: f64 = 3.0;
 
-/// Share of the time until the first token is late within which the home must give it for that.
+/// Share of the slack within which the first token must be expected for that.
 ///
-/// The rest is left for what is not known of the engine's load.
-const HOME_SHARE: f64 = 0.5;
+/// The rest allows for load of the engine that is not known here.
+const ON_TIME_SHARE: f64 = 0.5;
 
-/// Cost of one request that waits at an engine, in milliseconds.
+/// Cost of each request that waits at an engine, in milliseconds.
 const WAITING_MS: f64 = 60.0;
 
-/// Cost of one request that runs there: each token takes a little longer.
+/// Cost of each running request, which slows down every token, in milliseconds.
 const RUNNING_MS: f64 = 2.0;
 
-/// How long a report of load is believed.
+/// Time for which a load report is valid.
 const REPORT_TTL: time::Duration = time::Duration::from_secs(1);
 
-/// How long a part that was read is held to be cached.
+/// Time for which a prefilled prefix is assumed to stay cached.
 const CACHED_TTL: time::Duration = time::Duration::from_secs(30);
 
-/// First time that an engine is avoided after a failure; it doubles with each failure in a row.
-const PAUSE: time::Duration = time::Duration::from_millis(250);
+/// Pause of an engine after its first failure; it doubles with each failure in a row.
+const FIRST_PAUSE: time::Duration = time::Duration::from_millis(250);
 
-/// Longest time that an engine is avoided.
-const PAUSE_MAX: time::Duration = time::Duration::from_secs(2);
+/// Longest pause of an engine.
+const LONGEST_PAUSE: time::Duration = time::Duration::from_secs(2);
 
-/// A part of a prompt, shared by all prompts that begin with the same parts.
+/// Part of a prompt; prompts that start with the same parts share their cached prefix.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Part {
-    /// Identity.
+    /// Identity of the content.
     pub id: u64,
     /// Length in tokens.
     pub tokens: u64,
 }
 
-/// What is to be placed.
+/// Request to be placed on an engine.
 #[derive(Clone, Debug, Default)]
 pub struct Request<'a> {
-    /// Parts of the prompt in order; the last one belongs to this request alone.
+    /// Parts of the prompt in order; the last one is specific to this request.
     pub parts: &'a [Part],
-    /// Tokens of the whole prompt and its answer.
+    /// Tokens of the prompt and its answer.
     pub tokens: u64,
-    /// Inputs by the data centre where they lie.
+    /// Size of the inputs in each data centre.
     pub inputs: &'a [(id::DataCentre, unit::Size)],
     /// Engines that have failed the request.
     pub avoid: &'a [EngineKey],
-    /// Time until the first token is late.
+    /// Time within which the first token counts as on time.
     pub slack: time::Duration,
 }
 
-/// Load as an engine reports it.
+/// Load report of an engine.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Report {
-    /// Requests that run.
+    /// Number of running requests.
     pub running: u32,
-    /// Requests that wait.
+    /// Number of waiting requests.
     pub waiting: u32,
 }
 
 #[derive(Clone, Debug)]
 struct Engine {
-    hash: u64,
+    name_hash: u64,
     data_centre: id::DataCentre,
-    /// Own requests that run there.
+    /// Requests of this instance that run on the engine.
     running: u32,
-    /// Tokens of own prompts without a first token yet.
-    pending: u64,
+    /// Uncached tokens of this instance's prompts that have no first token yet.
+    pending_tokens: u64,
     report: Option<(Report, Instant)>,
-    /// Prefixes that own requests have read there, by the hash of all their parts.
+    /// Time of the last request of this instance for each prefix, by the hash of all its parts.
     cached: collections::HashMap<u64, Instant>,
-    failed: u32,
-    paused: Option<Instant>,
-    /// Own requests sent there.
-    gate: quota::Limiter,
+    /// Failures in a row.
+    failures: u32,
+    paused_until: Option<Instant>,
+    /// Limits the requests of this instance.
+    limiter: quota::Limiter,
 }
 
-/// Place of a request at an engine, until [`Engines::record_end`].
+/// Engine assigned to a request, until [`Engines::record_end`].
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Assignment {
-    /// Engine.
+    /// Assigned engine.
     pub engine: EngineKey,
-    /// Tokens that it has to read.
+    /// Prompt tokens that the engine has to prefill.
     pub uncached_tokens: u64,
 }
 
@@ -133,15 +135,15 @@
 /// use tokio::time::Instant;
 ///
 /// let now = Instant::now();
-/// let mut fleet = placement::Engines::new(ingress::Engine { slots: 64, tokens: 400_000 });
-/// fleet.add("engine-1", "north".parse().unwrap());
-/// fleet.add("engine-2", "south".parse().unwrap());
+/// let mut engines = placement::Engines::new(ingress::Engine { slots: 64, tokens: 400_000 });
+/// engines.add("engine-1", "north".parse().unwrap());
+/// engines.add("engine-2", "south".parse().unwrap());
 /// let parts = [placement::Part { id: 1, tokens: 6000 }, placement::Part { id: 2, tokens: 100 }];
-/// let ask = placement::Request { parts: &parts, tokens: 6100, ..Default::default() };
-/// let first = fleet.choose(&ask, now).unwrap();
-/// fleet.record_sent(&ask, first, now);
-/// fleet.record_first_token(first);
-/// assert_eq!(fleet.choose(&ask, now).unwrap().engine, first.engine);
+/// let request = placement::Request { parts: &parts, tokens: 6100, ..Default::default() };
+/// let first = engines.choose(&request, now).unwrap();
+/// engines.record_sent(&request, first, now);
+/// engines.record_first_token(first);
+/// assert_eq!(engines.choose(&request, now).unwrap().engine, first.engine);
 /// ```
 #[derive(Clone, Debug)]
 pub struct Engines {
@@ -150,7 +152,7 @@
 }
 
 impl Engines {
-    /// Creates a fleet without engines.
+    /// Creates an empty set of engines with the same limits.
     pub fn new(limits: ingress::Engine) -> Self {
         Self {
             limits,
@@ -158,25 +160,25 @@
         }
     }
 
-    /// Adds an engine; `name` decides which sessions have their home there.
+    /// Adds an engine; sessions have affinity for it by the hash of `name`.
     pub fn add(&mut self, name: &str, data_centre: id::DataCentre) -> EngineKey {
         self.engines.insert(Engine {
-            hash: xxh3::xxh3_64(name.as_bytes()),
+            name_hash: xxh3::xxh3_64(name.as_bytes()),
             data_centre,
             running: 0,
-            pending: 0,
+            pending_tokens: 0,
             report: None,
             cached: collections::HashMap::new(),
-            failed: 0,
-            paused: None,
-            gate: quota::Limiter::default(),
+            failures: 0,
+            paused_until: None,
+            limiter: quota::Limiter::default(),
         })
     }
 
-    /// Holds the requests for an engine to what its gate lets through.
-    pub fn set_limiter(&mut self, key: EngineKey, gate: quota::Limiter) {
+    /// Sets the rate limiter for requests to an engine.
+    pub fn set_limiter(&mut self, key: EngineKey, limiter: quota::Limiter) {
         if let Some(engine) = self.engines.get_mut(key) {
-            engine.gate = gate;
+            engine.limiter = limiter;
         }
     }
 
@@ -185,107 +187,113 @@
         self.engines.remove(key);
     }
 
-    /// Reports whether there is no engine.
+    /// Reports whether there are no engines.
     pub fn is_empty(&self) -> bool {
         self.engines.is_empty()
     }
 
-    /// Returns the data centre where the inputs of a prompt are best made.
+    /// Returns the data centre of the affinity engine, where a prompt's inputs should be produced.
     pub fn preferred_data_centre(&self, parts: &[Part], now: Instant) -> Option<id::DataCentre> {
-        let home = self.home(parts, now)?;
-        Some(self.engines[home].data_centre.clone())
+        let engine = self.affinity_engine(parts, now)?;
+        Some(self.engines[engine].data_centre.clone())
     }
 
-    /// Chooses an engine; `None` when all have failed the request or have had their quota.
+    /// Chooses an engine; `None` if all have failed the request or have used up their quota.
     ///
-    /// One that is avoided is still used where there is no other, but none beyond its quota: it
-    /// would crash, and all that it runs with it.
-    pub fn choose(&self, ask: &Request<'_>, now: Instant) -> Option<Assignment> {
-        let home = self.home(ask.parts, now);
-        let fits = |key: EngineKey, e: &Engine| !ask.avoid.contains(&key) && e.gate.is_open(now);
+    /// A paused engine is used if there is no other, but no engine beyond its quota: overload would
+    /// crash it together with all requests that it runs.
+    pub fn choose(&self, request: &Request<'_>, now: Instant) -> Option<Assignment> {
+        let affine = self.affinity_engine(request.parts, now);
+        let fits =
+            |key: EngineKey, e: &Engine| !request.avoid.contains(&key) && e.limiter.is_open(now);
         let fitting = self.engines.iter().filter(|(key, e)| fits(*key, e));
-        let open = fitting.clone().filter(|(_, e)| !is_paused(e, now));
-        let costs = open.map(|(key, e)| (key, self.cost(ask, e, home == Some(key), now)));
+        let active = fitting.clone().filter(|(_, e)| !is_paused(e, now));
+        let costs =
+            active.map(|(key, e)| (key, self.cost_ms(request, e, affine == Some(key), now)));
         let best = costs.min_by(|(_, a), (_, b)| a.total_cmp(b));
         let any = || fitting.map(|(key, _)| key).next();
         let engine = best.map(|(key, _)| key).or_else(any)?;
-        let missing = missing(&self.engines[engine], ask.parts, now);
+        let uncached_tokens = uncached_tokens(&self.engines[engine], request.parts, now);
         Some(Assignment {
             engine,
-            uncached_tokens: missing,
+            uncached_tokens,
         })
     }
 
     /// Records that a request was sent.
-    pub fn record_sent(&mut self, ask: &Request<'_>, place: Assignment, now: Instant) {
-        let Some(engine) = self.engines.get_mut(place.engine) else {
+    pub fn record_sent(&mut self, request: &Request<'_>, assignment: Assignment, now: Instant) {
+        let Some(engine) = self.engines.get_mut(assignment.engine) else {
             return;
         };
-        engine.gate.record_send(now);
+        engine.limiter.record_send(now);
         engine.running += 1;
-        engine.pending += place.uncached_tokens;
+        engine.pending_tokens += assignment.uncached_tokens;
         engine
             .cached
             .retain(|_, at| now.saturating_duration_since(*at) < CACHED_TTL);
-        for (hash, _) in prefixes(ask.parts) {
+        for (hash, _) in prefixes(request.parts) {
             engine.cached.insert(hash, now);
         }
     }
 
-    /// Records that the prompt was read.
-    pub fn record_first_token(&mut self, place: Assignment) {
-        if let Some(engine) = self.engines.get_mut(place.engine) {
-            engine.pending = engine.pending.saturating_sub(place.uncached_tokens);
-            engine.failed = 0;
+    /// Records that the first token of a request has arrived.
+    pub fn record_first_token(&mut self, assignment: Assignment) {
+        if let Some(engine) = self.engines.get_mut(assignment.engine) {
+            engine.pending_tokens = engine
+                .pending_tokens
+                .saturating_sub(assignment.uncached_tokens);
+            engine.failures = 0;
         }
     }
 
-    /// Records that a request has ended; `read` says whether its prompt had been read.
-    pub fn record_end(&mut self, place: Assignment, read: bool) {
-        let Some(engine) = self.engines.get_mut(place.engine) else {
+    /// Records that a request has ended; `had_token` if [`Engines::record_first_token`] was called.
+    pub fn record_end(&mut self, assignment: Assignment, had_token: bool) {
+        let Some(engine) = self.engines.get_mut(assignment.engine) else {
             return;
         };
         engine.running = engine.running.saturating_sub(1);
-        if !read {
-            engine.pending = engine.pending.saturating_sub(place.uncached_tokens);
+        if !had_token {
+            engine.pending_tokens = engine
+                .pending_tokens
+                .saturating_sub(assignment.uncached_tokens);
         }
     }
 
-    /// Records that an engine failed a request, and avoids it for a while.
+    /// Records that an engine failed a request, and pauses it.
     pub fn record_failure(&mut self, key: EngineKey, now: Instant) {
         if let Some(engine) = self.engines.get_mut(key) {
-            let pause = PAUSE * (1 << engine.failed.min(6));
-            engine.failed += 1;
-            engine.paused = Some(now + pause.min(PAUSE_MAX));
+            let pause = FIRST_PAUSE * (1 << engine.failures.min(6));
+            engine.failures += 1;
+            engine.paused_until = Some(now + pause.min(LONGEST_PAUSE));
             engine.cached.clear();
         }
     }
 
-    /// Records an engine's own report.
+    /// Records a load report of an engine.
     pub fn record_report(&mut self, key: EngineKey, report: Report, now: Instant) {
         if let Some(engine) = self.engines.get_mut(key) {
             engine.report = Some((report, now));
         }
     }
 
-    /// Returns the engine that a session's requests go to from every instance.
-    fn home(&self, parts: &[Part], now: Instant) -> Option<EngineKey> {
-        let (session, _) = prefixes(shared(parts)).last()?;
-        let rank = |e: &Engine| xxh3::xxh3_64_with_seed(&e.hash.to_le_bytes(), session);
-        let is_home = |e: &Engine| !is_paused(e, now) && e.gate.is_open(now);
-        let open = self.engines.iter().filter(|(_, e)| is_home(e));
-        open.max_by_key(|(_, e)| rank(e)).map(|(key, _)| key)
+    /// Returns the engine that all instances prefer for prompts with the same shared prefix.
+    fn affinity_engine(&self, parts: &[Part], now: Instant) -> Option<EngineKey> {
+        let (prefix, _) = prefixes(shared(parts)).last()?;
+        let rank = |e: &Engine| xxh3::xxh3_64_with_seed(&e.name_hash.to_le_bytes(), prefix);
+        let is_available = |e: &Engine| !is_paused(e, now) && e.limiter.is_open(now);
+        let available = self.engines.iter().filter(|(_, e)| is_available(e));
+        available.max_by_key(|(_, e)| rank(e)).map(|(key, _)| key)
     }
 
-    /// Reports whether an engine gives the first token well before it is late.
-    fn is_timely(&self, ask: &Request<'_>, engine: &Engine, now: Instant) -> bool {
-        let unread = missing(engine, ask.parts, now) + engine.pending;
-        let wait = self.load(engine, now) + unread as f64 / TOKENS_PER_MS;
-        wait <= ask.slack.as_secs_f64() * 1e3 * HOME_SHARE
+    /// Reports whether the first token is expected within the share of the slack.
+    fn is_on_time(&self, request: &Request<'_>, engine: &Engine, now: Instant) -> bool {
+        let prefill = uncached_tokens(engine, request.parts, now) + engine.pending_tokens;
+        let wait = self.load_ms(engine, now) + prefill as f64 / PREFILL_TOKENS_PER_MS;
+        wait <= request.slack.as_secs_f64() * 1e3 * ON_TIME_SHARE
     }
 
-    /// Returns what an engine's load costs a request in milliseconds.
-    fn load(&self, engine: &Engine, now: Instant) -> f64 {
+    /// Returns the cost of an engine's load in milliseconds.
+    fn load_ms(&self, engine: &Engine, now: Instant) -> f64 {
         let report = engine.report.filter(|(_, at)| now < *at + REPORT_TTL);
         let (report, _) = report.unwrap_or((
             Report {
@@ -301,33 +309,39 @@
             + if full > 0.9 { 1000.0 * full } else { 0.0 }
     }
 
-    /// Returns the cost of an engine in milliseconds.
-    fn cost(&self, ask: &Request<'_>, engine: &Engine, home: bool, now: Instant) -> f64 {
-        let load = self.load(engine, now);
-        let unread = missing(engine, ask.parts, now) + engine.pending;
-        let known: u64 = shared(ask.parts).iter().map(|p| p.tokens).sum();
-        let weight = match home {
-            true if self.is_timely(ask, engine, now) => HOME_TIMELY,
-            true => HOME,
+    /// Returns the cost of an engine for a request in milliseconds.
+    fn cost_ms(
+        &self,
+        request: &Request<'_>,
+        engine: &Engine,
+        is_affine: bool,
+        now: Instant,
+    ) -> f64 {
+        let load = self.load_ms(engine, now);
+        let prefill = uncached_tokens(engine, request.parts, now) + engine.pending_tokens;
+        let shared: u64 = shared(request.parts).iter().map(|p| p.tokens).sum();
+        let weight = match is_affine {
+            true if self.is_on_time(request, engine, now) => AFFINITY_ON_TIME,
+            true => AFFINITY,
             false => 0.0,
         };
-        let ahead = weight * known as f64 / TOKENS_PER_MS;
-        let far = ask
+        let affinity = weight * shared as f64 / PREFILL_TOKENS_PER_MS;
+        let remote = request
             .inputs
             .iter()
-            .filter(|(place, _)| *place != engine.data_centre);
-        let moved: u64 = far.map(|(_, size)| size.0).sum();
-        let moved = moved as f64 / f64::from(1 << 20) * CROSSING_MS_PER_MIB;
-        load + unread as f64 / TOKENS_PER_MS + moved - ahead
+            .filter(|(data_centre, _)| *data_centre != engine.data_centre);
+        let moved: u64 = remote.map(|(_, size)| size.0).sum();
+        let transfer = moved as f64 / f64::from(1 << 20) * TRANSFER_MS_PER_MIB;
+        load + prefill as f64 / PREFILL_TOKENS_PER_MS + transfer - affinity
     }
 }
 
-/// Returns the parts that other prompts may begin with as well.
+/// Returns the parts that other prompts may start with as well.
 fn shared(parts: &[Part]) -> &[Part] {
     parts.split_last().map_or(parts, |(_, shared)| shared)
 }
 
-/// Lists the prefixes of a prompt as hash and length of their last part.
+/// Lists the prefixes of a prompt: the hash of all their parts and the length of the last one.
 fn prefixes(parts: &[Part]) -> impl Iterator<Item = (u64, u64)> {
     parts.iter().scan(0, |hash, part| {
         *hash = xxh3::xxh3_64_with_seed(&part.id.to_le_bytes(), *hash);
@@ -335,16 +349,16 @@
     })
 }
 
-/// Returns the tokens that an engine would have to read.
-fn missing(engine: &Engine, parts: &[Part], now: Instant) -> u64 {
+/// Returns the prompt tokens that an engine would have to prefill.
+fn uncached_tokens(engine: &Engine, parts: &[Part], now: Instant) -> u64 {
     let is_cached = |hash: &u64| {
         let at = engine.cached.get(hash);
         at.is_some_and(|at| now.saturating_duration_since(*at) < CACHED_TTL)
     };
-    let unread = prefixes(parts).skip_while(|(hash, _)| is_cached(hash));
-    unread.map(|(_, tokens)| tokens).sum()
+    let uncached = prefixes(parts).skip_while(|(hash, _)| is_cached(hash));
+    uncached.map(|(_, tokens)| tokens).sum()
 }
 
 fn is_paused(engine: &Engine, now: Instant) -> bool {
-    engine.paused.is_some_and(|at| at > now)
+    engine.paused_until.is_some_and(|at| at > now)
 }
--- a/laburnumcart/src/quota.rs
+++ b/laburnumcart/src/quota.rs
@@ -212,7 +212,7 @@
     fn place(&self, target: &id::TargetName) -> usize {
         let mut order = self.members.to_vec();
         // Weak instances have as many callers as others, and send as much.
-        rendezvous::order(&mut order, target.as_str(), |name| rendezvous::Candidate {
+        rendezvous::rank(&mut order, target.as_str(), |name| rendezvous::Candidate {
             name,
             cores: 1.0,
         });
--- a/laburnumcart/src/readers.rs
+++ b/laburnumcart/src/readers.rs
@@ -1,11 +1,11 @@
-//! Which processes read a shared service for all others.
+//! Choice of the readers: the few processes that watch a shared service on behalf of the others.
 //!
-//! Each call of the service is paid for and counts toward its rate. If each process followed it by
-//! itself, calls would grow with the fleet, and most would tell nothing. A few readers make them,
-//! and the others ask a reader.
+//! Each call to the service is billed and counts towards its rate limit. If every process watched
+//! the service itself, the calls would grow with the fleet, and most would return nothing new.
+//! Therefore a few readers call it, and the other processes ask a reader.
 //!
-//! Nothing is agreed on. Two processes that see different members may take different ones for
-//! readers; what a process passes on carries its age, so that any of them can be asked.
+//! There is no agreement protocol. Processes that know different members may choose different
+//! readers; data that a process passes on carries its age, so any process can be asked.
 
 mod health;
 
@@ -18,28 +18,28 @@
 
 pub use self::health::Health;
 
-/// Fewest readers, so that the loss of one leaves another that everybody knows already.
+/// Least number of readers: if one is lost, the others already know another one.
 ///
-/// Others are asked when both are lost.
-const FEWEST: usize = 2;
+/// If both are lost, other processes are asked.
+const MIN_READERS: usize = 2;
 
-/// Members for each reader. It answers each of them about three times a second, so that no reader
-/// has more than 120 answers a second to give, however large the fleet is.
-const SERVED: usize = 40;
+/// Members per reader. A member asks about three times per second, so a reader answers at most 120
+/// calls per second in a fleet of any size.
+const MEMBERS_PER_READER: usize = 40;
 
-/// A process that may read for others.
+/// Process that may be a reader.
 #[derive(Clone, Copy, Debug)]
 pub struct Member<'a> {
-    /// Its name.
+    /// Name of the process.
     pub name: &'a id::InstanceName,
-    /// Its data centre.
+    /// Data centre of the process.
     pub data_centre: &'a id::DataCentre,
-    /// Processor of its instance in cores.
+    /// Processor cores of its instance.
     pub cores: f64,
 }
 
 impl Member<'_> {
-    /// Returns what its place in an order depends on.
+    /// Returns the data by which the member is ranked.
     pub(crate) fn candidate(&self) -> rendezvous::Candidate<'_> {
         rendezvous::Candidate {
             name: self.name,
@@ -48,19 +48,22 @@
     }
 }
 
-/// Returns how many of `members` processes read.
+/// Returns the number of readers among a number of members.
 pub fn reader_count(members: usize) -> usize {
-    members.div_ceil(SERVED).max(FEWEST).min(members)
+    members
+        .div_ceil(MEMBERS_PER_READER)
+        .max(MIN_READERS)
+        .min(members)
 }
 
-/// Chooses the readers, spread over data centres as far as they go.
+/// Chooses the readers, spread over as many data centres as possible.
 ///
-/// The loss of a data centre takes away as few of them as possible, and most processes have one
-/// near.
+/// The loss of a data centre then affects as few readers as possible, and most processes have one
+/// nearby.
 pub fn choose<'a>(members: impl IntoIterator<Item = Member<'a>>) -> Vec<Member<'a>> {
     let mut members: Vec<_> = members.into_iter().collect();
     let count = reader_count(members.len());
-    rendezvous::order(&mut members, "readers", |member| member.candidate());
+    rendezvous::rank(&mut members, "readers", |member| member.candidate());
     let mut seen = collections::HashSet::new();
     let (mut members, rest): (Vec<_>, Vec<_>) = members
         .into_iter()
@@ -70,17 +73,18 @@
     members
 }
 
-/// Sorts readers as `own` asks them: those of its data centre first.
+/// Sorts readers in the order in which the process `own` asks them: those in its data centre first.
 ///
-/// The rest are in an order of each process's own, so that readers get equal parts of the fleet.
+/// Otherwise the order differs between processes, so that the load is spread evenly over the
+/// readers.
 pub fn sort_by_proximity(
     readers: &mut [Member<'_>],
     own: &id::InstanceName,
     data_centre: &id::DataCentre,
 ) {
-    rendezvous::order(readers, own.as_str(), |member| rendezvous::Candidate {
+    rendezvous::rank(readers, own.as_str(), |member| rendezvous::Candidate {
         name: member.name,
-        // Those that read are strong enough.
+        // Readers are strong enough, so their cores do not matter.
         cores: 1.0,
     });
     readers.sort_by_key(|member| member.data_centre != data_centre);
--- a/laburnumcart/src/readers/health.rs
+++ b/laburnumcart/src/readers/health.rs
@@ -1,66 +1,66 @@
-//! Whether a process calls the service itself, by how the service took its last calls.
+//! Health of the shared service as seen by one process, and whether the process calls it itself.
 
 use std::time;
 
 use tokio::time::Instant;
 
-/// Time after which a reader that the service has failed tries it again while others answer.
-const RETRY: time::Duration = time::Duration::from_secs(2);
+/// Pause of a reader after a failed call while other processes can answer.
+const READER_RETRY: time::Duration = time::Duration::from_secs(2);
 
-/// Time for which a process that the service has answered goes on by itself while no reader knows
-/// anything.
-const SERVED: time::Duration = time::Duration::from_secs(5);
+/// Time after a successful call for which a process that is no reader keeps calling the service
+/// while no reader has data.
+const SUCCESS_TTL: time::Duration = time::Duration::from_secs(5);
 
-/// Mean time between two tries of a process that is no reader, while nobody else knows anything.
+/// Mean interval between the probes of a process that is no reader, while no process has data.
 ///
-/// A service that is down for all is called by the readers; each further call is paid for. One that
-/// turns away the readers alone is found within this time by those whom it serves.
-const TRY: time::Duration = time::Duration::from_secs(4);
+/// If the service is down for all, the calls of the readers suffice, and each further call is
+/// billed. If it refuses only the readers, the other processes find out within this time.
+const PROBE_INTERVAL: time::Duration = time::Duration::from_secs(4);
 
-/// How the service took the last calls of this process.
+/// Times of the last successful and the last failed call to the service.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Health {
-    answered: Option<Instant>,
-    failed: Option<Instant>,
+    last_success: Option<Instant>,
+    last_failure: Option<Instant>,
 }
 
 impl Health {
-    /// Records a call that was answered.
+    /// Records a successful call.
     pub fn record_success(&mut self, now: Instant) {
-        self.answered = Some(now);
+        self.last_success = Some(now);
     }
 
-    /// Records a call that failed.
+    /// Records a failed call.
     pub fn record_failure(&mut self, now: Instant) {
-        self.failed = Some(now);
+        self.last_failure = Some(now);
     }
 
     /// Reports whether the last call failed.
     pub fn is_failing(&self) -> bool {
-        self.failed > self.answered
+        self.last_failure > self.last_success
     }
 
-    /// Reports whether a reader calls the service before it asks others.
+    /// Reports whether a reader calls the service before it asks other processes.
     pub fn can_call_first(&self, now: Instant) -> bool {
-        !self.is_failing() || !is_within(self.failed, RETRY, now)
+        !self.is_failing() || !is_within(self.last_failure, READER_RETRY, now)
     }
 
-    /// Reports whether a process that is no reader calls the service once the readers know nothing.
+    /// Reports whether a process that is no reader calls the service when no reader has data.
     pub fn can_call(&self, now: Instant) -> bool {
-        !self.is_failing() && is_within(self.answered, SERVED, now)
+        !self.is_failing() && is_within(self.last_success, SUCCESS_TTL, now)
     }
 
-    /// Reports whether a process that is no reader tries the service once nobody knows anything.
+    /// Reports whether a process that is no reader probes the service when no process has data.
     ///
-    /// `draw` is a number below 1 that differs between processes and tries, so that hundreds of them
-    /// do not call in one moment.
-    pub fn can_probe(&self, draw: f64, now: Instant) -> bool {
-        let tried = self.answered.max(self.failed);
-        !is_within(tried, TRY.mul_f64(0.5 + draw), now)
+    /// `jitter` is a random number from 0 to 1, drawn for each probe, so that hundreds of processes
+    /// do not call at the same time.
+    pub fn can_probe(&self, jitter: f64, now: Instant) -> bool {
+        let last_call = self.last_success.max(self.last_failure);
+        !is_within(last_call, PROBE_INTERVAL.mul_f64(0.5 + jitter), now)
     }
 }
 
-/// Reports whether something happened within a time.
+/// Reports whether an event happened less than `limit` ago.
 fn is_within(at: Option<Instant>, limit: time::Duration, now: Instant) -> bool {
     at.is_some_and(|at| now.saturating_duration_since(at) < limit)
 }
--- a/laburnumcart/src/rendezvous.rs
+++ b/laburnumcart/src/rendezvous.rs
@@ -1,7 +1,8 @@
-//! Order of processes that each of them finds alone, without any agreement.
+//! Rendezvous hashing: a ranking of processes for a task, without an agreement protocol.
 //!
-//! Each process hashes the name of a task with the names of all processes. Who sees the same
-//! members finds the same order; a member that comes or goes moves nobody else.
+//! Each process hashes the name of the task with the names of all processes. Processes that know
+//! the same members compute the same ranking, and a member that joins or leaves does not change the
+//! relative order of the others.
 
 use std::cmp;
 
@@ -9,29 +10,29 @@
 
 use crate::id;
 
-/// Part of the strongest member's processor below which a member comes after all others.
+/// Fraction of the strongest member's cores below which a member ranks after all others.
 ///
 /// A task serves all processes; on an instance with a tenth of a core its answers would wait for
-/// the processor.
-const WEAK: f64 = 0.6;
+/// processor time.
+const WEAK_FRACTION: f64 = 0.6;
 
-/// A process that can take a task.
+/// Process that can take a task.
 #[derive(Clone, Copy, Debug)]
 pub struct Candidate<'a> {
-    /// Its name.
+    /// Name of the process.
     pub name: &'a id::InstanceName,
-    /// Processor of its instance in cores.
+    /// Processor cores of its instance.
     pub cores: f64,
 }
 
-/// Sorts members for a task, the first choice first.
-pub fn order<T>(members: &mut [T], task: &str, candidate: impl Fn(&T) -> Candidate<'_>) {
-    order_by(members, task, candidate, |_| ());
+/// Ranks members for a task, the preferred one first.
+pub fn rank<T>(members: &mut [T], task: &str, candidate: impl Fn(&T) -> Candidate<'_>) {
+    rank_by(members, task, candidate, |_| ());
 }
 
-/// Sorts members for a task: strong ones first, among these the ones of least cost, the first
-/// choice first.
-pub fn order_by<T, C: Ord>(
+/// Ranks members for a task, the preferred one first: strong members first, among these by least
+/// cost.
+pub fn rank_by<T, C: Ord>(
     members: &mut [T],
     task: &str,
     candidate: impl Fn(&T) -> Candidate<'_>,
@@ -43,6 +44,10 @@
     members.sort_by_cached_key(|member| {
         let Candidate { name, cores } = candidate(member);
         let hash = xxh3::xxh3_64_with_seed(name.as_str().as_bytes(), seed);
-        (cores < WEAK * most, cost(member), cmp::Reverse(hash))
+        (
+            cores < WEAK_FRACTION * most,
+            cost(member),
+            cmp::Reverse(hash),
+        )
     });
 }
--- a/laburnumcart/src/starvation.rs
+++ b/laburnumcart/src/starvation.rs
@@ -1,30 +1,30 @@
-//! Whether a process gets too little of its processor.
+//! Detection of processor starvation by the lateness of timers.
 //!
-//! A process that is starved does everything late. What it calls seems slow and stands idle, and what
-//! it is told it reads long after it was sent.
+//! A starved process does everything late: targets that it calls seem slow but are idle, and it
+//! reads messages long after they were sent.
 
 use std::time;
 
-/// Weight of the newest look.
+/// Weight of the newest measurement in the moving average.
 const WEIGHT: f64 = 0.1;
 
-/// Mean lateness from which a process is starved.
-const STARVED: time::Duration = time::Duration::from_millis(80);
+/// Mean lateness above which a process is starved.
+const STARVED_LATENESS: time::Duration = time::Duration::from_millis(80);
 
-/// Mean lateness below which it is no longer.
-const RECOVERED: time::Duration = time::Duration::from_millis(30);
+/// Mean lateness below which a starved process has recovered.
+const RECOVERED_LATENESS: time::Duration = time::Duration::from_millis(30);
 
-/// How late a process gets to its work.
+/// Starvation detector of a process.
 ///
 /// ```
 /// use std::time::Duration;
 ///
 /// use laburnumcart::starvation;
 ///
-/// let mut strain = starvation::Detector::default();
-/// assert!(!strain.record_lateness(Duration::from_millis(300)));
-/// assert!((0..20).any(|_| strain.record_lateness(Duration::from_millis(300))));
-/// assert!(strain.is_starved());
+/// let mut detector = starvation::Detector::default();
+/// assert!(!detector.record_lateness(Duration::from_millis(300)));
+/// assert!((0..20).any(|_| detector.record_lateness(Duration::from_millis(300))));
+/// assert!(detector.is_starved());
 /// ```
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Detector {
@@ -34,16 +34,16 @@
 }
 
 impl Detector {
-    /// Takes in how late a timer of the process was; returns whether it has become starved by it, or
-    /// has recovered.
-    pub fn record_lateness(&mut self, late: time::Duration) -> bool {
-        self.mean += (late.as_secs_f64() - self.mean) * WEIGHT;
-        let before = self.starved;
-        self.starved = match before {
-            true => self.mean > RECOVERED.as_secs_f64(),
-            false => self.mean > STARVED.as_secs_f64(),
+    /// Records how late a timer fired; returns whether the process has become starved or has
+    /// recovered.
+    pub fn record_lateness(&mut self, lateness: time::Duration) -> bool {
+        self.mean += (lateness.as_secs_f64() - self.mean) * WEIGHT;
+        let was_starved = self.starved;
+        self.starved = match was_starved {
+            true => self.mean > RECOVERED_LATENESS.as_secs_f64(),
+            false => self.mean > STARVED_LATENESS.as_secs_f64(),
         };
-        self.starved != before
+        self.starved != was_starved
     }
 
     /// Returns the mean lateness.
--- a/laburnumcart/tests/fair.rs
+++ b/laburnumcart/tests/fair.rs
@@ -1,4 +1,4 @@
-//! Shares, bounds and order of the fair queue.
+//! Tests of the shares, bounds and order of the fair queue.
 
 use std::time;
 
@@ -35,7 +35,7 @@
             .map(|(w, level)| (queue.add_team(*w, usize::MAX), *w, level))
             .collect();
         let total: u32 = weights.iter().sum();
-        // Each team always has work waiting, so each must get its share up to the bounded lead.
+        // Each team always has waiting work, so each must get its share up to the lead.
         let rounds = 100 * total;
         let mut served = vec![0u32; teams.len()];
         for (team, _, level) in &teams {
@@ -49,7 +49,7 @@
         }
         for (i, weight) in weights.iter().enumerate() {
             let wanted = 100.0 * f64::from(*weight);
-            // The lead of two steps of priority is 16 units at mean weight.
+            // The lead of two steps of priority is 16 units of cost at mean weight.
             let mean = f64::from(total) / weights.len() as f64;
             let slack = 16.0 * f64::from(*weight) / mean + f64::from(*weight) + 2.0;
             prop_assert!((f64::from(served[i]) - wanted).abs() <= slack, "{served:?} {weights:?}");
@@ -57,7 +57,7 @@
     }
 
     #[test]
-    fn never_over_bounds_and_work_conserving(
+    fn bounds_hold_and_the_queue_is_work_conserving(
         steps in prop::collection::vec((0usize..4, 0u8..5, 1u64..500), 1..300),
     ) {
         let now = Instant::now();
@@ -81,16 +81,15 @@
             out += queue.take_expired().len();
             prop_assert!(queue.len() <= 20);
             prop_assert!(teams.iter().all(|t| queue.team_len(*t) <= 8));
-            // Nothing is lost or doubled.
+            // No entry is lost or duplicated.
             prop_assert_eq!(pushed, out + queue.len());
         }
     }
 }
 
-/// A team floods the queue with urgent work. Another team's ordinary entry waits behind it. The
-/// flood may overtake by the fixed lead only, so the entry is served within that many steps.
+// A flood of urgent work may go before another team's entry only by the fixed lead.
 #[test]
-fn urgent_flood_starves_nobody() {
+fn a_flood_of_urgent_work_starves_no_team() {
     let now = Instant::now();
     let mut queue = fair::Queue::new(1000);
     let (flood, calm) = (queue.add_team(1, 1000), queue.add_team(1, 1000));
@@ -98,15 +97,14 @@
         queue.push(flood, request(now, Priority::High, 1000));
     }
     queue.push(calm, request(now, Priority::Low, 5000));
-    let at = (0..101).position(|_| queue.pop(now).unwrap().team == calm);
-    assert!(at.unwrap() <= 17, "{at:?}");
+    let position = (0..101).position(|_| queue.pop(now).unwrap().team == calm);
+    assert!(position.unwrap() <= 17, "{position:?}");
 }
 
-/// An urgent team always has work waiting; an ordinary one sends its next request when the one
-/// before has been served and another beside it. It is behind by the lead of the urgent team, which
-/// it must not lose each time it has nothing waiting for a moment.
+// A team with one request at a time lags by the lead of an urgent team; if it lost that lag each
+// time it has no entry, it would not get its share.
 #[test]
-fn single_requests_keep_their_share() {
+fn a_team_with_single_requests_gets_its_share() {
     let now = Instant::now();
     let mut queue = fair::Queue::new(1000);
     let (urgent, ordinary) = (queue.add_team(1, 500), queue.add_team(1, 500));
@@ -126,7 +124,7 @@
 }
 
 #[test]
-fn idle_team_lends_its_share_and_is_owed_nothing() {
+fn an_idle_team_accumulates_no_credit() {
     let now = Instant::now();
     let mut queue = fair::Queue::new(1000);
     let (busy, idle) = (queue.add_team(1, 500), queue.add_team(1, 500));
@@ -145,24 +143,23 @@
     assert!((9..=11).contains(&busy_served), "{busy_served}");
 }
 
-/// The queue is full of one team's burst. Another team, below its share, still gets in: the burst
-/// loses its least important entry with a proof of "not run".
+// A burst of one team must not keep out another one that is below its share.
 #[test]
-fn full_queue_sheds_lowest_priority_of_worst_team() {
+fn a_full_queue_sheds_the_least_important_entry_of_the_largest_team() {
     let now = Instant::now();
     let mut queue = fair::Queue::new(4);
-    let (burst, calm) = (queue.add_team(1, 10), queue.add_team(1, 10));
+    let (large, small) = (queue.add_team(1, 10), queue.add_team(1, 10));
     for (level, millis) in [
         (Priority::High, 900),
         (Priority::Low, 50),
         (Priority::Low, 70),
     ] {
-        queue.push(burst, request(now, level, millis));
+        queue.push(large, request(now, level, millis));
     }
-    queue.push(burst, request(now, Priority::Normal, 100));
-    let pushed = queue.push(calm, request(now, Priority::Low, 999));
+    queue.push(large, request(now, Priority::Normal, 100));
+    let pushed = queue.push(small, request(now, Priority::Low, 999));
     let dropped = pushed.dropped.unwrap();
-    assert_eq!((dropped.team, dropped.request.value), (burst, 70));
+    assert_eq!((dropped.team, dropped.request.value), (large, 70));
     assert_eq!(
         dropped.refusal,
         verdict::Refusal::not_run(verdict::Reason::Overloaded)
--- a/laburnumcart/tests/placement.rs
+++ b/laburnumcart/tests/placement.rs
@@ -1,4 +1,4 @@
-//! Choice of the model engine for a prompt.
+//! Tests of the placement of prompts on model engines.
 
 use std::time;
 
@@ -12,23 +12,23 @@
 
 const ENGINES: usize = 6;
 
-fn fleet() -> (placement::Engines, Vec<placement::EngineKey>) {
+fn engines() -> (placement::Engines, Vec<placement::EngineKey>) {
     let limits = ingress::Engine {
         slots: 8,
         tokens: 400_000,
     };
-    let mut fleet = placement::Engines::new(limits);
+    let mut engines = placement::Engines::new(limits);
     let zone = |i: usize| ["north", "south", "west"][i % 3].parse().unwrap();
-    let add = |i| fleet.add(&format!("engine-{i}"), zone(i));
+    let add = |i| engines.add(&format!("engine-{i}"), zone(i));
     let keys = (0..ENGINES).map(add).collect();
-    (fleet, keys)
+    (engines, keys)
 }
 
 fn parts(session: u64, own: u64) -> [placement::Part; 2] {
     [(session, 6000), (own, 500)].map(|(id, tokens)| placement::Part { id, tokens })
 }
 
-fn ask(parts: &[placement::Part]) -> placement::Request<'_> {
+fn request(parts: &[placement::Part]) -> placement::Request<'_> {
     placement::Request {
         parts,
         tokens: 7000,
@@ -39,147 +39,153 @@
 #[test]
 fn all_instances_send_a_session_to_the_same_engine() {
     let now = Instant::now();
-    let ((one, _), (two, _)) = (fleet(), fleet());
+    let ((one, _), (two, _)) = (engines(), engines());
     for session in 0..50 {
         let (a, b) = (parts(session, 1), parts(session, 2));
-        let first = one.choose(&ask(&a), now).unwrap();
-        assert_eq!(first, two.choose(&ask(&b), now).unwrap());
+        let first = one.choose(&request(&a), now).unwrap();
+        assert_eq!(first, two.choose(&request(&b), now).unwrap());
     }
 }
 
 #[test]
-fn a_part_that_was_read_is_not_missing() {
+fn a_prefix_that_was_prefilled_counts_as_cached() {
     let now = Instant::now();
-    let (mut fleet, _) = fleet();
+    let (mut engines, _) = engines();
     let (first, second) = (parts(1, 1), parts(1, 2));
-    let place = fleet.choose(&ask(&first), now).unwrap();
-    assert_eq!(place.uncached_tokens, 6500);
-    fleet.record_sent(&ask(&first), place, now);
-    fleet.record_first_token(place);
+    let assignment = engines.choose(&request(&first), now).unwrap();
+    assert_eq!(assignment.uncached_tokens, 6500);
+    engines.record_sent(&request(&first), assignment, now);
+    engines.record_first_token(assignment);
     assert_eq!(
-        fleet.choose(&ask(&second), now).unwrap().uncached_tokens,
+        engines
+            .choose(&request(&second), now)
+            .unwrap()
+            .uncached_tokens,
         500
     );
 }
 
-// One session gets most of the traffic. Its home must not be left with all of it: the prompts
-// would queue there for seconds while other engines are idle.
+// If all requests of a popular session went to one engine, they would queue there for seconds while
+// other engines are idle.
 #[test]
 fn a_popular_session_spreads() {
     let now = Instant::now();
-    let (mut fleet, _) = fleet();
+    let (mut engines, _) = engines();
     let mut used = std::collections::HashSet::new();
     for own in 0..40 {
         let parts = parts(1, 1000 + own);
-        let place = fleet.choose(&ask(&parts), now).unwrap();
-        fleet.record_sent(&ask(&parts), place, now);
-        used.insert(place.engine);
+        let assignment = engines.choose(&request(&parts), now).unwrap();
+        engines.record_sent(&request(&parts), assignment, now);
+        used.insert(assignment.engine);
     }
     assert!(used.len() >= 3, "{}", used.len());
 }
 
-// The home of a session reads other prompts. With time to wait its requests go there all the same:
-// read anywhere else, what they share costs the fleet as much again, and so would the next one of
-// the session. Without time they go where the first token comes sooner.
+// A session that moves from its busy affinity engine has its prefix prefilled elsewhere, and again
+// when it moves back.
 #[test]
-fn a_session_waits_for_its_home_while_it_has_time() {
+fn a_session_stays_at_its_affinity_engine_while_it_has_slack() {
     let now = Instant::now();
-    let (mut fleet, _) = fleet();
+    let (mut engines, _) = engines();
     let first = parts(1, 1);
-    let home = fleet.choose(&ask(&first), now).unwrap();
-    fleet.record_sent(&ask(&first), home, now);
-    fleet.record_first_token(home);
+    let affine = engines.choose(&request(&first), now).unwrap();
+    engines.record_sent(&request(&first), affine, now);
+    engines.record_first_token(affine);
     for session in 100..102 {
         let other = parts(session, session);
-        let missing = 6500;
-        let place = placement::Assignment {
-            uncached_tokens: missing,
-            ..home
+        let assignment = placement::Assignment {
+            uncached_tokens: 6500,
+            ..affine
         };
-        fleet.record_sent(&ask(&other), place, now);
+        engines.record_sent(&request(&other), assignment, now);
     }
     let next = parts(1, 2);
     let with = |slack| placement::Request {
         slack,
-        ..ask(&next)
+        ..request(&next)
     };
-    let patient = fleet.choose(&with(time::Duration::from_secs(2)), now);
-    assert_eq!(patient.unwrap().engine, home.engine);
-    let urgent = fleet.choose(&with(time::Duration::from_millis(300)), now);
-    assert_ne!(urgent.unwrap().engine, home.engine);
+    let patient = engines.choose(&with(time::Duration::from_secs(2)), now);
+    assert_eq!(patient.unwrap().engine, affine.engine);
+    let urgent = engines.choose(&with(time::Duration::from_millis(300)), now);
+    assert_ne!(urgent.unwrap().engine, affine.engine);
 }
 
-// An engine fails a request. The next one must go elsewhere, although the engine has the session's
-// prompt cached; and when it is the only one left it is better than none.
+// The failed engine would still have affinity for the session. It is better than none if it is the
+// only one left.
 #[test]
-fn failed_engines_are_avoided() {
+fn failed_engines_are_paused() {
     let now = Instant::now();
-    let (mut fleet, keys) = fleet();
+    let (mut engines, keys) = engines();
     let parts = parts(3, 1);
-    let place = fleet.choose(&ask(&parts), now).unwrap();
-    fleet.record_failure(place.engine, now);
-    let other = fleet.choose(&ask(&parts), now).unwrap();
-    assert_ne!(other.engine, place.engine);
-    for key in keys.iter().filter(|key| **key != place.engine) {
-        fleet.remove(*key);
+    let assignment = engines.choose(&request(&parts), now).unwrap();
+    engines.record_failure(assignment.engine, now);
+    let other = engines.choose(&request(&parts), now).unwrap();
+    assert_ne!(other.engine, assignment.engine);
+    for key in keys.iter().filter(|key| **key != assignment.engine) {
+        engines.remove(*key);
     }
     assert_eq!(
-        fleet.choose(&ask(&parts), now).unwrap().engine,
-        place.engine
+        engines.choose(&request(&parts), now).unwrap().engine,
+        assignment.engine
     );
-    let avoid = [place.engine];
-    let ask = placement::Request {
+    let avoid = [assignment.engine];
+    let request = placement::Request {
         avoid: &avoid,
-        ..ask(&parts)
+        ..request(&parts)
     };
-    assert_eq!(fleet.choose(&ask, now), None);
+    assert_eq!(engines.choose(&request, now), None);
 }
 
 #[test]
-fn large_inputs_draw_a_prompt_to_their_data_centre() {
+fn prompts_with_large_inputs_go_to_their_data_centre() {
     let now = Instant::now();
-    let (fleet, _) = fleet();
+    let (engines, _) = engines();
     let own = [placement::Part { id: 9, tokens: 500 }];
     let inputs = [("west".parse().unwrap(), unit::Size(8 << 20))];
     let near = placement::Request {
         inputs: &inputs,
-        ..ask(&own)
+        ..request(&own)
     };
-    let chosen = fleet.choose(&near, now).unwrap().engine;
-    let mut without = fleet.clone();
+    let chosen = engines.choose(&near, now).unwrap().engine;
+    let mut without = engines.clone();
     without.remove(chosen);
     let second = without.choose(&near, now).unwrap().engine;
     let ranks = [chosen, second];
-    // Two engines of six stand there; both come before all others.
+    // Two of the six engines are there; both are preferred to all others.
     assert!(ranks[0] != ranks[1]);
     without.remove(second);
     let third = without.choose(&near, now).unwrap().engine;
     assert!(!ranks.contains(&third));
 }
 
-// Reports are believed for a second: an engine that was full long ago must get work again.
+// An engine that was full a second ago must get requests again.
 #[test]
-fn old_reports_are_not_believed() {
+fn load_reports_expire() {
     let now = Instant::now();
-    let (mut fleet, _) = fleet();
+    let (mut engines, _) = engines();
     let parts = parts(5, 1);
-    let home = fleet.choose(&ask(&parts), now).unwrap().engine;
+    let affine = engines.choose(&request(&parts), now).unwrap().engine;
     let full = placement::Report {
         running: 8,
         waiting: 20,
     };
-    fleet.record_report(home, full, now);
-    assert_ne!(fleet.choose(&ask(&parts), now).unwrap().engine, home);
+    engines.record_report(affine, full, now);
+    assert_ne!(
+        engines.choose(&request(&parts), now).unwrap().engine,
+        affine
+    );
     let later = now + time::Duration::from_secs(2);
-    assert_eq!(fleet.choose(&ask(&parts), later).unwrap().engine, home);
+    assert_eq!(
+        engines.choose(&request(&parts), later).unwrap().engine,
+        affine
+    );
 }
 
-// All engines have crashed and are back, cold, under more load than they bear. Each gets its part
-// of the rate and the other requests are refused; an engine that is paused after a failure is no
-// way around that.
+// After a crash of all engines, requests beyond the quota of a cold engine would crash it again; a
+// paused engine must not be used beyond its quota either.
 #[tokio::test(start_paused = true)]
 async fn cold_engines_get_no_more_than_their_part() {
-    let (mut fleet, keys) = fleet();
+    let (mut engines, keys) = engines();
     let start = Instant::now();
     let quota = quota::Quota {
         count: 2,
@@ -187,27 +193,27 @@
     };
     let until = start + time::Duration::from_secs(3);
     for key in &keys {
-        let gate = quota::Limiter::default();
-        gate.set(quota::Bounds {
+        let limiter = quota::Limiter::default();
+        limiter.set(quota::Bounds {
             cold: Some(quota::Bound::new(quota).until(until)),
             ..quota::Bounds::default()
         });
-        fleet.set_limiter(*key, gate);
-        fleet.record_failure(*key, start);
+        engines.set_limiter(*key, limiter);
+        engines.record_failure(*key, start);
     }
     let (mut served, mut refused) = (0, 0);
     for session in 0..100 {
         let parts = parts(session, session);
-        let ask = ask(&parts);
-        match fleet.choose(&ask, start) {
-            Some(place) => {
-                fleet.record_sent(&ask, place, start);
+        let request = request(&parts);
+        match engines.choose(&request, start) {
+            Some(assignment) => {
+                engines.record_sent(&request, assignment, start);
                 served += 1;
             }
             None => refused += 1,
         }
     }
     assert_eq!((served, refused), (2 * ENGINES, 100 - 2 * ENGINES));
-    let warm = fleet.choose(&ask(&parts(1, 1)), until);
+    let warm = engines.choose(&request(&parts(1, 1)), until);
     assert!(warm.is_some());
 }
--- a/laburnumcart/tests/readers.rs
+++ b/laburnumcart/tests/readers.rs
@@ -1,4 +1,4 @@
-//! Choice of the processes that read for the others.
+//! Tests of the choice of readers and of their view of the shared service.
 
 use std::{
     collections,
@@ -14,21 +14,21 @@
 
 struct Fleet {
     names: Vec<id::InstanceName>,
-    places: Vec<id::DataCentre>,
+    data_centres: Vec<id::DataCentre>,
 }
 
 impl Fleet {
-    fn new(count: usize, places: usize) -> Self {
+    fn new(count: usize, data_centre_count: usize) -> Self {
         let name = |i| format!("gateway-{i}").parse().unwrap();
-        let place = |i| format!("place-{}", i % places).parse().unwrap();
+        let data_centre = |i| format!("place-{}", i % data_centre_count).parse().unwrap();
         Self {
             names: (0..count).map(name).collect(),
-            places: (0..count).map(place).collect(),
+            data_centres: (0..count).map(data_centre).collect(),
         }
     }
 
     fn members(&self) -> Vec<readers::Member<'_>> {
-        let pairs = self.names.iter().zip(&self.places);
+        let pairs = self.names.iter().zip(&self.data_centres);
         let member = |(name, data_centre)| readers::Member {
             name,
             data_centre,
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn readers_are_in_different_data_centres_as_far_as_these_go() {
+fn readers_are_spread_over_data_centres() {
     for (count, places, expected) in [(103, 5, 3), (350, 4, 4), (9, 2, 2)] {
         let fleet = Fleet::new(count, places);
         let readers = readers::choose(fleet.members());
@@ -58,10 +58,9 @@
     }
 }
 
-// A reader is gone. All others go on to ask the ones that they know, and one more takes its part; if
-// the loss of one moved all, the whole fleet would ask anew in one moment.
+// If the loss of one reader replaced all, the whole fleet would ask the new ones at the same time.
 #[test]
-fn the_loss_of_a_reader_adds_one_and_keeps_the_rest() {
+fn a_lost_reader_is_replaced_and_the_others_stay() {
     let fleet = Fleet::new(103, 1);
     let before = readers::choose(fleet.members());
     let mut members = fleet.members();
@@ -72,7 +71,7 @@
 }
 
 #[test]
-fn the_order_of_the_list_does_not_matter() {
+fn the_choice_does_not_depend_on_the_order_of_the_members() {
     let fleet = Fleet::new(60, 4);
     let mut members = fleet.members();
     members.reverse();
@@ -83,7 +82,7 @@
 }
 
 #[test]
-fn weak_instances_do_not_read_while_there_are_others() {
+fn weak_instances_are_not_readers_while_there_are_strong_ones() {
     let fleet = Fleet::new(60, 4);
     let mut members = fleet.members();
     for member in &mut members[..50] {
@@ -95,7 +94,7 @@
 }
 
 #[test]
-fn readers_get_about_equal_parts_of_the_fleet() {
+fn the_fleet_is_spread_evenly_over_the_readers() {
     let fleet = Fleet::new(300, 1);
     let readers = readers::choose(fleet.members());
     let mut asked = collections::HashMap::new();
@@ -105,7 +104,7 @@
         *asked.entry(readers[0].name).or_insert(0) += 1;
     }
     assert_eq!(asked.len(), readers.len());
-    // 300 members of 8 readers: 37 on average.
+    // 300 members and 8 readers: 37 members per reader on average.
     assert!(
         asked.values().all(|count| (18..=60).contains(count)),
         "{asked:?}"
@@ -113,7 +112,7 @@
 }
 
 #[test]
-fn a_reader_of_the_own_data_centre_is_asked_first() {
+fn a_reader_in_the_same_data_centre_is_asked_first() {
     let fleet = Fleet::new(103, 3);
     for member in fleet.members() {
         let mut readers = readers::choose(fleet.members());
@@ -126,43 +125,41 @@
     start + time::Duration::from_millis(millis)
 }
 
-// The service turns a reader away and serves others. The reader asks these, and tries again only now
-// and then: each refusal is paid for.
+// Each call that the service refuses is billed, while other processes can answer.
 #[test]
-fn a_reader_that_is_turned_away_tries_again_later() {
+fn a_refused_reader_retries_after_a_pause() {
     let start = Instant::now();
-    let mut standing = readers::Health::default();
-    assert!(standing.can_call_first(start));
-    standing.record_success(start);
-    assert!(standing.can_call_first(start));
-    standing.record_failure(after(start, 100));
-    assert!(standing.is_failing());
-    assert!(!standing.can_call_first(after(start, 2000)));
-    assert!(standing.can_call_first(after(start, 2100)));
-    standing.record_success(after(start, 2110));
-    assert!(!standing.is_failing());
-    assert!(standing.can_call_first(after(start, 2110)));
+    let mut health = readers::Health::default();
+    assert!(health.can_call_first(start));
+    health.record_success(start);
+    assert!(health.can_call_first(start));
+    health.record_failure(after(start, 100));
+    assert!(health.is_failing());
+    assert!(!health.can_call_first(after(start, 2000)));
+    assert!(health.can_call_first(after(start, 2100)));
+    health.record_success(after(start, 2110));
+    assert!(!health.is_failing());
+    assert!(health.can_call_first(after(start, 2110)));
 }
 
-// The service is down for all. The hundred processes that do not read try it every two to six seconds,
-// not in one moment; one that is answered goes on by itself.
+// During an outage of the service, its probes by a hundred processes must not coincide.
 #[test]
-fn tries_of_those_that_do_not_read_are_spread() {
+fn probes_of_other_processes_are_spread_over_time() {
     let start = Instant::now();
-    let mut standing = readers::Health::default();
-    assert!(standing.can_probe(0.5, start), "it has not tried yet");
-    standing.record_failure(start);
-    let tries = |millis| {
-        let draws = (0..100).map(|i| f64::from(i) / 100.0);
-        let may_try = |draw: &f64| standing.can_probe(*draw, after(start, millis));
-        draws.filter(may_try).count()
+    let mut health = readers::Health::default();
+    assert!(health.can_probe(0.5, start), "no call was made yet");
+    health.record_failure(start);
+    let probes = |millis| {
+        let jitters = (0..100).map(|i| f64::from(i) / 100.0);
+        let can_probe = |jitter: &f64| health.can_probe(*jitter, after(start, millis));
+        jitters.filter(can_probe).count()
     };
-    assert_eq!([1900, 4000, 6000].map(tries), [0, 51, 100]);
-    assert!(!standing.can_call(after(start, 10)));
-    standing.record_success(after(start, 4000));
-    assert!(standing.can_call(after(start, 8900)));
-    assert!(!standing.can_call(after(start, 9100)));
-    // One failure ends it: what was answered a moment ago is down for this process too.
-    standing.record_failure(after(start, 4100));
-    assert!(!standing.can_call(after(start, 4200)));
+    assert_eq!([1900, 4000, 6000].map(probes), [0, 51, 100]);
+    assert!(!health.can_call(after(start, 10)));
+    health.record_success(after(start, 4000));
+    assert!(health.can_call(after(start, 8900)));
+    assert!(!health.can_call(after(start, 9100)));
+    // A failure right after a success means that the service is down for this process too.
+    health.record_failure(after(start, 4100));
+    assert!(!health.can_call(after(start, 4200)));
 }
--- a/laburnumcart/tests/starvation.rs
+++ b/laburnumcart/tests/starvation.rs
@@ -1,4 +1,4 @@
-//! How late a process gets to its work.
+//! Tests of the starvation detector.
 
 use std::time;
 
@@ -7,22 +7,24 @@
 const MS: time::Duration = time::Duration::from_millis(1);
 
 #[test]
-fn one_pause_is_no_starvation() {
-    let mut strain = starvation::Detector::default();
-    assert!(!strain.record_lateness(500 * MS));
-    assert!((0..100).all(|_| !strain.record_lateness(5 * MS)));
+fn a_single_late_timer_is_no_starvation() {
+    let mut detector = starvation::Detector::default();
+    assert!(!detector.record_lateness(500 * MS));
+    assert!((0..100).all(|_| !detector.record_lateness(5 * MS)));
 }
 
 #[test]
-fn a_starved_process_has_to_be_well_for_a_while() {
-    let mut strain = starvation::Detector::default();
+fn a_starved_process_recovers_only_after_many_timely_timers() {
+    let mut detector = starvation::Detector::default();
     let changes = (0..100)
-        .filter(|_| strain.record_lateness(200 * MS))
+        .filter(|_| detector.record_lateness(200 * MS))
         .count();
-    assert_eq!((changes, strain.is_starved()), (1, true));
-    assert!(strain.lateness() > 190 * MS);
-    // Better, but not well.
-    assert!((0..100).all(|_| !strain.record_lateness(50 * MS)));
-    let changes = (0..100).filter(|_| strain.record_lateness(2 * MS)).count();
-    assert_eq!((changes, strain.is_starved()), (1, false));
+    assert_eq!((changes, detector.is_starved()), (1, true));
+    assert!(detector.lateness() > 190 * MS);
+    // Less late, but above the threshold of recovery.
+    assert!((0..100).all(|_| !detector.record_lateness(50 * MS)));
+    let changes = (0..100)
+        .filter(|_| detector.record_lateness(2 * MS))
+        .count();
+    assert_eq!((changes, detector.is_starved()), (1, false));
 }
