--- a/laburnumcart/src/batch.rs
+++ b/laburnumcart/src/batch.rs
@@ -343,18 +343,18 @@
 
     /// Records the failure of a whole call and queues its pieces again.
     ///
-    /// A call that may have been executed (`ran`) may have left results at the target whose names
-    /// are unknown. Their room stays reserved for as long as the target keeps them.
-    pub fn fail_call(&mut self, call: &Call, ran: bool, now: Instant) -> Vec<Event> {
+    /// A call that may have been executed may have left results at the target whose names are
+    /// unknown. Their room stays reserved for as long as the target keeps them.
+    pub fn fail_call(&mut self, call: &Call, may_have_run: bool, now: Instant) -> Vec<Event> {
         self.targets.record_failure(call.target, now);
         self.requeued.clear();
         let mut events = Vec::new();
         for piece in &call.pieces {
-            match ran {
+            match may_have_run {
                 true => self.targets.add_unnamed(call.target, piece.size, now),
                 false => self.targets.release(call.target, piece.size),
             }
-            self.requeue(piece, ran, &mut events);
+            self.requeue(piece, may_have_run, &mut events);
         }
         events
     }
--- a/laburnumcart/src/batch/load.rs
+++ b/laburnumcart/src/batch/load.rs
@@ -9,10 +9,10 @@
 
 /// Least share of the throughput that late jobs are assumed to get; it bounds their estimates.
 ///
-/// A second of full load says little about the ten seconds that a late job may have left: without
-/// this bound, callers that retried after a loss of all instances were told 28 s where 0.8 s of
-/// work waited, and were refused permanently. With a much higher value, callers would wait in vain
-/// while load stays above capacity.
+/// A second of full load says little about the ten seconds that a late job may still have. Without
+/// this bound, callers that retry after a loss of all instances get estimates such as 28 s for
+/// 0.8 s of waiting work and are refused permanently. With a much higher value, callers would wait
+/// in vain while load stays above capacity.
 const SPARE_MIN: f64 = 0.12;
 
 /// Exponentially decayed count of the pieces of jobs on time that calls have taken.
--- a/laburnumcart/tests/batch/estimate.rs
+++ b/laburnumcart/tests/batch/estimate.rs
@@ -158,9 +158,9 @@
     });
     let spec = batch::Spec::new(4, SIZE, now + 5000 * MS);
     let free = queue.estimate_time(&spec, now);
-    let close = |limiter: &quota::Limiter, left: time::Duration| {
+    let close = |limiter: &quota::Limiter, backoff: time::Duration| {
         limiter.set(quota::Bounds {
-            closed: Some(quota::Bound::closed().until(now + left)),
+            closed: Some(quota::Bound::closed().until(now + backoff)),
             ..quota::Bounds::default()
         });
     };
