--- a/laburnumcart_gateway/src/dispatcher/call.rs
+++ b/laburnumcart_gateway/src/dispatcher/call.rs
@@ -227,7 +227,7 @@
         let queue = &mut owned.queue;
         let denied = denied.into_iter();
         denied
-            .flat_map(|key| queue.fail(key, batch::Failure::Failed))
+            .flat_map(|key| queue.fail_job(key, batch::Failure::Failed))
             .collect()
     }
 
--- a/laburnumcart_gateway/src/dispatcher/owned_queue.rs
+++ b/laburnumcart_gateway/src/dispatcher/owned_queue.rs
@@ -171,7 +171,7 @@
         let queue = &mut self.queue;
         let events = keys
             .into_iter()
-            .flat_map(|key| queue.fail(key, batch::Failure::Gone));
+            .flat_map(|key| queue.fail_job(key, batch::Failure::Gone));
         events.collect()
     }
 
--- a/laburnumcart_gateway/src/pipeline/admit.rs
+++ b/laburnumcart_gateway/src/pipeline/admit.rs
@@ -41,7 +41,7 @@
         }
         let time = forecast::TimeBudget {
             slack: self.request.slack(),
-            left: self.request.remaining(),
+            remaining: self.request.remaining(),
             rest: self.first_token_time(),
             is_repeat: self.is_retry,
         };
@@ -92,7 +92,7 @@
             judgement = judgement,
             queues_ms = turns.join(","),
             slack_ms = time.slack.as_millis(),
-            left_ms = time.left.as_millis(),
+            left_ms = time.remaining.as_millis(),
             again = time.is_repeat
         );
     }
