--- a/laburnumcart/examples/decision_cost/main.rs
+++ b/laburnumcart/examples/decision_cost/main.rs
@@ -113,7 +113,7 @@
         state: balancer::State::Ready,
         load: balancer::Load {
             pending: i as u32 % 7,
-            own: 0,
+            own_pending: 0,
             limit: 4,
             service_time: time::Duration::from_millis(50),
             at: now,
@@ -134,7 +134,7 @@
         let ask = balancer::Request {
             tried: &[],
             prefix,
-            own: &own,
+            in_flight: &own,
             now,
         };
         table.choose(&ask, &mut rng)
--- a/laburnumcart/examples/embed.rs
+++ b/laburnumcart/examples/embed.rs
@@ -68,7 +68,7 @@
             let ask = balancer::Request {
                 tried: &tried,
                 prefix: None,
-                own: &|_| 0,
+                in_flight: &|_| 0,
                 now,
             };
             // The verdict covers all attempts: that no target is left says nothing of earlier ones.
@@ -111,7 +111,7 @@
         state: balancer::State::Ready,
         load: balancer::Load {
             pending,
-            own: 0,
+            own_pending: 0,
             limit: 4,
             service_time: Duration::from_millis(50),
             at: now,
--- a/laburnumcart/src/balancer.rs
+++ b/laburnumcart/src/balancer.rs
@@ -45,7 +45,7 @@
     /// Attempts that execute or wait, from all senders.
     pub pending: u32,
     /// Part of `pending` that this process had sent.
-    pub own: u32,
+    pub own_pending: u32,
     /// Attempts that the target executes at once without slowing down; 0 counts as 1.
     pub limit: u32,
     /// Mean time an attempt takes at the target.
@@ -77,7 +77,7 @@
     /// Key of the prompt's prefix, as of [`prefix::key`]; engines only.
     pub prefix: Option<u64>,
     /// Attempts that this process has in flight at a position.
-    pub own: &'a dyn Fn(usize) -> u32,
+    pub in_flight: &'a dyn Fn(usize) -> u32,
     /// Present time.
     pub now: Instant,
 }
@@ -98,7 +98,7 @@
     ///     state: balancer::State::Ready,
     ///     load: balancer::Load {
     ///         pending,
-    ///         own: 0,
+    ///         own_pending: 0,
     ///         limit: 4,
     ///         service_time: Duration::from_millis(50),
     ///         at: now,
@@ -107,7 +107,7 @@
     ///     extra_latency: Duration::ZERO,
     /// };
     /// let table = balancer::Table::new(vec![target("busy", 9), target("free", 0)]);
-    /// let ask = balancer::Request { tried: &[], prefix: None, own: &|_| 0, now };
+    /// let ask = balancer::Request { tried: &[], prefix: None, in_flight: &|_| 0, now };
     /// let mut rng = rand::rngs::StdRng::seed_from_u64(1);
     /// let chosen = table.choose(&ask, &mut rng).unwrap();
     /// assert_eq!(table.targets()[chosen].name.as_str(), "free");
@@ -120,7 +120,7 @@
         }
         let all = 0..self.targets().len();
         let one = self
-            .draw(0..self.near(), ask, None, rng)
+            .draw(0..self.local_count(), ask, None, rng)
             .or_else(|| self.draw(all.clone(), ask, None, rng))?;
         let Some(two) = self.draw(all, ask, Some(one), rng) else {
             return Some(one);
@@ -151,10 +151,10 @@
         // Without ageing, a target that was idle at its last report draws all traffic until the
         // next one. Without the mean, one whose reports have stopped would look ever more idle.
         let trust = 0.5f64.powf(age.as_secs_f64() / HALF_LIFE.as_secs_f64());
-        let others = f64::from(load.pending.saturating_sub(load.own));
+        let others = f64::from(load.pending.saturating_sub(load.own_pending));
         let limit = f64::from(load.limit.max(1));
         let aged = trust * others / limit + (1.0 - trust) * self.mean();
-        aged + f64::from((ask.own)(i)) / limit
+        aged + f64::from((ask.in_flight)(i)) / limit
     }
 
     fn is_eligible(&self, i: usize, ask: &Request<'_>) -> bool {
--- a/laburnumcart/src/balancer/table.rs
+++ b/laburnumcart/src/balancer/table.rs
@@ -36,7 +36,7 @@
     }
 
     /// Returns the number of local targets, which come first.
-    pub(super) fn near(&self) -> usize {
+    pub(super) fn local_count(&self) -> usize {
         self.near
     }
 
@@ -69,7 +69,7 @@
     let ready = targets.iter().filter(|t| t.state == balancer::State::Ready);
     let loads = ready.map(|target| {
         let load = &target.load;
-        f64::from(load.pending.saturating_sub(load.own)) / f64::from(load.limit.max(1))
+        f64::from(load.pending.saturating_sub(load.own_pending)) / f64::from(load.limit.max(1))
     });
     let (count, sum) = loads.fold((0u32, 0.0), |(n, sum), load| (n + 1, sum + load));
     sum / f64::from(count.max(1))
--- a/laburnumcart/src/batch/targets.rs
+++ b/laburnumcart/src/batch/targets.rs
@@ -210,7 +210,7 @@
         if supply.count > 0 {
             return supply;
         }
-        let waits = self.targets.values().map(|e| e.gate.backoff(now));
+        let waits = self.targets.values().map(|e| e.gate.backoff_left(now));
         self.supply_after(waits.min().unwrap_or_default(), now)
     }
 
@@ -226,7 +226,7 @@
             ..Supply::default()
         };
         for engine in self.targets.values() {
-            if engine.gate.backoff(now) > wait {
+            if engine.gate.backoff_left(now) > wait {
                 continue;
             }
             // One that has failed may be back; with none counted, all requests would be refused.
@@ -455,5 +455,5 @@
 
 fn is_free(engine: &Target, now: Instant) -> bool {
     let is_paused = engine.paused.is_some_and(|at| at > now);
-    engine.call.is_none() && !is_paused && engine.gate.is_open(now)
+    engine.call.is_none() && !is_paused && engine.gate.can_send(now)
 }
--- a/laburnumcart/src/budget.rs
+++ b/laburnumcart/src/budget.rs
@@ -39,7 +39,7 @@
     /// Extra attempts that a window may have.
     pub allowed: f64,
     /// Whether there are none while the fleet refuses work as overloaded.
-    pub shut: bool,
+    pub suspended: bool,
 }
 
 #[derive(Clone, Copy, Debug, Default)]
@@ -115,8 +115,8 @@
 
     /// Takes so many extra attempts from the budget, or none of them.
     pub fn try_spend_all(&mut self, count: u32, now: Instant) -> bool {
-        let account = self.account(now);
-        if account.shut || f64::from(account.spent + count) > account.allowed {
+        let account = self.usage(now);
+        if account.suspended || f64::from(account.spent + count) > account.allowed {
             return false;
         }
         self.slot(now).spent += count;
@@ -124,13 +124,13 @@
     }
 
     /// Returns what was spent and what may be.
-    pub fn account(&mut self, now: Instant) -> Usage {
+    pub fn usage(&mut self, now: Instant) -> Usage {
         self.slot(now);
         let sum = self.sum();
         Usage {
             spent: sum.spent,
             allowed: self.ratio * f64::from(sum.earned) + self.reserve,
-            shut: Self::is_overloaded(sum),
+            suspended: Self::is_overloaded(sum),
         }
     }
 
--- a/laburnumcart/src/estimate.rs
+++ b/laburnumcart/src/estimate.rs
@@ -27,11 +27,11 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Remaining {
     /// Left until the deadline.
-    pub remaining: time::Duration,
+    pub time_left: time::Duration,
     /// Entries before it in the queue.
-    pub ahead: u32,
+    pub queued: u32,
     /// Expected time of the stages that are left, as of [`Estimates::expected_rest`].
-    pub rest: time::Duration,
+    pub stage_time: time::Duration,
 }
 
 /// Times of all stages that a process has seen; `K` names one, such as service and stage.
@@ -118,25 +118,25 @@
 /// let now = Instant::now();
 /// let mut rng = rand::rngs::StdRng::seed_from_u64(1);
 /// let mut drain = estimate::Throughput::new(now);
-/// let rest = Duration::from_millis(300);
-/// let outlook = estimate::Remaining { remaining: Duration::from_secs(1), ahead: 0, rest };
-/// assert!(estimate::check(&outlook, &mut drain, now, &mut rng).is_ok());
-/// let late = estimate::Remaining { remaining: Duration::from_millis(200), ..outlook };
-/// assert!(estimate::check(&late, &mut drain, now, &mut rng).is_err());
+/// let stage_time = Duration::from_millis(300);
+/// let outlook = estimate::Remaining { time_left: Duration::from_secs(1), queued: 0, stage_time };
+/// assert!(estimate::check_deadline(&outlook, &mut drain, now, &mut rng).is_ok());
+/// let late = estimate::Remaining { time_left: Duration::from_millis(200), ..outlook };
+/// assert!(estimate::check_deadline(&late, &mut drain, now, &mut rng).is_err());
 /// ```
-pub fn check(
+pub fn check_deadline(
     outlook: &Remaining,
     drain: &mut Throughput,
     now: Instant,
     rng: &mut impl rand::Rng,
 ) -> Result<(), verdict::Refusal> {
-    let wait = drain.wait(outlook.ahead, now);
-    let expected = wait + outlook.rest;
-    if expected <= outlook.remaining {
+    let wait = drain.wait_time(outlook.queued, now);
+    let expected = wait + outlook.stage_time;
+    if expected <= outlook.time_left {
         return Ok(());
     }
     // If the stages alone take longer, no later moment is better; only the wait gets shorter.
-    let excess = (expected - outlook.remaining).min(wait);
+    let excess = (expected - outlook.time_left).min(wait);
     let period = unit::Period(drain.retry_after(excess, now, rng));
     Err(verdict::Refusal::not_run(verdict::Reason::DeadlineTooShort).retry_after(period))
 }
--- a/laburnumcart/src/estimate/throughput.rs
+++ b/laburnumcart/src/estimate/throughput.rs
@@ -62,7 +62,7 @@
     }
 
     /// Returns the expected wait behind a number of entries; nothing if no rate was measured.
-    pub fn wait(&self, ahead: u32, now: Instant) -> time::Duration {
+    pub fn wait_time(&self, ahead: u32, now: Instant) -> time::Duration {
         let rate = self.rate(now);
         rate.map_or(time::Duration::ZERO, |rate| {
             time::Duration::from_secs_f64(f64::from(ahead) / rate)
--- a/laburnumcart/src/outlier.rs
+++ b/laburnumcart/src/outlier.rs
@@ -120,7 +120,7 @@
     }
 
     /// Returns the number of targets that are ejected or on trial.
-    pub fn ejected(&self) -> usize {
+    pub fn ejected_count(&self) -> usize {
         self.out
     }
 
--- a/laburnumcart/src/placement.rs
+++ b/laburnumcart/src/placement.rs
@@ -202,7 +202,7 @@
     /// would crash, and all that it runs with it.
     pub fn choose(&self, ask: &Request<'_>, now: Instant) -> Option<Assignment> {
         let home = self.home(ask.parts, now);
-        let fits = |key: EngineKey, e: &Engine| !ask.avoid.contains(&key) && e.gate.is_open(now);
+        let fits = |key: EngineKey, e: &Engine| !ask.avoid.contains(&key) && e.gate.can_send(now);
         let fitting = self.engines.iter().filter(|(key, e)| fits(*key, e));
         let open = fitting.clone().filter(|(_, e)| !is_paused(e, now));
         let costs = open.map(|(key, e)| (key, self.cost(ask, e, home == Some(key), now)));
@@ -272,7 +272,7 @@
     fn home(&self, parts: &[Part], now: Instant) -> Option<EngineKey> {
         let (session, _) = prefixes(shared(parts)).last()?;
         let rank = |e: &Engine| xxh3::xxh3_64_with_seed(&e.hash.to_le_bytes(), session);
-        let is_home = |e: &Engine| !is_paused(e, now) && e.gate.is_open(now);
+        let is_home = |e: &Engine| !is_paused(e, now) && e.gate.can_send(now);
         let open = self.engines.iter().filter(|(_, e)| is_home(e));
         open.max_by_key(|(_, e)| rank(e)).map(|(key, _)| key)
     }
--- a/laburnumcart/src/quota.rs
+++ b/laburnumcart/src/quota.rs
@@ -189,7 +189,7 @@
         let trials = TRIALS * rate.0.max(TRIALS_MIN);
         let span = time::Duration::from_secs_f64(members / trials);
         Bound {
-            from: Some(named.since + span.mul_f64(named.draw.clamp(0.0, 1.0))),
+            from: Some(named.since + span.mul_f64(named.jitter.clamp(0.0, 1.0))),
             ..Bound::new(Quota { count: 1, span })
         }
     }
@@ -261,7 +261,7 @@
     }
 
     /// Returns the bound on a target that takes nothing.
-    pub fn closed() -> Self {
+    pub fn blocked() -> Self {
         Self::new(Quota::NONE)
     }
 
@@ -297,20 +297,20 @@
     /// While it is cold.
     pub cold: Option<Bound>,
     /// While it names a limit.
-    pub limit: Option<Bound>,
+    pub advertised: Option<Bound>,
     /// While it takes nothing, as it has said itself.
-    pub closed: Option<Bound>,
+    pub backoff: Option<Bound>,
 }
 
 impl Bounds {
     /// Lists this process's shares that are in force.
     fn shares(&self, now: Instant) -> impl Iterator<Item = &Bound> {
-        let all = self.cold.iter().chain(&self.limit);
+        let all = self.cold.iter().chain(&self.advertised);
         all.filter(move |bound| bound.is_in_force(now))
     }
 
     fn in_force(&self, now: Instant) -> impl Iterator<Item = &Bound> {
-        let closed = self.closed.iter();
+        let closed = self.backoff.iter();
         let closed = closed.filter(move |bound| bound.is_in_force(now));
         self.shares(now).chain(closed)
     }
@@ -333,18 +333,18 @@
 /// let now = Instant::now();
 /// let gate = quota::Limiter::default();
 /// let quota = quota::Quota::from_rate(unit::Rate(1.0));
-/// gate.set(quota::Bounds { limit: Some(quota::Bound::new(quota)), ..Default::default() });
-/// assert!(gate.is_open(now));
+/// gate.set_bounds(quota::Bounds { advertised: Some(quota::Bound::new(quota)), ..Default::default() });
+/// assert!(gate.can_send(now));
 /// gate.record_send(now);
-/// assert!(!gate.is_open(now + Duration::from_millis(900)));
-/// assert!(gate.is_open(now + Duration::from_millis(1200)));
+/// assert!(!gate.can_send(now + Duration::from_millis(900)));
+/// assert!(gate.can_send(now + Duration::from_millis(1200)));
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct Limiter(Arc<Mutex<State>>);
 
 impl Limiter {
     /// Takes in the bounds.
-    pub fn set(&self, bounds: Bounds) {
+    pub fn set_bounds(&self, bounds: Bounds) {
         self.state().bounds = bounds;
     }
 
@@ -354,7 +354,7 @@
     }
 
     /// Reports whether a request may be sent.
-    pub fn is_open(&self, now: Instant) -> bool {
+    pub fn can_send(&self, now: Instant) -> bool {
         self.wait_time(now).is_zero()
     }
 
@@ -366,8 +366,8 @@
     }
 
     /// Reports whether the target takes nothing, as it has said itself.
-    pub fn is_closed(&self, now: Instant) -> bool {
-        let closed = self.state().bounds.closed;
+    pub fn is_backing_off(&self, now: Instant) -> bool {
+        let closed = self.state().bounds.backoff;
         closed.is_some_and(|bound| bound.is_in_force(now))
     }
 
@@ -381,8 +381,8 @@
     }
 
     /// Returns the time that is left until the target takes anything, if it has told one.
-    pub fn backoff(&self, now: Instant) -> time::Duration {
-        let end = self.state().bounds.closed.and_then(|bound| bound.until);
+    pub fn backoff_left(&self, now: Instant) -> time::Duration {
+        let end = self.state().bounds.backoff.and_then(|bound| bound.until);
         end.map_or(time::Duration::ZERO, |end| {
             end.saturating_duration_since(now)
         })
--- a/laburnumcart/src/quota/advertised.rs
+++ b/laburnumcart/src/quota/advertised.rs
@@ -26,7 +26,7 @@
     /// Limit that it names.
     pub limit: Limit,
     /// Whether it is a success and answers the request that was sent.
-    pub own: bool,
+    pub trusted: bool,
     /// When that request was sent.
     pub sent: Instant,
 }
@@ -41,7 +41,7 @@
     /// When it was true last.
     pub confirmed: Instant,
     /// When trials begin, from 0 to 1.
-    pub draw: f64,
+    pub jitter: f64,
 }
 
 /// What one process knows of one life of a target.
@@ -55,9 +55,9 @@
 /// let now = Instant::now();
 /// let mut heard = quota::TargetLimit::default();
 /// let limit = quota::Limit::Named(unit::Rate(2.0));
-/// heard.record_answer(quota::Observation { limit, own: true, sent: now }, 0.5, now + Duration::from_millis(80));
+/// heard.record_answer(quota::Observation { limit, trusted: true, sent: now }, 0.5, now + Duration::from_millis(80));
 /// // This one was on its way before.
-/// let none = quota::Observation { limit: quota::Limit::None, own: true, sent: now };
+/// let none = quota::Observation { limit: quota::Limit::None, trusted: true, sent: now };
 /// assert!(!heard.record_answer(none, 0.5, now + Duration::from_millis(90)));
 /// assert_eq!(heard.advertised().unwrap().rate, unit::Rate(2.0));
 /// ```
@@ -115,7 +115,7 @@
             Limit::Unreadable => !std::mem::replace(&mut self.unreadable, true),
             Limit::None => {
                 let ends = self.named.is_some_and(|n| word.sent > n.confirmed);
-                word.own && (ends || self.unreadable) && self.end(now)
+                word.trusted && (ends || self.unreadable) && self.end(now)
             }
         }
     }
@@ -141,7 +141,7 @@
             rate,
             since: at,
             confirmed: at,
-            draw,
+            jitter: draw,
         });
         true
     }
--- a/laburnumcart/src/subset.rs
+++ b/laburnumcart/src/subset.rs
@@ -18,7 +18,7 @@
 use crate::id;
 
 /// Bytes both ways of one heartbeat with its report.
-pub const EXCHANGE: u64 = 127 + 8 + 261 + 4 + 4 * 52;
+pub const EXCHANGE_BYTES: u64 = 127 + 8 + 261 + 4 + 4 * 52;
 
 /// Part of a subset that is kept in other data centres, one in so many.
 const REMOTE: usize = 4;
@@ -48,7 +48,7 @@
 /// assert_eq!(subset::size(23_000, period, [167, 3, 3, 4]), 65);
 /// ```
 pub fn size(bytes: u64, period: time::Duration, counts: impl IntoIterator<Item = usize>) -> usize {
-    let exchanges = bytes as f64 * period.as_secs_f64() / EXCHANGE as f64;
+    let exchanges = bytes as f64 * period.as_secs_f64() / EXCHANGE_BYTES as f64;
     let mut rest = exchanges as usize;
     let mut counts: Vec<_> = counts.into_iter().collect();
     counts.sort_unstable();
@@ -70,7 +70,7 @@
 /// assert_eq!(subset::heartbeat_period(15_000, 350).as_millis(), 14_186);
 /// ```
 pub fn heartbeat_period(bytes: u64, peers: usize) -> time::Duration {
-    let exchanges = peers as f64 * EXCHANGE as f64;
+    let exchanges = peers as f64 * EXCHANGE_BYTES as f64;
     time::Duration::from_secs_f64(exchanges / bytes.max(1) as f64)
 }
 
--- a/laburnumcart/tests/balancer.rs
+++ b/laburnumcart/tests/balancer.rs
@@ -17,7 +17,7 @@
         state: balancer::State::Ready,
         load: balancer::Load {
             pending,
-            own: 0,
+            own_pending: 0,
             limit: 4,
             service_time: time::Duration::from_millis(40),
             at: now,
@@ -47,7 +47,7 @@
             ..target(i, 0, i % 2 == 0, now)
         });
         let table = balancer::Table::new(targets.collect());
-        let ask = balancer::Request { tried: &tried, prefix, own: &|_| 0, now };
+        let ask = balancer::Request { tried: &tried, prefix, in_flight: &|_| 0, now };
         let choose = || table.choose(&ask, &mut rand::rngs::StdRng::seed_from_u64(seed));
         let fits = |i: usize| table.targets()[i].state == State::Ready && !tried.contains(&i);
         let any = (0..states.len()).any(fits);
@@ -99,7 +99,7 @@
     let ask = balancer::Request {
         tried: &[],
         prefix: None,
-        own: &|_| 0,
+        in_flight: &|_| 0,
         now,
     };
     let table = balancer::Table::new(vec![ejected.clone(), with(1, other)]);
@@ -118,7 +118,7 @@
     let ask = balancer::Request {
         tried: &[],
         prefix: None,
-        own: &|_| 0,
+        in_flight: &|_| 0,
         now,
     };
     let chosen = table.choose(&ask, &mut rng()).unwrap();
@@ -141,7 +141,7 @@
         let ask = balancer::Request {
             tried: &[],
             prefix: None,
-            own: &read,
+            in_flight: &read,
             now,
         };
         let chosen = table.choose(&ask, &mut rng).unwrap();
@@ -162,7 +162,7 @@
         let ask = balancer::Request {
             tried: &[],
             prefix: Some(prefix),
-            own: &read,
+            in_flight: &read,
             now,
         };
         let chosen = table.choose(&ask, &mut rng).unwrap();
@@ -179,7 +179,7 @@
     let ask = |prefix| balancer::Request {
         tried: &[],
         prefix: Some(prefix),
-        own: &|_| 0,
+        in_flight: &|_| 0,
         now,
     };
     let name = |targets: &[balancer::Target], prefix| {
--- a/laburnumcart/tests/batch/estimate.rs
+++ b/laburnumcart/tests/batch/estimate.rs
@@ -158,8 +158,8 @@
     let spec = batch::Spec::new(4, SIZE, now + 5000 * MS);
     let free = queue.estimate_time(&spec, now);
     let close = |gate: &quota::Limiter, left: time::Duration| {
-        gate.set(quota::Bounds {
-            closed: Some(quota::Bound::closed().until(now + left)),
+        gate.set_bounds(quota::Bounds {
+            backoff: Some(quota::Bound::blocked().until(now + left)),
             ..quota::Bounds::default()
         });
     };
--- a/laburnumcart/tests/estimate.rs
+++ b/laburnumcart/tests/estimate.rs
@@ -56,19 +56,19 @@
 fn refuses_what_cannot_finish_behind_the_queue() {
     let (mut drain, now) = drain(Instant::now());
     let outlook = estimate::Remaining {
-        remaining: millis(2000),
-        ahead: 10,
-        rest: millis(500),
+        time_left: millis(2000),
+        queued: 10,
+        stage_time: millis(500),
     };
     assert_eq!(
-        estimate::check(&outlook, &mut drain, now, &mut rng()),
+        estimate::check_deadline(&outlook, &mut drain, now, &mut rng()),
         Ok(())
     );
     let long = estimate::Remaining {
-        ahead: 40,
+        queued: 40,
         ..outlook
     };
-    let refusal = estimate::check(&long, &mut drain, now, &mut rng()).unwrap_err();
+    let refusal = estimate::check_deadline(&long, &mut drain, now, &mut rng()).unwrap_err();
     assert_eq!(
         (refusal.verdict, refusal.reason),
         (Verdict::NotRun, Reason::DeadlineTooShort)
--- a/laburnumcart/tests/outlier.rs
+++ b/laburnumcart/tests/outlier.rs
@@ -42,7 +42,7 @@
                 _ => ejector.record_outcome(key, Outcome::Failure, now),
             }
             let out = keys.iter().filter(|k| ejector.state(**k) != State::Ready).count();
-            prop_assert_eq!(out, ejector.ejected());
+            prop_assert_eq!(out, ejector.ejected_count());
             prop_assert!(out as f64 <= 0.3 * keys.len() as f64);
         }
     }
@@ -64,7 +64,7 @@
             .for_each(|key| ejector.record_outcome(*key, USUAL, now));
     }
     assert_ne!(ejector.state(keys[0]), State::Ready);
-    assert_eq!(ejector.ejected(), 1);
+    assert_eq!(ejector.ejected_count(), 1);
 }
 
 /// A target fails all calls, recovers later, and is tried by single calls. A failed trial keeps it
@@ -97,7 +97,10 @@
         ejector.record_send(bad, now);
         ejector.record_outcome(bad, USUAL, now);
     }
-    assert_eq!((ejector.state(bad), ejector.ejected()), (State::Ready, 0));
+    assert_eq!(
+        (ejector.state(bad), ejector.ejected_count()),
+        (State::Ready, 0)
+    );
 }
 
 /// The caller of a trial dies, so that its end is never told. The target must be tried again.
--- a/laburnumcart/tests/placement.rs
+++ b/laburnumcart/tests/placement.rs
@@ -188,7 +188,7 @@
     let until = start + time::Duration::from_secs(3);
     for key in &keys {
         let gate = quota::Limiter::default();
-        gate.set(quota::Bounds {
+        gate.set_bounds(quota::Bounds {
             cold: Some(quota::Bound::new(quota).until(until)),
             ..quota::Bounds::default()
         });
--- a/laburnumcart/tests/quota.rs
+++ b/laburnumcart/tests/quota.rs
@@ -121,14 +121,14 @@
         span: time::Duration::from_millis(1100),
     };
     let until = start + time::Duration::from_secs(10);
-    gate.set(quota::Bounds {
+    gate.set_bounds(quota::Bounds {
         cold: Some(quota::Bound::new(quota).until(until)),
         ..quota::Bounds::default()
     });
     let mut sent = collections::VecDeque::new();
     for _ in 0..1000 {
         let now = Instant::now();
-        if now < until && gate.is_open(now) {
+        if now < until && gate.can_send(now) {
             gate.record_send(now);
             sent.push_back(now);
         }
@@ -139,7 +139,7 @@
         let second = *at..*at + time::Duration::from_secs(1);
         assert!(sent.iter().filter(|t| second.contains(t)).count() <= 3);
     }
-    assert!(gate.is_open(Instant::now()), "it is warm again");
+    assert!(gate.can_send(Instant::now()), "it is warm again");
     assert!(!gate.is_limited(Instant::now()));
 }
 
@@ -182,12 +182,12 @@
                 rate,
                 since: start + after,
                 confirmed: start + after,
-                draw: rng.random(),
+                jitter: rng.random(),
             };
             let bound = senders.advertised_bound(&target(3), rate, &named);
             let gate = quota::Limiter::default();
-            gate.set(quota::Bounds {
-                limit: Some(bound),
+            gate.set_bounds(quota::Bounds {
+                advertised: Some(bound),
                 ..quota::Bounds::default()
             });
             (after, gate)
@@ -210,7 +210,7 @@
                     Spread::Single => i == busy,
                     Spread::Skewed => i == busy || rng.random_ratio(1, 20),
                 };
-                if presses && now >= self.start + *told && gate.is_open(now) {
+                if presses && now >= self.start + *told && gate.can_send(now) {
                     gate.record_send(now);
                     self.sent.push(at);
                 }
@@ -281,8 +281,8 @@
     let owner = || {
         let gate = quota::Limiter::default();
         let bound = quota::Bound::for_calls(uses.call_rate(unit::Rate(rate)), told);
-        gate.set(quota::Bounds {
-            limit: Some(bound),
+        gate.set_bounds(quota::Bounds {
+            advertised: Some(bound),
             ..quota::Bounds::default()
         });
         (time::Duration::ZERO, gate)
@@ -338,7 +338,7 @@
                     let sent = now - time::Duration::from_millis(flight);
                     let rate = |limit| quota::Limit::Named(unit::Rate(f64::from(limit)));
                     let limit = limit.map_or(quota::Limit::None, rate);
-                    heard.record_answer(quota::Observation { limit, own, sent }, 0.5, now);
+                    heard.record_answer(quota::Observation { limit, trusted: own, sent }, 0.5, now);
                     prop_assert!(own || heard.advertised().is_some() || before.advertised().is_none());
                     (limit, sent)
                 }
@@ -367,7 +367,7 @@
         let all: Vec<_> = members.iter().collect();
         let at = Instant::now();
         let rate = unit::Rate(rate);
-        let named = quota::Advertised { rate, since: at, confirmed: at, draw: 1.0 };
+        let named = quota::Advertised { rate, since: at, confirmed: at, jitter: 1.0 };
         let part = |own| {
             let senders = quota::Senders { own, members: &all };
             senders.advertised_bound(&target(1), rate, &named)
--- a/laburnumcart/tests/subset.rs
+++ b/laburnumcart/tests/subset.rs
@@ -93,5 +93,5 @@
     let size = subset::size(23_000, period, counts.iter().copied());
     assert_eq!(size, wanted);
     let kept: usize = counts.iter().map(|count| size.min(*count)).sum();
-    assert!(kept as u64 * subset::EXCHANGE <= 2 * 23_000);
+    assert!(kept as u64 * subset::EXCHANGE_BYTES <= 2 * 23_000);
 }
--- a/laburnumcart_agent/src/work.rs
+++ b/laburnumcart_agent/src/work.rs
@@ -297,12 +297,12 @@
         now: time::Instant,
     ) -> Result<(), verdict::Refusal> {
         let outlook = estimate::Remaining {
-            remaining: call.remaining.0,
+            time_left: call.remaining.0,
             // The queue decides by team and priority who waits for whom.
-            ahead: 0,
-            rest: self.times.quantile(stage, LEAST, now).unwrap_or_default(),
+            queued: 0,
+            stage_time: self.times.quantile(stage, LEAST, now).unwrap_or_default(),
         };
-        estimate::check(&outlook, &mut self.drain, now, &mut rand::rng())
+        estimate::check_deadline(&outlook, &mut self.drain, now, &mut rand::rng())
     }
 
     fn cost(&self, stage: &Stage, now: time::Instant) -> u32 {
--- a/laburnumcart_entry/src/policy.rs
+++ b/laburnumcart_entry/src/policy.rs
@@ -296,11 +296,11 @@
 impl State {
     fn check(&mut self, head: &request::Head, now: time::Instant) -> Result<(), verdict::Refusal> {
         let outlook = estimate::Remaining {
-            remaining: head.remaining(),
-            ahead: 0,
-            rest: self.rest(head, 0, now),
+            time_left: head.remaining(),
+            queued: 0,
+            stage_time: self.rest(head, 0, now),
         };
-        estimate::check(&outlook, &mut self.drain, now, &mut rand::rng())
+        estimate::check_deadline(&outlook, &mut self.drain, now, &mut rand::rng())
     }
 
     fn rest(&self, head: &request::Head, from: usize, now: time::Instant) -> time::Duration {
--- a/laburnumcart_entry/src/routes.rs
+++ b/laburnumcart_entry/src/routes.rs
@@ -89,7 +89,7 @@
             let ask = balancer::Request {
                 tried: out,
                 prefix,
-                own: &own,
+                in_flight: &own,
                 now: Instant::now(),
             };
             let chosen = self.table.choose(&ask, &mut rand::rng())?;
@@ -109,7 +109,7 @@
     fn is_free(&self, i: usize) -> bool {
         let load = &self.table.targets()[i].load;
         let own = self.lanes[i].running.load(Ordering::Relaxed);
-        let others = load.pending.saturating_sub(load.own);
+        let others = load.pending.saturating_sub(load.own_pending);
         own + others < load.limit.max(1)
     }
 
@@ -153,7 +153,7 @@
         state,
         load: balancer::Load {
             pending: report.load.running + report.load.queued,
-            own: seen.own,
+            own_pending: seen.own,
             limit: report.load.limit,
             service_time: report.load.service.0,
             at: seen.at,
--- a/laburnumcart_gateway/src/balancer.rs
+++ b/laburnumcart_gateway/src/balancer.rs
@@ -98,7 +98,7 @@
         let table = balancer::Table::new(
             self.entries
                 .iter()
-                .filter(|e| e.gate.is_open(now))
+                .filter(|e| e.gate.can_send(now))
                 .filter(|e| residency::is_allowed(places, &e.target.data_centre))
                 .map(|e| self.candidate(e, now))
                 .collect(),
@@ -110,7 +110,7 @@
         let ask = balancer::Request {
             tried: &tried,
             prefix: None,
-            own: &own,
+            in_flight: &own,
             now,
         };
         let chosen = table.choose(&ask, &mut rand::rng())?;
@@ -148,7 +148,7 @@
     ) {
         if let Some(entry) = self.entries.iter_mut().find(|e| e.target.key() == *life) {
             entry.load.pending = report.running + report.waiting;
-            entry.load.own = entry.own;
+            entry.load.own_pending = entry.own;
             entry.load.limit = slots.unwrap_or(entry.load.limit);
             entry.load.at = now;
         }
@@ -181,7 +181,7 @@
 fn unknown(now: Instant) -> balancer::Load {
     balancer::Load {
         pending: 0,
-        own: 0,
+        own_pending: 0,
         limit: 1,
         service_time: FIRST,
         at: now,
--- a/laburnumcart_gateway/src/budgets.rs
+++ b/laburnumcart_gateway/src/budgets.rs
@@ -139,7 +139,7 @@
         };
         let counter = self.metrics.repeats.get_or_create(&labels).clone();
         counter.inc_by(repeat.count.into());
-        let account = self.with(repeat.service, |budget, now| budget.account(now));
+        let account = self.with(repeat.service, |budget, now| budget.usage(now));
         event!(
             Info,
             "repeat",
@@ -151,7 +151,7 @@
             cause = cause,
             spent = account.spent,
             allowed = format_args!("{:.1}", account.allowed),
-            shut = account.shut,
+            shut = account.suspended,
             part = format_args!("{:.3}", self.view.part())
         );
     }
--- a/laburnumcart_gateway/src/gateway/availability.rs
+++ b/laburnumcart_gateway/src/gateway/availability.rs
@@ -31,7 +31,7 @@
         let mut targets = targets.service(service).iter();
         targets.any(|target| {
             let allowed = residency::is_allowed(places, &target.data_centre);
-            allowed && !tried.contains(&target.name) && self.gate(target).is_open(now)
+            allowed && !tried.contains(&target.name) && self.gate(target).can_send(now)
         })
     }
 
--- a/laburnumcart_gateway/src/outbound.rs
+++ b/laburnumcart_gateway/src/outbound.rs
@@ -77,7 +77,7 @@
             let echoed = |label| reply.attempt.as_deref().is_none_or(|echo| echo == label);
             let word = quota::Observation {
                 limit: reply.limit,
-                own: answer.head.status.is_success() && label.is_some_and(echoed),
+                trusted: answer.head.status.is_success() && label.is_some_and(echoed),
                 sent,
             };
             self.quotas.note(target, word);
--- a/laburnumcart_gateway/src/quotas.rs
+++ b/laburnumcart_gateway/src/quotas.rs
@@ -58,7 +58,7 @@
 impl Known {
     /// Returns the bound on a target that takes nothing.
     fn closed(&self, heard: &quota::TargetLimit) -> Option<quota::Bound> {
-        let closed = quota::Bound::closed();
+        let closed = quota::Bound::blocked();
         match heard.leaving_since() {
             Some(_) => Some(closed),
             None => self.backoff.map(|until| closed.until(until)),
@@ -157,7 +157,7 @@
     /// Reports whether a target takes nothing now, as it has said itself.
     pub fn is_closed(&self, target: &view::Target) -> bool {
         let gates = self.gates(target);
-        gates.requests.is_closed(Instant::now())
+        gates.requests.is_backing_off(Instant::now())
     }
 
     /// Takes in what an answer of a target says of its limit.
@@ -233,10 +233,10 @@
         let heard = self.signals.heard(&known.target.key());
         let (mut requests, mut calls) = self.shares(&known.target, heard.advertised(), now);
         let closed = known.closed(&heard);
-        requests.closed = closed;
-        calls.closed = closed;
-        known.gates.requests.set(requests);
-        known.gates.calls.set(calls);
+        requests.backoff = closed;
+        calls.backoff = closed;
+        known.gates.requests.set_bounds(requests);
+        known.gates.calls.set_bounds(calls);
         let limit = heard.limit();
         if limit == known.limit {
             return;
@@ -289,8 +289,8 @@
         }
         if let Some(named) = named {
             let part = uses.request_rate(named.rate);
-            requests.limit = Some(senders.advertised_bound(&target.name, part, named));
-            calls.limit = Some(quota::Bound::for_calls(
+            requests.advertised = Some(senders.advertised_bound(&target.name, part, named));
+            calls.advertised = Some(quota::Bound::for_calls(
                 uses.call_rate(named.rate),
                 named.since,
             ));
--- a/laburnumcart_gateway/src/state.rs
+++ b/laburnumcart_gateway/src/state.rs
@@ -105,7 +105,7 @@
         causes.push(wire::Cause::Limit(rate));
     }
     let gates = quotas.gates(target);
-    let backoff = gates.requests.backoff(now);
+    let backoff = gates.requests.backoff_left(now);
     if !backoff.is_zero() {
         causes.push(wire::Cause::Backoff(rounded(backoff)));
     }
