--- a/laburnumcart/src/budget.rs
+++ b/laburnumcart/src/budget.rs
@@ -1,11 +1,11 @@
-//! Budget of extra attempts, as a share of recent ones.
+//! Budget for retries and hedges, as a ratio of recent successes.
 //!
-//! Retries and hedges repair single failures. When many requests fail, they multiply the load just
-//! when there is least room. A budget allows extra attempts up to a share of the successes in the
-//! last [`WINDOW`], and none while the fleet refuses work as overloaded.
+//! Retries and hedges mask single failures. When many requests fail, they multiply the load while
+//! capacity is short. A budget allows extra attempts up to a ratio of the successes in the last
+//! [`WINDOW`], and none while targets refuse requests as overloaded.
 //!
-//! Times are counted in slots. Successes count for a window at most and extra attempts for one at
-//! least, so that in no window more are allowed.
+//! Counts are kept in slots of time. Successes count for at most one window and extra attempts for
+//! at least one, so that no sliding window exceeds the budget.
 
 use std::time;
 
@@ -13,43 +13,43 @@
 
 use crate::unit;
 
-/// Time that a success counts.
+/// Length of the sliding window.
 pub const WINDOW: time::Duration = time::Duration::from_secs(10);
 
-/// Extra attempts in a window that need no success, so that little traffic can recover too.
+/// Extra attempts per window that need no success, so that low traffic can be retried as well.
 pub const RESERVE: u32 = 3;
 
-/// Share of refusals as overloaded above which the budget is shut.
-const OVERLOAD: f64 = 0.1;
+/// Ratio of overload refusals above which the budget is suspended.
+const OVERLOAD_RATIO: f64 = 0.1;
 
-/// Fewest refusals that shut it.
-const REFUSALS: u32 = 5;
+/// Fewest overload refusals that suspend the budget.
+const MIN_REFUSALS: u32 = 5;
 
-/// Slots in a window.
+/// Slots per window.
 const WINDOW_SLOTS: usize = 10;
 
-/// Slots that are kept: those of a window and the one that it begins in.
+/// Slots kept: those of a whole window and the one in which the window starts.
 const SLOTS: usize = WINDOW_SLOTS + 1;
 
-/// What decides on extra attempts.
+/// Use of a budget in the last window.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Usage {
-    /// Extra attempts in the last window.
+    /// Extra attempts made.
     pub spent: u32,
-    /// Extra attempts that a window may have.
+    /// Extra attempts allowed.
     pub allowed: f64,
-    /// Whether there are none while the fleet refuses work as overloaded.
+    /// Whether no extra attempt is allowed because of overload refusals.
     pub suspended: bool,
 }
 
 #[derive(Clone, Copy, Debug, Default)]
 struct Slot {
-    earned: u32,
+    deposits: u32,
     spent: u32,
     refused: u32,
 }
 
-/// Budget of extra attempts.
+/// Budget for extra attempts.
 ///
 /// ```
 /// use laburnumcart::{budget, unit};
@@ -68,100 +68,101 @@
     ratio: f64,
     reserve: f64,
     slots: [Slot; SLOTS],
-    /// Index of the present slot, and its start.
-    present: usize,
-    since: Instant,
+    /// Index of the current slot.
+    current: usize,
+    /// Start of the current slot.
+    slot_start: Instant,
 }
 
 impl Budget {
-    /// Creates a budget of a share of recent successes.
+    /// Creates a budget with a ratio of extra attempts to recent successes.
     pub fn new(ratio: unit::Share, now: Instant) -> Self {
         Self {
             ratio: ratio.0,
             reserve: f64::from(RESERVE),
             slots: [Slot::default(); SLOTS],
-            present: 0,
-            since: now,
+            current: 0,
+            slot_start: now,
         }
     }
 
-    /// Changes the share.
+    /// Sets the ratio of extra attempts to recent successes.
     pub fn set_ratio(&mut self, ratio: unit::Share) {
         self.ratio = ratio.0;
     }
 
-    /// Changes the extra attempts in a window that need no success.
+    /// Sets the number of extra attempts per window that need no success.
     ///
-    /// Where the fleet has a bound on extra attempts, each process gets its part of it, which may
-    /// have a fraction.
+    /// Under a fleet-wide limit each process gets its share, which may be a fraction.
     pub fn set_reserve(&mut self, reserve: f64) {
         self.reserve = reserve;
     }
 
-    /// Counts a success, or a request where the share is one of requests.
+    /// Records a success, or a request if the ratio is one of requests.
     pub fn deposit(&mut self, now: Instant) {
-        self.slot(now).earned += 1;
+        self.slot(now).deposits += 1;
     }
 
-    /// Counts a refusal for lack of room.
+    /// Records a refusal for lack of capacity.
     pub fn record_refusal(&mut self, now: Instant) {
         self.slot(now).refused += 1;
     }
 
-    /// Takes one extra attempt from the budget, if it is open.
+    /// Spends one extra attempt; returns whether the budget allowed it.
     pub fn try_spend(&mut self, now: Instant) -> bool {
         self.try_spend_all(1, now)
     }
 
-    /// Takes so many extra attempts from the budget, or none of them.
+    /// Spends `count` extra attempts, or none of them; returns whether the budget allowed them.
     pub fn try_spend_all(&mut self, count: u32, now: Instant) -> bool {
-        let account = self.usage(now);
-        if account.suspended || f64::from(account.spent + count) > account.allowed {
+        let usage = self.usage(now);
+        if usage.suspended || f64::from(usage.spent + count) > usage.allowed {
             return false;
         }
         self.slot(now).spent += count;
         true
     }
 
-    /// Returns what was spent and what may be.
+    /// Returns the use of the budget in the last window.
     pub fn usage(&mut self, now: Instant) -> Usage {
         self.slot(now);
         let sum = self.sum();
         Usage {
             spent: sum.spent,
-            allowed: self.ratio * f64::from(sum.earned) + self.reserve,
+            allowed: self.ratio * f64::from(sum.deposits) + self.reserve,
             suspended: Self::is_overloaded(sum),
         }
     }
 
     fn is_overloaded(sum: Slot) -> bool {
-        let all = f64::from(sum.earned + sum.refused);
-        sum.refused >= REFUSALS && f64::from(sum.refused) > OVERLOAD * all
+        let all = f64::from(sum.deposits + sum.refused);
+        sum.refused >= MIN_REFUSALS && f64::from(sum.refused) > OVERLOAD_RATIO * all
     }
 
-    /// Adds up what counts at present.
+    /// Returns the totals of the current window.
     fn sum(&self) -> Slot {
-        let oldest = (self.present + 1) % SLOTS;
+        let oldest = (self.current + 1) % SLOTS;
         let mut sum = self.slots[oldest];
-        (sum.earned, sum.refused) = (0, 0);
+        // The oldest slot lies partly outside the window, so only its extra attempts count.
+        (sum.deposits, sum.refused) = (0, 0);
         for (_, slot) in self.slots.iter().enumerate().filter(|(i, _)| *i != oldest) {
-            sum.earned += slot.earned;
+            sum.deposits += slot.deposits;
             sum.spent += slot.spent;
             sum.refused += slot.refused;
         }
         sum
     }
 
-    /// Returns the present slot, after clearing those whose time has passed.
+    /// Advances to the slot of `now`, clearing expired slots, and returns it.
     fn slot(&mut self, now: Instant) -> &mut Slot {
         let length = WINDOW / WINDOW_SLOTS as u32;
-        let elapsed = now.saturating_duration_since(self.since);
+        let elapsed = now.saturating_duration_since(self.slot_start);
         let steps = (elapsed.as_nanos() / length.as_nanos()) as u32;
         for _ in 0..steps.min(SLOTS as u32) {
-            self.present = (self.present + 1) % SLOTS;
-            self.slots[self.present] = Slot::default();
+            self.current = (self.current + 1) % SLOTS;
+            self.slots[self.current] = Slot::default();
         }
-        self.since += length * steps;
-        &mut self.slots[self.present]
+        self.slot_start += length * steps;
+        &mut self.slots[self.current]
     }
 }
--- a/laburnumcart/src/fleet_budget.rs
+++ b/laburnumcart/src/fleet_budget.rs
@@ -1,10 +1,11 @@
-//! This process's part of what all processes of the system may spend together.
+//! Share of each process in a fleet-wide budget.
 //!
-//! Nothing is agreed on: each divides the whole by the processes that it knows. The parts add up to
-//! no more than the whole, in any window, as long as each process that spends is known to all others
-//! that do. So one that has joined waits until the others have heard of it and what they spent
-//! before is out of the window; one whose knowledge is old spends nothing; and one that has left
-//! still counts for that time. An earlier life of this process has spent its part as well.
+//! There is no coordination: each process divides the budget by the number of processes in its
+//! listing. In any window the shares add up to at most the budget, provided that every process that
+//! spends is known to all others that do. Therefore a process that joins waits until the others
+//! have listed it and what they spent before is out of the window; a process with an outdated
+//! listing spends nothing; and a process that leaves is counted for the same time. A previous
+//! incarnation of this process has spent its share as well.
 
 use std::{
     collections,
@@ -20,128 +21,130 @@
     unit, //
 };
 
-/// Greatest age of knowledge of the other processes with which a part is spent.
+/// Greatest age of a listing with which a process still spends its share.
 pub const MAX_AGE: time::Duration = time::Duration::from_secs(12);
 
-/// Time for which a process that has joined waits, and one that has left counts.
+/// Time for which a new process waits, and for which one that left is still counted.
 pub const SETTLE_TIME: time::Duration = MAX_AGE.saturating_add(budget::WINDOW);
 
-/// Share of the ratio that each process spends of its own requests.
+/// Fraction of the ratio that each process applies to its own requests.
 ///
-/// Requests move between processes, and these count in windows of their own: what arrives in one
-/// window may be paid for by the requests of two.
-const RATIO: f64 = 0.5;
+/// Requests can move between processes, whose windows differ: extra attempts within one window may
+/// be covered by the requests of two.
+const OWN_RATIO: f64 = 0.5;
 
-/// Share of the extra that is used; what is sent arrives later than it is counted.
-const EXTRA: f64 = 0.9;
+/// Fraction of the reserve that is used, as attempts arrive later than they are counted.
+const RESERVE_USE: f64 = 0.9;
 
-/// What all processes may spend together in a window.
+/// Fleet-wide limit on extra attempts per window.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Limit {
-    /// Share of the requests of a window.
+    /// Extra attempts per request.
     pub ratio: f64,
-    /// What may be spent beside that.
+    /// Extra attempts beside those earned by requests.
     pub extra: f64,
 }
 
 impl Limit {
-    /// Returns the budget of a process before it has anything of the extra.
+    /// Creates the budget of a process, without a reserve.
     pub fn budget(&self, now: Instant) -> budget::Budget {
-        let mut budget = budget::Budget::new(unit::Share(self.ratio * RATIO), now);
+        let mut budget = budget::Budget::new(unit::Share(self.ratio * OWN_RATIO), now);
         budget.set_reserve(0.0);
         budget
     }
 
-    /// Returns the reserve of a process with such a part.
-    pub fn reserve(&self, part: f64) -> f64 {
-        self.extra * EXTRA * part
+    /// Returns the reserve of a process whose share is `fraction`, from 0 to 1.
+    pub fn reserve(&self, fraction: f64) -> f64 {
+        self.extra * RESERVE_USE * fraction
     }
 }
 
-/// How a listing shows this process's own entry.
+/// State of this process's own entry in a listing.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum OwnEntry {
-    /// There is none.
+    /// The listing has no entry of this process.
     Absent,
-    /// It is of an earlier life.
+    /// The entry was written by a previous incarnation of this process.
     PreviousLife,
-    /// It is of this life, so that all who list after this know of it.
+    /// The entry is from this incarnation, so any later listing contains it.
     Present,
 }
 
-/// Since when this process may spend, and for when the listing that says so holds.
+/// Membership of this process.
 #[derive(Clone, Copy, Debug)]
-struct Entered {
-    from: freshness::BootTime,
+struct Membership {
+    /// Start of spending.
+    spend_from: freshness::BootTime,
+    /// Time of the newest listing.
     listed: freshness::BootTime,
 }
 
-/// This process's part, as the listings of all processes tell it.
+/// Share of this process, derived from listings of all processes.
 ///
 /// ```
 /// use std::time::Duration;
 /// use laburnumcart::{fleet_budget, freshness::BootTime, id};
 ///
 /// let other: id::InstanceName = "gateway-2".parse().unwrap();
-/// let mut allotment = fleet_budget::Share::default();
+/// let mut share = fleet_budget::Share::default();
 /// let start = BootTime(Duration::from_secs(100));
-/// allotment.update(fleet_budget::OwnEntry::Present, [&other], start);
-/// assert_eq!(allotment.fraction(start), 0.0);
+/// share.update(fleet_budget::OwnEntry::Present, [&other], start);
+/// assert_eq!(share.fraction(start), 0.0);
 ///
 /// let later = BootTime(start.0 + fleet_budget::SETTLE_TIME);
-/// allotment.update(fleet_budget::OwnEntry::Present, [&other], later);
-/// assert_eq!(allotment.fraction(later), 0.5);
+/// share.update(fleet_budget::OwnEntry::Present, [&other], later);
+/// assert_eq!(share.fraction(later), 0.5);
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct Share {
-    entered: Option<Entered>,
-    /// Whether another process, or an earlier life of this one, was ever listed.
-    preceded: bool,
-    /// Other processes, and since when they are listed no more.
+    membership: Option<Membership>,
+    /// Whether another process, or a previous incarnation of this one, was ever listed.
+    has_predecessor: bool,
+    /// Other processes; `Some` is when a process was first missing from a listing.
     others: collections::HashMap<id::InstanceName, Option<freshness::BootTime>>,
 }
 
 impl Share {
-    /// Takes in a listing of all processes that holds for `at`.
+    /// Merges a listing of all processes, as it was at `at`.
     pub fn update<'a>(
         &mut self,
         own: OwnEntry,
         others: impl IntoIterator<Item = &'a id::InstanceName>,
         at: freshness::BootTime,
     ) {
-        for since in self.others.values_mut() {
-            since.get_or_insert(at);
+        for gone_since in self.others.values_mut() {
+            gone_since.get_or_insert(at);
         }
         for name in others {
             self.others.insert(name.clone(), None);
         }
         self.others
-            .retain(|_, gone| gone.is_none_or(|since| at.since(since) < SETTLE_TIME));
-        self.preceded |= own == OwnEntry::PreviousLife || !self.others.is_empty();
-        self.entered = match (own, self.entered) {
-            (OwnEntry::Present, Some(known)) => Some(Entered {
+            .retain(|_, gone_since| gone_since.is_none_or(|gone| at.since(gone) < SETTLE_TIME));
+        self.has_predecessor |= own == OwnEntry::PreviousLife || !self.others.is_empty();
+        self.membership = match (own, self.membership) {
+            (OwnEntry::Present, Some(known)) => Some(Membership {
                 listed: known.listed.max(at),
                 ..known
             }),
-            // Who finds nobody before it has nobody to wait for.
-            (OwnEntry::Present, None) if !self.preceded => Some(Entered {
-                from: at,
+            // The first process has no earlier spending of others to wait for.
+            (OwnEntry::Present, None) if !self.has_predecessor => Some(Membership {
+                spend_from: at,
                 listed: at,
             }),
-            (OwnEntry::Present, None) => Some(Entered {
-                from: freshness::BootTime(at.0 + SETTLE_TIME),
+            (OwnEntry::Present, None) => Some(Membership {
+                spend_from: freshness::BootTime(at.0 + SETTLE_TIME),
                 listed: at,
             }),
             (OwnEntry::Absent | OwnEntry::PreviousLife, _) => None,
         };
     }
 
-    /// Returns this process's part of the whole, from 0 to 1.
+    /// Returns this process's fraction of the fleet-wide budget, from 0 to 1.
     pub fn fraction(&self, now: freshness::BootTime) -> f64 {
-        let may_spend = |entered: &Entered| {
-            entered.from <= now && now.since(entered.listed) <= MAX_AGE //
+        let can_spend = |membership: &Membership| {
+            membership.spend_from <= now && now.since(membership.listed) <= MAX_AGE
         };
-        match self.entered.filter(may_spend) {
+        match self.membership.filter(can_spend) {
             Some(_) => 1.0 / (self.others.len() + 1) as f64,
             None => 0.0,
         }
--- a/laburnumcart/src/hedge.rs
+++ b/laburnumcart/src/hedge.rs
@@ -1,6 +1,6 @@
-//! When a second attempt races a slow first one.
+//! Hedging: sends a second attempt when the first one is slow.
 //!
-//! The caller cancels whichever attempt loses.
+//! The calling code cancels the attempt that loses the race.
 
 use std::time;
 
@@ -8,35 +8,35 @@
 
 use crate::budget;
 
-/// What to do about a slow attempt.
+/// Decision on hedging an attempt.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Decision {
-    /// Ask again after this time.
+    /// Decide again after this time.
     Wait(time::Duration),
-    /// Dispatch a second attempt to another target.
+    /// Send a second attempt to another target.
     Hedge,
     /// Never hedge this attempt.
     Never,
 }
 
-/// An attempt that runs.
+/// An attempt in flight.
 #[derive(Clone, Copy, Debug)]
 pub struct Attempt {
-    /// Whether the stage may execute more than once.
+    /// Whether the stage may be executed more than once.
     pub idempotent: bool,
-    /// Whether it was hedged before, or is itself a hedge.
+    /// Whether the attempt has a hedge or is one.
     pub hedged: bool,
-    /// Time since it was sent.
+    /// Time since the attempt was sent.
     pub elapsed: time::Duration,
-    /// Left until the deadline.
+    /// Time until the deadline.
     pub remaining: time::Duration,
-    /// Median time of the stage, if measured.
+    /// Median duration of the stage, if measured.
     pub median: Option<time::Duration>,
-    /// High quantile of the time of the stage, if measured.
+    /// High quantile of the duration of the stage, if measured.
     pub quantile: Option<time::Duration>,
 }
 
-/// Decides on a hedge; the budget is charged only if it is dispatched.
+/// Decides whether to hedge an attempt; charges the budget only on [`Decision::Hedge`].
 ///
 /// ```
 /// use std::time::Duration;
@@ -63,7 +63,7 @@
     let (Some(median), Some(quantile)) = (attempt.median, attempt.quantile) else {
         return Decision::Never;
     };
-    // A hedge that cannot finish in time takes a slot and saves nothing.
+    // A hedge that cannot finish before the deadline would only use capacity.
     if !attempt.idempotent || attempt.hedged || attempt.remaining < median {
         return Decision::Never;
     }
--- a/laburnumcart/src/retry.rs
+++ b/laburnumcart/src/retry.rs
@@ -1,4 +1,4 @@
-//! What follows the failure of an attempt.
+//! Retry policy: decides whether a failed attempt is retried, resumed or reported to the caller.
 
 use std::time;
 
@@ -10,60 +10,60 @@
     verdict, //
 };
 
-/// Attempts that may fail as "not run" before further ones are charged to the budget.
-const FREE: u32 = 3;
+/// Failed attempts of a stage that used no target and whose retries cost no budget.
+const FREE_RETRIES: u32 = 3;
 
-/// What follows the failure of an attempt.
+/// Next step after a failed attempt.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Decision {
-    /// Dispatch a new attempt to another target.
+    /// Send a new attempt to another target.
     Retry,
-    /// Dispatch a new attempt to another target, which goes on after the text received.
+    /// Send a new attempt to another target, which continues after the text received so far.
     Resume,
-    /// Answer the caller.
+    /// Answer the caller with this refusal.
     GiveUp(verdict::Refusal),
 }
 
-/// What a decision rests on.
+/// Reason for a decision.
 #[derive(Clone, Copy, Debug, Default, Display, Eq, PartialEq)]
 #[display(rename_all = "kebab-case")]
 pub enum Cause {
-    /// No target was used, so that another attempt costs nothing.
+    /// The failed attempt used no target, so a retry is free.
     #[default]
     Unused,
-    /// The budget.
+    /// The retry budget allowed or denied another attempt.
     Budget,
-    /// Another attempt could execute the request twice, or would end the same.
+    /// A retry could execute the request twice, or would fail the same way.
     Unsafe,
-    /// The time that is left.
+    /// Too little time is left before the deadline.
     Time,
-    /// No other target or attempt is left.
+    /// No other target is left.
     Exhausted,
 }
 
 /// A failed attempt.
 #[derive(Clone, Copy, Debug)]
 pub struct Failure {
-    /// What is known of it.
+    /// Reason, and whether the request may have been executed.
     pub refusal: verdict::Refusal,
-    /// Whether a target has received the request, in this attempt or before, whatever came of it.
+    /// Whether any target has received the request, in this attempt or an earlier one.
     pub reached: bool,
-    /// Whether text was received that another target can go on after.
+    /// Whether another target can continue after the text received so far.
     pub resumable: bool,
 }
 
-/// Time of a request.
+/// Time that a request has left.
 #[derive(Clone, Copy, Debug)]
 pub struct TimeBudget {
-    /// Left until the deadline.
+    /// Time until the deadline.
     pub remaining: time::Duration,
-    /// Least that another attempt and the stages after it need.
+    /// Least time that another attempt and the stages after it need.
     pub needed: time::Duration,
-    /// Present time.
+    /// Current time.
     pub now: Instant,
 }
 
-/// Attempts of one stage.
+/// Retry state of one stage of a request.
 ///
 /// ```
 /// use std::time::Duration;
@@ -92,35 +92,35 @@
 pub struct Attempts {
     idempotent: bool,
     verdict: verdict::Verdict,
-    failed: u32,
+    failures: u32,
     cause: Cause,
 }
 
 impl Attempts {
-    /// Starts a stage; `before` tells whether an earlier part of the request may have run.
-    pub fn new(idempotent: bool, before: verdict::Verdict) -> Self {
+    /// Creates the state of a stage; `earlier` is the verdict on the earlier stages of the request.
+    pub fn new(idempotent: bool, earlier: verdict::Verdict) -> Self {
         Self {
             idempotent,
-            verdict: before,
-            failed: 0,
+            verdict: earlier,
+            failures: 0,
             cause: Cause::default(),
         }
     }
 
-    /// Returns what is known of the request as a whole.
+    /// Returns whether the request as a whole may have been executed.
     ///
-    /// The last attempt alone does not tell: an earlier one may have run, and the caller would be
-    /// told "not run" of a request that ran.
+    /// The verdict on the last attempt is not enough: an earlier attempt may have run, and the
+    /// caller would be told "not run" of a request that ran.
     pub fn verdict(&self) -> verdict::Verdict {
         self.verdict
     }
 
-    /// Returns what the last decision rests on.
+    /// Returns the reason for the last decision.
     pub fn cause(&self) -> Cause {
         self.cause
     }
 
-    /// Takes in a failure after which there is no other target; returns the answer for the caller.
+    /// Records a failure when no other target is left; returns the refusal for the caller.
     pub fn record_failure(
         &mut self,
         refusal: verdict::Refusal,
@@ -128,7 +128,7 @@
         budget: &mut budget::Budget,
     ) -> verdict::Refusal {
         self.cause = Cause::Exhausted;
-        self.failed += 1;
+        self.failures += 1;
         self.verdict = self.verdict.combine(refusal.verdict);
         if is_overload(refusal.reason) {
             budget.record_refusal(now);
@@ -139,7 +139,7 @@
         }
     }
 
-    /// Takes in a failure and decides what follows.
+    /// Records a failure and decides on the next step.
     pub fn decide(
         &mut self,
         failure: &Failure,
@@ -149,7 +149,7 @@
         let refusal = failure.refusal;
         self.record_failure(refusal, time.now, budget);
         self.cause = Cause::Unsafe;
-        if !self.may_repeat(refusal) {
+        if !self.can_retry(refusal) {
             return self.give_up(refusal);
         }
         self.cause = Cause::Time;
@@ -174,18 +174,18 @@
         }
     }
 
-    /// Reports whether another attempt is safe and can end otherwise.
-    fn may_repeat(&self, refusal: verdict::Refusal) -> bool {
-        // A non-idempotent attempt without proof of "not run" may be executing now: another one
-        // would open a second file or post a second finish.
+    /// Reports whether another attempt is safe and can have another outcome.
+    fn can_retry(&self, refusal: verdict::Refusal) -> bool {
+        // A non-idempotent attempt that is not proven "not run" may still be executing. Another
+        // attempt would repeat its side effects.
         let safe = self.idempotent || refusal.verdict == verdict::Verdict::NotRun;
         safe && !is_final(refusal.reason)
     }
 
-    /// Reports whether an attempt costs the fleet nothing, as the failed one used no target.
+    /// Reports whether a retry costs no budget because the failed attempt used no target.
     fn is_free(&self, refusal: verdict::Refusal) -> bool {
         let unused = refusal.verdict == verdict::Verdict::NotRun;
-        unused && !is_overload(refusal.reason) && self.failed <= FREE
+        unused && !is_overload(refusal.reason) && self.failures <= FREE_RETRIES
     }
 
     fn give_up(&self, mut refusal: verdict::Refusal) -> Decision {
@@ -194,7 +194,7 @@
     }
 }
 
-/// Reports whether a refusal was for lack of room.
+/// Reports whether a target refused for lack of capacity.
 pub fn is_overload(reason: verdict::Reason) -> bool {
     use verdict::Reason;
     matches!(
@@ -203,7 +203,7 @@
     )
 }
 
-/// Reports whether any target would answer the same.
+/// Reports whether any other target would refuse for the same reason.
 fn is_final(reason: verdict::Reason) -> bool {
     use verdict::Reason;
     match reason {
@@ -224,7 +224,7 @@
         | Reason::OverShare
         | Reason::Overloaded
         | Reason::Leaving
-        // Told by an agent whose own target is down; another may work.
+        // Sent by an agent whose own target is down; other targets may work.
         | Reason::NoTarget
         | Reason::WrongIncarnation
         | Reason::Fenced
--- a/laburnumcart/tests/retry.rs
+++ b/laburnumcart/tests/retry.rs
@@ -1,4 +1,4 @@
-//! Retries, hedges and their budgets.
+//! Decisions on retries and hedges, and their budgets.
 
 use std::time;
 
@@ -52,19 +52,19 @@
     time::Duration::from_millis(50),
     false
 )]
-fn retries(
+fn retry_needs_safety_and_time(
     #[case] idempotent: bool,
     #[case] refusal: Refusal,
     #[case] remaining: time::Duration,
-    #[case] again: bool,
+    #[case] retried: bool,
 ) {
     let mut budget = budget::Budget::new(unit::Share(0.1), Instant::now());
     let decision = decide(idempotent, refusal, remaining, &mut budget);
-    assert_eq!(decision == retry::Decision::Retry, again, "{decision:?}");
+    assert_eq!(decision == retry::Decision::Retry, retried, "{decision:?}");
 }
 
-/// The first attempt of an idempotent request is lost, the second is refused as "not run" by a
-/// full target. The caller must not read "not run": the first may have executed.
+/// The caller must not be told "not run" because the last of several attempts was refused, as an
+/// earlier attempt may have been executed.
 #[test]
 fn verdict_covers_all_attempts() {
     let now = Instant::now();
@@ -84,23 +84,22 @@
         attempts.decide(&lost, time, &mut budget),
         retry::Decision::Resume
     );
-    let wrong = Refusal::not_run(Reason::TargetRefused);
-    let wrong = retry::Failure {
-        refusal: wrong,
+    let refused = Refusal::not_run(Reason::TargetRefused);
+    let refused = retry::Failure {
+        refusal: refused,
         reached: true,
         resumable: false,
     };
     let refusal = Refusal::may_have_run(Reason::TargetRefused);
     assert_eq!(
-        attempts.decide(&wrong, time, &mut budget),
+        attempts.decide(&refused, time, &mut budget),
         retry::Decision::GiveUp(refusal)
     );
 }
 
-/// The fleet refuses a fifth of all requests as overloaded. Retries would add to the load, so the
-/// budget is shut, and opens again once the refusals are out of the window.
+/// A fifth of all requests is refused as overloaded, so retries would add to the overload.
 #[test]
-fn overload_shuts_the_budget() {
+fn overload_suspends_the_budget_for_a_window() {
     let now = Instant::now();
     let mut budget = budget::Budget::new(unit::Share(0.5), now);
     for i in 0..100 {
@@ -110,19 +109,19 @@
             budget.deposit(now)
         }
     }
-    let full = Refusal::not_run(Reason::Overloaded);
+    let overloaded = Refusal::not_run(Reason::Overloaded);
     assert_eq!(
-        decide(true, full, LONG, &mut budget),
-        retry::Decision::GiveUp(full)
+        decide(true, overloaded, LONG, &mut budget),
+        retry::Decision::GiveUp(overloaded)
     );
     let later = now + budget::WINDOW;
     budget.deposit(later);
     assert!(budget.try_spend(later));
 }
 
-// Targets fail in two bursts, a little less than a window apart.
+/// The reserve must not be spent twice by failures at the end of one slot and the start of another.
 #[test]
-fn two_bursts_within_a_window_share_one_allowance() {
+fn two_bursts_within_a_window_share_one_reserve() {
     let start = Instant::now();
     let mut budget = budget::Budget::new(unit::Share(0.0), start);
     let first = start + time::Duration::from_millis(950);
@@ -143,12 +142,12 @@
     ) {
         let mut now = Instant::now();
         let mut budget = budget::Budget::new(unit::Share(ratio), now);
-        let (mut earned, mut spent) = (Vec::new(), Vec::new());
-        for (earn, millis) in steps {
+        let (mut deposited, mut spent) = (Vec::new(), Vec::new());
+        for (is_deposit, millis) in steps {
             now += time::Duration::from_millis(millis / 30);
-            if earn {
+            if is_deposit {
                 budget.deposit(now);
-                earned.push(now);
+                deposited.push(now);
                 continue;
             }
             if !budget.try_spend(now) {
@@ -158,7 +157,7 @@
             let recent = |times: &[Instant], window: time::Duration| {
                 times.iter().filter(|t| now.duration_since(**t) < window).count() as f64
             };
-            let allowed = ratio * recent(&earned, budget::WINDOW) + f64::from(budget::RESERVE);
+            let allowed = ratio * recent(&deposited, budget::WINDOW) + f64::from(budget::RESERVE);
             prop_assert!(recent(&spent, budget::WINDOW) <= allowed);
         }
     }
@@ -168,7 +167,11 @@
 #[case::early(true, 10, hedge::Decision::Wait(time::Duration::from_millis(90)))]
 #[case::late(true, 100, hedge::Decision::Hedge)]
 #[case::non_idempotent(false, 100, hedge::Decision::Never)]
-fn hedges(#[case] idempotent: bool, #[case] millis: u64, #[case] wanted: hedge::Decision) {
+fn slow_idempotent_attempt_is_hedged(
+    #[case] idempotent: bool,
+    #[case] millis: u64,
+    #[case] expected: hedge::Decision,
+) {
     let now = Instant::now();
     let mut budget = budget::Budget::new(unit::Share(0.05), now);
     let attempt = hedge::Attempt {
@@ -179,5 +182,5 @@
         median: Some(time::Duration::from_millis(20)),
         quantile: Some(time::Duration::from_millis(100)),
     };
-    assert_eq!(hedge::decide(&attempt, &mut budget, now), wanted);
+    assert_eq!(hedge::decide(&attempt, &mut budget, now), expected);
 }
