--- a/laburnumcart/src/balancer.rs
+++ b/laburnumcart/src/balancer.rs
@@ -1,9 +1,9 @@
-//! Choice of a target by expected finish.
+//! Load balancing: power of two choices by expected completion time, and prefix affinity.
 //!
-//! Of two targets drawn at random, the one with the earlier expected finish is chosen. One of the
-//! two is drawn in the own data centre, so that another data centre is used only where it is
-//! faster by more than the crossing costs. With a prefix, the target that most likely holds it in
-//! its cache is chosen, while its load is near the mean.
+//! Of two targets drawn at random, the one with the shorter expected completion time is chosen. One
+//! of them is drawn from the local data centre, so that another data centre is used only if it is
+//! faster despite the extra latency. For a request with a prefix, the target that most likely has
+//! it in its cache is chosen as long as its load is near the mean.
 
 use std::time;
 
@@ -20,65 +20,65 @@
 /// Age at which half of a reported load is replaced by the mean of all targets.
 const HALF_LIFE: time::Duration = time::Duration::from_secs(1);
 
-/// Most load of a target that is chosen for its cache, as a multiple of the mean.
-const BALANCE: f64 = 1.25;
+/// Greatest load of a target chosen by prefix affinity, as a multiple of the mean.
+const MAX_AFFINITY_LOAD: f64 = 1.25;
 
-/// Draws before the eligible targets are counted.
-const DRAWS: usize = 8;
+/// Random draws before the eligible targets are listed.
+const MAX_DRAWS: usize = 8;
 
-/// Whether a target can take work.
+/// Availability of a target.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum State {
-    /// Takes work.
+    /// Accepts work.
     Ready,
-    /// Does not answer, or its agent has no live connection.
+    /// Does not respond, or its agent is not connected.
     Down,
-    /// Takes no new work.
+    /// Accepts no new work.
     Leaving,
     /// Excluded as an outlier.
     Ejected,
 }
 
-/// Load as a target's agent reported it.
+/// Load of a target, as reported by its agent.
 #[derive(Clone, Copy, Debug)]
 pub struct Load {
-    /// Attempts that execute or wait, from all senders.
+    /// Attempts executing or queued, from all senders.
     pub pending: u32,
-    /// Part of `pending` that this process had sent.
+    /// Attempts in `pending` that this process sent.
     pub own_pending: u32,
-    /// Attempts that the target executes at once without slowing down; 0 counts as 1.
+    /// Attempts that the target executes concurrently without slowing down; 0 counts as 1.
     pub limit: u32,
-    /// Mean time an attempt takes at the target.
+    /// Mean execution time of an attempt.
     pub service_time: time::Duration,
-    /// Moment that the report describes.
+    /// Time of the report.
     pub at: Instant,
 }
 
-/// A target as a router sees it.
+/// A target to balance load on.
 #[derive(Clone, Debug)]
 pub struct Target {
-    /// Name; decides the affinity of prefixes.
+    /// Name, which determines prefix affinity.
     pub name: id::TargetName,
-    /// Whether it can take work.
+    /// Availability.
     pub state: State,
-    /// Last report.
+    /// Last reported load.
     pub load: Load,
-    /// Whether it is in the own data centre.
+    /// Whether the target is in the local data centre.
     pub local: bool,
-    /// Measured time that a call takes to get there and back.
+    /// Measured round-trip time beyond that of local targets.
     pub extra_latency: time::Duration,
 }
 
-/// One question for a target.
+/// Request for a target.
 #[derive(Clone, Copy)]
 pub struct Request<'a> {
-    /// Positions in the table that were tried before.
+    /// Positions in the table of targets tried before.
     pub tried: &'a [usize],
-    /// Key of the prompt's prefix, as of [`prefix::key`]; engines only.
+    /// Key of the prompt's prefix, as returned by [`prefix::key`]; for engines only.
     pub prefix: Option<u64>,
-    /// Attempts that this process has in flight at a position.
+    /// Returns the attempts of this process in flight to the target at a position.
     pub in_flight: &'a dyn Fn(usize) -> u32,
-    /// Present time.
+    /// Current time.
     pub now: Instant,
 }
 
@@ -107,99 +107,103 @@
     ///     extra_latency: Duration::ZERO,
     /// };
     /// let table = balancer::Table::new(vec![target("busy", 9), target("free", 0)]);
-    /// let ask = balancer::Request { tried: &[], prefix: None, in_flight: &|_| 0, now };
+    /// let request = balancer::Request { tried: &[], prefix: None, in_flight: &|_| 0, now };
     /// let mut rng = rand::rngs::StdRng::seed_from_u64(1);
-    /// let chosen = table.choose(&ask, &mut rng).unwrap();
+    /// let chosen = table.choose(&request, &mut rng).unwrap();
     /// assert_eq!(table.targets()[chosen].name.as_str(), "free");
     /// ```
-    pub fn choose(&self, ask: &Request<'_>, rng: &mut impl rand::Rng) -> Option<usize> {
-        if let Some(prefix) = ask.prefix
-            && let Some(i) = self.choose_cached(prefix, ask)
+    pub fn choose(&self, request: &Request<'_>, rng: &mut impl rand::Rng) -> Option<usize> {
+        if let Some(prefix) = request.prefix
+            && let Some(i) = self.choose_cached(prefix, request)
         {
             return Some(i);
         }
         let all = 0..self.targets().len();
-        let one = self
-            .draw(0..self.local_count(), ask, None, rng)
-            .or_else(|| self.draw(all.clone(), ask, None, rng))?;
-        let Some(two) = self.draw(all, ask, Some(one), rng) else {
-            return Some(one);
+        let first = self
+            .draw(0..self.local_count(), request, None, rng)
+            .or_else(|| self.draw(all.clone(), request, None, rng))?;
+        let Some(second) = self.draw(all, request, Some(first), rng) else {
+            return Some(first);
         };
-        let sooner = self.expected_time(two, ask) < self.expected_time(one, ask);
-        Some(if sooner { two } else { one })
+        let is_sooner = self.expected_time(second, request) < self.expected_time(first, request);
+        Some(if is_sooner { second } else { first })
     }
 
-    /// Returns the first target that `fits` in the order of a key, by rendezvous hashing.
+    /// Returns the highest-ranked target for a key that `is_eligible`, by rendezvous hashing.
     ///
-    /// All processes that know the same targets find the same order, whatever they know of load.
-    pub fn find_by_key(&self, key: u64, fits: impl Fn(usize) -> bool) -> Option<usize> {
-        let fitting = (0..self.targets().len()).filter(|i| fits(*i));
-        fitting.max_by_key(|i| self.score(*i, key))
+    /// All processes that know the same targets compute the same ranking, whatever loads they know.
+    pub fn find_by_key(&self, key: u64, is_eligible: impl Fn(usize) -> bool) -> Option<usize> {
+        let eligible = (0..self.targets().len()).filter(|i| is_eligible(*i));
+        eligible.max_by_key(|i| self.score(*i, key))
     }
 
-    /// Returns the expected time until an attempt sent now has finished.
-    pub fn expected_time(&self, i: usize, ask: &Request<'_>) -> time::Duration {
+    /// Returns the expected time until an attempt sent now completes.
+    pub fn expected_time(&self, i: usize, request: &Request<'_>) -> time::Duration {
         let target = &self.targets()[i];
-        let turns = 1.0 + self.pressure(i, ask);
+        let turns = 1.0 + self.expected_load(i, request);
         target.extra_latency + target.load.service_time.mul_f64(turns)
     }
 
-    /// Returns the attempts expected at a target for each that it executes at once.
-    fn pressure(&self, i: usize, ask: &Request<'_>) -> f64 {
+    /// Returns the expected attempts at a target, relative to its concurrency.
+    fn expected_load(&self, i: usize, request: &Request<'_>) -> f64 {
         let load = &self.targets()[i].load;
-        let age = ask.now.saturating_duration_since(load.at);
-        // Without ageing, a target that was idle at its last report draws all traffic until the
-        // next one. Without the mean, one whose reports have stopped would look ever more idle.
-        let trust = 0.5f64.powf(age.as_secs_f64() / HALF_LIFE.as_secs_f64());
+        let age = request.now.saturating_duration_since(load.at);
+        // Without ageing, a target that was idle at its last report would attract all traffic until
+        // the next one. Ageing towards the mean, not to zero, keeps a target whose reports have
+        // stopped from looking idle.
+        let weight = 0.5f64.powf(age.as_secs_f64() / HALF_LIFE.as_secs_f64());
         let others = f64::from(load.pending.saturating_sub(load.own_pending));
         let limit = f64::from(load.limit.max(1));
-        let aged = trust * others / limit + (1.0 - trust) * self.mean();
-        aged + f64::from((ask.in_flight)(i)) / limit
+        let aged = weight * others / limit + (1.0 - weight) * self.mean_load();
+        aged + f64::from((request.in_flight)(i)) / limit
     }
 
-    fn is_eligible(&self, i: usize, ask: &Request<'_>) -> bool {
-        self.targets()[i].state == State::Ready && !ask.tried.contains(&i)
+    fn is_eligible(&self, i: usize, request: &Request<'_>) -> bool {
+        self.targets()[i].state == State::Ready && !request.tried.contains(&i)
     }
 
-    /// Draws an eligible position from a range, other than `but`.
+    /// Draws a random eligible position from a range, other than `except`.
     fn draw(
         &self,
         range: std::ops::Range<usize>,
-        ask: &Request<'_>,
-        but: Option<usize>,
+        request: &Request<'_>,
+        except: Option<usize>,
         rng: &mut impl rand::Rng,
     ) -> Option<usize> {
         if range.is_empty() {
             return None;
         }
-        let fits = |i: &usize| Some(*i) != but && self.is_eligible(*i, ask);
-        for _ in 0..DRAWS {
+        let is_allowed = |i: &usize| Some(*i) != except && self.is_eligible(*i, request);
+        for _ in 0..MAX_DRAWS {
             let i = rng.random_range(range.clone());
-            if fits(&i) {
+            if is_allowed(&i) {
                 return Some(i);
             }
         }
-        let count = range.clone().filter(fits).count();
+        let count = range.clone().filter(is_allowed).count();
         if count == 0 {
             return None;
         }
-        range.filter(fits).nth(rng.random_range(0..count))
+        range.filter(is_allowed).nth(rng.random_range(0..count))
     }
 
-    /// Chooses by rendezvous hashing on the prefix among the targets whose load is near the mean.
-    fn choose_cached(&self, prefix: u64, ask: &Request<'_>) -> Option<usize> {
-        let eligible = |i: &usize| self.is_eligible(*i, ask);
+    /// Chooses among the targets with a load near the mean by rendezvous hashing on the prefix.
+    fn choose_cached(&self, prefix: u64, request: &Request<'_>) -> Option<usize> {
+        let is_eligible = |i: &usize| self.is_eligible(*i, request);
         let all = 0..self.targets().len();
-        let loads = all.filter(eligible).map(|i| (i, self.pressure(i, ask)));
+        let loads = all
+            .filter(is_eligible)
+            .map(|i| (i, self.expected_load(i, request)));
         let loads: Vec<_> = loads.collect();
         let sum: f64 = loads.iter().map(|(_, load)| load).sum();
         let mean = sum / loads.len().max(1) as f64;
-        // A popular prefix would overload its target. The bound passes what is above it to the
-        // next in the prefix's own order, so that a popular prefix has few homes, not all. Up to
-        // one attempt for each that the target executes at once nothing waits, so it is allowed.
-        let bound = (BALANCE * mean).max(1.0);
-        let near = loads.iter().filter(|(_, load)| *load < bound);
-        near.max_by_key(|(i, _)| self.score(*i, prefix))
+        // A popular prefix would overload its target. Load above the bound goes to the next target
+        // in the ranking of the prefix, so that the prefix is cached at few targets, not all. Up to
+        // its concurrency a target queues nothing, so the bound is at least that.
+        let bound = (MAX_AFFINITY_LOAD * mean).max(1.0);
+        let allowed = loads.iter().filter(|(_, load)| *load < bound);
+        allowed
+            .max_by_key(|(i, _)| self.score(*i, prefix))
             .map(|(i, _)| *i)
     }
 }
--- a/laburnumcart/src/balancer/latency.rs
+++ b/laburnumcart/src/balancer/latency.rs
@@ -1,4 +1,4 @@
-//! Time that calls to other data centres take longer than those in the own.
+//! Extra latency of calls to other data centres, measured by round-trip times.
 
 use std::{
     collections,
@@ -9,52 +9,52 @@
 
 use crate::id;
 
-/// Time for which a round trip counts.
+/// Length of the sliding window of round-trip times.
 const WINDOW: time::Duration = time::Duration::from_secs(60);
 
-/// Crossing to a data centre that was not measured yet.
-const UNKNOWN: time::Duration = time::Duration::from_millis(1);
+/// Assumed extra latency to a data centre before any measurement.
+const UNMEASURED: time::Duration = time::Duration::from_millis(1);
 
-/// Least round trip of one connection within half a window to a whole one.
+/// Minimum round-trip time of one connection over the last half to whole window.
 ///
-/// All but the least round trips hold waits at either end, which are load and not distance. The least
-/// must be forgotten in time, as the path between two data centres changes.
+/// Longer round trips include queueing at either end, which is load and not distance. The minimum
+/// expires, as the network path between two data centres can change.
 #[derive(Clone, Copy, Debug)]
 pub struct MinRtt {
-    old: Option<time::Duration>,
-    young: Option<time::Duration>,
-    /// Start of the young half.
-    since: Instant,
+    previous: Option<time::Duration>,
+    current: Option<time::Duration>,
+    /// Start of the current half window.
+    half_start: Instant,
 }
 
 impl MinRtt {
-    /// Creates the measure of a connection that has made no round trip.
+    /// Creates the measurement of a connection without round trips.
     pub fn new(now: Instant) -> Self {
         Self {
-            old: None,
-            young: None,
-            since: now,
+            previous: None,
+            current: None,
+            half_start: now,
         }
     }
 
-    /// Takes in a round trip.
+    /// Records a round-trip time.
     pub fn record(&mut self, elapsed: time::Duration, now: Instant) {
-        let age = now.saturating_duration_since(self.since);
+        let age = now.saturating_duration_since(self.half_start);
         if age >= WINDOW / 2 {
-            let young = self.young.take();
-            self.old = young.filter(|_| age < WINDOW);
-            self.since = now;
+            let current = self.current.take();
+            self.previous = current.filter(|_| age < WINDOW);
+            self.half_start = now;
         }
-        self.young = Some(self.young.map_or(elapsed, |young| young.min(elapsed)));
+        self.current = Some(self.current.map_or(elapsed, |min| min.min(elapsed)));
     }
 
-    /// Returns the least round trip, if there was one.
+    /// Returns the minimum round-trip time, or `None` before the first.
     pub fn get(&self) -> Option<time::Duration> {
-        self.old.into_iter().chain(self.young).min()
+        self.previous.into_iter().chain(self.current).min()
     }
 }
 
-/// Least round trip to each data centre.
+/// Extra latency to each data centre compared with the local one.
 ///
 /// ```
 /// use std::time::Duration;
@@ -62,48 +62,48 @@
 /// use laburnumcart::{balancer::latency, id};
 ///
 /// let [own, far]: [id::DataCentre; 2] = ["east".parse().unwrap(), "west".parse().unwrap()];
-/// let mut crossings = latency::ExtraLatency::new(own.clone());
-/// crossings.record(&own, Duration::from_micros(200));
-/// crossings.record(&far, Duration::from_millis(31));
-/// crossings.record(&far, Duration::from_millis(30));
-/// assert_eq!(crossings.to(&far), Duration::from_micros(29_800));
-/// assert_eq!(crossings.to(&own), Duration::ZERO);
+/// let mut latencies = latency::ExtraLatency::new(own.clone());
+/// latencies.record(&own, Duration::from_micros(200));
+/// latencies.record(&far, Duration::from_millis(31));
+/// latencies.record(&far, Duration::from_millis(30));
+/// assert_eq!(latencies.to(&far), Duration::from_micros(29_800));
+/// assert_eq!(latencies.to(&own), Duration::ZERO);
 /// ```
 #[derive(Clone, Debug)]
 pub struct ExtraLatency {
     own: id::DataCentre,
-    trips: collections::BTreeMap<id::DataCentre, time::Duration>,
+    min_rtts: collections::BTreeMap<id::DataCentre, time::Duration>,
 }
 
 impl ExtraLatency {
-    /// Creates the table of a process in a data centre.
+    /// Creates the measurement of a process in the data centre `own`.
     pub fn new(own: id::DataCentre) -> Self {
         Self {
             own,
-            trips: collections::BTreeMap::new(),
+            min_rtts: collections::BTreeMap::new(),
         }
     }
 
-    /// Takes in the least round trip of a connection to a data centre.
-    pub fn record(&mut self, data_centre: &id::DataCentre, trip: time::Duration) {
-        match self.trips.get_mut(data_centre) {
-            Some(least) => *least = trip.min(*least),
+    /// Records the minimum round-trip time of a connection to a data centre.
+    pub fn record(&mut self, data_centre: &id::DataCentre, rtt: time::Duration) {
+        match self.min_rtts.get_mut(data_centre) {
+            Some(min) => *min = rtt.min(*min),
             None => {
-                self.trips.insert(data_centre.clone(), trip);
+                self.min_rtts.insert(data_centre.clone(), rtt);
             }
         }
     }
 
-    /// Returns how much longer a round trip to a data centre takes than one in the own.
+    /// Returns how much longer a round trip to a data centre takes than a local one.
     ///
-    /// What a round trip takes without distance is in both and falls away. Without a measure in the
-    /// own data centre all others are compared by their whole round trips.
+    /// The difference cancels the part of a round trip that does not depend on distance. Without a
+    /// local measurement the whole round-trip time counts.
     pub fn to(&self, data_centre: &id::DataCentre) -> time::Duration {
         if *data_centre == self.own {
             return time::Duration::ZERO;
         }
-        let own = self.trips.get(&self.own).copied().unwrap_or_default();
-        let trip = self.trips.get(data_centre);
-        trip.map_or(UNKNOWN, |trip| trip.saturating_sub(own))
+        let local = self.min_rtts.get(&self.own).copied().unwrap_or_default();
+        let rtt = self.min_rtts.get(data_centre);
+        rtt.map_or(UNMEASURED, |rtt| rtt.saturating_sub(local))
     }
 }
--- a/laburnumcart/src/balancer/prefix.rs
+++ b/laburnumcart/src/balancer/prefix.rs
@@ -1,4 +1,4 @@
-//! Key of a prompt's prefix in the caches of engines.
+//! Key of a prompt's prefix, for affinity to the prefix caches of engines.
 
 use serde::Deserialize;
 use sha2::{
@@ -6,19 +6,19 @@
     Sha256, //
 };
 
-/// Bytes of the input's JSON text that count as its prefix if it names none.
-const LEN: usize = 64;
+/// Bytes of the input's JSON text that serve as the prefix if the input has none.
+const DEFAULT_PREFIX_BYTES: usize = 64;
 
-/// An input that names its prefix.
+/// Input with an explicit prefix.
 #[derive(Deserialize)]
-struct Named {
+struct Prefixed {
     prefix: String,
 }
 
 /// Returns the key of an input, given as JSON text.
 ///
-/// It is the number of the first 16 hexadecimal digits of the SHA-256 of the input's text `prefix`
-/// or, if it has none, of the first 64 bytes of its JSON text.
+/// The key is the number given by the first 16 hexadecimal digits of the SHA-256 of the input's
+/// text `prefix` or, if it has none, of the first 64 bytes of its JSON text.
 ///
 /// ```
 /// use laburnumcart::balancer::prefix;
@@ -28,14 +28,14 @@
 /// assert_ne!(key, prefix::key(r#"{"question":1}"#));
 /// ```
 pub fn key(input: &str) -> u64 {
-    match named(input) {
-        Some(named) => digest(&named.prefix),
-        None => digest(&input[..input.floor_char_boundary(LEN)]),
+    match parse_prefix(input) {
+        Some(input) => digest(&input.prefix),
+        None => digest(&input[..input.floor_char_boundary(DEFAULT_PREFIX_BYTES)]),
     }
 }
 
-fn named(input: &str) -> Option<Named> {
-    // A list would be read as the fields in their order.
+fn parse_prefix(input: &str) -> Option<Prefixed> {
+    // Serde would also accept a JSON array as the fields in their order.
     let is_object = input.trim_start().starts_with('{');
     is_object.then(|| serde_json::from_str(input).ok())?
 }
--- a/laburnumcart/src/balancer/table.rs
+++ b/laburnumcart/src/balancer/table.rs
@@ -2,31 +2,31 @@
 
 use crate::balancer;
 
-/// Targets of one service, as the control thread publishes them.
+/// Snapshot of the targets of one service, published by the control thread.
 #[derive(Clone, Debug)]
 pub struct Table {
     targets: Vec<balancer::Target>,
-    /// Digest of each target's name.
+    /// Hash of each target's name.
     seeds: Vec<u64>,
     /// Number of local targets, which come first.
-    near: usize,
-    mean: f64,
+    local_count: usize,
+    mean_load: f64,
 }
 
 impl Table {
     /// Creates a table; local targets move to the front, otherwise the order is kept.
     pub fn new(mut targets: Vec<balancer::Target>) -> Self {
         targets.sort_by_key(|target| !target.local);
-        admit_outliers(&mut targets);
-        let near = targets.iter().filter(|target| target.local).count();
-        let digest = |t: &balancer::Target| xxhash_rust::xxh3::xxh3_64(t.name.as_str().as_bytes());
-        let seeds = targets.iter().map(digest).collect();
-        let mean = mean(&targets);
+        restore_ejected(&mut targets);
+        let local_count = targets.iter().filter(|target| target.local).count();
+        let hash = |t: &balancer::Target| xxhash_rust::xxh3::xxh3_64(t.name.as_str().as_bytes());
+        let seeds = targets.iter().map(hash).collect();
+        let mean_load = mean_load(&targets);
         Self {
             targets,
             seeds,
-            near,
-            mean,
+            local_count,
+            mean_load,
         }
     }
 
@@ -37,25 +37,25 @@
 
     /// Returns the number of local targets, which come first.
     pub(super) fn local_count(&self) -> usize {
-        self.near
+        self.local_count
     }
 
-    /// Returns the mean load by others, in attempts for each that a target executes at once.
-    pub(super) fn mean(&self) -> f64 {
-        self.mean
+    /// Returns the mean load by other senders, in attempts relative to a target's concurrency.
+    pub(super) fn mean_load(&self) -> f64 {
+        self.mean_load
     }
 
-    /// Returns the rendezvous score of a prefix at a target.
-    pub(super) fn score(&self, i: usize, prefix: u64) -> u64 {
-        xxhash_rust::xxh3::xxh3_64_with_seed(&prefix.to_le_bytes(), self.seeds[i])
+    /// Returns the rendezvous score of a key at a target.
+    pub(super) fn score(&self, i: usize, key: u64) -> u64 {
+        xxhash_rust::xxh3::xxh3_64_with_seed(&key.to_le_bytes(), self.seeds[i])
     }
 }
 
-/// Makes ejected targets eligible when there is no other.
+/// Makes ejected targets eligible if no target is ready.
 ///
-/// The cap on the ejected share counts targets that have left or are down. When those that are
-/// ready go, callers would be told that there is no target while an outlier works.
-fn admit_outliers(targets: &mut [balancer::Target]) {
+/// The ejection cap counts targets that are leaving or down, so all others may be ejected. Callers
+/// would then be told that there is no target although an outlier still works.
+fn restore_ejected(targets: &mut [balancer::Target]) {
     if targets.iter().any(|t| t.state == balancer::State::Ready) {
         return;
     }
@@ -65,7 +65,7 @@
     ejected.for_each(|target| target.state = balancer::State::Ready);
 }
 
-fn mean(targets: &[balancer::Target]) -> f64 {
+fn mean_load(targets: &[balancer::Target]) -> f64 {
     let ready = targets.iter().filter(|t| t.state == balancer::State::Ready);
     let loads = ready.map(|target| {
         let load = &target.load;
--- a/laburnumcart/src/outlier.rs
+++ b/laburnumcart/src/outlier.rs
@@ -1,9 +1,9 @@
-//! Exclusion of targets that fail or are slow compared with the others.
+//! Outlier detection: ejects targets that fail or are slow compared with the others.
 //!
-//! A target that fails fast looks idle and would draw traffic. It is ejected after a run of
-//! failures, or when its success rate or latency is far from that of the others. At most a share
-//! of the targets is ejected at a time: when all fail alike, the cause is elsewhere, and ejecting
-//! would only move the load. After a while single trials show whether a target has recovered.
+//! A target that fails fast looks idle and would attract traffic. It is ejected after consecutive
+//! failures, or when its failure rate or latency is far above that of the others. A cap limits the
+//! ratio of ejected targets: if all fail alike, the cause lies elsewhere, and ejection would only
+//! shift the load. After the ejection time, single probes show whether a target has recovered.
 
 use std::time;
 
@@ -17,51 +17,51 @@
 use score::Score;
 
 slotmap::new_key_type! {
-    /// A target of one ejector.
+    /// Key of a target in one detector.
     pub struct TargetKey;
 }
 
 /// Time between two comparisons of all targets.
 pub const COMPARISON_INTERVAL: time::Duration = time::Duration::from_secs(5);
 
-/// Failures in a row that eject a target at once.
-const FAILURES: u32 = 5;
+/// Consecutive failures that eject a target at once.
+const MAX_FAILURES: u32 = 5;
 
-/// Successful trials that end an ejection.
-const TRIALS: u32 = 3;
+/// Successful probes that end an ejection.
+const PROBES: u32 = 3;
 
-/// First time of an ejection, doubled by each one that follows a failed trial.
-const BASE: time::Duration = time::Duration::from_secs(5);
+/// Duration of the first ejection, doubled for each further one.
+const BASE_EJECTION: time::Duration = time::Duration::from_secs(5);
 
-/// Most doublings.
-const DOUBLINGS: u32 = 6;
+/// Greatest number of doublings of the ejection time.
+const MAX_DOUBLINGS: u32 = 6;
 
-/// Time after which a trial that never ended is given up.
-const TRIAL_MAX: time::Duration = time::Duration::from_secs(30);
+/// Time after which a probe without an outcome is given up.
+const PROBE_TIMEOUT: time::Duration = time::Duration::from_secs(30);
 
-/// Failure rate above that of the others that makes an outlier.
-const FAILING: f64 = 0.25;
+/// Excess of the failure rate over the median from which a target is an outlier.
+const FAILURE_RATE_MARGIN: f64 = 0.25;
 
-/// Multiple of the others' latency that makes an outlier.
-const SLOW: f64 = 4.0;
+/// Multiple of the median latency from which a target is an outlier.
+const LATENCY_FACTOR: f64 = 4.0;
 
-/// How a call to a target ended; refusals for lack of room are not counted.
+/// Outcome of a call to a target; refusals for lack of capacity are not recorded.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Outcome {
-    /// Whole answer after this time.
+    /// Complete response after this time.
     Success(time::Duration),
-    /// Failure of the target.
+    /// The target failed.
     Failure,
 }
 
-/// Standing of a target.
+/// State of a target.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum State {
-    /// Takes work.
+    /// Gets work.
     Ready,
-    /// Takes no work until this moment.
+    /// Gets no work until this time.
     Ejected(Instant),
-    /// Takes one call at a time; `Some` is when the present one started.
+    /// Gets one probe at a time; `Some` is when the one in flight was sent.
     HalfOpen(Option<Instant>),
 }
 
@@ -69,15 +69,15 @@
 struct Target {
     state: State,
     score: Score,
-    /// Failures in a row.
-    failed: u32,
-    /// Successful trials in a row.
-    passed: u32,
-    /// Ejections without a recovery between.
-    ejected: u32,
+    /// Consecutive failures.
+    failures: u32,
+    /// Consecutive successful probes.
+    probes_passed: u32,
+    /// Ejections, halved by each recovery.
+    ejections: u32,
 }
 
-/// Ejector of the targets of one service.
+/// Outlier detector of the targets of one service.
 ///
 /// ```
 /// use std::time::Duration;
@@ -86,45 +86,46 @@
 /// use tokio::time::Instant;
 ///
 /// let now = Instant::now();
-/// let mut ejector = outlier::Detector::new(unit::Share(0.5), now);
-/// let (bad, good) = (ejector.add(), ejector.add());
+/// let mut detector = outlier::Detector::new(unit::Share(0.5), now);
+/// let (bad, good) = (detector.add(), detector.add());
 /// for _ in 0..5 {
-///     ejector.record_outcome(bad, outlier::Outcome::Failure, now);
-///     ejector.record_outcome(good, outlier::Outcome::Success(Duration::from_millis(20)), now);
+///     detector.record_outcome(bad, outlier::Outcome::Failure, now);
+///     detector.record_outcome(good, outlier::Outcome::Success(Duration::from_millis(20)), now);
 /// }
-/// assert!(!ejector.can_send(bad, now) && ejector.can_send(good, now));
-/// // After a while a single trial is allowed.
+/// assert!(!detector.can_send(bad, now) && detector.can_send(good, now));
+/// // After the ejection time a single probe is allowed.
 /// let later = now + Duration::from_secs(10);
-/// assert!(ejector.can_send(bad, later));
-/// ejector.record_send(bad, later);
-/// assert!(!ejector.can_send(bad, later));
+/// assert!(detector.can_send(bad, later));
+/// detector.record_send(bad, later);
+/// assert!(!detector.can_send(bad, later));
 /// ```
 #[derive(Clone, Debug)]
 pub struct Detector {
     targets: SlotMap<TargetKey, Target>,
+    /// Greatest ratio of targets that are not ready.
     cap: f64,
     /// Targets that are not ready.
-    out: usize,
-    compared: Instant,
+    ejected: usize,
+    last_comparison: Instant,
 }
 
 impl Detector {
-    /// Creates an ejector that excludes at most a share of its targets.
+    /// Creates a detector that ejects at most the ratio `cap` of its targets.
     pub fn new(cap: unit::Share, now: Instant) -> Self {
         Self {
             targets: SlotMap::with_key(),
             cap: cap.0,
-            out: 0,
-            compared: now,
+            ejected: 0,
+            last_comparison: now,
         }
     }
 
-    /// Returns the number of targets that are ejected or on trial.
+    /// Returns the number of targets that are ejected or being probed.
     pub fn ejected_count(&self) -> usize {
-        self.out
+        self.ejected
     }
 
-    /// Returns the standing of a target; one that was removed is ready.
+    /// Returns the state of a target; a removed one is ready.
     pub fn state(&self, key: TargetKey) -> State {
         self.targets.get(key).map_or(State::Ready, |t| t.state)
     }
@@ -135,8 +136,8 @@
             State::Ready => true,
             State::Ejected(until) => until <= now,
             State::HalfOpen(None) => true,
-            // A trial whose end is never told must not keep its target out for good.
-            State::HalfOpen(Some(at)) => now.saturating_duration_since(at) > TRIAL_MAX,
+            // A probe without an outcome must not keep its target ejected forever.
+            State::HalfOpen(Some(at)) => now.saturating_duration_since(at) > PROBE_TIMEOUT,
         }
     }
 
@@ -145,22 +146,22 @@
         self.targets.insert(Target {
             state: State::Ready,
             score: Score::default(),
-            failed: 0,
-            passed: 0,
-            ejected: 0,
+            failures: 0,
+            probes_passed: 0,
+            ejections: 0,
         })
     }
 
-    /// Removes a target; with fewer left, those that fit no more under the cap are readmitted.
+    /// Removes a target; restores ejected ones that now exceed the cap.
     pub fn remove(&mut self, key: TargetKey) {
         let removed = self.targets.remove(key);
         if removed.is_some_and(|target| target.state != State::Ready) {
-            self.out -= 1;
+            self.ejected -= 1;
         }
-        self.readmit();
+        self.enforce_cap();
     }
 
-    /// Tells that a call is sent to a target.
+    /// Records that a call is sent to a target.
     pub fn record_send(&mut self, key: TargetKey, now: Instant) {
         if let Some(target) = self.targets.get_mut(key)
             && target.state != State::Ready
@@ -169,37 +170,37 @@
         }
     }
 
-    /// Takes in how a call ended.
+    /// Records the outcome of a call to a target.
     pub fn record_outcome(&mut self, key: TargetKey, outcome: Outcome, now: Instant) {
         let Some(target) = self.targets.get_mut(key) else {
             return;
         };
         target.score.record(outcome);
         match outcome {
-            Outcome::Success(_) => target.failed = 0,
-            Outcome::Failure => target.failed += 1,
+            Outcome::Success(_) => target.failures = 0,
+            Outcome::Failure => target.failures += 1,
         }
         match target.state {
-            State::Ready if target.failed >= FAILURES => self.eject(key, now),
-            State::HalfOpen(_) => self.end_trial(key, outcome, now),
-            // Calls that were sent before the ejection say nothing of recovery.
+            State::Ready if target.failures >= MAX_FAILURES => self.eject(key, now),
+            State::HalfOpen(_) => self.end_probe(key, outcome, now),
+            // Calls that were sent before the ejection do not show a recovery.
             State::Ready | State::Ejected(_) => {}
         }
-        if now.saturating_duration_since(self.compared) >= COMPARISON_INTERVAL {
+        if now.saturating_duration_since(self.last_comparison) >= COMPARISON_INTERVAL {
             self.compare(now);
         }
     }
 
-    /// Compares all targets with one another, and ejects the outliers from the worst on.
+    /// Compares the ready targets and ejects the outliers, worst first.
     fn compare(&mut self, now: Instant) {
-        self.compared = now;
+        self.last_comparison = now;
         let ready = self.targets.iter().filter(|(_, t)| t.state == State::Ready);
-        let scores = ready.filter(|(_, t)| t.score.is_enough());
+        let scores = ready.filter(|(_, t)| t.score.has_enough_calls());
         let scores: Vec<_> = scores.map(|(key, t)| (key, t.score)).collect();
-        let usual = score::usual(scores.iter().map(|(_, score)| score));
+        let medians = score::medians(scores.iter().map(|(_, score)| score));
         let mut outliers: Vec<_> = scores
             .iter()
-            .map(|(key, score)| (score.excess(&usual), *key))
+            .map(|(key, score)| (score.excess(&medians), *key))
             .filter(|(excess, _)| *excess > 1.0)
             .collect();
         outliers.sort_by(|a, b| b.0.total_cmp(&a.0));
@@ -213,30 +214,30 @@
 
     /// Ejects a ready target, if the cap allows.
     fn eject(&mut self, key: TargetKey, now: Instant) {
-        if self.out >= self.room() {
+        if self.ejected >= self.max_ejected() {
             return;
         }
-        self.out += 1;
-        self.exclude(key, now);
+        self.ejected += 1;
+        self.start_ejection(key, now);
     }
 
-    fn exclude(&mut self, key: TargetKey, now: Instant) {
+    fn start_ejection(&mut self, key: TargetKey, now: Instant) {
         let target = &mut self.targets[key];
-        let period = BASE * (1 << target.ejected.min(DOUBLINGS));
+        let period = BASE_EJECTION * (1 << target.ejections.min(MAX_DOUBLINGS));
         target.state = State::Ejected(now + period);
-        target.ejected += 1;
-        target.passed = 0;
+        target.ejections += 1;
+        target.probes_passed = 0;
     }
 
-    fn end_trial(&mut self, key: TargetKey, outcome: Outcome, now: Instant) {
+    fn end_probe(&mut self, key: TargetKey, outcome: Outcome, now: Instant) {
         if outcome == Outcome::Failure {
-            self.exclude(key, now);
+            self.start_ejection(key, now);
             return;
         }
         let target = &mut self.targets[key];
-        target.passed += 1;
+        target.probes_passed += 1;
         target.state = State::HalfOpen(None);
-        if target.passed >= TRIALS {
+        if target.probes_passed >= PROBES {
             self.restore(key);
         }
     }
@@ -244,24 +245,25 @@
     fn restore(&mut self, key: TargetKey) {
         let target = &mut self.targets[key];
         target.state = State::Ready;
-        target.failed = 0;
-        // A target that fails again soon after is kept out longer; each recovery forgives half.
-        target.ejected /= 2;
-        self.out -= 1;
+        target.failures = 0;
+        // Halved rather than reset, so that a target that soon fails again is ejected for longer.
+        target.ejections /= 2;
+        self.ejected -= 1;
     }
 
-    fn readmit(&mut self) {
-        while self.out > self.room() {
-            let out = self.targets.iter().find(|(_, t)| t.state != State::Ready);
-            let Some((key, _)) = out else {
+    /// Restores targets until the ejected ones are within the cap.
+    fn enforce_cap(&mut self) {
+        while self.ejected > self.max_ejected() {
+            let ejected = self.targets.iter().find(|(_, t)| t.state != State::Ready);
+            let Some((key, _)) = ejected else {
                 return;
             };
             self.restore(key);
         }
     }
 
-    /// Returns the most targets that may be out.
-    fn room(&self) -> usize {
+    /// Returns the greatest number of targets that may be ejected.
+    fn max_ejected(&self) -> usize {
         (self.cap * self.targets.len() as f64) as usize
     }
 }
--- a/laburnumcart/src/outlier/score.rs
+++ b/laburnumcart/src/outlier/score.rs
@@ -1,25 +1,26 @@
-//! Results of one target within an interval.
+//! Score of a target: its failure rate and mean latency within a comparison interval.
 
 use crate::outlier;
 
-/// Fewest calls from which a target is compared.
-const CALLS: u32 = 5;
+/// Minimum calls for a target to be compared.
+const MIN_CALLS: u32 = 5;
 
-/// Fewest targets that can be compared with one another.
-const TARGETS: usize = 3;
+/// Minimum targets for a comparison.
+const MIN_TARGETS: usize = 3;
 
-/// Results of one target within an interval.
+/// Outcomes of the calls to one target within an interval.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Score {
     succeeded: u32,
     failed: u32,
     /// Sum of the latencies of successes, in seconds.
-    latency: f64,
+    latency_sum: f64,
 }
 
-/// What is usual among the targets.
-pub(super) struct Usual {
-    failing: f64,
+/// Medians over the targets.
+pub(super) struct Medians {
+    failure_rate: f64,
+    /// Mean latency, in seconds.
     latency: Option<f64>,
 }
 
@@ -28,46 +29,48 @@
         match outcome {
             outlier::Outcome::Success(latency) => {
                 self.succeeded += 1;
-                self.latency += latency.as_secs_f64();
+                self.latency_sum += latency.as_secs_f64();
             }
             outlier::Outcome::Failure => self.failed += 1,
         }
     }
 
-    pub(super) fn is_enough(&self) -> bool {
-        self.succeeded + self.failed >= CALLS
+    pub(super) fn has_enough_calls(&self) -> bool {
+        self.succeeded + self.failed >= MIN_CALLS
     }
 
-    fn failing(&self) -> f64 {
+    fn failure_rate(&self) -> f64 {
         f64::from(self.failed) / f64::from((self.succeeded + self.failed).max(1))
     }
 
-    fn latency(&self) -> Option<f64> {
-        (self.succeeded > 0).then(|| self.latency / f64::from(self.succeeded))
+    fn mean_latency(&self) -> Option<f64> {
+        (self.succeeded > 0).then(|| self.latency_sum / f64::from(self.succeeded))
     }
 
-    /// Returns how far a target is from the usual; above 1 it is an outlier.
-    pub(super) fn excess(&self, usual: &Usual) -> f64 {
-        let failing = (self.failing() - usual.failing) / outlier::FAILING;
-        let slow = self.latency().zip(usual.latency);
-        let slow = slow.map_or(0.0, |(own, usual)| own / (usual * outlier::SLOW));
-        failing.max(slow)
+    /// Returns the distance of a target from the medians; above 1 it is an outlier.
+    pub(super) fn excess(&self, medians: &Medians) -> f64 {
+        let failures = (self.failure_rate() - medians.failure_rate) / outlier::FAILURE_RATE_MARGIN;
+        let latencies = self.mean_latency().zip(medians.latency);
+        let latency = latencies.map_or(0.0, |(own, median)| {
+            own / (median * outlier::LATENCY_FACTOR)
+        });
+        failures.max(latency)
     }
 }
 
-/// Returns the medians over the targets; with too few nothing is an outlier by comparison.
+/// Returns the medians over the targets; with too few targets, none is an outlier.
 ///
-/// The mean would be moved by the outlier itself.
-pub(super) fn usual<'a>(scores: impl Iterator<Item = &'a Score> + Clone) -> Usual {
-    if scores.clone().count() < TARGETS {
-        return Usual {
-            failing: 1.0,
+/// Means would be shifted by the outlier itself.
+pub(super) fn medians<'a>(scores: impl Iterator<Item = &'a Score> + Clone) -> Medians {
+    if scores.clone().count() < MIN_TARGETS {
+        return Medians {
+            failure_rate: 1.0,
             latency: None,
         };
     }
-    Usual {
-        failing: median(scores.clone().map(Score::failing)).unwrap_or(1.0),
-        latency: median(scores.filter_map(Score::latency)),
+    Medians {
+        failure_rate: median(scores.clone().map(Score::failure_rate)).unwrap_or(1.0),
+        latency: median(scores.filter_map(Score::mean_latency)),
     }
 }
 
--- a/laburnumcart/src/suspects.rs
+++ b/laburnumcart/src/suspects.rs
@@ -1,9 +1,9 @@
-//! Requests that may crash the targets that execute them.
+//! Suspects: content that may crash the targets that execute it.
 //!
-//! All that ran on a target when it crashed is suspected. A suspect then runs only where no other
-//! suspect does, so that a second crash tells which it was. Content with two strikes is refused
-//! for a while; what completes is cleared. Content is told by its fingerprint, so that a resend
-//! under a new id is recognised.
+//! All content that was running on a target when it crashed is suspected. A suspect then runs only
+//! at targets without another suspect, so that a second crash identifies the cause. Content
+//! suspected of two crashes is quarantined for a time; content that completes is cleared. Content
+//! is identified by its fingerprint, so that resends under a new id are recognised.
 
 use std::{
     collections,
@@ -19,26 +19,27 @@
     verdict, //
 };
 
-/// Strikes with which content is quarantined when no other explains a crash.
-const STRIKES: usize = 2;
+/// Crashes after which content is quarantined if no other content explains one of them.
+const CRASHES: usize = 2;
 
-/// Time by which a clearance outlives its crash, whose strike would come back otherwise.
-const MARGIN: time::Duration = time::Duration::from_secs(60);
+/// Time by which a clearance outlives its crash, so that the suspicion does not return.
+const CLEARANCE_MARGIN: time::Duration = time::Duration::from_secs(60);
 
-type Strikes = collections::HashMap<id::Fingerprint, Vec<(id::Incarnation, Instant)>>;
+/// Crashes of which each content is suspected, with the expiry of the facts.
+type CrashesByContent = collections::HashMap<id::Fingerprint, Vec<(id::Incarnation, Instant)>>;
 
-/// What is known of a request's content.
+/// Status of content.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Status {
-    /// Runs anywhere.
+    /// Can run at any target.
     Clean,
-    /// Runs only where no other suspect does.
+    /// Can run only at targets without another suspect.
     Suspect,
-    /// Is refused until this moment.
+    /// Is refused until this time.
     Quarantined(Instant),
 }
 
-/// Suspects of the crashes that a table of facts holds; an immutable snapshot.
+/// Immutable snapshot of the suspects in a table of facts.
 ///
 /// ```
 /// use laburnumcart::{facts, id, suspects, unit};
@@ -50,7 +51,7 @@
 /// let mut table = facts::Table::default();
 /// table.add_crash(&suspects::crash_fact([poison, innocent], quarantine), now);
 ///
-/// // Both are retried, each alone among suspects. One completes, the other crashes a target.
+/// // Both are retried at different targets. One completes, the other crashes its target.
 /// let known = suspects::Suspects::new(&table, now);
 /// assert!(!known.can_run(poison, [innocent], now));
 /// for cleared in known.clearances(innocent, now) {
@@ -64,133 +65,135 @@
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct Suspects {
-    strikes: Strikes,
+    crashes: CrashesByContent,
     quarantined: collections::HashMap<id::Fingerprint, Instant>,
 }
 
 impl Suspects {
-    /// Derives the suspects from the facts; the order in which these came does not matter.
+    /// Derives the suspects from the facts, independent of the order in which those arrived.
     pub fn new(table: &facts::Table, now: Instant) -> Self {
-        let mut strikes = Strikes::new();
+        let mut crashes = CrashesByContent::new();
         for (crash, suspects, expiry) in table.crashes(now) {
-            let guilty = suspects
+            let uncleared = suspects
                 .iter()
-                .filter(|p| !table.is_cleared(**p, crash, now));
-            for print in guilty.collect::<collections::HashSet<_>>() {
-                strikes.entry(*print).or_default().push((crash, expiry));
+                .filter(|f| !table.is_cleared(**f, crash, now));
+            for content in uncleared.collect::<collections::HashSet<_>>() {
+                crashes.entry(*content).or_default().push((crash, expiry));
             }
         }
-        let quarantined = convict(&strikes);
+        let quarantined = quarantined(&crashes);
         Self {
-            strikes,
+            crashes,
             quarantined,
         }
     }
 
-    /// Returns the number of suspects, quarantined ones included.
+    /// Returns the number of suspects, including quarantined content.
     pub fn len(&self) -> usize {
-        self.strikes.len()
+        self.crashes.len()
     }
 
-    /// Reports whether nothing is suspected.
+    /// Reports whether no content is suspected.
     pub fn is_empty(&self) -> bool {
-        self.strikes.is_empty()
+        self.crashes.is_empty()
     }
 
-    /// Returns what is known of a request's content.
-    pub fn status(&self, print: id::Fingerprint, now: Instant) -> Status {
-        if let Some(until) = self.quarantined.get(&print)
+    /// Returns the status of content.
+    pub fn status(&self, content: id::Fingerprint, now: Instant) -> Status {
+        if let Some(until) = self.quarantined.get(&content)
             && *until > now
         {
             return Status::Quarantined(*until);
         }
-        let strikes = self.strikes.get(&print);
-        if strikes.is_some_and(|all| all.iter().any(|(_, expiry)| *expiry > now)) {
+        let crashes = self.crashes.get(&content);
+        if crashes.is_some_and(|all| all.iter().any(|(_, expiry)| *expiry > now)) {
             Status::Suspect
         } else {
             Status::Clean
         }
     }
 
-    /// Returns the refusal of quarantined content; such a request did not run.
-    pub fn refusal(&self, print: id::Fingerprint, now: Instant) -> Option<verdict::Refusal> {
-        let Status::Quarantined(until) = self.status(print, now) else {
+    /// Returns the refusal, as not run, of a request with quarantined content; `None` otherwise.
+    pub fn refusal(&self, content: id::Fingerprint, now: Instant) -> Option<verdict::Refusal> {
+        let Status::Quarantined(until) = self.status(content, now) else {
             return None;
         };
         let period = unit::Period(until.saturating_duration_since(now));
         Some(verdict::Refusal::not_run(verdict::Reason::Quarantined).retry_after(period))
     }
 
-    /// Reports whether content may start at a target beside what runs there.
+    /// Reports whether content can run at a target together with the content running there.
     ///
-    /// Two suspects on one target could both be struck by the crash of one, and an innocent request
-    /// would be quarantined. Alone among suspects, a second crash tells them apart.
+    /// If two suspects ran at one target, a crash by one would incriminate both, and an innocent
+    /// request could be quarantined. With one suspect per target, a second crash tells them apart.
     pub fn can_run(
         &self,
-        print: id::Fingerprint,
+        content: id::Fingerprint,
         running: impl IntoIterator<Item = id::Fingerprint>,
         now: Instant,
     ) -> bool {
-        match self.status(print, now) {
+        match self.status(content, now) {
             Status::Clean => true,
             Status::Quarantined(_) => false,
             Status::Suspect => {
-                let clean = |other| self.status(other, now) == Status::Clean;
-                running.into_iter().all(clean)
+                let is_clean = |other| self.status(other, now) == Status::Clean;
+                running.into_iter().all(is_clean)
             }
         }
     }
 
-    /// Returns the facts that clear content which has completed; none if it is not suspected.
-    pub fn clearances(&self, print: id::Fingerprint, now: Instant) -> Vec<facts::Cleared> {
-        let strikes = self.strikes.get(&print).into_iter().flatten();
-        let cleared = strikes.map(|(crash, expiry)| facts::Cleared {
-            fingerprint: print,
+    /// Returns the facts that clear content that has completed; none if it is not suspected.
+    pub fn clearances(&self, content: id::Fingerprint, now: Instant) -> Vec<facts::Cleared> {
+        let crashes = self.crashes.get(&content).into_iter().flatten();
+        let cleared = crashes.map(|(crash, expiry)| facts::Cleared {
+            fingerprint: content,
             crash: *crash,
-            ttl: unit::Period(expiry.saturating_duration_since(now) + MARGIN),
+            ttl: unit::Period(expiry.saturating_duration_since(now) + CLEARANCE_MARGIN),
         });
         cleared.collect()
     }
 }
 
-/// Creates the fact of a crash with all that ran.
+/// Creates the fact of a crash, with all content that was running.
 ///
-/// It is valid for twice the quarantine. Content that crashes a second target within the quarantine
-/// of the first crash is then refused for at least that time, and at most twice as long.
+/// The fact is valid for twice the quarantine. Content that crashes a second target within one
+/// quarantine of the first crash is then refused for at least one and at most two quarantines.
 pub fn crash_fact(
-    ran: impl IntoIterator<Item = id::Fingerprint>,
+    running: impl IntoIterator<Item = id::Fingerprint>,
     quarantine: unit::Period,
 ) -> facts::Crash {
     facts::Crash {
         id: id::Incarnation::random(),
-        suspects: ran.into_iter().collect(),
+        suspects: running.into_iter().collect(),
         ttl: unit::Period(quarantine.0 * 2),
     }
 }
 
-/// Returns the content that is quarantined, and until when.
-fn convict(strikes: &Strikes) -> collections::HashMap<id::Fingerprint, Instant> {
-    let struck = strikes.iter().filter(|(_, all)| all.len() >= STRIKES);
-    let struck: Vec<_> = struck.collect();
-    // Crashes by the number of contents with several strikes that ran in them.
-    let mut rivals: collections::HashMap<id::Incarnation, usize> = collections::HashMap::new();
-    for (crash, _) in struck.iter().flat_map(|(_, all)| all.iter()) {
-        *rivals.entry(*crash).or_default() += 1;
+/// Returns the quarantined content, and until when it is quarantined.
+fn quarantined(crashes: &CrashesByContent) -> collections::HashMap<id::Fingerprint, Instant> {
+    let candidates = crashes.iter().filter(|(_, all)| all.len() >= CRASHES);
+    let candidates: Vec<_> = candidates.collect();
+    // Number of candidates that are suspected of each crash.
+    let mut candidate_counts: collections::HashMap<id::Incarnation, usize> =
+        collections::HashMap::new();
+    for (crash, _) in candidates.iter().flat_map(|(_, all)| all.iter()) {
+        *candidate_counts.entry(*crash).or_default() += 1;
     }
-    let convicted = struck.into_iter().filter(|(_, all)| {
-        // Where the news of a crash came late, two suspects may have run together once more. While
-        // both could have done it, neither is guilty, unless it is struck yet again.
-        let alone = all.iter().any(|(crash, _)| rivals[crash] == 1);
-        alone || all.len() > STRIKES
+    let quarantined = candidates.into_iter().filter(|(_, all)| {
+        // If the fact of a crash arrives late, two suspects may run together again. As long as
+        // either can have caused both crashes, neither is quarantined, except after a further
+        // crash.
+        let is_only_candidate = all.iter().any(|(crash, _)| candidate_counts[crash] == 1);
+        is_only_candidate || all.len() > CRASHES
     });
-    convicted
-        .map(|(print, all)| (*print, acquittal(all)))
+    quarantined
+        .map(|(content, all)| (*content, quarantine_end(all)))
         .collect()
 }
 
-/// Returns when fewer than [`STRIKES`] strikes will be left.
-fn acquittal(strikes: &[(id::Incarnation, Instant)]) -> Instant {
-    let mut expiries: Vec<_> = strikes.iter().map(|(_, expiry)| *expiry).collect();
+/// Returns when fewer than [`CRASHES`] crashes will be left.
+fn quarantine_end(crashes: &[(id::Incarnation, Instant)]) -> Instant {
+    let mut expiries: Vec<_> = crashes.iter().map(|(_, expiry)| *expiry).collect();
     expiries.sort_unstable();
-    expiries[strikes.len() - STRIKES]
+    expiries[crashes.len() - CRASHES]
 }
--- a/laburnumcart/tests/balancer.rs
+++ b/laburnumcart/tests/balancer.rs
@@ -1,4 +1,4 @@
-//! Choice of targets under load, lag, failure and affinity.
+//! Load balancing under load, late reports, failures and prefix affinity.
 
 use std::{
     cell,
@@ -47,8 +47,8 @@
             ..target(i, 0, i % 2 == 0, now)
         });
         let table = balancer::Table::new(targets.collect());
-        let ask = balancer::Request { tried: &tried, prefix, in_flight: &|_| 0, now };
-        let choose = || table.choose(&ask, &mut rand::rngs::StdRng::seed_from_u64(seed));
+        let request = balancer::Request { tried: &tried, prefix, in_flight: &|_| 0, now };
+        let choose = || table.choose(&request, &mut rand::rngs::StdRng::seed_from_u64(seed));
         let fits = |i: usize| table.targets()[i].state == State::Ready && !tried.contains(&i);
         let any = (0..states.len()).any(fits);
         let chosen = choose();
@@ -58,77 +58,75 @@
     }
 }
 
-/// Two processes in different data centres, with other loads known and other orders of the targets,
-/// find the same home for a key, and the same next one where that does not fit.
+/// Processes with different loads, data centres and orders of the targets must agree on the
+/// ranking.
 #[test]
-fn home_is_the_same_for_all() {
+fn ranking_of_a_key_is_the_same_in_all_processes() {
     let now = Instant::now();
-    let here = balancer::Table::new((0..8).map(|i| target(i, 0, i < 3, now)).collect());
-    let there = (0..8).rev().map(|i| target(i, i as u32, i > 4, now));
-    let there = balancer::Table::new(there.collect());
+    let one = balancer::Table::new((0..8).map(|i| target(i, 0, i < 3, now)).collect());
+    let other = (0..8).rev().map(|i| target(i, i as u32, i > 4, now));
+    let other = balancer::Table::new(other.collect());
     let name = |table: &balancer::Table, i: usize| table.targets()[i].name.clone();
-    let mut homes = std::collections::HashSet::new();
+    let mut chosen = std::collections::HashSet::new();
     for key in 0..100 {
-        let first = name(&here, here.find_by_key(key, |_| true).unwrap());
+        let first = name(&one, one.find_by_key(key, |_| true).unwrap());
         assert_eq!(
-            name(&there, there.find_by_key(key, |_| true).unwrap()),
+            name(&other, other.find_by_key(key, |_| true).unwrap()),
             first
         );
         let next =
             |table: &balancer::Table| table.find_by_key(key, |i| name(table, i) != first).unwrap();
-        assert_eq!(name(&here, next(&here)), name(&there, next(&there)));
-        homes.insert(first);
+        assert_eq!(name(&one, next(&one)), name(&other, next(&other)));
+        chosen.insert(first);
     }
-    assert_eq!(homes.len(), 8);
-    assert_eq!(here.find_by_key(0, |_| false), None);
+    assert_eq!(chosen.len(), 8);
+    assert_eq!(one.find_by_key(0, |_| false), None);
 }
 
-// One target of two is ejected as an outlier, then the other leaves or goes down. Callers must be
-// served by the outlier: a cap on the ejected share counts targets that are of no use here, and
-// refusing all as "no target" while one works is worse than the slowness that it was ejected for.
+// If the only other target leaves or goes down, an ejected target must serve the callers, as
+// refusing all of them is worse than a slow target.
 #[rstest]
 #[case::left(balancer::State::Leaving)]
 #[case::down(balancer::State::Down)]
-fn an_outlier_is_better_than_none(#[case] other: balancer::State) {
+fn ejected_target_is_used_if_no_other_is_ready(#[case] other: balancer::State) {
     let now = Instant::now();
     let with = |name, state| balancer::Target {
         state,
         ..target(name, 0, true, now)
     };
     let ejected = with(0, balancer::State::Ejected);
-    let ask = balancer::Request {
+    let request = balancer::Request {
         tried: &[],
         prefix: None,
         in_flight: &|_| 0,
         now,
     };
     let table = balancer::Table::new(vec![ejected.clone(), with(1, other)]);
-    assert_eq!(table.choose(&ask, &mut rng()), Some(0));
+    assert_eq!(table.choose(&request, &mut rng()), Some(0));
     let table = balancer::Table::new(vec![ejected, with(1, balancer::State::Ready)]);
-    assert_eq!(table.choose(&ask, &mut rng()), Some(1));
+    assert_eq!(table.choose(&request, &mut rng()), Some(1));
 }
 
 #[rstest]
 #[case::equal_load_stays(0, 0, true)]
-#[case::remote_faster_by_less_than_the_crossing(1, 0, true)]
+#[case::remote_faster_by_less_than_the_extra_latency(1, 0, true)]
 #[case::remote_much_faster(40, 0, false)]
-fn crosses_only_where_it_is_faster(#[case] near: u32, #[case] far: u32, #[case] stays: bool) {
+fn remote_target_is_used_only_if_faster(#[case] near: u32, #[case] far: u32, #[case] stays: bool) {
     let now = Instant::now();
     let table = balancer::Table::new(vec![target(0, far, false, now), target(1, near, true, now)]);
-    let ask = balancer::Request {
+    let request = balancer::Request {
         tried: &[],
         prefix: None,
         in_flight: &|_| 0,
         now,
     };
-    let chosen = table.choose(&ask, &mut rng()).unwrap();
+    let chosen = table.choose(&request, &mut rng()).unwrap();
     assert_eq!(table.targets()[chosen].local, stays);
 }
 
-/// Reports are 5 s old and show one idle target among busy ones. All traffic since would run to
-/// it; the process's own attempts and the age of the report must spread it instead.
+/// Outdated reports show one idle target among busy ones, which would attract all traffic.
 #[test]
-fn late_reports_draw_no_herd() {
+fn outdated_report_does_not_attract_all_traffic() {
     let now = Instant::now();
     let old = now;
     let now = now + time::Duration::from_secs(5);
@@ -138,20 +136,20 @@
     let mut rng = rng();
     for _ in 0..200 {
         let read = |i: usize| own.borrow()[i];
-        let ask = balancer::Request {
+        let request = balancer::Request {
             tried: &[],
             prefix: None,
             in_flight: &read,
             now,
         };
-        let chosen = table.choose(&ask, &mut rng).unwrap();
+        let chosen = table.choose(&request, &mut rng).unwrap();
         own.borrow_mut()[chosen] += 1;
     }
     assert!(*own.borrow().iter().max().unwrap() <= 30, "{own:?}");
 }
 
 #[test]
-fn popular_prefix_stays_within_its_bound() {
+fn popular_prefix_does_not_overload_its_target() {
     let now = Instant::now();
     let table = balancer::Table::new((0..10).map(|i| target(i, 0, true, now)).collect());
     let own = cell::RefCell::new(vec![0u32; 10]);
@@ -159,16 +157,16 @@
     for i in 0..400u64 {
         let read = |i: usize| own.borrow()[i];
         let prefix = if i % 2 == 0 { 1 } else { i };
-        let ask = balancer::Request {
+        let request = balancer::Request {
             tried: &[],
             prefix: Some(prefix),
             in_flight: &read,
             now,
         };
-        let chosen = table.choose(&ask, &mut rng).unwrap();
+        let chosen = table.choose(&request, &mut rng).unwrap();
         own.borrow_mut()[chosen] += 1;
     }
-    // 1.25 times the mean of 40, and the attempt that reaches it.
+    // 1.25 times the mean of 40, plus the attempt that reaches it.
     assert!(*own.borrow().iter().max().unwrap() <= 51, "{own:?}");
 }
 
@@ -176,7 +174,7 @@
 fn prefix_keeps_its_target_when_another_leaves() {
     let now = Instant::now();
     let all: Vec<_> = (0..10).map(|i| target(i, 0, true, now)).collect();
-    let ask = |prefix| balancer::Request {
+    let request = |prefix| balancer::Request {
         tried: &[],
         prefix: Some(prefix),
         in_flight: &|_| 0,
@@ -184,7 +182,7 @@
     };
     let name = |targets: &[balancer::Target], prefix| {
         let table = balancer::Table::new(targets.to_vec());
-        let chosen = table.choose(&ask(prefix), &mut rng()).unwrap();
+        let chosen = table.choose(&request(prefix), &mut rng()).unwrap();
         table.targets()[chosen].name.clone()
     };
     for prefix in 0..100 {
@@ -195,24 +193,23 @@
     }
 }
 
-// The way between two data centres gets shorter, then longer again. What was measured on the old way
-// must not count for ever.
+// A network path can get longer, so its old minimum must expire.
 #[test]
-fn least_trip_is_forgotten() {
-    let begun = Instant::now();
+fn min_rtt_expires() {
+    let start = Instant::now();
     let millis = time::Duration::from_millis;
-    let at = |seconds| begun + time::Duration::from_secs(seconds);
-    let mut trip = balancer::latency::MinRtt::new(begun);
-    assert_eq!(trip.get(), None);
-    trip.record(millis(5), at(1));
-    trip.record(millis(30), at(2));
-    assert_eq!(trip.get(), Some(millis(5)));
-    trip.record(millis(30), at(31));
-    assert_eq!(trip.get(), Some(millis(5)));
-    trip.record(millis(30), at(62));
-    assert_eq!(trip.get(), Some(millis(30)));
-    trip.record(millis(40), at(200));
-    assert_eq!(trip.get(), Some(millis(40)));
+    let at = |seconds| start + time::Duration::from_secs(seconds);
+    let mut rtt = balancer::latency::MinRtt::new(start);
+    assert_eq!(rtt.get(), None);
+    rtt.record(millis(5), at(1));
+    rtt.record(millis(30), at(2));
+    assert_eq!(rtt.get(), Some(millis(5)));
+    rtt.record(millis(30), at(31));
+    assert_eq!(rtt.get(), Some(millis(5)));
+    rtt.record(millis(30), at(62));
+    assert_eq!(rtt.get(), Some(millis(30)));
+    rtt.record(millis(40), at(200));
+    assert_eq!(rtt.get(), Some(millis(40)));
 }
 
 #[rstest]
@@ -220,12 +217,12 @@
 #[case(&[("far", 30_000)], 30_000)]
 #[case(&[("own", 200), ("far", 30_200)], 30_000)]
 #[case(&[("own", 200), ("far", 150)], 0)]
-fn crossing_is_the_difference(#[case] trips: &[(&str, u64)], #[case] micros: u64) {
-    let mut crossings = balancer::latency::ExtraLatency::new("own".parse().unwrap());
-    for (data_centre, micros) in trips {
-        let trip = time::Duration::from_micros(*micros);
-        crossings.record(&data_centre.parse().unwrap(), trip);
+fn extra_latency_is_the_difference(#[case] rtts: &[(&str, u64)], #[case] micros: u64) {
+    let mut latencies = balancer::latency::ExtraLatency::new("own".parse().unwrap());
+    for (data_centre, micros) in rtts {
+        let rtt = time::Duration::from_micros(*micros);
+        latencies.record(&data_centre.parse().unwrap(), rtt);
     }
-    let crossing = crossings.to(&"far".parse().unwrap());
-    assert_eq!(crossing, time::Duration::from_micros(micros));
+    let extra = latencies.to(&"far".parse().unwrap());
+    assert_eq!(extra, time::Duration::from_micros(micros));
 }
--- a/laburnumcart/tests/suspects.rs
+++ b/laburnumcart/tests/suspects.rs
@@ -1,4 +1,4 @@
-//! One request crashes the targets that execute it, among innocent ones.
+//! Poison content among innocent content at targets that crash.
 
 use std::time;
 
@@ -15,21 +15,20 @@
 const QUARANTINE: unit::Period = unit::Period::from_secs(600);
 const POISON: id::Fingerprint = id::Fingerprint(0);
 
-fn crash(table: &mut facts::Table, ran: &[u128], now: Instant) {
-    let ran = ran.iter().map(|print| id::Fingerprint(*print));
-    table.add_crash(&suspects::crash_fact(ran, QUARANTINE), now);
+fn crash(table: &mut facts::Table, running: &[u128], now: Instant) {
+    let running = running.iter().map(|content| id::Fingerprint(*content));
+    table.add_crash(&suspects::crash_fact(running, QUARANTINE), now);
 }
 
-fn clear(table: &mut facts::Table, print: u128, now: Instant) {
+fn clear(table: &mut facts::Table, content: u128, now: Instant) {
     let known = suspects::Suspects::new(table, now);
-    for cleared in known.clearances(id::Fingerprint(print), now) {
+    for cleared in known.clearances(id::Fingerprint(content), now) {
         table.add_cleared(&cleared, now);
     }
 }
 
-/// The poison crashes a target on which innocent requests run, is sent again under new ids, and
-/// crashes a second one on which others run. From then on it is refused as "not run" for a bounded
-/// time. All innocent requests stay servable and are cleared as they complete.
+/// Poison content is resent under new ids and crashes two targets, each running other content. It
+/// must be quarantined for a limited time, and the innocent content cleared as it completes.
 #[test]
 fn poison_crashes_two_targets_and_is_refused_for_a_while() {
     let now = Instant::now();
@@ -43,8 +42,8 @@
 
     let later = now + time::Duration::from_secs(500);
     crash(&mut table, &[0, 7, 8], later);
-    for print in [1, 2, 3, 7, 8] {
-        clear(&mut table, print, later);
+    for content in [1, 2, 3, 7, 8] {
+        clear(&mut table, content, later);
     }
     let known = suspects::Suspects::new(&table, later);
     let refusal = known.refusal(POISON, later).unwrap();
@@ -53,9 +52,9 @@
         (Verdict::NotRun, Reason::Quarantined)
     );
     assert!(refusal.retry.unwrap() >= QUARANTINE);
-    for print in [1, 2, 3, 7, 8] {
+    for content in [1, 2, 3, 7, 8] {
         assert_eq!(
-            known.status(id::Fingerprint(print), later),
+            known.status(id::Fingerprint(content), later),
             suspects::Status::Clean
         );
     }
@@ -65,8 +64,8 @@
     assert!(suspects::Suspects::new(&table, end).is_empty());
 }
 
-/// News of the first crash comes late, and an innocent request runs beside the poison twice. The
-/// two crashes do not tell them apart: neither is quarantined until the innocent one completes.
+/// The fact of the first crash arrives late, so innocent content runs with the poison twice and the
+/// two crashes do not tell them apart.
 #[test]
 fn innocent_beside_poison_twice_is_not_quarantined() {
     let now = Instant::now();
@@ -89,9 +88,8 @@
     );
 }
 
-/// An innocent request runs beside one poison and then, as a suspect, beside another that nothing is
-/// known of. It alone has two strikes, so it is refused, although not for longer than the poison
-/// would be. When both poisons have struck again they explain its strikes, and it may run.
+/// Innocent content that ran with two different poisons is refused like a poison, but only until
+/// further crashes by both poisons explain its own.
 #[test]
 fn innocent_beside_two_poisons_is_refused_until_both_are_known() {
     let now = Instant::now();
@@ -113,19 +111,19 @@
     assert!(known.can_run(innocent, [], now));
 }
 
-/// Facts of the two crashes and of a clearance reach a process in any order. It must come to the
-/// same judgement, or a request refused by one entry would run through another.
+/// Facts arrive at each process in a different order. If the result depended on it, content refused
+/// by one entry would be admitted by another.
 #[rstest]
 #[case([0, 1, 2])]
 #[case([2, 1, 0])]
 #[case([1, 2, 0])]
-fn judgement_does_not_depend_on_order(#[case] order: [usize; 3]) {
+fn status_does_not_depend_on_the_order_of_facts(#[case] order: [usize; 3]) {
     let now = Instant::now();
     let mut source = facts::Table::default();
     let mut parts = Vec::new();
-    for ran in [&[0, 1][..], &[0, 2]] {
+    for running in [&[0, 1][..], &[0, 2]] {
         let before = source.version();
-        crash(&mut source, ran, now);
+        crash(&mut source, running, now);
         parts.extend(source.changes(before, now));
     }
     let before = source.version();
