--- a/laburnumcart/src/admission.rs
+++ b/laburnumcart/src/admission.rs
@@ -1,9 +1,10 @@
-//! Admission of requests at an entry.
+//! Admission control at an entry.
 //!
-//! The queues at the agents share each target by weight. Before them, a flood would still fill the
-//! entry's memory and its connections. So each team has a share of what the entry keeps in flight.
-//! What others leave unused is lent, less of it to lower priorities. The total follows the agents'
-//! refusals: a refusal for overload lowers it for all, one for a team's share lowers that team's.
+//! The queues at the agents share each target among teams by weight, but a flood of requests would
+//! still exhaust the memory and connections of the entry. So each team has a share of the requests
+//! that the entry keeps in flight. A team may borrow the unused part of other shares, less of it at
+//! lower priorities. The limits follow the agents' refusals: a refusal for overload lowers the
+//! capacity for all teams, one for a team's share lowers the limit of that team.
 
 use std::time;
 
@@ -18,44 +19,44 @@
 };
 
 slotmap::new_key_type! {
-    /// A team at one entry.
+    /// Key of a team at one entry.
     pub struct TeamKey;
 }
 
-/// Requests in flight that an entry allows before anything was measured.
-const INITIAL: f64 = 256.0;
+/// Initial capacity, in requests in flight.
+const INITIAL_CAPACITY: f64 = 256.0;
 
-/// Fewest and most requests in flight that the total can come to.
-const TOTAL: (f64, f64) = (8.0, 65_536.0);
+/// Least and greatest capacity, in requests in flight.
+const CAPACITY_RANGE: (f64, f64) = (8.0, 65_536.0);
 
-/// Factor of the total, or of a team's bound, after refusals.
-const CUT: f64 = 0.8;
+/// Factor of the capacity, or of a team's limit, after refusals.
+const DECREASE_FACTOR: f64 = 0.8;
 
-/// Time for which one cut stands, as the refusals in it have one cause.
-const PAUSE: time::Duration = time::Duration::from_millis(250);
+/// Least time between two decreases, as refusals close together have the same cause.
+const DECREASE_INTERVAL: time::Duration = time::Duration::from_millis(250);
 
-/// Requests by which a bound grows for each round of completions.
+/// Requests by which a limit grows for every completion of as many requests as it allows.
 const GROWTH: f64 = 4.0;
 
-/// How a request ended.
+/// Outcome of an admitted request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Outcome {
-    /// Whole answer.
+    /// The request was answered in full.
     Done,
-    /// Refused or failed.
+    /// The request was refused or failed.
     Refused(verdict::Reason),
 }
 
 #[derive(Clone, Debug)]
 struct Team {
     weight: u32,
-    running: u32,
-    /// Bound after refusals for the team's share; infinite without.
-    bound: f64,
-    cut: Option<Instant>,
+    in_flight: u32,
+    /// Limit after refusals for the team's share; otherwise infinite.
+    limit: f64,
+    decreased: Option<Instant>,
 }
 
-/// Admission of one entry; each decision takes constant time.
+/// Admission controller of one entry; each decision takes constant time.
 ///
 /// ```
 /// use laburnumcart::{admission, bundle::Priority, verdict};
@@ -74,73 +75,75 @@
 #[derive(Debug)]
 pub struct Controller {
     teams: SlotMap<TeamKey, Team>,
-    total: f64,
-    running: u32,
+    capacity: f64,
+    in_flight: u32,
     /// Sum of the weights of teams with requests in flight.
-    active: u64,
-    cut: Option<Instant>,
-    drain: estimate::Throughput,
+    active_weight: u64,
+    decreased: Option<Instant>,
+    throughput: estimate::Throughput,
 }
 
 impl Controller {
-    /// Creates the admission of an entry that has just started.
+    /// Creates the controller of an entry that has just started.
     pub fn new(now: Instant) -> Self {
         Self {
             teams: SlotMap::with_key(),
-            total: INITIAL,
-            running: 0,
-            active: 0,
-            cut: None,
-            drain: estimate::Throughput::new(now),
+            capacity: INITIAL_CAPACITY,
+            in_flight: 0,
+            active_weight: 0,
+            decreased: None,
+            throughput: estimate::Throughput::new(now),
         }
     }
 
-    /// Returns the requests in flight.
+    /// Returns the number of requests in flight.
     pub fn in_flight(&self) -> u32 {
-        self.running
+        self.in_flight
     }
 
-    /// Returns the requests that may be in flight before shares are enforced.
+    /// Returns the number of requests in flight up to which shares are not enforced.
     pub fn capacity(&self) -> u32 {
-        self.total as u32
+        self.capacity as u32
     }
 
     /// Adds a team; a weight of 0 counts as 1.
     pub fn add_team(&mut self, weight: u32) -> TeamKey {
         self.teams.insert(Team {
             weight: weight.max(1),
-            running: 0,
-            bound: f64::INFINITY,
-            cut: None,
+            in_flight: 0,
+            limit: f64::INFINITY,
+            decreased: None,
         })
     }
 
-    /// Changes the weight of a team.
+    /// Sets the weight of a team; a weight of 0 counts as 1.
     pub fn set_weight(&mut self, key: TeamKey, weight: u32) {
         let Some(team) = self.teams.get_mut(key) else {
             return;
         };
-        let before = std::mem::replace(&mut team.weight, weight.max(1));
-        if team.running > 0 {
-            self.active = self.active - u64::from(before) + u64::from(team.weight);
+        let previous = std::mem::replace(&mut team.weight, weight.max(1));
+        if team.in_flight > 0 {
+            self.active_weight = self.active_weight - u64::from(previous) + u64::from(team.weight);
         }
     }
 
-    /// Removes a team; what it has in flight is forgotten.
+    /// Removes a team; its requests in flight are no longer counted.
     pub fn remove_team(&mut self, key: TeamKey) {
         let Some(team) = self.teams.remove(key) else {
             return;
         };
-        self.running -= team.running;
-        if team.running > 0 {
-            self.active -= u64::from(team.weight);
+        self.in_flight -= team.in_flight;
+        if team.in_flight > 0 {
+            self.active_weight -= u64::from(team.weight);
         }
     }
 
-    /// Admits a request or refuses it as not run; each one admitted must be finished.
+    /// Admits a request or refuses it as not run; each admitted request must be [finished].
     ///
-    /// Within its share a team is admitted even when others have borrowed that room, so there may be
-    /// up to twice the total in flight until they finish.
+    /// Requests within a team's share are admitted even if other teams have borrowed the share, so
+    /// up to twice the capacity may be in flight until those finish.
+    ///
+    /// [finished]: Self::finish
     pub fn admit(
         &mut self,
         key: TeamKey,
@@ -151,47 +154,47 @@
         let Some(team) = self.teams.get(key) else {
             return Err(verdict::Refusal::not_run(verdict::Reason::Unauthorized));
         };
-        let running = f64::from(team.running);
-        if running >= team.bound {
+        let in_flight = f64::from(team.in_flight);
+        if in_flight >= team.limit {
             return Err(self.refuse(verdict::Reason::OverShare, now, rng));
         }
-        let in_share = running < self.share(team);
-        let lent = f64::from(self.running) < self.total * lendable(priority);
-        if !in_share && !lent {
-            let reason = self.reason(team);
+        let in_share = in_flight < self.share(team);
+        let can_borrow = f64::from(self.in_flight) < self.capacity * max_utilization(priority);
+        if !in_share && !can_borrow {
+            let reason = self.refusal_reason(team);
             return Err(self.refuse(reason, now, rng));
         }
-        self.enter(key);
+        self.count_admitted(key);
         Ok(())
     }
 
-    /// Ends an admitted request.
+    /// Records the end of an admitted request.
     pub fn finish(&mut self, key: TeamKey, outcome: Outcome, now: Instant) {
-        let saturated = f64::from(self.running) >= 0.7 * self.total;
-        if !self.leave(key) {
+        let saturated = f64::from(self.in_flight) >= 0.7 * self.capacity;
+        if !self.count_finished(key) {
             return;
         }
         match outcome {
             Outcome::Done => {
-                self.drain.record(now);
-                self.grow(key, saturated);
+                self.throughput.record(now);
+                self.raise_limits(key, saturated);
             }
-            Outcome::Refused(verdict::Reason::Overloaded) => self.cut_total(now),
-            Outcome::Refused(verdict::Reason::OverShare) => self.cut_team(key, now),
+            Outcome::Refused(verdict::Reason::Overloaded) => self.lower_capacity(now),
+            Outcome::Refused(verdict::Reason::OverShare) => self.lower_team_limit(key, now),
             Outcome::Refused(_) => {}
         }
     }
 
-    /// Returns a team's part of the total, among the teams with requests in flight.
+    /// Returns a team's share of the capacity, among the teams with requests in flight.
     fn share(&self, team: &Team) -> f64 {
         let own = u64::from(team.weight);
-        let others = self.active - if team.running > 0 { own } else { 0 };
-        (self.total * own as f64 / (own + others) as f64).max(1.0)
+        let others = self.active_weight - if team.in_flight > 0 { own } else { 0 };
+        (self.capacity * own as f64 / (own + others) as f64).max(1.0)
     }
 
-    fn reason(&self, team: &Team) -> verdict::Reason {
-        if u64::from(team.weight) == self.active {
-            // The only active team has no one whose share it could take.
+    fn refusal_reason(&self, team: &Team) -> verdict::Reason {
+        if u64::from(team.weight) == self.active_weight {
+            // The only active team exceeds no share.
             verdict::Reason::Overloaded
         } else {
             verdict::Reason::OverShare
@@ -204,65 +207,66 @@
         now: Instant,
         rng: &mut impl rand::Rng,
     ) -> verdict::Refusal {
-        let period = self.drain.retry_after(time::Duration::ZERO, now, rng);
+        let period = self.throughput.retry_after(time::Duration::ZERO, now, rng);
         verdict::Refusal::not_run(reason).retry_after(unit::Period(period))
     }
 
-    fn enter(&mut self, key: TeamKey) {
+    fn count_admitted(&mut self, key: TeamKey) {
         let team = &mut self.teams[key];
-        if team.running == 0 {
-            self.active += u64::from(team.weight);
+        if team.in_flight == 0 {
+            self.active_weight += u64::from(team.weight);
         }
-        team.running += 1;
-        self.running += 1;
+        team.in_flight += 1;
+        self.in_flight += 1;
     }
 
-    fn leave(&mut self, key: TeamKey) -> bool {
-        let Some(team) = self.teams.get_mut(key).filter(|team| team.running > 0) else {
+    /// Removes a request from the counts; returns false if the team has none in flight.
+    fn count_finished(&mut self, key: TeamKey) -> bool {
+        let Some(team) = self.teams.get_mut(key).filter(|team| team.in_flight > 0) else {
             return false;
         };
-        team.running -= 1;
-        self.running -= 1;
-        if team.running == 0 {
-            self.active -= u64::from(team.weight);
+        team.in_flight -= 1;
+        self.in_flight -= 1;
+        if team.in_flight == 0 {
+            self.active_weight -= u64::from(team.weight);
         }
         true
     }
 
-    fn grow(&mut self, key: TeamKey, saturated: bool) {
-        // Room that was not used proves nothing.
+    fn raise_limits(&mut self, key: TeamKey, saturated: bool) {
+        // Completions below saturation do not justify a higher capacity.
         if saturated {
-            self.total = (self.total + GROWTH / self.total).min(TOTAL.1);
+            self.capacity = (self.capacity + GROWTH / self.capacity).min(CAPACITY_RANGE.1);
         }
         let team = &mut self.teams[key];
-        team.bound += GROWTH / team.bound;
-        if team.bound > self.total {
-            team.bound = f64::INFINITY;
+        team.limit += GROWTH / team.limit;
+        if team.limit > self.capacity {
+            team.limit = f64::INFINITY;
         }
     }
 
-    fn cut_total(&mut self, now: Instant) {
-        if is_pausing(self.cut, now) {
+    fn lower_capacity(&mut self, now: Instant) {
+        if was_just_decreased(self.decreased, now) {
             return;
         }
-        self.cut = Some(now);
-        let used = self.total.min(f64::from(self.running + 1));
-        self.total = (used * CUT).max(TOTAL.0);
+        self.decreased = Some(now);
+        let used = self.capacity.min(f64::from(self.in_flight + 1));
+        self.capacity = (used * DECREASE_FACTOR).max(CAPACITY_RANGE.0);
     }
 
-    fn cut_team(&mut self, key: TeamKey, now: Instant) {
+    fn lower_team_limit(&mut self, key: TeamKey, now: Instant) {
         let team = &mut self.teams[key];
-        if is_pausing(team.cut, now) {
+        if was_just_decreased(team.decreased, now) {
             return;
         }
-        team.cut = Some(now);
-        let used = team.bound.min(f64::from(team.running + 1));
-        team.bound = (used * CUT).max(1.0);
+        team.decreased = Some(now);
+        let used = team.limit.min(f64::from(team.in_flight + 1));
+        team.limit = (used * DECREASE_FACTOR).max(1.0);
     }
 }
 
-/// Returns the part of the total up to which a priority may borrow.
-fn lendable(priority: bundle::Priority) -> f64 {
+/// Returns the fraction of the capacity up to which requests of a priority may borrow.
+fn max_utilization(priority: bundle::Priority) -> f64 {
     match priority {
         bundle::Priority::High => 1.0,
         bundle::Priority::Normal => 0.9,
@@ -270,6 +274,6 @@
     }
 }
 
-fn is_pausing(cut: Option<Instant>, now: Instant) -> bool {
-    cut.is_some_and(|at| now.saturating_duration_since(at) < PAUSE)
+fn was_just_decreased(decreased: Option<Instant>, now: Instant) -> bool {
+    decreased.is_some_and(|at| now.saturating_duration_since(at) < DECREASE_INTERVAL)
 }
--- a/laburnumcart/src/concurrency.rs
+++ b/laburnumcart/src/concurrency.rs
@@ -1,51 +1,51 @@
-//! Concurrency limit of a target, found from measured latency.
+//! Adaptive concurrency limit of a target, derived from measured latency.
 //!
-//! The limit follows the ratio of the least latency in a sliding window to the present one. Both
-//! are means of batches without their slowest tenth, so that no single call decides. Where the work
-//! of calls differs widely, the caller passes the latency per unit of work.
+//! The limit follows the ratio of the minimum latency in a sliding window to the current latency.
+//! Both are means of batches without their slowest tenth, so that no single call decides. If the
+//! work of calls varies widely, the calling code passes the latency per unit of work.
 
 use std::time;
 
 use tokio::time::Instant;
 
-/// Limit of a target that was never measured.
+/// Limit before any measurement.
 const INITIAL: f64 = 4.0;
 
-/// Latency above the least that is not yet taken for congestion.
+/// Ratio of latency to its minimum up to which a target does not count as congested.
 const TOLERANCE: f64 = 1.2;
 
-/// Most that one batch can lower the limit.
-const GRADIENT_MIN: f64 = 0.5;
+/// Least factor by which one batch lowers the limit.
+const MIN_GRADIENT: f64 = 0.5;
 
 /// Factor for a batch in which the target refused calls.
-const REFUSED: f64 = 0.8;
+const REFUSAL_FACTOR: f64 = 0.8;
 
-/// Samples of a batch, for each call that the limit allows.
-const ROUNDS: usize = 4;
+/// Samples of a batch per call that the limit allows.
+const SAMPLES_PER_SLOT: usize = 4;
 
-/// Fewest and most samples of a batch.
-const BATCH: (usize, usize) = (24, 256);
+/// Minimum and maximum samples of a batch.
+const BATCH_SIZE: (usize, usize) = (24, 256);
 
-/// Part of a batch, from its slowest on, that is left out: one in so many.
-const TRIMMED: usize = 10;
+/// Divisor of the batch size that gives the number of slowest samples left out.
+const TRIM_DIVISOR: usize = 10;
 
-/// Drop of latency at half the limit that shows that the target was congested before.
-const RELIEF: f64 = 0.85;
+/// Ratio of latency after halving the limit to that before, below which the target was congested.
+const RELIEF_RATIO: f64 = 0.85;
 
-/// Time for which a latency that was found by a search is held against all others.
-const KEPT: time::Duration = time::Duration::from_secs(300);
+/// Time for which the latency found by a search stays in the minimum.
+const FOUND_RETENTION: time::Duration = time::Duration::from_secs(300);
 
-/// Fewest samples of a batch of a search, which takes capacity; more follow until it is exact.
-const PROBE: usize = 8;
+/// Minimum samples of a search batch, during which capacity is reduced; more are taken if inexact.
+const MIN_SEARCH_SAMPLES: usize = 8;
 
-/// Standard error of a batch, relative to its mean, up to which luck cannot have ended a search.
-const EXACT: f64 = 0.05;
+/// Standard error relative to the mean up to which a batch is exact enough to end a search.
+const MAX_ERROR: f64 = 0.05;
 
 /// Half of the sliding window.
-const HALF: time::Duration = time::Duration::from_secs(15);
+const HALF_WINDOW: time::Duration = time::Duration::from_secs(15);
 
-/// Pause after which a batch that was begun is void.
-const STALE: time::Duration = time::Duration::from_secs(2);
+/// Idle time after which an incomplete batch is discarded.
+const MAX_IDLE: time::Duration = time::Duration::from_secs(2);
 
 /// Concurrency limit of one target.
 ///
@@ -69,20 +69,21 @@
     value: f64,
     /// Latencies in microseconds.
     batch: Vec<u32>,
-    /// Samples of the batch with at least half the limit in flight.
-    used: usize,
+    /// Samples in the batch taken with at least half the limit in flight.
+    saturated: usize,
     refused: bool,
-    /// Latency before the last cut of a search for the uncongested latency.
-    probe: Option<time::Duration>,
-    /// Least latency that the last search has found, and when.
+    /// During a search for the uncongested latency: latency before the limit was last halved.
+    search: Option<time::Duration>,
+    /// Minimum latency found by the last search, and when.
     found: Option<(time::Duration, Instant)>,
     /// Time of the last sample.
-    last: Option<Instant>,
-    /// Least typical latency of a batch in this half of the window and in the one before.
-    least: Option<time::Duration>,
-    before: Option<time::Duration>,
-    /// Start of this half.
-    since: Option<Instant>,
+    last_sample: Option<Instant>,
+    /// Minimum batch latency in the current half of the window.
+    current_min: Option<time::Duration>,
+    /// Minimum batch latency in the previous half.
+    previous_min: Option<time::Duration>,
+    /// Start of the current half.
+    half_start: Option<Instant>,
 }
 
 impl Default for Limit {
@@ -92,19 +93,19 @@
 }
 
 impl Limit {
-    /// Creates the limit of a target that was never measured.
+    /// Creates the limit of a target before any measurement.
     pub fn new() -> Self {
         Self {
             value: INITIAL,
             batch: Vec::new(),
-            used: 0,
+            saturated: 0,
             refused: false,
-            probe: None,
+            search: None,
             found: None,
-            last: None,
-            least: None,
-            before: None,
-            since: None,
+            last_sample: None,
+            current_min: None,
+            previous_min: None,
+            half_start: None,
         }
     }
 
@@ -113,133 +114,140 @@
         self.value.max(1.0) as u32
     }
 
-    /// Returns the least latency in the window.
+    /// Returns the minimum latency in the window.
     pub fn base_latency(&self) -> Option<time::Duration> {
         let found = self.found.map(|(found, _)| found);
-        self.least.into_iter().chain(self.before).chain(found).min()
+        let window = self.current_min.into_iter().chain(self.previous_min);
+        window.chain(found).min()
     }
 
-    /// Takes in a completed call; `in_flight` includes it.
+    /// Records the latency of a completed call; `in_flight` includes it.
     pub fn record_latency(&mut self, latency: time::Duration, in_flight: u32, now: Instant) {
-        // Calls that started under a higher limit measure that one, not the present.
+        // Calls that were sent under a higher limit do not measure the current one.
         if in_flight > self.get() {
             return;
         }
-        self.restart_stale(now);
-        self.last = Some(now);
-        self.used += usize::from(in_flight >= self.get().div_ceil(2));
+        self.discard_stale_batch(now);
+        self.last_sample = Some(now);
+        self.saturated += usize::from(in_flight >= self.get().div_ceil(2));
         let micros = latency.as_micros().try_into().unwrap_or(u32::MAX);
         self.batch.push(micros);
-        let size = ROUNDS * self.get() as usize;
-        if self.batch.len() >= size.clamp(BATCH.0, BATCH.1) || self.is_exact() {
-            self.close(now);
+        let size = SAMPLES_PER_SLOT * self.get() as usize;
+        if self.batch.len() >= size.clamp(BATCH_SIZE.0, BATCH_SIZE.1) || self.is_exact() {
+            self.finish_batch(now);
         }
     }
 
-    /// Reports whether the batch of a search tells enough.
+    /// Reports whether the batch of a search is exact enough to end early.
     fn is_exact(&self) -> bool {
-        let enough = self.probe.is_some() && self.batch.len() >= PROBE;
-        enough && typical(&mut self.batch.clone()).1 <= EXACT
+        let is_enough = self.search.is_some() && self.batch.len() >= MIN_SEARCH_SAMPLES;
+        is_enough && trimmed_mean(&mut self.batch.clone()).1 <= MAX_ERROR
     }
 
-    /// Takes in a refusal by the target itself.
+    /// Records a refusal by the target itself.
     pub fn record_refusal(&mut self) {
         if !self.refused {
-            self.value = (self.value * REFUSED).max(1.0);
+            self.value = (self.value * REFUSAL_FACTOR).max(1.0);
         }
         self.refused = true;
     }
 
-    /// Forgets a batch that was interrupted by an idle period.
-    fn restart_stale(&mut self, now: Instant) {
-        let stale = |last: Instant| now.saturating_duration_since(last) > STALE;
-        if self.last.is_some_and(stale) {
+    /// Discards a batch that was interrupted by an idle period.
+    fn discard_stale_batch(&mut self, now: Instant) {
+        let is_stale = |last: Instant| now.saturating_duration_since(last) > MAX_IDLE;
+        if self.last_sample.is_some_and(is_stale) {
             self.batch.clear();
-            self.used = 0;
+            self.saturated = 0;
         }
     }
 
-    /// Ends a batch and moves the limit.
-    fn close(&mut self, now: Instant) {
-        let (typical, error) = typical(&mut self.batch);
-        let saturated = 2 * self.used >= self.batch.len();
-        // A batch that was fast by luck must not be what all others are held against. The least of
-        // many is the lower, the more they differ by chance, and the usual one looks congested.
-        let base = typical.mul_f64(1.0 + error);
-        self.least = Some(self.least.map_or(base, |least| least.min(base)));
-        if !self.search(typical, error, saturated, now) {
-            self.step(typical, saturated);
-            self.rotate(typical, saturated, now);
+    /// Completes a batch and adjusts the limit.
+    fn finish_batch(&mut self, now: Instant) {
+        let (mean, error) = trimmed_mean(&mut self.batch);
+        let saturated = 2 * self.saturated >= self.batch.len();
+        // The minimum of many batches gets lower the more they vary by chance, which would make a
+        // usual batch look congested. Adding the standard error compensates for that.
+        let base = mean.mul_f64(1.0 + error);
+        self.current_min = Some(self.current_min.map_or(base, |min| min.min(base)));
+        if !self.continue_search(mean, error, saturated, now) {
+            self.adjust(mean, saturated);
+            self.rotate(mean, saturated, now);
         }
         self.batch.clear();
-        self.used = 0;
+        self.saturated = 0;
         self.refused = false;
     }
 
-    fn step(&mut self, typical: time::Duration, saturated: bool) {
-        // Room that was not used says nothing of a higher limit, and slowness then has other causes.
+    /// Adjusts the limit to the mean latency of a batch.
+    fn adjust(&mut self, mean: time::Duration, saturated: bool) {
+        // Below saturation, low latency does not justify a higher limit, and high latency has other
+        // causes than the limit.
         if !saturated {
             return;
         }
-        let base = self.base_latency().unwrap_or(typical).as_secs_f64();
-        let ratio = TOLERANCE * base / typical.as_secs_f64().max(f64::MIN_POSITIVE);
-        let gradient = ratio.clamp(GRADIENT_MIN, 1.0);
+        let base = self.base_latency().unwrap_or(mean).as_secs_f64();
+        let ratio = TOLERANCE * base / mean.as_secs_f64().max(f64::MIN_POSITIVE);
+        let gradient = ratio.clamp(MIN_GRADIENT, 1.0);
         let growth = if self.refused { 0.0 } else { self.value.sqrt() };
         self.value = (self.value * gradient + growth).max(1.0);
     }
 
-    /// Goes on with a search for the uncongested latency, if there is one.
+    /// Continues a search for the uncongested latency; returns whether it goes on.
     ///
-    /// Under lasting load the least latency would be forgotten, the congested one taken for it,
-    /// and the limit would creep up without end. Cutting the limit until latency no longer falls
-    /// with it measures the uncongested latency afresh, whatever the limit was before.
-    fn search(
+    /// Under sustained load the minimum latency would leave the window, the congested latency would
+    /// take its place, and the limit would grow without bound. Halving the limit until latency no
+    /// longer falls measures the uncongested latency anew, whatever the limit was before.
+    fn continue_search(
         &mut self,
-        typical: time::Duration,
+        mean: time::Duration,
         error: f64,
         saturated: bool,
         now: Instant,
     ) -> bool {
-        let Some(before) = self.probe.take() else {
+        let Some(previous) = self.search.take() else {
             return false;
         };
-        let relieved = typical < before.mul_f64(RELIEF);
+        let relieved = mean < previous.mul_f64(RELIEF_RATIO);
         if !relieved || !saturated || self.value <= 1.0 {
-            let base = self.base_latency().filter(|_| error <= EXACT);
+            let base = self.base_latency().filter(|_| error <= MAX_ERROR);
             self.found = base.map(|base| (base, now));
             return false;
         }
-        self.cut(typical);
+        self.halve(mean);
         true
     }
 
-    fn cut(&mut self, typical: time::Duration) {
-        self.probe = Some(typical);
+    /// Halves the limit as a step of a search; `mean` is the latency before.
+    fn halve(&mut self, mean: time::Duration) {
+        self.search = Some(mean);
         self.value = (self.value / 2.0).max(1.0);
     }
 
-    /// Moves the window on; only measured time counts, so that idleness forgets nothing.
-    fn rotate(&mut self, typical: time::Duration, saturated: bool, now: Instant) {
-        let first = self.since.is_none();
-        let since = *self.since.get_or_insert(now);
-        if !first && now.saturating_duration_since(since) < HALF {
+    /// Advances the window by a half once it is over, and starts a search if one is due.
+    ///
+    /// The window advances only as batches complete, so that idle time discards nothing.
+    fn rotate(&mut self, mean: time::Duration, saturated: bool, now: Instant) {
+        let is_first = self.half_start.is_none();
+        let half_start = *self.half_start.get_or_insert(now);
+        if !is_first && now.saturating_duration_since(half_start) < HALF_WINDOW {
             return;
         }
-        self.before = self.least.take();
-        self.since = Some(now);
-        let kept = |(_, at): &(_, Instant)| now.saturating_duration_since(*at) < KEPT;
-        self.found = self.found.filter(kept);
-        // A search at a slow target takes seconds at a part of its capacity. Near capacity a queue
-        // builds up meanwhile, so what was found is not searched for again in each window.
+        self.previous_min = self.current_min.take();
+        self.half_start = Some(now);
+        let is_recent =
+            |(_, at): &(_, Instant)| now.saturating_duration_since(*at) < FOUND_RETENTION;
+        self.found = self.found.filter(is_recent);
+        // A search at a slow target reduces its capacity for seconds, and near capacity a queue
+        // builds up meanwhile. So the search is not repeated while its result is kept.
         if saturated && self.found.is_none() {
-            self.cut(typical);
+            self.halve(mean);
         }
     }
 }
 
-/// Returns the mean of a batch without its slowest tenth, and its standard error as a part of it.
-fn typical(batch: &mut [u32]) -> (time::Duration, f64) {
-    let count = batch.len() - batch.len().div_ceil(TRIMMED);
+/// Returns the mean of a batch without its slowest tenth, and the standard error relative to it.
+fn trimmed_mean(batch: &mut [u32]) -> (time::Duration, f64) {
+    let count = batch.len() - batch.len().div_ceil(TRIM_DIVISOR);
     let (fast, ..) = batch.select_nth_unstable(count);
     let values = || fast.iter().copied().map(f64::from);
     let mean = values().sum::<f64>() / count as f64;
--- a/laburnumcart/src/quota.rs
+++ b/laburnumcart/src/quota.rs
@@ -1,9 +1,9 @@
-//! Quotas: how many requests one process may send to a target whose rate all processes share.
+//! Quotas: the share of each process in the request rate of a target.
 //!
-//! A target that has just started, or that is in need, takes so many requests in a second from all
-//! processes together. They share no count: a word between them would come too late for a bound on
-//! one second. Each works out a [`Quota`] of its own from the members that it knows, so that the sum
-//! of all quotas stays within the rate, and counts its own sends against it in a [`Limiter`].
+//! A cold or overloaded target accepts a rate from all processes together. The processes share no
+//! counter, as messages between them would be too slow for a limit on one second. Each computes its
+//! own [`Quota`] from the members that it knows, so that all quotas add up to at most the rate, and
+//! enforces it on its own sends with a [`Limiter`].
 
 mod advertised;
 
@@ -33,66 +33,66 @@
     TargetLimit,
 };
 
-/// Length of a span above what the rate is counted in.
+/// Factor by which a span is longer than the time that the rate implies.
 ///
-/// It covers sends that are held up on their way and arrive closer together.
-const STRETCH: f64 = 1.1;
+/// It allows for delays in transit, after which requests arrive closer together than sent.
+const SPAN_MARGIN: f64 = 1.1;
 
-/// Longest span, for rates far below one request in a second.
+/// Longest span, for rates far below one request per second.
 const SPAN_MAX: time::Duration = time::Duration::from_secs(60);
 
-/// Longest span over which a limit is shared, so that more members have a part of a low one.
-const SHARED_SPAN: f64 = 4.0;
+/// Longest span over which a limit is divided, in seconds, so that more members share a low limit.
+const SHARED_SPAN_SECS: f64 = 4.0;
 
-/// Difference of two rates that is due to rounding.
+/// Relative difference between two rates that is due to rounding.
 const ROUNDING: f64 = 1e-9;
 
-/// Part of a limit that all members without a part of it use together for trials.
-const TRIALS: f64 = 0.25;
+/// Fraction of a limit that all members without a quota use together for probes.
+const PROBE_FRACTION: f64 = 0.25;
 
-/// Least limit of which trials use a part, in requests a second.
+/// Least limit from which the rate of probes is derived, in requests per second.
 ///
-/// A target that takes nothing says so in answers alone, and so does one that takes requests again.
-const TRIALS_MIN: f64 = 0.25;
+/// A limit, even of zero, is lifted only by a response, so probes must go on.
+const MIN_PROBED_RATE: f64 = 0.25;
 
-/// Part of a rate that one owner of a queue may use for its calls.
+/// Fraction of a rate that one queue owner may use for its calls.
 ///
-/// Two processes can call the targets of one queue for a moment, as its owner changes.
-const OWNER: f64 = 0.5;
+/// While the ownership of a queue changes, two processes may call its targets.
+const OWNER_FRACTION: f64 = 0.5;
 
-/// Part of a rate that each of two uses has, such as requests beside the calls of stages.
-const HALF: f64 = 0.5;
+/// Fraction of a rate for each of requests and stage calls where a target gets both.
+const KIND_FRACTION: f64 = 0.5;
 
-/// Requests that one process may send to a target in any span.
+/// Number of requests that one process may send to a target in any span of a given length.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Quota {
-    /// Requests in one span.
+    /// Requests per span.
     pub count: u32,
     /// Length of the span.
     pub span: time::Duration,
 }
 
 impl Quota {
-    /// Sends nothing.
+    /// Allows no requests.
     pub const NONE: Self = Self {
         count: 0,
         span: SPAN_MAX,
     };
 
-    /// Returns the whole of a rate, rounded down.
+    /// Converts a rate into a quota, rounded down.
     ///
-    /// A rate below one request in a second is counted over a longer span.
+    /// A rate below one request per second gets a longer span.
     pub fn from_rate(rate: unit::Rate) -> Self {
-        Self::over(rate, 1.0)
+        Self::over_span(rate, 1.0)
     }
 
-    /// Returns the whole of a rate in spans of `least` seconds or more, those of which rounding
-    /// takes least.
-    fn longest(rate: unit::Rate, least: f64) -> Self {
-        let least = least.clamp(1.0, SHARED_SPAN);
-        let whole = [least, 2.0, 3.0, SHARED_SPAN];
-        let spans = whole.into_iter().filter(|seconds| *seconds >= least);
-        let quotas = spans.map(|seconds| Self::over(rate, seconds));
+    /// Converts a rate into a quota, with the span of at least `min_secs` seconds that loses least
+    /// to rounding.
+    fn with_least_rounding(rate: unit::Rate, min_secs: f64) -> Self {
+        let min_secs = min_secs.clamp(1.0, SHARED_SPAN_SECS);
+        let candidates = [min_secs, 2.0, 3.0, SHARED_SPAN_SECS];
+        let spans = candidates.into_iter().filter(|secs| *secs >= min_secs);
+        let quotas = spans.map(|secs| Self::over_span(rate, secs));
         let better = |best: Self, next: Self| match next.rate() > best.rate() * (1.0 + ROUNDING) {
             true => next,
             false => best,
@@ -100,19 +100,19 @@
         quotas.reduce(better).unwrap_or(Self::NONE)
     }
 
-    /// Returns the requests in a second.
+    /// Returns the requests per second.
     pub fn rate(self) -> f64 {
         f64::from(self.count) / self.span.as_secs_f64()
     }
 
-    /// Returns the whole of a rate in spans of so many seconds, longer ones for a lower rate.
-    fn over(rate: unit::Rate, seconds: f64) -> Self {
-        let count = (rate.0 * seconds * (1.0 + ROUNDING)).min(f64::from(u32::MAX)) as u32;
+    /// Converts a rate into a quota over a span of `secs` seconds, or longer for a low rate.
+    fn over_span(rate: unit::Rate, secs: f64) -> Self {
+        let count = (rate.0 * secs * (1.0 + ROUNDING)).min(f64::from(u32::MAX)) as u32;
         if count >= 1 {
-            let span = time::Duration::from_secs_f64(seconds * STRETCH);
+            let span = time::Duration::from_secs_f64(secs * SPAN_MARGIN);
             return Self { count, span };
         }
-        let span = STRETCH / rate.0.max(f64::MIN_POSITIVE);
+        let span = SPAN_MARGIN / rate.0.max(f64::MIN_POSITIVE);
         let span = time::Duration::try_from_secs_f64(span).unwrap_or(time::Duration::MAX);
         match span <= SPAN_MAX {
             true => Self { count: 1, span },
@@ -121,119 +121,119 @@
     }
 }
 
-/// What a process sends to the targets of a service.
+/// Kinds of traffic that the targets of a service get.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct TrafficKinds {
-    /// Requests, from all processes.
+    /// Requests, sent by all processes.
     pub requests: bool,
-    /// Calls of stages, from the owner of their queue.
+    /// Stage calls, sent by the queue owner.
     pub calls: bool,
 }
 
 impl TrafficKinds {
-    /// Returns the part of a rate that is left for requests.
+    /// Returns the part of a rate for requests.
     pub fn request_rate(self, rate: unit::Rate) -> unit::Rate {
         match (self.requests, self.calls) {
             (false, true) => unit::Rate(0.0),
-            (true, true) => unit::Rate(rate.0 * HALF),
+            (true, true) => unit::Rate(rate.0 * KIND_FRACTION),
             (_, false) => rate,
         }
     }
 
-    /// Returns the part of a rate that is left for the calls of one owner.
+    /// Returns the part of a rate for the stage calls of one queue owner.
     pub fn call_rate(self, rate: unit::Rate) -> unit::Rate {
         match self.requests {
-            true => unit::Rate(rate.0 * HALF * OWNER),
-            false => unit::Rate(rate.0 * OWNER),
+            true => unit::Rate(rate.0 * KIND_FRACTION * OWNER_FRACTION),
+            false => unit::Rate(rate.0 * OWNER_FRACTION),
         }
     }
 }
 
-/// Processes that may send to the same targets, as one of them knows them.
+/// Processes that may send to the same targets, as known to one of them.
 #[derive(Clone, Copy, Debug)]
 pub struct Senders<'a> {
-    /// Name of the process itself.
+    /// Name of this process.
     pub own: &'a id::InstanceName,
-    /// Names of all, its own among them.
+    /// Names of all processes, including this one.
     pub members: &'a [&'a id::InstanceName],
 }
 
 impl Senders<'_> {
-    /// Returns the part of a target's rate that this process may use in a second.
+    /// Returns this process's quota of a target's rate.
     ///
-    /// What does not divide goes to the first members in an order that each process finds alone,
-    /// another one for each target. A member that is gone keeps its part until its entry is
-    /// removed, as it may be one that only this process cannot reach. A process that is no member
-    /// yet has no part.
+    /// The remainder of the division goes to the first members by rendezvous hashing on the
+    /// target's name, which all processes compute alike. An unreachable member keeps its quota
+    /// until its entry is removed, as it may be unreachable only for this process. A process that
+    /// is not a member has no quota.
     pub fn quota(&self, target: &id::TargetName, rate: unit::Rate) -> Quota {
-        self.part(target, Quota::from_rate(rate))
+        self.own_share(target, Quota::from_rate(rate))
     }
 
-    /// Returns the part of a target's limit that this process may use of `rate`, which is the limit
-    /// or a part of it.
+    /// Returns this process's bound under a limit that a target advertises; `rate` is the limit or
+    /// a part of it.
     ///
-    /// Where it is too low for all, members without a part try once in a while, as nothing but an
-    /// answer tells that the limit has ended. All are told in one moment, and must not try in one.
+    /// Where the rate is too low for all members, those without a quota send single probes, as only
+    /// a response shows that the limit has ended. All members learn of a limit at almost the same
+    /// time, so the first probes are spread by a random delay.
     pub fn advertised_bound(
         &self,
         target: &id::TargetName,
         rate: unit::Rate,
-        named: &Advertised,
+        limit: &Advertised,
     ) -> Bound {
         let members = self.members.len().max(1) as f64;
-        let even = members / rate.0.max(f64::MIN_POSITIVE);
-        let quota = self.part(target, Quota::longest(rate, even));
+        let secs_for_all = members / rate.0.max(f64::MIN_POSITIVE);
+        let quota = self.own_share(target, Quota::with_least_rounding(rate, secs_for_all));
         if quota.count > 0 || !self.members.contains(&self.own) {
             return Bound::new(quota);
         }
-        let trials = TRIALS * rate.0.max(TRIALS_MIN);
-        let span = time::Duration::from_secs_f64(members / trials);
+        let probe_rate = PROBE_FRACTION * rate.0.max(MIN_PROBED_RATE);
+        let span = time::Duration::from_secs_f64(members / probe_rate);
         Bound {
-            from: Some(named.since + span.mul_f64(named.jitter.clamp(0.0, 1.0))),
+            from: Some(limit.since + span.mul_f64(limit.jitter.clamp(0.0, 1.0))),
             ..Bound::new(Quota { count: 1, span })
         }
     }
 
-    /// Returns this process's part of what all may send.
-    fn part(&self, target: &id::TargetName, whole: Quota) -> Quota {
+    /// Returns this process's share of the quota of all processes.
+    fn own_share(&self, target: &id::TargetName, whole: Quota) -> Quota {
         if !self.members.contains(&self.own) {
             return Quota::NONE;
         }
         let members = u32::try_from(self.members.len()).unwrap_or(u32::MAX);
-        let rest = (whole.count % members) as usize;
-        let extra = u32::from(self.place(target) < rest);
+        let remainder = (whole.count % members) as usize;
+        let extra = u32::from(self.own_rank(target) < remainder);
         Quota {
             count: whole.count / members + extra,
             ..whole
         }
     }
 
-    /// Returns the place of this process in the order of a target.
-    fn place(&self, target: &id::TargetName) -> usize {
-        let mut order = self.members.to_vec();
-        // Weak instances have as many callers as others, and send as much.
-        rendezvous::order(&mut order, target.as_str(), |name| rendezvous::Candidate {
-            name,
-            cores: 1.0,
+    /// Returns the rank of this process among the members for a target.
+    fn own_rank(&self, target: &id::TargetName) -> usize {
+        let mut ranking = self.members.to_vec();
+        // All members count alike: instances with fewer cores have as many callers as others.
+        rendezvous::order(&mut ranking, target.as_str(), |name| {
+            rendezvous::Candidate { name, cores: 1.0 }
         });
-        let place = order.iter().position(|name| *name == self.own);
-        place.unwrap_or(order.len())
+        let rank = ranking.iter().position(|name| *name == self.own);
+        rank.unwrap_or(ranking.len())
     }
 }
 
-/// A quota and when it is in force.
+/// A quota with its period of validity.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Bound {
-    /// Requests that may be sent.
+    /// Quota in force.
     pub quota: Quota,
-    /// Moment before which nothing may be sent.
+    /// Time before which nothing may be sent.
     pub from: Option<Instant>,
-    /// End of it, if that is known.
+    /// End of the bound, if known.
     pub until: Option<Instant>,
 }
 
 impl Bound {
-    /// Creates a bound that holds until it is replaced.
+    /// Creates a bound that is in force at once and without end.
     pub fn new(quota: Quota) -> Self {
         Self {
             quota,
@@ -242,11 +242,13 @@
         }
     }
 
-    /// Returns the bound on calls of a limited target from one owner of its queue, from `told` on.
+    /// Returns the bound on the stage calls of a queue owner to a target that has been limited
+    /// since `limited_since`.
     ///
-    /// A target that takes next to nothing is called once in a while, to hear whether it takes more.
-    pub fn for_calls(rate: unit::Rate, told: Instant) -> Self {
-        let quota = Quota::longest(rate, 1.0);
+    /// A target with a rate near zero still gets single probes, as only a response shows that it
+    /// accepts more.
+    pub fn for_calls(rate: unit::Rate, limited_since: Instant) -> Self {
+        let quota = Quota::with_least_rounding(rate, 1.0);
         if quota.count > 0 {
             return Self::new(quota);
         }
@@ -255,17 +257,17 @@
             span: SPAN_MAX,
         };
         Self {
-            from: Some(told + quota.span),
+            from: Some(limited_since + quota.span),
             ..Self::new(quota)
         }
     }
 
-    /// Returns the bound on a target that takes nothing.
+    /// Returns the bound on a target that accepts no requests.
     pub fn blocked() -> Self {
         Self::new(Quota::NONE)
     }
 
-    /// Adds its end.
+    /// Sets the end of the bound.
     #[must_use]
     pub fn until(mut self, until: Instant) -> Self {
         self.until = Some(until);
@@ -276,43 +278,43 @@
         self.until.is_none_or(|until| now < until)
     }
 
-    /// Returns the time until a request may be sent after those at `sent`.
-    fn wait(&self, sent: &collections::VecDeque<Instant>, now: Instant) -> time::Duration {
-        let left = |at: Instant| at.saturating_duration_since(now);
-        let begin = self.from.map_or(time::Duration::ZERO, left);
+    /// Returns the time until a request may be sent, given the times of earlier sends.
+    fn wait_time(&self, sent: &collections::VecDeque<Instant>, now: Instant) -> time::Duration {
+        let time_to = |at: Instant| at.saturating_duration_since(now);
+        let until_start = self.from.map_or(time::Duration::ZERO, time_to);
         let count = self.quota.count as usize;
         if count == 0 {
-            return self.until.map_or(time::Duration::MAX, left);
+            return self.until.map_or(time::Duration::MAX, time_to);
         }
-        // The oldest of the last sends that are as many as the quota.
+        // Oldest of the last `count` sends; the next send must come a span after it.
         let oldest = sent.len().checked_sub(count).map(|i| sent[i]);
-        let full = oldest.map_or(time::Duration::ZERO, |at| left(at + self.quota.span));
-        begin.max(full)
+        let until_free = oldest.map_or(time::Duration::ZERO, |at| time_to(at + self.quota.span));
+        until_start.max(until_free)
     }
 }
 
 /// Bounds on the sends to a target.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Bounds {
-    /// While it is cold.
+    /// Bound while the target is cold.
     pub cold: Option<Bound>,
-    /// While it names a limit.
+    /// Bound while the target advertises a limit.
     pub advertised: Option<Bound>,
-    /// While it takes nothing, as it has said itself.
+    /// Bound while the target asks its callers to back off.
     pub backoff: Option<Bound>,
 }
 
 impl Bounds {
-    /// Lists this process's shares that are in force.
-    fn shares(&self, now: Instant) -> impl Iterator<Item = &Bound> {
+    /// Lists the bounds on the rate that are in force.
+    fn rate_bounds(&self, now: Instant) -> impl Iterator<Item = &Bound> {
         let all = self.cold.iter().chain(&self.advertised);
         all.filter(move |bound| bound.is_in_force(now))
     }
 
     fn in_force(&self, now: Instant) -> impl Iterator<Item = &Bound> {
-        let closed = self.backoff.iter();
-        let closed = closed.filter(move |bound| bound.is_in_force(now));
-        self.shares(now).chain(closed)
+        let backoff = self.backoff.iter();
+        let backoff = backoff.filter(move |bound| bound.is_in_force(now));
+        self.rate_bounds(now).chain(backoff)
     }
 }
 
@@ -322,7 +324,7 @@
     sent: collections::VecDeque<Instant>,
 }
 
-/// Own sends to one target, held to the bounds on it; clones share them.
+/// Rate limiter of the sends of this process to one target; clones share their state.
 ///
 /// ```
 /// use std::time::Duration;
@@ -331,19 +333,20 @@
 /// use tokio::time::Instant;
 ///
 /// let now = Instant::now();
-/// let gate = quota::Limiter::default();
+/// let limiter = quota::Limiter::default();
 /// let quota = quota::Quota::from_rate(unit::Rate(1.0));
-/// gate.set_bounds(quota::Bounds { advertised: Some(quota::Bound::new(quota)), ..Default::default() });
-/// assert!(gate.can_send(now));
-/// gate.record_send(now);
-/// assert!(!gate.can_send(now + Duration::from_millis(900)));
-/// assert!(gate.can_send(now + Duration::from_millis(1200)));
+/// let advertised = Some(quota::Bound::new(quota));
+/// limiter.set_bounds(quota::Bounds { advertised, ..Default::default() });
+/// assert!(limiter.can_send(now));
+/// limiter.record_send(now);
+/// assert!(!limiter.can_send(now + Duration::from_millis(900)));
+/// assert!(limiter.can_send(now + Duration::from_millis(1200)));
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct Limiter(Arc<Mutex<State>>);
 
 impl Limiter {
-    /// Takes in the bounds.
+    /// Replaces the bounds.
     pub fn set_bounds(&self, bounds: Bounds) {
         self.state().bounds = bounds;
     }
@@ -353,34 +356,37 @@
         self.state().bounds.in_force(now).next().is_some()
     }
 
-    /// Reports whether a request may be sent.
+    /// Reports whether a request may be sent now.
     pub fn can_send(&self, now: Instant) -> bool {
         self.wait_time(now).is_zero()
     }
 
-    /// Returns the time until a request may be sent; the greatest there is if nothing tells.
+    /// Returns the time until a request may be sent; [`time::Duration::MAX`] if it is unknown.
     pub fn wait_time(&self, now: Instant) -> time::Duration {
         let state = self.state();
-        let waits = state.bounds.in_force(now).map(|b| b.wait(&state.sent, now));
+        let waits = state
+            .bounds
+            .in_force(now)
+            .map(|b| b.wait_time(&state.sent, now));
         waits.max().unwrap_or_default()
     }
 
-    /// Reports whether the target takes nothing, as it has said itself.
+    /// Reports whether the target has asked its callers to back off.
     pub fn is_backing_off(&self, now: Instant) -> bool {
-        let closed = self.state().bounds.backoff;
-        closed.is_some_and(|bound| bound.is_in_force(now))
+        let backoff = self.state().bounds.backoff;
+        backoff.is_some_and(|bound| bound.is_in_force(now))
     }
 
-    /// Reports whether a request may be sent and another one after it.
+    /// Reports whether two requests may be sent now.
     pub fn has_spare(&self, now: Instant) -> bool {
         let state = self.state();
         let mut sent = state.sent.clone();
         sent.push_back(now);
         let mut bounds = state.bounds.in_force(now);
-        bounds.all(|b| b.wait(&state.sent, now).is_zero() && b.wait(&sent, now).is_zero())
+        bounds.all(|b| b.wait_time(&state.sent, now).is_zero() && b.wait_time(&sent, now).is_zero())
     }
 
-    /// Returns the time that is left until the target takes anything, if it has told one.
+    /// Returns the time left of the backoff that the target asked for, or zero.
     pub fn backoff_left(&self, now: Instant) -> time::Duration {
         let end = self.state().bounds.backoff.and_then(|bound| bound.until);
         end.map_or(time::Duration::ZERO, |end| {
@@ -388,15 +394,14 @@
         })
     }
 
-    /// Returns how many requests may be sent in a second while the target takes any, if that is
-    /// bounded.
+    /// Returns the rate of requests allowed apart from backoff, or `None` if it is not limited.
     pub fn rate(&self, now: Instant) -> Option<unit::Rate> {
         let state = self.state();
-        let rates = state.bounds.shares(now).map(|b| b.quota.rate());
+        let rates = state.bounds.rate_bounds(now).map(|b| b.quota.rate());
         rates.min_by(f64::total_cmp).map(unit::Rate)
     }
 
-    /// Records a request that is sent.
+    /// Records a request that has been sent.
     pub fn record_send(&self, now: Instant) {
         let mut state = self.state();
         let spans = state.bounds.in_force(now).map(|b| b.quota.span);
@@ -404,15 +409,15 @@
             state.sent.clear();
             return;
         };
-        let passed = |at: &Instant| now.saturating_duration_since(*at) >= longest;
-        while state.sent.front().is_some_and(passed) {
+        let has_expired = |at: &Instant| now.saturating_duration_since(*at) >= longest;
+        while state.sent.front().is_some_and(has_expired) {
             state.sent.pop_front();
         }
         state.sent.push_back(now);
     }
 
     fn state(&self) -> MutexGuard<'_, State> {
-        // No change of the state is left half done by a panic.
+        // A panic cannot leave the state inconsistent, so a poisoned lock is still usable.
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/laburnumcart/src/quota/advertised.rs
+++ b/laburnumcart/src/quota/advertised.rs
@@ -1,50 +1,50 @@
-//! What is known of a target from its answers and from other processes.
+//! Limits that targets advertise in their responses, and that other processes report.
 
 use derive_more::Display;
 use tokio::time::Instant;
 
 use crate::unit;
 
-/// What an answer of a target says of the requests that the target takes.
+/// Limit that a response of a target advertises.
 #[derive(Clone, Copy, Debug, Default, Display, PartialEq)]
 pub enum Limit {
-    /// It names no limit.
+    /// The response advertises no limit.
     #[default]
     #[display("none")]
     None,
-    /// It takes so many requests in a second from all processes together.
+    /// Requests per second that the target accepts from all processes together.
     #[display("{_0}")]
     Named(unit::Rate),
-    /// It names one that cannot be read.
+    /// The response advertises a limit that cannot be parsed.
     #[display("unreadable")]
     Unreadable,
 }
 
-/// An answer, and how far it can be believed.
+/// Limit seen in a response, with what is needed to judge it.
 #[derive(Clone, Copy, Debug)]
 pub struct Observation {
-    /// Limit that it names.
+    /// Limit in the response.
     pub limit: Limit,
-    /// Whether it is a success and answers the request that was sent.
+    /// Whether the response is a success and certainly answers the request that was sent.
     pub trusted: bool,
-    /// When that request was sent.
+    /// When the request was sent.
     pub sent: Instant,
 }
 
 /// A limit that is in force.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Advertised {
-    /// Requests in a second that the target takes.
+    /// Requests per second that the target accepts.
     pub rate: unit::Rate,
-    /// When it was heard first.
+    /// When the limit was first seen.
     pub since: Instant,
-    /// When it was true last.
+    /// When the limit was last confirmed.
     pub confirmed: Instant,
-    /// When trials begin, from 0 to 1.
+    /// Random number from 0 to 1 that spreads the first probes of different processes.
     pub jitter: f64,
 }
 
-/// What one process knows of one life of a target.
+/// Limit and leaving state of one run of a target, as known to this process.
 ///
 /// ```
 /// use std::time::Duration;
@@ -53,104 +53,108 @@
 /// use tokio::time::Instant;
 ///
 /// let now = Instant::now();
-/// let mut heard = quota::TargetLimit::default();
+/// let mut target = quota::TargetLimit::default();
 /// let limit = quota::Limit::Named(unit::Rate(2.0));
-/// heard.record_answer(quota::Observation { limit, trusted: true, sent: now }, 0.5, now + Duration::from_millis(80));
-/// // This one was on its way before.
+/// let observation = quota::Observation { limit, trusted: true, sent: now };
+/// target.record_answer(observation, 0.5, now + Duration::from_millis(80));
+/// // The request of this response was sent before the limit was seen.
 /// let none = quota::Observation { limit: quota::Limit::None, trusted: true, sent: now };
-/// assert!(!heard.record_answer(none, 0.5, now + Duration::from_millis(90)));
-/// assert_eq!(heard.advertised().unwrap().rate, unit::Rate(2.0));
+/// assert!(!target.record_answer(none, 0.5, now + Duration::from_millis(90)));
+/// assert_eq!(target.advertised().unwrap().rate, unit::Rate(2.0));
 /// ```
 #[derive(Clone, Copy, Debug, Default)]
 pub struct TargetLimit {
-    named: Option<Advertised>,
-    /// When an answer has shown last that there is no limit any more.
+    advertised: Option<Advertised>,
+    /// When the last limit was seen to have ended.
     ended: Option<Instant>,
     unreadable: bool,
-    /// When an answer has said last that the target is leaving.
-    left: Option<Instant>,
+    /// When the target last announced that it is leaving.
+    leaving_since: Option<Instant>,
 }
 
 impl TargetLimit {
     /// Returns the limit in force.
     pub fn advertised(&self) -> Option<&Advertised> {
-        self.named.as_ref()
+        self.advertised.as_ref()
     }
 
-    /// Returns what is known, as an answer would say it.
+    /// Returns the current limit in the form of a response.
     pub fn limit(&self) -> Limit {
-        match self.named {
-            Some(named) => Limit::Named(named.rate),
+        match self.advertised {
+            Some(limit) => Limit::Named(limit.rate),
             None if self.unreadable => Limit::Unreadable,
             None => Limit::None,
         }
     }
 
-    /// Returns when the limit in force was true last, or when it ended.
+    /// Returns when the limit in force was last confirmed, or when the last one ended.
     pub fn confirmed_at(&self) -> Option<Instant> {
-        self.named.map(|named| named.confirmed).or(self.ended)
+        let confirmed = self.advertised.map(|limit| limit.confirmed);
+        confirmed.or(self.ended)
     }
 
-    /// Returns when the target has said last that it is leaving.
+    /// Returns when the target last announced that it is leaving.
     pub fn leaving_since(&self) -> Option<Instant> {
-        self.left
+        self.leaving_since
     }
 
-    /// Takes in that the target said at `at` that it is leaving; returns whether it is news.
+    /// Records that the target announced at `at` that it is leaving; returns whether this is new.
     ///
-    /// One that has begun to leave does not come back in the same life.
+    /// A target that is leaving stays so until it is restarted.
     pub fn record_leaving(&mut self, at: Instant) -> bool {
-        let news = self.left.is_none();
-        self.left = self.left.max(Some(at));
-        news
+        let is_new = self.leaving_since.is_none();
+        self.leaving_since = self.leaving_since.max(Some(at));
+        is_new
     }
 
-    /// Takes in an answer; returns whether it is news. `draw`, from 0 to 1, is a random number.
+    /// Records the limit in a response; returns whether the limit has changed. `jitter` is a random
+    /// number from 0 to 1.
     ///
-    /// Answers overtake each other: one that was on its way before the limit was named ends nothing,
-    /// and neither does one that may belong to another request.
-    pub fn record_answer(&mut self, word: Observation, draw: f64, now: Instant) -> bool {
-        match word.limit {
-            Limit::Named(rate) => self.name(rate, draw, now),
+    /// Responses can overtake each other. A response without a limit ends the limit in force only
+    /// if its request was sent after the limit was last confirmed and the response is trusted.
+    pub fn record_answer(&mut self, observation: Observation, jitter: f64, now: Instant) -> bool {
+        match observation.limit {
+            Limit::Named(rate) => self.set_limit(rate, jitter, now),
             Limit::Unreadable => !std::mem::replace(&mut self.unreadable, true),
             Limit::None => {
-                let ends = self.named.is_some_and(|n| word.sent > n.confirmed);
-                word.trusted && (ends || self.unreadable) && self.end(now)
+                let is_newer = |limit: Advertised| observation.sent > limit.confirmed;
+                let ends = self.advertised.is_some_and(is_newer);
+                observation.trusted && (ends || self.unreadable) && self.end_limit(now)
             }
         }
     }
 
-    /// Takes in what another process knew at `at`; returns whether it is news.
-    pub fn merge(&mut self, rate: Option<unit::Rate>, at: Instant, draw: f64) -> bool {
+    /// Merges the limit that another process knew at `at`; returns whether the limit has changed.
+    pub fn merge(&mut self, rate: Option<unit::Rate>, at: Instant, jitter: f64) -> bool {
         if self.confirmed_at().is_some_and(|known| known >= at) {
             return false;
         }
         match rate {
-            Some(rate) => self.name(rate, draw, at),
-            None => self.end(at),
+            Some(rate) => self.set_limit(rate, jitter, at),
+            None => self.end_limit(at),
         }
     }
 
-    fn name(&mut self, rate: unit::Rate, draw: f64, at: Instant) -> bool {
+    fn set_limit(&mut self, rate: unit::Rate, jitter: f64, at: Instant) -> bool {
         self.unreadable = false;
-        if let Some(named) = self.named.as_mut().filter(|named| named.rate == rate) {
-            named.confirmed = at;
+        if let Some(limit) = self.advertised.as_mut().filter(|limit| limit.rate == rate) {
+            limit.confirmed = at;
             return false;
         }
-        self.named = Some(Advertised {
+        self.advertised = Some(Advertised {
             rate,
             since: at,
             confirmed: at,
-            jitter: draw,
+            jitter,
         });
         true
     }
 
-    fn end(&mut self, at: Instant) -> bool {
-        let news = self.named.is_some() || self.unreadable;
-        self.named = None;
+    fn end_limit(&mut self, at: Instant) -> bool {
+        let has_changed = self.advertised.is_some() || self.unreadable;
+        self.advertised = None;
         self.unreadable = false;
         self.ended = Some(at);
-        news
+        has_changed
     }
 }
--- a/laburnumcart/tests/admission.rs
+++ b/laburnumcart/tests/admission.rs
@@ -1,4 +1,4 @@
-//! Admission shares an entry among teams.
+//! Admission control shares an entry among teams.
 
 use std::time;
 
@@ -19,40 +19,40 @@
     rand::rngs::StdRng::seed_from_u64(7)
 }
 
-/// Admits until refused; returns the number admitted.
+/// Admits requests until one is refused; returns the number admitted.
 fn fill(
-    a: &mut admission::Controller,
+    admission: &mut admission::Controller,
     team: admission::TeamKey,
-    level: Priority,
+    priority: Priority,
     now: Instant,
 ) -> u32 {
     let mut rng = rng();
     (0..)
-        .take_while(|_| a.admit(team, level, now, &mut rng).is_ok())
+        .take_while(|_| admission.admit(team, priority, now, &mut rng).is_ok())
         .count() as u32
 }
 
 proptest! {
     #[test]
-    fn within_share_always_admitted_and_total_bounded(
+    fn requests_within_share_are_admitted_and_total_is_limited(
         steps in prop::collection::vec((0usize..4, any::<bool>()), 1..2000),
     ) {
         let now = Instant::now();
         let mut rng = rng();
         let mut admission = admission::Controller::new(now);
         let teams: Vec<_> = (1..=4).map(|w| admission.add_team(w)).collect();
-        let mut running = [0u32; 4];
+        let mut in_flight = [0u32; 4];
         for (i, start) in steps {
             let guaranteed = admission.capacity() * (i as u32 + 1) / 10;
             if start {
                 let admitted = admission.admit(teams[i], Priority::Low, now, &mut rng).is_ok();
-                prop_assert!(admitted || running[i] >= guaranteed);
-                running[i] += u32::from(admitted);
-            } else if running[i] > 0 {
+                prop_assert!(admitted || in_flight[i] >= guaranteed);
+                in_flight[i] += u32::from(admitted);
+            } else if in_flight[i] > 0 {
                 admission.finish(teams[i], admission::Outcome::Done, now);
-                running[i] -= 1;
+                in_flight[i] -= 1;
             }
-            prop_assert_eq!(admission.in_flight(), running.iter().sum::<u32>());
+            prop_assert_eq!(admission.in_flight(), in_flight.iter().sum::<u32>());
             prop_assert!(admission.in_flight() <= 2 * admission.capacity());
         }
     }
@@ -62,17 +62,17 @@
 #[case(Priority::High, 256)]
 #[case(Priority::Normal, 231)]
 #[case(Priority::Low, 192)]
-fn lower_priorities_borrow_less(#[case] level: Priority, #[case] admitted: u32) {
+fn lower_priorities_borrow_less(#[case] priority: Priority, #[case] admitted: u32) {
     let now = Instant::now();
     let mut admission = admission::Controller::new(now);
     let (flood, calm) = (admission.add_team(1), admission.add_team(1));
-    admission.admit(calm, level, now, &mut rng()).unwrap();
-    assert_eq!(fill(&mut admission, flood, level, now) + 1, admitted);
+    admission.admit(calm, priority, now, &mut rng()).unwrap();
+    assert_eq!(fill(&mut admission, flood, priority, now) + 1, admitted);
 }
 
-/// A flood has borrowed the whole entry. A team that comes then still gets its own share.
+/// A flood of one team has borrowed the whole capacity before another team sends requests.
 #[test]
-fn borrowed_room_is_no_reason_to_refuse_a_share() {
+fn share_is_granted_although_it_is_lent() {
     let now = Instant::now();
     let mut admission = admission::Controller::new(now);
     let (flood, calm) = (admission.add_team(1), admission.add_team(3));
@@ -80,10 +80,10 @@
     assert_eq!(fill(&mut admission, calm, Priority::Low, now), 192);
 }
 
-/// A team floods the entry and its agents refuse it for its share. Its bound falls, the total and
-/// the other teams' room do not, and after the flood the bound is gone.
+/// Refusals of one flooding team must not reduce the capacity for others, and must not outlast the
+/// flood.
 #[test]
-fn refusals_for_share_fall_on_their_team() {
+fn refusals_for_share_limit_only_their_team() {
     let mut now = Instant::now();
     let mut admission = admission::Controller::new(now);
     let (flood, calm) = (admission.add_team(1), admission.add_team(1));
@@ -95,8 +95,8 @@
             admission.finish(flood, refused, now);
         }
     }
-    let held = fill(&mut admission, flood, Priority::High, now);
-    assert!(held <= 2);
+    let limited = fill(&mut admission, flood, Priority::High, now);
+    assert!(limited <= 2);
     let refusal = admission
         .admit(flood, Priority::High, now, &mut rng())
         .unwrap_err();
@@ -107,7 +107,7 @@
     assert!(refusal.retry.is_some());
     assert_eq!(admission.capacity(), before);
     assert!(fill(&mut admission, calm, Priority::High, now) >= before / 2);
-    for _ in 0..held {
+    for _ in 0..limited {
         admission.finish(flood, admission::Outcome::Done, now);
     }
     for _ in 0..100_000 {
@@ -122,10 +122,10 @@
     assert!(fill(&mut admission, flood, Priority::High, now) >= before / 2);
 }
 
-/// Agents refuse as overloaded. The total falls once for a burst of refusals, never below its
-/// least, and grows again while it is used in full.
+/// The capacity falls once per burst of overload refusals, down to its minimum, and grows again at
+/// saturation.
 #[test]
-fn total_follows_overload() {
+fn capacity_follows_overload() {
     let mut now = Instant::now();
     let mut admission = admission::Controller::new(now);
     let team = admission.add_team(1);
--- a/laburnumcart/tests/concurrency.rs
+++ b/laburnumcart/tests/concurrency.rs
@@ -1,4 +1,4 @@
-//! The limit finds a target's capacity and keeps to it.
+//! The concurrency limit finds a target's capacity and stays there.
 
 use std::time;
 
@@ -8,7 +8,7 @@
 
 const BASE: time::Duration = time::Duration::from_millis(20);
 
-/// Runs calls at a target of the given capacity, with as many in flight as the limit allows.
+/// Keeps a target of the given capacity saturated for `secs`; returns the greatest limit.
 fn saturate(limit: &mut concurrency::Limit, capacity: u32, secs: u64, now: &mut Instant) -> u32 {
     let end = *now + time::Duration::from_secs(secs);
     let mut peak = 0;
@@ -27,10 +27,10 @@
 #[case(4)]
 #[case(16)]
 #[case(64)]
-fn finds_capacity_and_stays_there(#[case] capacity: u32) {
+fn limit_finds_capacity_and_stays_there(#[case] capacity: u32) {
     let (mut limit, mut now) = (concurrency::Limit::new(), Instant::now());
     saturate(&mut limit, capacity, 5, &mut now);
-    // Ten windows of lasting saturation must not let the limit creep up.
+    // Sustained saturation over ten windows must not raise the limit further.
     let peak = saturate(&mut limit, capacity, 300, &mut now);
     assert!(peak <= 3 * capacity + 4, "{peak}");
     saturate(&mut limit, capacity, 2, &mut now);
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn one_slow_call_changes_nothing() {
+fn one_slow_call_does_not_lower_the_limit() {
     let (mut limit, mut now) = (concurrency::Limit::new(), Instant::now());
     saturate(&mut limit, 16, 5, &mut now);
     let before = limit.get();
@@ -52,11 +52,11 @@
 }
 
 #[test]
-fn light_traffic_proves_nothing_of_a_higher_limit() {
+fn light_traffic_does_not_raise_the_limit() {
     let (mut limit, mut now) = (concurrency::Limit::new(), Instant::now());
     saturate(&mut limit, 16, 5, &mut now);
     let before = limit.get();
-    // The pause voids the batch that was begun under load.
+    // The pause discards the batch that was started under load.
     now += time::Duration::from_secs(10);
     for _ in 0..1000 {
         now += time::Duration::from_millis(500);
@@ -65,10 +65,9 @@
     assert_eq!(limit.get(), before);
 }
 
-/// The target is idle for an hour but for a few calls. These are fast, yet prove nothing of a
-/// higher limit: it must neither grow nor be forgotten.
+/// A few fast calls during an idle hour must neither raise nor reset the limit.
 #[test]
-fn idle_period_changes_nothing() {
+fn idle_period_keeps_the_limit() {
     let (mut limit, mut now) = (concurrency::Limit::new(), Instant::now());
     saturate(&mut limit, 16, 5, &mut now);
     let before = limit.get();
@@ -80,7 +79,7 @@
 }
 
 #[test]
-fn never_below_one() {
+fn limit_is_at_least_one() {
     let (mut limit, mut now) = (concurrency::Limit::new(), Instant::now());
     saturate(&mut limit, 4, 1, &mut now);
     for i in 0..1000 {
@@ -91,10 +90,10 @@
     }
 }
 
-/// The limit was just cut. Calls that started before still end, slow as under the old limit. They
-/// must not cut it again, or one congestion would be answered many times.
+/// Slow calls that were sent before a decrease must not lower the limit again for the same
+/// congestion.
 #[test]
-fn calls_from_before_a_cut_do_not_count() {
+fn calls_sent_under_a_higher_limit_are_ignored() {
     let (mut limit, mut now) = (concurrency::Limit::new(), Instant::now());
     saturate(&mut limit, 16, 5, &mut now);
     let before = limit.get();
@@ -107,11 +106,10 @@
     assert_eq!(limit.get(), after);
 }
 
-/// A target takes half a second for a call and is saturated for minutes. Its latency was searched for
-/// once, by halving the limit for a batch, and has not risen since. Halving it again each window took
-/// a quarter of its capacity for seconds, the queue grew, and callers near capacity were late.
+/// Repeating the search in each window would reduce the capacity of a slow target by a quarter for
+/// seconds, so that a queue builds up and callers are late.
 #[test]
-fn known_latency_is_not_searched_for_again() {
+fn search_is_not_repeated_while_its_result_is_kept() {
     let base = time::Duration::from_millis(500);
     let (mut limit, mut now) = (concurrency::Limit::new(), Instant::now());
     let mut run = |limit: &mut concurrency::Limit, secs: u64| {
--- a/laburnumcart/tests/concurrency_spread.rs
+++ b/laburnumcart/tests/concurrency_spread.rs
@@ -1,4 +1,4 @@
-//! The limit at a target whose calls take very different times.
+//! The concurrency limit of a target with widely varying service times.
 
 use std::{
     cmp::Reverse,
@@ -17,10 +17,10 @@
 const MEAN: f64 = 0.02;
 const SECS: f64 = 60.0;
 
-/// Keeps as many calls in flight as the limit allows at a target that executes `servers` at once
-/// and queues the rest. Returns the throughput as a part of the capacity, and the mean latency as a
-/// multiple of the mean service time.
-fn run(servers: usize, seed: u64) -> (f64, f64) {
+/// Simulates a target that executes `servers` calls concurrently and queues the rest, with as many
+/// calls in flight as the limit allows. Returns the throughput as a fraction of the capacity, and
+/// the mean latency as a multiple of the mean service time.
+fn simulate(servers: usize, seed: u64) -> (f64, f64) {
     let mut rng = rand::rngs::StdRng::seed_from_u64(seed);
     let start = Instant::now();
     let micros = |secs: f64| (secs * 1e6) as u64;
@@ -41,7 +41,7 @@
         now = end;
         let latency = time::Duration::from_micros(end - sent);
         limit.record_latency(latency, in_flight, start + time::Duration::from_micros(now));
-        // The first fifth is for finding the limit.
+        // The first fifth is warm-up, in which the limit settles.
         if now > micros(SECS / 5.0) {
             count += 1;
             sum += end - sent;
@@ -54,11 +54,14 @@
     )
 }
 
-/// Service times are exponentially distributed. Taking the luckiest of small batches for the usual
-/// latency, every other one would look congested and the target would run nearly empty.
+/// If the minimum of small batches counted as the usual latency, all others would look congested
+/// and the target would be nearly idle.
 #[rstest]
-fn capacity_is_used(#[values(1, 4, 16, 64)] servers: usize, #[values(1, 2, 3)] seed: u64) {
-    let (throughput, latency) = run(servers, seed);
+fn capacity_is_used_with_exponential_service_times(
+    #[values(1, 4, 16, 64)] servers: usize,
+    #[values(1, 2, 3)] seed: u64,
+) {
+    let (throughput, latency) = simulate(servers, seed);
     println!("servers={servers} seed={seed} throughput={throughput:.2} latency={latency:.2}");
     assert!(throughput >= 0.85, "{throughput}");
     assert!(latency <= 4.0, "{latency}");
--- a/laburnumcart/tests/quota.rs
+++ b/laburnumcart/tests/quota.rs
@@ -1,4 +1,4 @@
-//! Requests to targets that bear few, summed over processes that share no count.
+//! Rate limits of targets, kept by processes that share no counter.
 
 use std::{
     collections,
@@ -28,8 +28,8 @@
     format!("engine-{i}").parse().unwrap()
 }
 
-/// Sum of the quotas of all members for one target.
-fn sum(members: &[id::InstanceName], target: &id::TargetName, rate: f64) -> u32 {
+/// Returns the sum of the quotas of all members for one target.
+fn total_quota(members: &[id::InstanceName], target: &id::TargetName, rate: f64) -> u32 {
     let all: Vec<_> = members.iter().collect();
     let quota = |own| {
         let members = &all[..];
@@ -38,8 +38,7 @@
     members.iter().map(|own| quota(own).count).sum()
 }
 
-// Engines of a data centre come back cold and all gateways have more for them than they bear. If
-// each gateway rounded its part up, or took the whole rate, the engines would crash again.
+// If each gateway rounded its quota up, or used the whole rate, a cold engine would be overloaded.
 #[rstest]
 #[case(1, 13.0)]
 #[case(4, 13.0)]
@@ -47,17 +46,20 @@
 #[case(350, 13.0)]
 #[case(27, 40.5)]
 #[case(3, 0.5)]
-fn parts_add_up_to_the_rate(#[case] members: usize, #[case] rate: f64) {
+fn quotas_add_up_to_the_rate(#[case] members: usize, #[case] rate: f64) {
     let members = names(members);
     for i in 0..20 {
-        assert_eq!(sum(&members, &target(i), rate), rate.max(1.0) as u32);
+        assert_eq!(
+            total_quota(&members, &target(i), rate),
+            rate.max(1.0) as u32
+        );
     }
 }
 
-// With more gateways than requests a second, the same few gateways must not hold all engines: the
-// callers of the others would be refused while engines have room.
+// With more gateways than requests per second, the quotas of all engines must not go to the same
+// few gateways, or callers of the others would be refused while engines have capacity.
 #[test]
-fn parts_of_different_targets_go_to_different_members() {
+fn quotas_of_different_targets_go_to_different_members() {
     let members = names(27);
     let all: Vec<_> = members.iter().collect();
     for own in &members {
@@ -68,10 +70,10 @@
     }
 }
 
-// Two gateways see a member more or less for a moment. Together they may go a little beyond the
-// rate, far less than the half of it that a target bears beyond.
+// While gateways differ by one in the members that they know, together they may exceed the rate a
+// little, far less than the half that a target tolerates.
 #[test]
-fn views_that_differ_go_little_beyond() {
+fn different_member_lists_exceed_the_rate_only_a_little() {
     let (old, new) = (names(26), names(27));
     for i in 0..20 {
         let quota = |own, members: &[id::InstanceName]| {
@@ -79,19 +81,19 @@
             let members = &all[..];
             quota::Senders { own, members }.quota(&target(i), unit::Rate(13.0))
         };
-        let half = new.iter().enumerate();
-        let sums = half.map(|(k, own)| match k % 2 == 0 && k < 26 {
+        let members = new.iter().enumerate();
+        let counts = members.map(|(k, own)| match k % 2 == 0 && k < 26 {
             true => quota(own, &old).count,
             false => quota(own, &new).count,
         });
-        let sum: u32 = sums.sum();
+        let sum: u32 = counts.sum();
         assert!(sum <= 14, "{sum}");
     }
 }
 
-// A gateway that has not entered itself yet is counted by nobody else.
+// A gateway that has not registered yet is not counted by the others.
 #[test]
-fn a_stranger_has_no_part() {
+fn process_that_is_not_a_member_has_no_quota() {
     let members = names(3);
     let all: Vec<_> = members.iter().collect();
     let own = "gateway-9".parse().unwrap();
@@ -109,27 +111,25 @@
     );
 }
 
-// Callers press on a gateway for ten seconds while an engine is cold. In no second may more arrive
-// there than its part, wherever the second begins; a count by fixed seconds lets twice as many
-// through at their border.
+// A limiter that counts in fixed windows would admit twice the quota around a window boundary.
 #[tokio::test(start_paused = true)]
-async fn no_second_has_more_than_the_part() {
-    let gate = quota::Limiter::default();
+async fn quota_holds_in_any_second() {
+    let limiter = quota::Limiter::default();
     let start = Instant::now();
     let quota = quota::Quota {
         count: 3,
         span: time::Duration::from_millis(1100),
     };
     let until = start + time::Duration::from_secs(10);
-    gate.set_bounds(quota::Bounds {
+    limiter.set_bounds(quota::Bounds {
         cold: Some(quota::Bound::new(quota).until(until)),
         ..quota::Bounds::default()
     });
     let mut sent = collections::VecDeque::new();
     for _ in 0..1000 {
         let now = Instant::now();
-        if now < until && gate.can_send(now) {
-            gate.record_send(now);
+        if now < until && limiter.can_send(now) {
+            limiter.record_send(now);
             sent.push_back(now);
         }
         tokio::time::advance(time::Duration::from_millis(10)).await;
@@ -139,32 +139,32 @@
         let second = *at..*at + time::Duration::from_secs(1);
         assert!(sent.iter().filter(|t| second.contains(t)).count() <= 3);
     }
-    assert!(gate.can_send(Instant::now()), "it is warm again");
-    assert!(!gate.is_limited(Instant::now()));
+    assert!(limiter.can_send(Instant::now()), "the bound has ended");
+    assert!(!limiter.is_limited(Instant::now()));
 }
 
-/// Span in which the requests that a target gets are counted, in milliseconds.
-const SPAN: u64 = 4000;
+/// Span in which the requests to a target are counted, in milliseconds.
+const SPAN_MS: u64 = 4000;
 
-/// Returns how many requests a target that names `rate` bears in one span.
-fn borne(rate: f64) -> usize {
+/// Returns the greatest number of requests in one span that a target with limit `rate` tolerates.
+fn max_requests(rate: f64) -> usize {
     (rate * 4.0 * 1.5 + 5.0) as usize
 }
 
-/// Who presses on a target that has named a limit.
+/// Distribution of the load over the members.
 #[derive(Clone, Copy, Debug)]
 enum Spread {
-    /// All members alike.
+    /// All members send as much as they can.
     Even,
-    /// One alone.
+    /// Only one member sends.
     Single,
-    /// Half of all requests at one member, the others each with a part of the rest.
+    /// One member sends as much as it can, the others a twentieth of that.
     Skewed,
 }
 
-/// Members that were told of a limit, one after the other within two seconds.
+/// Members that each learn of a limit at a random time within two seconds.
 struct Fleet {
-    gates: Vec<(time::Duration, quota::Limiter)>,
+    limiters: Vec<(time::Duration, quota::Limiter)>,
     start: Instant,
     sent: Vec<u64>,
 }
@@ -174,68 +174,67 @@
         let start = Instant::now();
         let members = names(count);
         let all: Vec<_> = members.iter().collect();
-        let gate = |own| {
+        let limiter = |own| {
             let after = time::Duration::from_millis(rng.random_range(0..2000));
             let senders = quota::Senders { own, members: &all };
             let rate = unit::Rate(rate);
-            let named = quota::Advertised {
+            let limit = quota::Advertised {
                 rate,
                 since: start + after,
                 confirmed: start + after,
                 jitter: rng.random(),
             };
-            let bound = senders.advertised_bound(&target(3), rate, &named);
-            let gate = quota::Limiter::default();
-            gate.set_bounds(quota::Bounds {
+            let bound = senders.advertised_bound(&target(3), rate, &limit);
+            let limiter = quota::Limiter::default();
+            limiter.set_bounds(quota::Bounds {
                 advertised: Some(bound),
                 ..quota::Bounds::default()
             });
-            (after, gate)
+            (after, limiter)
         };
         Self {
-            gates: members.iter().map(gate).collect(),
+            limiters: members.iter().map(limiter).collect(),
             start,
             sent: Vec::new(),
         }
     }
 
-    /// Presses for a while and returns the most requests in one span.
-    fn press(&mut self, spread: Spread, millis: u64, rng: &mut StdRng) -> usize {
-        let busy = rng.random_range(0..self.gates.len());
+    /// Sends for `millis` and returns the greatest number of requests in one span.
+    fn send(&mut self, spread: Spread, millis: u64, rng: &mut StdRng) -> usize {
+        let busy = rng.random_range(0..self.limiters.len());
         for at in (0..millis).step_by(20) {
             let now = self.start + time::Duration::from_millis(at);
-            for (i, (told, gate)) in self.gates.iter().enumerate() {
-                let presses = match spread {
+            for (i, (learned, limiter)) in self.limiters.iter().enumerate() {
+                let is_sending = match spread {
                     Spread::Even => true,
                     Spread::Single => i == busy,
                     Spread::Skewed => i == busy || rng.random_ratio(1, 20),
                 };
-                if presses && now >= self.start + *told && gate.can_send(now) {
-                    gate.record_send(now);
+                if is_sending && now >= self.start + *learned && limiter.can_send(now) {
+                    limiter.record_send(now);
                     self.sent.push(at);
                 }
             }
         }
-        let until = |from: u64| self.sent.partition_point(|at| *at < from + SPAN);
+        let end = |from: u64| self.sent.partition_point(|at| *at < from + SPAN_MS);
         let sent = self.sent.iter().enumerate();
-        sent.map(|(i, from)| until(*from) - i).max().unwrap_or(0)
+        sent.map(|(i, from)| end(*from) - i).max().unwrap_or(0)
     }
 }
 
-// Each gateway alone keeps to a limit that holds for all of them together.
 #[rstest]
-fn gateways_together_keep_to_a_limit(
+fn gateways_together_stay_within_a_limit(
     #[values(0.0, 0.1, 0.3, 1.0, 2.5, 7.5, 20.0, 150.0)] rate: f64,
     #[values(1, 2, 4, 5, 27, 103, 350)] members: usize,
     #[values(Spread::Even, Spread::Single, Spread::Skewed)] spread: Spread,
 ) {
     let mut rng = StdRng::seed_from_u64(members as u64);
     let mut fleet = Fleet::new(members, rate, &mut rng);
-    let most = fleet.press(spread, 30_000, &mut rng);
-    assert!(most <= borne(rate), "{most} in 4 s");
+    let most = fleet.send(spread, 30_000, &mut rng);
+    assert!(most <= max_requests(rate), "{most} in 4 s");
 }
 
-// What rounding leaves over is given to nobody, and a target in need stands idle.
+// Capacity lost to rounding would leave a limited target idle.
 #[rstest]
 #[case(1, 1.0)]
 #[case(1, 1.5)]
@@ -250,65 +249,71 @@
 fn most_of_a_limit_is_used(#[case] members: usize, #[case] rate: f64) {
     let mut rng = StdRng::seed_from_u64(1);
     let mut fleet = Fleet::new(members, rate, &mut rng);
-    fleet.press(Spread::Even, 30_000, &mut rng);
+    fleet.send(Spread::Even, 30_000, &mut rng);
     let used = fleet.sent.len() as f64 / 30.0 / rate;
     assert!(used >= 0.75, "{used}");
 }
 
-// A gateway without a part of a low limit never sends to the target again, long after its end.
+// A gateway without a quota must still notice that a low limit has ended.
 #[rstest]
-fn nobody_keeps_away_for_ever(#[values(0.0, 0.1, 1.0)] rate: f64) {
+fn members_without_quota_keep_probing(#[values(0.0, 0.1, 1.0)] rate: f64) {
     let mut rng = StdRng::seed_from_u64(2);
     let mut fleet = Fleet::new(9, rate, &mut rng);
-    fleet.press(Spread::Even, 400_000, &mut rng);
+    fleet.send(Spread::Even, 400_000, &mut rng);
     let start = fleet.start;
     let late = start + time::Duration::from_secs(400);
-    let waits = fleet.gates.iter().map(|(_, gate)| gate.wait_time(late));
+    let waits = fleet
+        .limiters
+        .iter()
+        .map(|(_, limiter)| limiter.wait_time(late));
     assert!(waits.max().unwrap() <= time::Duration::from_secs(160));
 }
 
-// Queues change their owner, and for a moment two processes call the same targets.
+// While the ownership of a queue changes, two processes call the same targets.
 #[rstest]
-fn two_owners_keep_to_a_limit_together(
+fn two_queue_owners_together_stay_within_a_limit(
     #[values(0.0, 0.3, 1.0, 2.5, 20.0)] rate: f64,
     #[values(true, false)] requests: bool,
 ) {
-    let uses = quota::TrafficKinds {
+    let kinds = quota::TrafficKinds {
         requests,
         calls: true,
     };
-    let told = Instant::now();
+    let start = Instant::now();
     let owner = || {
-        let gate = quota::Limiter::default();
-        let bound = quota::Bound::for_calls(uses.call_rate(unit::Rate(rate)), told);
-        gate.set_bounds(quota::Bounds {
+        let limiter = quota::Limiter::default();
+        let bound = quota::Bound::for_calls(kinds.call_rate(unit::Rate(rate)), start);
+        limiter.set_bounds(quota::Bounds {
             advertised: Some(bound),
             ..quota::Bounds::default()
         });
-        (time::Duration::ZERO, gate)
+        (time::Duration::ZERO, limiter)
     };
     let mut rng = StdRng::seed_from_u64(3);
     let mut fleet = Fleet {
-        gates: vec![owner(), owner()],
-        start: told,
+        limiters: vec![owner(), owner()],
+        start,
         sent: Vec::new(),
     };
-    let calls = fleet.press(Spread::Even, 30_000, &mut rng);
-    let part = if requests { rate / 2.0 } else { 0.0 };
-    let mut others = Fleet::new(27, part, &mut rng);
-    let requests = others.press(Spread::Even, 30_000, &mut rng);
-    assert!(calls + requests <= borne(rate), "{calls} and {requests}");
+    let calls = fleet.send(Spread::Even, 30_000, &mut rng);
+    let request_rate = if requests { rate / 2.0 } else { 0.0 };
+    let mut others = Fleet::new(27, request_rate, &mut rng);
+    let requests = others.send(Spread::Even, 30_000, &mut rng);
+    assert!(
+        calls + requests <= max_requests(rate),
+        "{calls} and {requests}"
+    );
 }
 
-/// An answer or a word of another process, some time after the one before.
+/// A response of the target or a report of another process.
 #[derive(Clone, Debug)]
 enum Event {
     Answer {
         limit: Option<u32>,
-        own: bool,
-        flight: u64,
+        trusted: bool,
+        round_trip: u64,
     },
-    Told {
+    Report {
         limit: Option<u32>,
         age: u64,
     },
@@ -316,64 +321,73 @@
 
 fn event() -> impl Strategy<Value = (u64, Event)> {
     let limit = prop::option::of(0u32..4);
-    let answer = (limit.clone(), any::<bool>(), 0u64..500)
-        .prop_map(|(limit, own, flight)| Event::Answer { limit, own, flight });
-    let told = (limit, 0u64..500).prop_map(|(limit, age)| Event::Told { limit, age });
-    (0u64..200, prop_oneof![answer, told])
+    let answer =
+        (limit.clone(), any::<bool>(), 0u64..500).prop_map(|(limit, trusted, round_trip)| {
+            Event::Answer {
+                limit,
+                trusted,
+                round_trip,
+            }
+        });
+    let report = (limit, 0u64..500).prop_map(|(limit, age)| Event::Report { limit, age });
+    (0u64..200, prop_oneof![answer, report])
 }
 
 proptest! {
-    // Answers overtake each other and words of others come late. What was true last is known, and a
-    // limit ends by nothing older than the last answer that named it.
+    // Responses overtake each other and reports arrive late. A limit must not be ended by anything
+    // older than its last confirmation.
     #[test]
     fn what_was_true_last_is_known(events in prop::collection::vec(event(), 1..40)) {
         let start = Instant::now() + time::Duration::from_secs(10);
         let mut now = start;
-        let mut heard = quota::TargetLimit::default();
+        let mut target = quota::TargetLimit::default();
         for (pause, event) in events {
             now += time::Duration::from_millis(pause);
-            let before = heard;
+            let before = target;
             let (limit, since) = match event {
-                Event::Answer { limit, own, flight } => {
-                    let sent = now - time::Duration::from_millis(flight);
+                Event::Answer { limit, trusted, round_trip } => {
+                    let sent = now - time::Duration::from_millis(round_trip);
                     let rate = |limit| quota::Limit::Named(unit::Rate(f64::from(limit)));
                     let limit = limit.map_or(quota::Limit::None, rate);
-                    heard.record_answer(quota::Observation { limit, trusted: own, sent }, 0.5, now);
-                    prop_assert!(own || heard.advertised().is_some() || before.advertised().is_none());
+                    target.record_answer(quota::Observation { limit, trusted, sent }, 0.5, now);
+                    let is_kept = target.advertised().is_some() || before.advertised().is_none();
+                    prop_assert!(trusted || is_kept);
                     (limit, sent)
                 }
-                Event::Told { limit, age } => {
+                Event::Report { limit, age } => {
                     let at = now - time::Duration::from_millis(age);
                     let rate = limit.map(|limit| unit::Rate(f64::from(limit)));
-                    heard.merge(rate, at, 0.5);
+                    target.merge(rate, at, 0.5);
                     (rate.map_or(quota::Limit::None, quota::Limit::Named), at)
                 }
             };
-            if let (Some(named), None) = (before.advertised(), heard.advertised()) {
-                prop_assert!(since > named.confirmed && limit == quota::Limit::None);
+            if let (Some(ended), None) = (before.advertised(), target.advertised()) {
+                prop_assert!(since > ended.confirmed && limit == quota::Limit::None);
             }
-            if heard.limit() != before.limit() {
-                prop_assert_eq!(heard.limit(), limit);
+            if target.limit() != before.limit() {
+                prop_assert_eq!(target.limit(), limit);
             }
-            prop_assert!(heard.confirmed_at() >= before.confirmed_at());
+            prop_assert!(target.confirmed_at() >= before.confirmed_at());
         }
     }
 
-    // A target names any number, to any number of members. Quotas are counted, not computed to
-    // nonsense, and all members together have no more than the limit over the longest span.
+    // Extreme rates must not break the arithmetic of quotas.
     #[test]
-    fn any_rate_can_be_shared(rate in prop_oneof![0.0..1e-9, 0.0..1e3, Just(f64::MAX)], count in 1usize..40) {
+    fn quotas_of_any_rate_stay_within_it(
+        rate in prop_oneof![0.0..1e-9, 0.0..1e3, Just(f64::MAX)],
+        count in 1usize..40,
+    ) {
         let members = names(count);
         let all: Vec<_> = members.iter().collect();
         let at = Instant::now();
         let rate = unit::Rate(rate);
-        let named = quota::Advertised { rate, since: at, confirmed: at, jitter: 1.0 };
-        let part = |own| {
+        let limit = quota::Advertised { rate, since: at, confirmed: at, jitter: 1.0 };
+        let bound = |own| {
             let senders = quota::Senders { own, members: &all };
-            senders.advertised_bound(&target(1), rate, &named)
+            senders.advertised_bound(&target(1), rate, &limit)
         };
-        let parts = members.iter().map(part).filter(|bound| bound.from.is_none());
-        let sum: f64 = parts.map(|bound| bound.quota.rate()).sum();
+        let bounds = members.iter().map(bound).filter(|bound| bound.from.is_none());
+        let sum: f64 = bounds.map(|bound| bound.quota.rate()).sum();
         prop_assert!(sum <= rate.0 * (1.0 + 1e-6), "{sum}");
     }
 }
