--- a/laburnumcart/src/estimate.rs
+++ b/laburnumcart/src/estimate.rs
@@ -1,4 +1,4 @@
-//! Expected time of stages, and refusal of what cannot finish.
+//! Estimates of stage durations, and refusal of requests that cannot meet their deadline.
 
 use std::{
     collections,
@@ -20,21 +20,21 @@
 pub use quantiles::Quantiles;
 pub use throughput::Throughput;
 
-/// Longest Retry-After.
-const RETRY_MAX: time::Duration = time::Duration::from_secs(60);
+/// Greatest `Retry-After`.
+const MAX_RETRY_AFTER: time::Duration = time::Duration::from_secs(60);
 
-/// Time of a request that has yet to run.
+/// Remaining time and work of a queued request.
 #[derive(Clone, Copy, Debug)]
 pub struct Remaining {
-    /// Left until the deadline.
+    /// Time until the deadline.
     pub time_left: time::Duration,
-    /// Entries before it in the queue.
+    /// Entries ahead of the request in the queue.
     pub queued: u32,
-    /// Expected time of the stages that are left, as of [`Estimates::expected_rest`].
+    /// Expected duration of the remaining stages, from [`Estimates::expected_rest`].
     pub stage_time: time::Duration,
 }
 
-/// Times of all stages that a process has seen; `K` names one, such as service and stage.
+/// Measured durations of stages; the key `K` identifies a stage, such as by service and name.
 ///
 /// ```
 /// use std::time::Duration;
@@ -53,39 +53,40 @@
 /// ```
 #[derive(Debug)]
 pub struct Estimates<K> {
-    samples: collections::HashMap<K, Quantiles>,
+    quantiles: collections::HashMap<K, Quantiles>,
 }
 
 impl<K> Default for Estimates<K> {
     fn default() -> Self {
         Self {
-            samples: collections::HashMap::new(),
+            quantiles: collections::HashMap::new(),
         }
     }
 }
 
 impl<K: Eq + hash::Hash> Estimates<K> {
-    /// Takes in the time that a stage took at its target.
+    /// Records the duration of a stage at its target.
     pub fn record(&mut self, stage: K, elapsed: time::Duration, now: Instant) {
-        let sample = self.samples.entry(stage);
-        sample
+        let quantiles = self.quantiles.entry(stage);
+        quantiles
             .or_insert_with(|| Quantiles::new(now))
             .record(elapsed, now);
     }
 
-    /// Forgets the stages that are not kept.
+    /// Keeps only the stages for which `keep` returns true.
     pub fn retain(&mut self, mut keep: impl FnMut(&K) -> bool) {
-        self.samples.retain(|stage, _| keep(stage));
+        self.quantiles.retain(|stage, _| keep(stage));
     }
 
-    /// Returns a quantile of a stage's time, once enough was measured.
+    /// Returns a quantile of a stage's duration, or `None` without enough recent measurements.
     pub fn quantile(&self, stage: &K, quantile: f64, now: Instant) -> Option<time::Duration> {
-        self.samples.get(stage)?.quantile(quantile, now)
+        self.quantiles.get(stage)?.quantile(quantile, now)
     }
 
-    /// Returns the expected time of the stages that are left; unmeasured ones count nothing.
+    /// Returns the expected duration of the remaining stages; unmeasured stages count as zero.
     ///
-    /// The more urgent a request, the more favourable the quantile: it is tried at worse odds.
+    /// The higher the priority, the lower the quantile, so that urgent requests are tried even if
+    /// they are less likely to finish in time.
     pub fn expected_rest(
         &self,
         stages: impl IntoIterator<Item = K>,
@@ -97,16 +98,16 @@
             bundle::Priority::Normal => 0.5,
             bundle::Priority::Low => 0.75,
         };
-        let times = stages
+        let durations = stages
             .into_iter()
             .map(|stage| self.quantile(&stage, quantile, now));
-        times.map(Option::unwrap_or_default).sum()
+        durations.map(Option::unwrap_or_default).sum()
     }
 }
 
-/// Decides whether a request can finish in time; if not, it is refused and did not run.
+/// Refuses a request, as not run, if it is not expected to finish before its deadline.
 ///
-/// Work that will miss its deadline holds a target for nothing, and makes the next miss theirs too.
+/// A request that misses its deadline wastes capacity and delays the requests after it.
 ///
 /// ```
 /// use std::time::Duration;
@@ -117,26 +118,27 @@
 ///
 /// let now = Instant::now();
 /// let mut rng = rand::rngs::StdRng::seed_from_u64(1);
-/// let mut drain = estimate::Throughput::new(now);
+/// let mut throughput = estimate::Throughput::new(now);
 /// let stage_time = Duration::from_millis(300);
-/// let outlook = estimate::Remaining { time_left: Duration::from_secs(1), queued: 0, stage_time };
-/// assert!(estimate::check_deadline(&outlook, &mut drain, now, &mut rng).is_ok());
-/// let late = estimate::Remaining { time_left: Duration::from_millis(200), ..outlook };
-/// assert!(estimate::check_deadline(&late, &mut drain, now, &mut rng).is_err());
+/// let time_left = Duration::from_secs(1);
+/// let remaining = estimate::Remaining { time_left, queued: 0, stage_time };
+/// assert!(estimate::check_deadline(&remaining, &mut throughput, now, &mut rng).is_ok());
+/// let late = estimate::Remaining { time_left: Duration::from_millis(200), ..remaining };
+/// assert!(estimate::check_deadline(&late, &mut throughput, now, &mut rng).is_err());
 /// ```
 pub fn check_deadline(
-    outlook: &Remaining,
-    drain: &mut Throughput,
+    remaining: &Remaining,
+    throughput: &mut Throughput,
     now: Instant,
     rng: &mut impl rand::Rng,
 ) -> Result<(), verdict::Refusal> {
-    let wait = drain.wait_time(outlook.queued, now);
-    let expected = wait + outlook.stage_time;
-    if expected <= outlook.time_left {
+    let wait = throughput.wait_time(remaining.queued, now);
+    let expected = wait + remaining.stage_time;
+    if expected <= remaining.time_left {
         return Ok(());
     }
-    // If the stages alone take longer, no later moment is better; only the wait gets shorter.
-    let excess = (expected - outlook.time_left).min(wait);
-    let period = unit::Period(drain.retry_after(excess, now, rng));
+    // Retrying later can only save queueing time, so the excess is capped at that.
+    let excess = (expected - remaining.time_left).min(wait);
+    let period = unit::Period(throughput.retry_after(excess, now, rng));
     Err(verdict::Refusal::not_run(verdict::Reason::DeadlineTooShort).retry_after(period))
 }
--- a/laburnumcart/src/estimate/quantiles.rs
+++ b/laburnumcart/src/estimate/quantiles.rs
@@ -1,74 +1,74 @@
-//! Recent times of one stage.
+//! Quantiles of the recent durations of a stage.
 
 use std::time;
 
 use hdrhistogram::Histogram;
 use tokio::time::Instant;
 
-/// Time after which a histogram starts anew.
+/// Time after which a histogram is reset.
 const WINDOW: time::Duration = time::Duration::from_secs(60);
 
-/// Fewest times from which a quantile is worth anything.
-const COUNT: u64 = 20;
+/// Minimum measurements for a quantile.
+const MIN_COUNT: u64 = 20;
 
-/// Longest time told apart, in microseconds.
-const MICROS_MAX: u64 = 600_000_000;
+/// Greatest duration recorded, in microseconds.
+const MAX_MICROS: u64 = 600_000_000;
 
-/// Quantiles of the times within one to two half windows.
+/// Quantiles of the durations in the last half to whole window.
 ///
-/// Each time goes into two histograms that start half a window apart. The older one is read, so
-/// that a quantile rests on at least half a window, and no merging is needed.
+/// Each duration is recorded in two histograms that start half a window apart. Quantiles come from
+/// the older one, so that they cover at least half a window without merging histograms.
 #[derive(Debug)]
 pub struct Quantiles {
-    old: Histogram<u32>,
-    young: Histogram<u32>,
-    /// Start of the young histogram.
-    since: Instant,
+    older: Histogram<u32>,
+    newer: Histogram<u32>,
+    /// Start of the newer histogram.
+    newer_start: Instant,
 }
 
 impl Quantiles {
-    /// Creates an empty sample.
+    /// Creates quantiles without measurements.
     pub fn new(now: Instant) -> Self {
         Self {
-            old: histogram(),
-            young: histogram(),
-            since: now,
+            older: histogram(),
+            newer: histogram(),
+            newer_start: now,
         }
     }
 
-    /// Takes in a time; above ten minutes it counts as ten minutes.
+    /// Records a duration; above ten minutes it counts as ten minutes.
     pub fn record(&mut self, elapsed: time::Duration, now: Instant) {
         self.rotate(now);
         let micros = elapsed.as_micros().try_into().unwrap_or(u64::MAX);
-        self.old.saturating_record(micros);
-        self.young.saturating_record(micros);
+        self.older.saturating_record(micros);
+        self.newer.saturating_record(micros);
     }
 
-    /// Returns a quantile, if enough was measured and it is not outdated.
+    /// Returns a quantile, or `None` without enough recent measurements.
     pub fn quantile(&self, quantile: f64, now: Instant) -> Option<time::Duration> {
-        let outdated = now.saturating_duration_since(self.since) > 2 * WINDOW;
-        if outdated || self.old.len() < COUNT {
+        let outdated = now.saturating_duration_since(self.newer_start) > 2 * WINDOW;
+        if outdated || self.older.len() < MIN_COUNT {
             return None;
         }
         Some(time::Duration::from_micros(
-            self.old.value_at_quantile(quantile),
+            self.older.value_at_quantile(quantile),
         ))
     }
 
     fn rotate(&mut self, now: Instant) {
-        let age = now.saturating_duration_since(self.since);
+        let age = now.saturating_duration_since(self.newer_start);
         if age < WINDOW / 2 {
             return;
         }
-        std::mem::swap(&mut self.old, &mut self.young);
-        self.young.reset();
+        std::mem::swap(&mut self.older, &mut self.newer);
+        self.newer.reset();
         if age >= WINDOW {
-            self.old.reset();
+            self.older.reset();
         }
-        self.since = now;
+        self.newer_start = now;
     }
 }
 
 fn histogram() -> Histogram<u32> {
-    Histogram::new_with_bounds(1, MICROS_MAX, 2).expect("The bounds are valid.")
+    Histogram::new_with_bounds(1, MAX_MICROS, 2).expect("histogram bounds are valid")
 }
--- a/laburnumcart/src/evacuation.rs
+++ b/laburnumcart/src/evacuation.rs
@@ -1,4 +1,4 @@
-//! Data centres whose targets are to get no work for a while.
+//! Evacuated data centres, whose targets get no work.
 
 use std::{
     collections,
@@ -9,63 +9,66 @@
 
 use crate::id;
 
-/// Time after the end of an evacuation for which the targets of a data centre are held to be cold.
+/// Time after the end of an evacuation for which the targets of a data centre count as cold.
 ///
-/// They may have become cold while nobody sent them anything, and tell it with the next entry that
-/// they write. Until it has come here, a flood would crash those that have just come back.
-const RETURN: time::Duration = time::Duration::from_secs(4);
+/// Targets can become cold while they get no work, and report it only with their next entry. Until
+/// that entry arrives, full load could crash them.
+const COLD_TIME: time::Duration = time::Duration::from_secs(4);
 
-/// Names of the data centres that are evacuated.
+/// Names of the evacuated data centres.
 pub type Evacuated = collections::BTreeSet<id::DataCentre>;
 
-/// What is known of evacuations, now and a while ago.
+/// Tracks the evacuated data centres and those that came back recently.
 #[derive(Clone, Debug, Default)]
 pub struct Tracker {
     evacuated: Option<Evacuated>,
-    /// When each evacuation in force was heard of.
+    /// When this process learned of each current evacuation.
     since: collections::BTreeMap<id::DataCentre, Instant>,
-    /// Ends of evacuations that are held to leave targets cold.
+    /// Until when the targets of data centres that came back count as cold.
     cold: collections::BTreeMap<id::DataCentre, Instant>,
 }
 
 impl Tracker {
-    /// Takes in which data centres are evacuated.
+    /// Replaces the set of evacuated data centres.
     pub fn update(&mut self, evacuated: Evacuated, now: Instant) {
-        self.since.retain(|place, _| evacuated.contains(place));
-        for place in &evacuated {
-            self.since.entry(place.clone()).or_insert(now);
+        self.since
+            .retain(|data_centre, _| evacuated.contains(data_centre));
+        for data_centre in &evacuated {
+            self.since.entry(data_centre.clone()).or_insert(now);
         }
-        let before = self.evacuated.replace(evacuated).unwrap_or_default();
+        let previous = self.evacuated.replace(evacuated).unwrap_or_default();
         self.cold.retain(|_, until| *until > now);
-        let returned = before.into_iter().filter(|place| !self.is_blocked(place));
+        let returned = previous
+            .into_iter()
+            .filter(|data_centre| !self.is_blocked(data_centre));
         let returned: Vec<_> = returned.collect();
-        let until = now + RETURN;
+        let until = now + COLD_TIME;
         self.cold
-            .extend(returned.into_iter().map(|place| (place, until)));
+            .extend(returned.into_iter().map(|data_centre| (data_centre, until)));
     }
 
-    /// Returns which data centres are evacuated, once that is known.
+    /// Returns the evacuated data centres, or `None` before the first update.
     pub fn evacuated(&self) -> Option<&Evacuated> {
         self.evacuated.as_ref()
     }
 
-    /// Returns when the evacuation of a data centre was heard of.
-    pub fn evacuated_since(&self, place: &id::DataCentre) -> Option<Instant> {
-        self.since.get(place).copied()
+    /// Returns when this process learned that a data centre is evacuated.
+    pub fn evacuated_since(&self, data_centre: &id::DataCentre) -> Option<Instant> {
+        self.since.get(data_centre).copied()
     }
 
     /// Reports whether the targets of a data centre get no work.
     ///
-    /// Before it is known which ones are evacuated, none gets any: a process that has just started
-    /// would send to targets that all others avoid.
-    pub fn is_blocked(&self, place: &id::DataCentre) -> bool {
+    /// Before the first update all data centres are blocked: a process that has just started would
+    /// otherwise send to targets that all others avoid.
+    pub fn is_blocked(&self, data_centre: &id::DataCentre) -> bool {
         self.evacuated
             .as_ref()
-            .is_none_or(|evacuated| evacuated.contains(place))
+            .is_none_or(|evacuated| evacuated.contains(data_centre))
     }
 
-    /// Returns until when the targets of a data centre are held to be cold.
-    pub fn cold_until(&self, place: &id::DataCentre) -> Option<Instant> {
-        self.cold.get(place).copied()
+    /// Returns until when the targets of a data centre count as cold after an evacuation.
+    pub fn cold_until(&self, data_centre: &id::DataCentre) -> Option<Instant> {
+        self.cold.get(data_centre).copied()
     }
 }
--- a/laburnumcart/src/freshness.rs
+++ b/laburnumcart/src/freshness.rs
@@ -1,9 +1,9 @@
-//! How old a process's knowledge of the configuration may be.
+//! Age of the configuration that a process has read.
 //!
-//! A process that is cut off from the store, or was suspended, does not learn that a key was
-//! revoked. It must stop to honour keys before the bound on revocation has passed. What counts is
-//! the moment *before* the last successful read was sent: the answer may have been delayed for any
-//! time after the store wrote it.
+//! A process that cannot reach the store, or was suspended, does not learn that a key was revoked,
+//! and must stop accepting keys within the limit for revocations. Age counts from the moment
+//! *before* the last successful read was sent, as the response may be delayed for any time after
+//! the store wrote it.
 
 use std::{
     sync::atomic,
@@ -12,27 +12,27 @@
 
 use derive_more::Display;
 
-/// A moment on a clock that goes on while the instance is suspended.
+/// Time on a clock that includes suspended time (`CLOCK_BOOTTIME`).
 ///
-/// The steady clock of the runtime stands still then, so that a process that was suspended for
-/// minutes would hold its knowledge to be fresh.
+/// The monotonic clock of the runtime stops during suspension, so a process suspended for minutes
+/// would take its configuration for fresh.
 #[derive(Clone, Copy, Debug, Default, Display, Eq, Ord, PartialEq, PartialOrd)]
 #[display("{}ms", _0.as_millis())]
 pub struct BootTime(pub time::Duration);
 
 impl BootTime {
-    /// Returns the time since an earlier moment, zero for a later one.
+    /// Returns the time elapsed since `earlier`, or zero if it is later.
     pub fn since(self, earlier: Self) -> time::Duration {
         self.0.saturating_sub(earlier.0)
     }
 
-    /// Returns the moment that was this long before.
+    /// Returns the time `period` before.
     pub fn before(self, period: time::Duration) -> Self {
         Self(self.0.saturating_sub(period))
     }
 }
 
-/// Moment up to which the configuration is known to be current; shared by all threads.
+/// Time of the last successful read of the configuration; shared by all threads.
 ///
 /// ```
 /// use std::time::Duration;
@@ -45,29 +45,29 @@
 /// ```
 #[derive(Debug, Default)]
 pub struct Freshness {
-    /// Microseconds on the clock of [`BootTime`]; 0 before the first read.
-    asked: atomic::AtomicU64,
+    /// Microseconds of [`BootTime`]; 0 before the first read.
+    last_read: atomic::AtomicU64,
 }
 
 impl Freshness {
-    /// Records a successful read that was sent at `asked`; an older one changes nothing.
+    /// Records a successful read that was sent at `sent`; an older one changes nothing.
     ///
-    /// What was read must be in force before this is called, or a thread could find an old
+    /// The configuration must be in force before this is called, or another thread could see an old
     /// configuration with a new age.
-    pub fn record_read(&self, asked: BootTime) {
-        let micros = asked.0.as_micros().try_into().unwrap_or(u64::MAX);
-        self.asked.fetch_max(micros, atomic::Ordering::Release);
+    pub fn record_read(&self, sent: BootTime) {
+        let micros = sent.0.as_micros().try_into().unwrap_or(u64::MAX);
+        self.last_read.fetch_max(micros, atomic::Ordering::Release);
     }
 
-    /// Returns the age of what is known, or `None` before the first read.
+    /// Returns the age of the configuration, or `None` before the first read.
     pub fn age(&self, now: BootTime) -> Option<time::Duration> {
-        match self.asked.load(atomic::Ordering::Acquire) {
+        match self.last_read.load(atomic::Ordering::Acquire) {
             0 => None,
             micros => Some(now.since(BootTime(time::Duration::from_micros(micros)))),
         }
     }
 
-    /// Reports whether what is known is at most `limit` old.
+    /// Reports whether the configuration is at most `limit` old.
     pub fn is_fresh(&self, limit: time::Duration, now: BootTime) -> bool {
         self.age(now).is_some_and(|age| age <= limit)
     }
--- a/laburnumcart/src/subset.rs
+++ b/laburnumcart/src/subset.rs
@@ -1,42 +1,44 @@
-//! Bounded subset of the targets of a service for one process.
+//! Subsetting: limits the targets of a service to which one process connects.
 //!
-//! Heartbeats to all targets grow as processes times targets. A heartbeat and its report are 127 and
-//! 261 bytes of JSON. With WebSocket frames (8 and 4 bytes) and four TCP/IP headers of 52 bytes for
-//! the two messages and their acknowledgements, one exchange comes to [`EXCHANGE`] bytes both ways.
-//! Of 23 KB/s that allows 37 exchanges a second, so 75 peers with a heartbeat each 2 s:
+//! Without subsets, heartbeat traffic grows as the product of processes and targets. A heartbeat
+//! and its report are 127 and 261 bytes of JSON. With WebSocket frame headers (8 and 4 bytes) and
+//! four TCP/IP headers of 52 bytes for the two messages and their acknowledgements, one exchange
+//! takes [`EXCHANGE_BYTES`]. A rate of 23 KB/s allows 37 exchanges per second, or 75 peers at an
+//! interval of 2 s:
 //!
-//! | side | peers | at one heartbeat each 2 s |
+//! | process | peers | heartbeat traffic at an interval of 2 s |
 //! |---|---|---|
-//! | entry, without subsets: 670 engines | 670 | 204 KB/s |
-//! | entry, 16 of each of 4 models' engines | 64 | 19 KB/s |
-//! | agent, one of 167 engines of a model, of 350 entries | 34 | 10 KB/s |
+//! | entry without subsets, 670 engines | 670 | 204 KB/s |
+//! | entry with 16 engines of each of 4 models | 64 | 19 KB/s |
+//! | agent of one of 167 engines of a model, with 350 entries | 34 | 10 KB/s |
 //!
-//! Pools beside the engines share the rest: [`size`] works out the bound for the targets of all services.
+//! Other pools share the remaining rate: [`size`] computes the limit for the targets of all
+//! services.
 
 use std::time;
 
 use crate::id;
 
-/// Bytes both ways of one heartbeat with its report.
+/// Bytes in both directions of one heartbeat with its report.
 pub const EXCHANGE_BYTES: u64 = 127 + 8 + 261 + 4 + 4 * 52;
 
-/// Part of a subset that is kept in other data centres, one in so many.
-const REMOTE: usize = 4;
+/// Divisor of the subset size that gives the number of targets in other data centres.
+const REMOTE_DIVISOR: usize = 4;
 
-/// A target that a subset can hold.
+/// A candidate for a subset.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Member<'a> {
-    /// Its name.
+    /// Name of the target.
     pub name: &'a id::TargetName,
-    /// Its data centre.
+    /// Data centre of the target.
     pub data_centre: &'a id::DataCentre,
 }
 
-/// Returns the size of a subset with which heartbeats to all services stay within a rate.
+/// Returns the subset size per service at which all heartbeats stay within `bytes` per second.
 ///
-/// `counts` are the targets of each service. What a small service does not use is for the larger
-/// ones: at equal parts, a few processes left targets of a large service without any work, although
-/// all targets together were within the rate.
+/// `counts` are the numbers of targets of the services. Services with few targets leave their
+/// unused part of the rate to larger ones. With equal parts, a few processes could leave targets of
+/// a large service without work although the rate allows heartbeats to all targets.
 ///
 /// ```
 /// use std::time::Duration;
@@ -49,20 +51,21 @@
 /// ```
 pub fn size(bytes: u64, period: time::Duration, counts: impl IntoIterator<Item = usize>) -> usize {
     let exchanges = bytes as f64 * period.as_secs_f64() / EXCHANGE_BYTES as f64;
-    let mut rest = exchanges as usize;
+    let mut remaining = exchanges as usize;
     let mut counts: Vec<_> = counts.into_iter().collect();
     counts.sort_unstable();
     for (i, count) in counts.iter().enumerate() {
-        let part = rest / (counts.len() - i);
-        if *count > part {
-            return part;
+        let share = remaining / (counts.len() - i);
+        if *count > share {
+            return share;
         }
-        rest -= count;
+        remaining -= count;
     }
     counts.last().copied().unwrap_or_default()
 }
 
-/// Returns the least period at which heartbeats with so many peers stay within a rate.
+/// Returns the least heartbeat period at which traffic with `peers` stays within `bytes` per
+/// second.
 ///
 /// ```
 /// use laburnumcart::subset;
@@ -74,11 +77,11 @@
     time::Duration::from_secs_f64(exchanges / bytes.max(1) as f64)
 }
 
-/// Chooses at most `size` of the members for a process, by rendezvous hashing.
+/// Chooses at most `size` members for a process by rendezvous hashing.
 ///
-/// A quarter is kept in other data centres where there are any, as the process would be left with
-/// nothing when its own fails. Either part is filled up from the other. A member that comes or goes
-/// moves at most one place in each subset.
+/// A quarter of the subset lies in other data centres if they have members, so that the process
+/// still has targets when the local data centre fails. If either part has too few members, the
+/// other fills the subset. Adding or removing a member changes at most one member of each subset.
 ///
 /// ```
 /// use laburnumcart::{id, subset};
@@ -103,16 +106,16 @@
         let digest = xxhash_rust::xxh3::xxh3_64_with_seed(m.name.as_str().as_bytes(), seed);
         (std::cmp::Reverse(digest), m.name.clone())
     };
-    let (mut near, mut far): (Vec<_>, Vec<_>) = members
+    let (mut local, mut remote): (Vec<_>, Vec<_>) = members
         .into_iter()
         .partition(|member| member.data_centre == data_centre);
-    near.sort_by_cached_key(score);
-    far.sort_by_cached_key(score);
-    let wanted = far.len().min(size / REMOTE);
-    let local = near.len().min(size - wanted);
-    let remote = far.len().min(size - local);
-    near.truncate(local);
-    far.truncate(remote);
-    near.append(&mut far);
-    near
+    local.sort_by_cached_key(score);
+    remote.sort_by_cached_key(score);
+    let min_remote = remote.len().min(size / REMOTE_DIVISOR);
+    let local_count = local.len().min(size - min_remote);
+    let remote_count = remote.len().min(size - local_count);
+    local.truncate(local_count);
+    remote.truncate(remote_count);
+    local.append(&mut remote);
+    local
 }
--- a/laburnumcart/tests/evacuation.rs
+++ b/laburnumcart/tests/evacuation.rs
@@ -1,4 +1,4 @@
-//! What is known of evacuated data centres.
+//! Tracking of evacuated data centres.
 
 use std::time;
 
@@ -8,41 +8,40 @@
 };
 use tokio::time::Instant;
 
-fn place(name: &str) -> id::DataCentre {
+fn data_centre(name: &str) -> id::DataCentre {
     name.parse().unwrap()
 }
 
 fn set(names: &[&str]) -> evacuation::Evacuated {
-    names.iter().map(|name| place(name)).collect()
+    names.iter().map(|name| data_centre(name)).collect()
 }
 
-// A process starts while a data centre is evacuated. Until it knows which one, it sends to none.
+// A process that starts during an evacuation does not yet know which data centre is evacuated.
 #[test]
-fn all_are_closed_until_it_is_known() {
-    let mut places = evacuation::Tracker::default();
-    assert!(places.is_blocked(&place("north")));
-    places.update(set(&["south"]), Instant::now());
-    assert!(!places.is_blocked(&place("north")));
-    assert!(places.is_blocked(&place("south")));
+fn all_data_centres_are_blocked_before_the_first_update() {
+    let mut tracker = evacuation::Tracker::default();
+    assert!(tracker.is_blocked(&data_centre("north")));
+    tracker.update(set(&["south"]), Instant::now());
+    assert!(!tracker.is_blocked(&data_centre("north")));
+    assert!(tracker.is_blocked(&data_centre("south")));
 }
 
-// Two data centres are evacuated, and one comes back. Its targets may be cold without having told
-// it; the other one stays closed, and those that were never evacuated are as warm as they say.
+// Targets may have become cold during the evacuation without having reported it.
 #[tokio::test(start_paused = true)]
-async fn who_comes_back_is_cold_for_a_while() {
-    let mut places = evacuation::Tracker::default();
+async fn targets_are_cold_for_a_time_after_an_evacuation() {
+    let mut tracker = evacuation::Tracker::default();
     let start = Instant::now();
-    places.update(set(&["north", "south"]), start);
-    places.update(set(&["south"]), start);
-    let until = places.cold_until(&place("north")).unwrap();
+    tracker.update(set(&["north", "south"]), start);
+    tracker.update(set(&["south"]), start);
+    let until = tracker.cold_until(&data_centre("north")).unwrap();
     assert!(until > start + time::Duration::from_secs(2));
-    assert!(places.is_blocked(&place("south")));
-    assert_eq!(places.cold_until(&place("south")), None);
-    assert_eq!(places.cold_until(&place("west")), None);
-    // The same again changes nothing, and what is over is forgotten.
-    places.update(set(&["south"]), start + time::Duration::from_secs(1));
-    assert_eq!(places.cold_until(&place("north")), Some(until));
-    places.update(set(&[]), until);
-    assert_eq!(places.cold_until(&place("north")), None);
-    assert!(places.cold_until(&place("south")).is_some());
+    assert!(tracker.is_blocked(&data_centre("south")));
+    assert_eq!(tracker.cold_until(&data_centre("south")), None);
+    assert_eq!(tracker.cold_until(&data_centre("west")), None);
+    // A repeated update changes nothing, and past cold times are dropped.
+    tracker.update(set(&["south"]), start + time::Duration::from_secs(1));
+    assert_eq!(tracker.cold_until(&data_centre("north")), Some(until));
+    tracker.update(set(&[]), until);
+    assert_eq!(tracker.cold_until(&data_centre("north")), None);
+    assert!(tracker.cold_until(&data_centre("south")).is_some());
 }
--- a/laburnumcart/tests/freshness.rs
+++ b/laburnumcart/tests/freshness.rs
@@ -1,4 +1,4 @@
-//! Age of what is known of the configuration.
+//! Age of the configuration.
 
 use std::time;
 
@@ -17,18 +17,16 @@
     assert!(!freshness.is_fresh(time::Duration::from_secs(100), at(1)));
 }
 
-// Two followers read the store; the answer to the earlier read arrives last. It must not make the
-// knowledge look older, and must not make it look newer either.
+// Of two concurrent reads, the response to the earlier one arrives last.
 #[test]
-fn the_latest_question_counts() {
+fn age_counts_from_the_latest_read() {
     let freshness = Freshness::default();
     freshness.record_read(at(8));
     freshness.record_read(at(5));
     assert_eq!(freshness.age(at(10)), Some(time::Duration::from_secs(2)));
 }
 
-// The machine is suspended for a minute after a read. On its return what was known is a minute
-// old, although no time has passed for the process.
+// The machine is suspended for a minute after a read, during which monotonic clocks stop.
 #[test]
 fn suspended_time_counts() {
     let freshness = Freshness::default();
--- a/laburnumcart/tests/subset.rs
+++ b/laburnumcart/tests/subset.rs
@@ -1,4 +1,4 @@
-//! Subsets are bounded, local first and stable.
+//! Subsets are limited in size, prefer local targets and change little.
 
 use laburnumcart::{
     id,
@@ -35,7 +35,7 @@
 
 proptest! {
     #[test]
-    fn one_change_moves_at_most_one_place(count in 1usize..80, size in 0usize..30, gone: usize) {
+    fn removal_changes_at_most_one_member(count in 1usize..80, size in 0usize..30, gone: usize) {
         let (names, data_centres) = (names(count), data_centres());
         let all = members(&names, &data_centres);
         let own: id::InstanceName = "entry-1".parse().unwrap();
@@ -53,7 +53,7 @@
     }
 
     #[test]
-    fn local_first_with_a_part_elsewhere(count in 32usize..80, size in 4usize..8) {
+    fn a_quarter_is_remote(count in 32usize..80, size in 4usize..8) {
         let (names, data_centres) = (names(count), data_centres());
         let own: id::InstanceName = "entry-1".parse().unwrap();
         let chosen = subset::choose(&own, &data_centres[0], members(&names, &data_centres), size);
@@ -62,8 +62,7 @@
     }
 }
 
-/// 350 entries choose 16 of 167 targets each. No target may be left to a few entries only, or its
-/// capacity would lie idle when these have little to do.
+/// A target chosen by only a few entries would be idle whenever these have little traffic.
 #[test]
 fn targets_are_spread_over_entries() {
     let (names, data_centres) = (names(167), data_centres());
@@ -79,19 +78,21 @@
     assert!(*counts.values().min().unwrap() >= 33 / 3, "{counts:?}");
 }
 
-/// Two entries send to services of unequal sizes whose targets together are within the rate. At equal
-/// parts of the rate the large service got a subset smaller than itself, one of its targets was in
-/// neither entry's subset, and callers were refused for want of time while it stood idle.
+/// With equal parts of the rate for all services, a target of a large service could be in no
+/// entry's subset and stay idle while callers were refused.
 #[rstest]
 #[case(&[10, 3, 4, 5, 5, 3, 3, 3], 10)]
 #[case(&[3, 3, 10, 10], 10)]
 #[case(&[100, 3, 3], 69)]
 #[case(&[100, 100, 3], 36)]
 #[case(&[], 0)]
-fn small_services_leave_their_part_to_large_ones(#[case] counts: &[usize], #[case] wanted: usize) {
+fn small_services_leave_unused_rate_to_large_ones(
+    #[case] counts: &[usize],
+    #[case] expected: usize,
+) {
     let period = std::time::Duration::from_secs(2);
     let size = subset::size(23_000, period, counts.iter().copied());
-    assert_eq!(size, wanted);
+    assert_eq!(size, expected);
     let kept: usize = counts.iter().map(|count| size.min(*count)).sum();
     assert!(kept as u64 * subset::EXCHANGE_BYTES <= 2 * 23_000);
 }
