--- a/laburnumcart/src/batch/targets.rs
+++ b/laburnumcart/src/batch/targets.rs
@@ -219,7 +219,7 @@
         if throughput.targets > 0 {
             return throughput;
         }
-        let waits = self.targets.values().map(|t| t.limiter.backoff(now));
+        let waits = self.targets.values().map(|t| t.limiter.backoff_left(now));
         self.throughput_after(waits.min().unwrap_or_default(), now)
     }
 
@@ -235,7 +235,7 @@
             ..Throughput::default()
         };
         for target in self.targets.values() {
-            if target.limiter.backoff(now) > wait {
+            if target.limiter.backoff_left(now) > wait {
                 continue;
             }
             // A target that failed may have recovered; if it counted as lost, an outage of all
@@ -488,5 +488,5 @@
 /// Reports whether a target has no call in flight, is not paused and is below its rate limit.
 fn is_free(target: &Target, now: Instant) -> bool {
     let is_paused = target.paused_until.is_some_and(|at| at > now);
-    target.call.is_none() && !is_paused && target.limiter.is_open(now)
+    target.call.is_none() && !is_paused && target.limiter.can_send(now)
 }
--- a/laburnumcart/src/placement.rs
+++ b/laburnumcart/src/placement.rs
@@ -205,7 +205,7 @@
     pub fn choose(&self, request: &Request<'_>, now: Instant) -> Option<Assignment> {
         let affine = self.affinity_engine(request.parts, now);
         let fits =
-            |key: EngineKey, e: &Engine| !request.avoid.contains(&key) && e.limiter.is_open(now);
+            |key: EngineKey, e: &Engine| !request.avoid.contains(&key) && e.limiter.can_send(now);
         let fitting = self.engines.iter().filter(|(key, e)| fits(*key, e));
         let active = fitting.clone().filter(|(_, e)| !is_paused(e, now));
         let costs =
@@ -280,7 +280,7 @@
     fn affinity_engine(&self, parts: &[Part], now: Instant) -> Option<EngineKey> {
         let (prefix, _) = prefixes(shared(parts)).last()?;
         let rank = |e: &Engine| xxh3::xxh3_64_with_seed(&e.name_hash.to_le_bytes(), prefix);
-        let is_available = |e: &Engine| !is_paused(e, now) && e.limiter.is_open(now);
+        let is_available = |e: &Engine| !is_paused(e, now) && e.limiter.can_send(now);
         let available = self.engines.iter().filter(|(_, e)| is_available(e));
         available.max_by_key(|(_, e)| rank(e)).map(|(key, _)| key)
     }
--- a/laburnumcart_gateway/src/balancer.rs
+++ b/laburnumcart_gateway/src/balancer.rs
@@ -99,7 +99,7 @@
         let table = balancer::Table::new(
             self.entries
                 .iter()
-                .filter(|e| e.limiter.is_open(now))
+                .filter(|e| e.limiter.can_send(now))
                 .filter(|e| residency::is_allowed(data_centres, &e.target.data_centre))
                 .map(|e| self.candidate(e, now))
                 .collect(),
@@ -111,7 +111,7 @@
         let ask = balancer::Request {
             tried: &tried,
             prefix: None,
-            own: &in_flight,
+            in_flight: &in_flight,
             now,
         };
         let chosen = table.choose(&ask, &mut rand::rng())?;
@@ -154,7 +154,7 @@
     ) {
         if let Some(entry) = self.entries.iter_mut().find(|e| e.target.key() == *life) {
             entry.load.pending = report.running + report.waiting;
-            entry.load.own = entry.in_flight;
+            entry.load.own_pending = entry.in_flight;
             entry.load.limit = slots.unwrap_or(entry.load.limit);
             entry.load.at = now;
         }
@@ -187,7 +187,7 @@
 fn initial_load(now: Instant) -> balancer::Load {
     balancer::Load {
         pending: 0,
-        own: 0,
+        own_pending: 0,
         limit: 1,
         service_time: INITIAL_TIME,
         at: now,
--- a/laburnumcart_gateway/src/budgets.rs
+++ b/laburnumcart_gateway/src/budgets.rs
@@ -138,7 +138,7 @@
         };
         let counter = self.metrics.repeats.get_or_create(&labels).clone();
         counter.inc_by(repeat.count.into());
-        let account = self.with_budget(repeat.service, |budget, now| budget.account(now));
+        let account = self.with_budget(repeat.service, |budget, now| budget.usage(now));
         event!(
             Info,
             "repeat",
@@ -150,7 +150,7 @@
             cause = cause,
             spent = account.spent,
             allowed = format_args!("{:.1}", account.allowed),
-            shut = account.shut,
+            shut = account.suspended,
             part = format_args!("{:.3}", self.view.budget_fraction())
         );
     }
--- a/laburnumcart_gateway/src/outbound.rs
+++ b/laburnumcart_gateway/src/outbound.rs
@@ -78,7 +78,7 @@
             let echoed = |label| head.attempt.as_deref().is_none_or(|echo| echo == label);
             let observation = quota::Observation {
                 limit: head.limit,
-                own: response.head.status.is_success() && label.is_some_and(echoed),
+                trusted: response.head.status.is_success() && label.is_some_and(echoed),
                 sent,
             };
             self.quotas.record_limit(target, observation);
--- a/laburnumcart_gateway/src/quotas.rs
+++ b/laburnumcart_gateway/src/quotas.rs
@@ -60,7 +60,7 @@
 impl TargetState {
     /// Returns the bound that stops all sends, if the target is leaving or asked for a backoff.
     fn closed_bound(&self, heard: &quota::TargetLimit) -> Option<quota::Bound> {
-        let closed = quota::Bound::closed();
+        let closed = quota::Bound::blocked();
         match heard.leaving_since() {
             Some(_) => Some(closed),
             None => self.backoff.map(|until| closed.until(until)),
@@ -161,7 +161,7 @@
     /// backoff.
     pub fn is_closed(&self, target: &view::Target) -> bool {
         let limiters = self.limiters(target);
-        limiters.requests.is_closed(Instant::now())
+        limiters.requests.is_backing_off(Instant::now())
     }
 
     /// Records the rate limit that a response of a target states.
@@ -241,10 +241,10 @@
         let heard = self.signals.get(&state.target.key());
         let (mut requests, mut calls) = self.shared_bounds(&state.target, heard.advertised(), now);
         let closed = state.closed_bound(&heard);
-        requests.closed = closed;
-        calls.closed = closed;
-        state.limiters.requests.set(requests);
-        state.limiters.calls.set(calls);
+        requests.backoff = closed;
+        calls.backoff = closed;
+        state.limiters.requests.set_bounds(requests);
+        state.limiters.calls.set_bounds(calls);
         let limit = heard.limit();
         if limit == state.limit {
             return;
@@ -297,8 +297,8 @@
         }
         if let Some(named) = named {
             let part = uses.request_rate(named.rate);
-            requests.limit = Some(senders.advertised_bound(&target.name, part, named));
-            calls.limit = Some(quota::Bound::for_calls(
+            requests.advertised = Some(senders.advertised_bound(&target.name, part, named));
+            calls.advertised = Some(quota::Bound::for_calls(
                 uses.call_rate(named.rate),
                 named.since,
             ));
--- a/laburnumcart_gateway/src/state.rs
+++ b/laburnumcart_gateway/src/state.rs
@@ -109,7 +109,7 @@
         causes.push(wire::Cause::Limit(rate));
     }
     let limiters = quotas.limiters(target);
-    let backoff = limiters.requests.backoff(now);
+    let backoff = limiters.requests.backoff_left(now);
     if !backoff.is_zero() {
         causes.push(wire::Cause::Backoff(rounded(backoff)));
     }
