--- a/laburnumcart/src/attempt.rs
+++ b/laburnumcart/src/attempt.rs
@@ -53,7 +53,7 @@
     ///
     /// An attempt that is marked late could be reported "not run" after its bytes have left, and
     /// a non-idempotent request would run twice.
-    pub fn send(self) -> Sent {
+    pub fn mark_sent(self) -> Sent {
         Sent {
             id: self.id,
             incarnation: self.incarnation,
@@ -63,7 +63,7 @@
 
 impl Sent {
     /// Settles with a refusal in which the agent itself proves its verdict.
-    pub fn refused(self, refusal: verdict::Refusal) -> Settled {
+    pub fn settle_refused(self, refusal: verdict::Refusal) -> Settled {
         Settled {
             id: self.id,
             refusal: Some(refusal),
@@ -71,7 +71,7 @@
     }
 
     /// Settles with the whole result.
-    pub fn done(self) -> Settled {
+    pub fn settle_done(self) -> Settled {
         Settled {
             id: self.id,
             refusal: None,
@@ -79,7 +79,7 @@
     }
 
     /// Settles without an answer; the attempt may have executed.
-    pub fn lost(self, reason: verdict::Reason) -> Settled {
-        self.refused(verdict::Refusal::may_have_run(reason))
+    pub fn settle_lost(self, reason: verdict::Reason) -> Settled {
+        self.settle_refused(verdict::Refusal::may_have_run(reason))
     }
 }
--- a/laburnumcart/src/attempts.rs
+++ b/laburnumcart/src/attempts.rs
@@ -47,7 +47,7 @@
 pub use self::{
     chunks::{
         Chunk,
-        Position, //
+        PositionError, //
     },
     lifecycle::{
         Descriptor, //
@@ -109,7 +109,7 @@
 }
 
 #[derive(Debug)]
-enum Stage {
+enum Phase {
     Queued(lifecycle::Attempt<lifecycle::Queued>),
     Running(lifecycle::Attempt<lifecycle::Running>),
     Done(lifecycle::Attempt<lifecycle::Done>),
@@ -119,16 +119,16 @@
 #[derive(Debug)]
 struct Entry<T> {
     /// Empty only while a transition is made.
-    stage: Option<Stage>,
+    phase: Option<Phase>,
     data: T,
     /// The sender asks no more about it.
-    released: bool,
+    settled: bool,
 }
 
 /// Attempts of one agent, each with data of the program around it.
 #[derive(Debug)]
 pub struct Table<T> {
-    bounds: Limits,
+    limits: Limits,
     entries: SlotMap<Key, Entry<T>>,
     ids: collections::HashMap<id::AttemptId, Key>,
     bytes: usize,
@@ -138,7 +138,7 @@
     /// Creates an empty table.
     pub fn new(bounds: Limits) -> Self {
         Self {
-            bounds,
+            limits: bounds,
             entries: SlotMap::with_key(),
             ids: collections::HashMap::new(),
             bytes: 0,
@@ -147,7 +147,7 @@
 
     /// Changes how long ended attempts are kept.
     pub fn set_retention(&mut self, retention: time::Duration) {
-        self.bounds.retention = retention;
+        self.limits.retention = retention;
     }
 
     /// Adds an attempt as queued; returns false for one that is known, which must not start again.
@@ -155,14 +155,14 @@
         if self.ids.contains_key(&ticket.attempt) {
             return Ok(false);
         }
-        if self.entries.len() >= self.bounds.attempts || self.bytes >= self.bounds.bytes {
+        if self.entries.len() >= self.limits.attempts || self.bytes >= self.limits.bytes {
             return Err(verdict::Refusal::not_run(verdict::Reason::Overloaded));
         }
         let attempt = lifecycle::Attempt::new(ticket);
         let key = self.entries.insert(Entry {
-            stage: Some(Stage::Queued(attempt)),
+            phase: Some(Phase::Queued(attempt)),
             data,
-            released: false,
+            settled: false,
         });
         self.ids.insert(ticket.attempt, key);
         Ok(true)
@@ -170,18 +170,18 @@
 
     /// Marks a queued attempt as running; returns false if it is not queued any more.
     pub fn mark_running(&mut self, id: id::AttemptId, now: time::Instant) -> bool {
-        self.step(id, |stage| match stage {
-            Stage::Queued(attempt) => (Stage::Running(attempt.mark_running(now)), true),
+        self.transition(id, |stage| match stage {
+            Phase::Queued(attempt) => (Phase::Running(attempt.mark_running(now)), true),
             other => (other, false),
         })
     }
 
     /// Appends a chunk to the result of a running attempt.
     pub fn push(&mut self, id: id::AttemptId, text: &str) -> bool {
-        let Some(entry) = self.entry(id) else {
+        let Some(entry) = self.get_mut(id) else {
             return false;
         };
-        let Some(Stage::Running(attempt)) = &mut entry.stage else {
+        let Some(Phase::Running(attempt)) = &mut entry.phase else {
             return false;
         };
         attempt.state.chunks.push(text);
@@ -192,7 +192,7 @@
     /// Ends a running attempt with its whole result.
     pub fn finish(&mut self, id: id::AttemptId, now: time::Instant) -> bool {
         self.end(id, |stage| match stage {
-            Stage::Running(attempt) => (Stage::Done(attempt.finish(now)), true),
+            Phase::Running(attempt) => (Phase::Done(attempt.finish(now)), true),
             other => (other, false),
         })
     }
@@ -200,7 +200,7 @@
     /// Ends a running attempt that its target may have executed.
     pub fn fail(&mut self, id: id::AttemptId, reason: verdict::Reason, now: time::Instant) -> bool {
         self.end(id, |stage| match stage {
-            Stage::Running(attempt) => (Stage::Refused(attempt.fail(reason, now)), true),
+            Phase::Running(attempt) => (Phase::Refused(attempt.fail(reason, now)), true),
             other => (other, false),
         })
     }
@@ -216,9 +216,9 @@
         now: time::Instant,
     ) -> bool {
         self.end(id, |stage| match stage {
-            Stage::Queued(attempt) => (Stage::Refused(attempt.refuse(refusal, now)), true),
-            Stage::Running(attempt) if proof => {
-                (Stage::Refused(attempt.refuse_unstarted(refusal, now)), true)
+            Phase::Queued(attempt) => (Phase::Refused(attempt.refuse(refusal, now)), true),
+            Phase::Running(attempt) if proof => {
+                (Phase::Refused(attempt.refuse_unstarted(refusal, now)), true)
             }
             other => (other, false),
         })
@@ -229,12 +229,12 @@
     /// The attempt itself is kept even when that was all of its result: the sender asks for the next
     /// chunk before it has seen the end mark, and would find the attempt gone instead of done.
     pub fn acknowledge(&mut self, id: id::AttemptId, from: u32) {
-        let Some(entry) = self.entry(id) else {
+        let Some(entry) = self.get_mut(id) else {
             return;
         };
-        let chunks = match &mut entry.stage {
-            Some(Stage::Running(attempt)) => &mut attempt.state.chunks,
-            Some(Stage::Done(attempt)) => &mut attempt.state.chunks,
+        let chunks = match &mut entry.phase {
+            Some(Phase::Running(attempt)) => &mut attempt.state.chunks,
+            Some(Phase::Done(attempt)) => &mut attempt.state.chunks,
             _ => return,
         };
         let before = chunks.bytes();
@@ -245,21 +245,21 @@
 
     /// Forgets an attempt that its sender has settled, now or when it ends.
     pub fn forget(&mut self, id: id::AttemptId) {
-        let Some(entry) = self.entry(id) else {
+        let Some(entry) = self.get_mut(id) else {
             return;
         };
-        entry.released = true;
-        if matches!(entry.stage, Some(Stage::Done(_) | Stage::Refused(_))) {
+        entry.settled = true;
+        if matches!(entry.phase, Some(Phase::Done(_) | Phase::Refused(_))) {
             self.remove(id);
         }
     }
 
     /// Forgets ended attempts after their retention time; returns those that may have run.
     pub fn expire(&mut self, now: time::Instant) -> Vec<Expired> {
-        let retention = self.bounds.retention;
-        let due = |entry: &Entry<T>| match &entry.stage {
-            Some(Stage::Done(attempt)) => now - attempt.state.ended >= retention,
-            Some(Stage::Refused(attempt)) => now - attempt.state.ended >= retention,
+        let retention = self.limits.retention;
+        let due = |entry: &Entry<T>| match &entry.phase {
+            Some(Phase::Done(attempt)) => now - attempt.state.ended >= retention,
+            Some(Phase::Refused(attempt)) => now - attempt.state.ended >= retention,
             _ => false,
         };
         let ids: Vec<id::AttemptId> = self
@@ -281,25 +281,25 @@
         id: id::AttemptId,
         from: u32,
         limit: usize,
-    ) -> Option<Result<Progress, Position>> {
+    ) -> Option<Result<Progress, PositionError>> {
         let entry = self.get(id)?;
-        let (request, chunks, state) = match entry.stage.as_ref()? {
-            Stage::Queued(attempt) => (attempt.ticket.request, None, State::Queued),
-            Stage::Running(attempt) => {
+        let (request, chunks, state) = match entry.phase.as_ref()? {
+            Phase::Queued(attempt) => (attempt.descriptor.request, None, State::Queued),
+            Phase::Running(attempt) => {
                 let chunks = Some(&attempt.state.chunks);
-                (attempt.ticket.request, chunks, State::Running)
+                (attempt.descriptor.request, chunks, State::Running)
             }
-            Stage::Done(attempt) => {
+            Phase::Done(attempt) => {
                 let chunks = Some(&attempt.state.chunks);
                 (
-                    attempt.ticket.request,
+                    attempt.descriptor.request,
                     chunks,
                     State::Done(attempt.state.end),
                 )
             }
-            Stage::Refused(attempt) => {
+            Phase::Refused(attempt) => {
                 let state = State::Refused(attempt.state.refusal);
-                (attempt.ticket.request, None, state)
+                (attempt.descriptor.request, None, state)
             }
         };
         let read = match chunks.map(|chunks| chunks.read(from, limit)) {
@@ -325,30 +325,30 @@
     }
 
     /// Returns the identity and time limit of an attempt.
-    pub fn ticket(&self, id: id::AttemptId) -> Option<Descriptor> {
-        self.get(id)?.stage.as_ref().map(Stage::ticket)
+    pub fn descriptor(&self, id: id::AttemptId) -> Option<Descriptor> {
+        self.get(id)?.phase.as_ref().map(Phase::descriptor)
     }
 
     /// Returns when a running attempt began.
     pub fn started_at(&self, id: id::AttemptId) -> Option<time::Instant> {
-        match self.get(id)?.stage.as_ref()? {
-            Stage::Running(attempt) => Some(attempt.state.begun),
+        match self.get(id)?.phase.as_ref()? {
+            Phase::Running(attempt) => Some(attempt.state.started),
             _ => None,
         }
     }
 
     /// Returns the number of chunks of a running attempt so far.
     pub fn chunk_count(&self, id: id::AttemptId) -> u32 {
-        match self.get(id).and_then(|entry| entry.stage.as_ref()) {
-            Some(Stage::Running(attempt)) => attempt.state.chunks.count(),
+        match self.get(id).and_then(|entry| entry.phase.as_ref()) {
+            Some(Phase::Running(attempt)) => attempt.state.chunks.count(),
             _ => 0,
         }
     }
 
     /// Returns the bytes of its result that wait to be acknowledged.
     pub fn unacknowledged_bytes(&self, id: id::AttemptId) -> usize {
-        match self.get(id).and_then(|entry| entry.stage.as_ref()) {
-            Some(Stage::Running(attempt)) => attempt.state.chunks.bytes(),
+        match self.get(id).and_then(|entry| entry.phase.as_ref()) {
+            Some(Phase::Running(attempt)) => attempt.state.chunks.bytes(),
             _ => 0,
         }
     }
@@ -357,8 +357,8 @@
     pub fn running(&self) -> impl Iterator<Item = (id::AttemptId, &T)> {
         self.entries
             .values()
-            .filter_map(|entry| match &entry.stage {
-                Some(Stage::Running(attempt)) => Some((attempt.ticket.attempt, &entry.data)),
+            .filter_map(|entry| match &entry.phase {
+                Some(Phase::Running(attempt)) => Some((attempt.descriptor.attempt, &entry.data)),
                 _ => None,
             })
     }
@@ -367,8 +367,8 @@
     pub fn queued(&self) -> impl Iterator<Item = (id::AttemptId, &T)> {
         self.entries
             .values()
-            .filter_map(|entry| match &entry.stage {
-                Some(Stage::Queued(attempt)) => Some((attempt.ticket.attempt, &entry.data)),
+            .filter_map(|entry| match &entry.phase {
+                Some(Phase::Queued(attempt)) => Some((attempt.descriptor.attempt, &entry.data)),
                 _ => None,
             })
     }
@@ -392,55 +392,55 @@
         self.ids.get(&id).map(|key| &self.entries[*key])
     }
 
-    fn entry(&mut self, id: id::AttemptId) -> Option<&mut Entry<T>> {
+    fn get_mut(&mut self, id: id::AttemptId) -> Option<&mut Entry<T>> {
         let key = self.ids.get(&id)?;
         self.entries.get_mut(*key)
     }
 
-    fn step(&mut self, id: id::AttemptId, next: impl FnOnce(Stage) -> (Stage, bool)) -> bool {
-        let Some(entry) = self.entry(id) else {
+    fn transition(&mut self, id: id::AttemptId, next: impl FnOnce(Phase) -> (Phase, bool)) -> bool {
+        let Some(entry) = self.get_mut(id) else {
             return false;
         };
-        let Some(stage) = entry.stage.take() else {
+        let Some(stage) = entry.phase.take() else {
             return false;
         };
         let (stage, changed) = next(stage);
-        entry.stage = Some(stage);
+        entry.phase = Some(stage);
         changed
     }
 
-    fn end(&mut self, id: id::AttemptId, next: impl FnOnce(Stage) -> (Stage, bool)) -> bool {
-        let before = self.kept(id);
-        let changed = self.step(id, next);
-        self.bytes -= before - self.kept(id);
-        if changed && self.get(id).is_some_and(|entry| entry.released) {
+    fn end(&mut self, id: id::AttemptId, next: impl FnOnce(Phase) -> (Phase, bool)) -> bool {
+        let before = self.kept_bytes(id);
+        let changed = self.transition(id, next);
+        self.bytes -= before - self.kept_bytes(id);
+        if changed && self.get(id).is_some_and(|entry| entry.settled) {
             self.remove(id);
         }
         changed
     }
 
-    fn kept(&self, id: id::AttemptId) -> usize {
-        match self.get(id).and_then(|entry| entry.stage.as_ref()) {
-            Some(Stage::Running(attempt)) => attempt.state.chunks.bytes(),
-            Some(Stage::Done(attempt)) => attempt.state.chunks.bytes(),
+    fn kept_bytes(&self, id: id::AttemptId) -> usize {
+        match self.get(id).and_then(|entry| entry.phase.as_ref()) {
+            Some(Phase::Running(attempt)) => attempt.state.chunks.bytes(),
+            Some(Phase::Done(attempt)) => attempt.state.chunks.bytes(),
             _ => 0,
         }
     }
 
-    fn remove(&mut self, id: id::AttemptId) -> Option<Stage> {
-        self.bytes -= self.kept(id);
+    fn remove(&mut self, id: id::AttemptId) -> Option<Phase> {
+        self.bytes -= self.kept_bytes(id);
         let key = self.ids.remove(&id)?;
-        self.entries.remove(key)?.stage
+        self.entries.remove(key)?.phase
     }
 
     fn remove_expired(&mut self, id: id::AttemptId) -> Option<Expired> {
         let stage = self.remove(id)?;
-        let ticket = stage.ticket();
+        let ticket = stage.descriptor();
         let harmless = |refused: &lifecycle::Attempt<lifecycle::Refused>| {
             refused.state.refusal.verdict == verdict::Verdict::NotRun
         };
         match stage {
-            Stage::Refused(refused) if harmless(&refused) => None,
+            Phase::Refused(refused) if harmless(&refused) => None,
             _ => Some(Expired {
                 lane: ticket.lane,
                 session: ticket.session,
@@ -449,13 +449,13 @@
     }
 }
 
-impl Stage {
-    fn ticket(&self) -> Descriptor {
+impl Phase {
+    fn descriptor(&self) -> Descriptor {
         match self {
-            Self::Queued(attempt) => attempt.ticket,
-            Self::Running(attempt) => attempt.ticket,
-            Self::Done(attempt) => attempt.ticket,
-            Self::Refused(attempt) => attempt.ticket,
+            Self::Queued(attempt) => attempt.descriptor,
+            Self::Running(attempt) => attempt.descriptor,
+            Self::Done(attempt) => attempt.descriptor,
+            Self::Refused(attempt) => attempt.descriptor,
         }
     }
 }
--- a/laburnumcart/src/attempts/chunks.rs
+++ b/laburnumcart/src/attempts/chunks.rs
@@ -24,7 +24,7 @@
 
 /// A position that no chunk can be read from.
 #[derive(Clone, Copy, Debug, Display, Error, Eq, PartialEq)]
-pub enum Position {
+pub enum PositionError {
     /// The chunk was acknowledged before and is no longer kept.
     #[display("chunk already acknowledged")]
     Past,
@@ -73,10 +73,10 @@
     }
 
     /// Returns chunks from number `from` on, of at most `limit` bytes but at least one if any.
-    pub fn read(&self, from: u32, limit: usize) -> Result<Vec<Chunk>, Position> {
-        let skip = from.checked_sub(self.first).ok_or(Position::Past)?;
+    pub fn read(&self, from: u32, limit: usize) -> Result<Vec<Chunk>, PositionError> {
+        let skip = from.checked_sub(self.first).ok_or(PositionError::Past)?;
         if from > self.count() {
-            return Err(Position::Ahead);
+            return Err(PositionError::Ahead);
         }
         let mut bytes = 0;
         let fits = |text: &&sync::Arc<str>| {
--- a/laburnumcart/src/attempts/lifecycle.rs
+++ b/laburnumcart/src/attempts/lifecycle.rs
@@ -32,7 +32,7 @@
 #[derive(Debug)]
 pub struct Attempt<S> {
     /// Identity and time limit.
-    pub ticket: Descriptor,
+    pub descriptor: Descriptor,
     /// What belongs to the state.
     pub state: S,
 }
@@ -45,7 +45,7 @@
 #[derive(Debug)]
 pub struct Running {
     /// When its bytes may have left.
-    pub begun: time::Instant,
+    pub started: time::Instant,
     /// Result so far.
     pub chunks: chunks::Chunks,
 }
@@ -87,7 +87,7 @@
     /// Creates an attempt that has just arrived.
     pub fn new(ticket: Descriptor) -> Self {
         Self {
-            ticket,
+            descriptor: ticket,
             state: Queued,
         }
     }
@@ -95,7 +95,7 @@
     /// Marks the attempt as running; must come before the first byte leaves for the target.
     pub fn mark_running(self, now: time::Instant) -> Attempt<Running> {
         self.with(Running {
-            begun: now,
+            started: now,
             chunks: chunks::Chunks::default(),
         })
     }
@@ -113,8 +113,8 @@
         let end = End {
             count: chunks.count(),
             checksum: chunks.checksum(),
-            busy: now - self.state.begun,
-            queued: self.state.begun - self.ticket.arrived,
+            busy: now - self.state.started,
+            queued: self.state.started - self.descriptor.arrived,
         };
         self.with(Done {
             end,
@@ -155,7 +155,7 @@
 impl<S> Attempt<S> {
     fn with<N>(self, state: N) -> Attempt<N> {
         Attempt {
-            ticket: self.ticket,
+            descriptor: self.descriptor,
             state,
         }
     }
--- a/laburnumcart/src/bundle/check.rs
+++ b/laburnumcart/src/bundle/check.rs
@@ -55,11 +55,11 @@
 pub const SHARDS_MAX: u16 = 1024;
 
 /// Room that signatures need in an envelope, in bytes.
-const SIGNATURES_ROOM: usize = signing::SIGNATURES_MAX * 256;
+const SIGNATURES_BYTES_MAX: usize = signing::SIGNATURES_MAX * 256;
 
 /// Reads a bundle, or reports every fault in it.
 pub fn parse(text: &str) -> Result<Bundle, Faults> {
-    size(text)?;
+    check_size(text)?;
     let bundle: Bundle = document::parse(text)?;
     check(&bundle)?;
     Ok(bundle)
@@ -71,20 +71,20 @@
         bundle,
         faults: Faults::default(),
     };
-    rules.format();
-    rules.services();
-    rules.pipelines();
-    rules.teams();
-    rules.claims();
-    rules.limits();
+    rules.check_format();
+    rules.check_services();
+    rules.check_pipelines();
+    rules.check_teams();
+    rules.check_claims();
+    rules.check_limits();
     rules.faults.into_result(())
 }
 
 /// Checks that the bundle's envelope will fit into one object.
-fn size(text: &str) -> Result<(), Faults> {
+fn check_size(text: &str) -> Result<(), Faults> {
     // Within the envelope each quotation mark, backslash and line end takes one byte more.
     let escaped = |b: &&u8| matches!(**b, b'"' | b'\\' | b'\n' | b'\r' | b'\t');
-    let bytes = text.len() + text.as_bytes().iter().filter(escaped).count() + SIGNATURES_ROOM;
+    let bytes = text.len() + text.as_bytes().iter().filter(escaped).count() + SIGNATURES_BYTES_MAX;
     if bytes <= signing::ENVELOPE_MAX {
         return Ok(());
     }
@@ -99,22 +99,22 @@
 }
 
 impl Rules<'_> {
-    fn format(&mut self) {
+    fn check_format(&mut self) {
         if self.bundle.format != FORMAT {
             let problem = format!("this release reads format {FORMAT}");
             self.faults.push(Path::root().key("format"), problem);
         }
     }
 
-    fn services(&mut self) {
+    fn check_services(&mut self) {
         for (name, service) in &self.bundle.services {
             let at = Path::root().key("services").key(name.as_str());
-            self.service(&at, service);
+            self.check_service(&at, service);
         }
     }
 
-    fn service(&mut self, at: &Path, service: &Service) {
-        self.within(at.key("order_limit"), &service.order_limit, &ORDER_LIMIT);
+    fn check_service(&mut self, at: &Path, service: &Service) {
+        self.check_range(at.key("order_limit"), &service.order_limit, &ORDER_LIMIT);
         if service.kind == Kind::Pool && service.orders != Orders::None {
             self.faults
                 .push(at.key("orders"), "only engines take orders");
@@ -137,15 +137,15 @@
         }
     }
 
-    fn pipelines(&mut self) {
+    fn check_pipelines(&mut self) {
         for (name, pipeline) in &self.bundle.pipelines {
             let at = Path::root().key("pipelines").key(name.as_str());
-            self.pipeline(&at, pipeline);
+            self.check_pipeline(&at, pipeline);
         }
     }
 
-    fn pipeline(&mut self, at: &Path, pipeline: &Pipeline) {
-        self.within(at.key("body_limit"), &pipeline.body_limit, &BODY_LIMIT);
+    fn check_pipeline(&mut self, at: &Path, pipeline: &Pipeline) {
+        self.check_range(at.key("body_limit"), &pipeline.body_limit, &BODY_LIMIT);
         let count = pipeline.stages.len();
         if !(1..=STAGES_MAX).contains(&count) {
             let problem = format!("must have 1 to {STAGES_MAX} stages, has {count}");
@@ -160,17 +160,17 @@
             }
             if !self.bundle.services.contains_key(&stage.service) {
                 let known = self.bundle.services.keys().map(id::ServiceName::as_str);
-                let problem = document::unknown("service", stage.service.as_str(), known);
+                let problem = document::describe_unknown("service", stage.service.as_str(), known);
                 self.faults.push(at.key("service"), problem);
             }
         }
     }
 
-    fn teams(&mut self) {
+    fn check_teams(&mut self) {
         let mut tokens = collections::HashMap::new();
         for (name, team) in &self.bundle.teams {
             let at = Path::root().key("teams").key(name.as_str());
-            self.team(&at, team);
+            self.check_team(&at, team);
             for (index, token) in team.tokens.iter().enumerate() {
                 let at = at.key("tokens").index(index);
                 if token.parse::<signing::Digest>().is_err() {
@@ -186,7 +186,7 @@
         }
     }
 
-    fn team(&mut self, at: &Path, team: &Team) {
+    fn check_team(&mut self, at: &Path, team: &Team) {
         if team.weight == 0 {
             self.faults.push(at.key("weight"), "must be at least 1");
         }
@@ -198,17 +198,17 @@
             let at = at.key("pipelines").key(name.as_str());
             if !self.bundle.pipelines.contains_key(name) {
                 let known = self.bundle.pipelines.keys().map(id::PipelineName::as_str);
-                let problem = document::unknown("pipeline", name.as_str(), known);
+                let problem = document::describe_unknown("pipeline", name.as_str(), known);
                 self.faults.push(at.clone(), problem);
             }
-            self.within(at.key("deadline"), &promise.deadline, &DEADLINE);
+            self.check_range(at.key("deadline"), &promise.deadline, &DEADLINE);
         }
     }
 
-    fn claims(&mut self) {
+    fn check_claims(&mut self) {
         let at = Path::root().key("claims");
         let claims = &self.bundle.claims;
-        self.within(at.key("retention"), &claims.retention, &CLAIM_RETENTION);
+        self.check_range(at.key("retention"), &claims.retention, &CLAIM_RETENTION);
         // A claim that expires while its request may still run would let a resend run it again.
         let longest = self.longest_deadline();
         if claims.retention <= longest {
@@ -221,12 +221,12 @@
         }
     }
 
-    fn limits(&mut self) {
+    fn check_limits(&mut self) {
         let at = Path::root().key("limits");
         let limits = &self.bundle.limits;
         let kept = &limits.result_retention;
-        self.within(at.key("result_retention"), kept, &RESULT_RETENTION);
-        self.within(at.key("quarantine"), &limits.quarantine, &QUARANTINE);
+        self.check_range(at.key("result_retention"), kept, &RESULT_RETENTION);
+        self.check_range(at.key("quarantine"), &limits.quarantine, &QUARANTINE);
     }
 
     /// Returns the longest deadline that any team was promised.
@@ -240,7 +240,7 @@
     }
 
     /// Reports a value that is out of its range.
-    fn within<T>(&mut self, at: Path, value: &T, range: &ops::RangeInclusive<T>)
+    fn check_range<T>(&mut self, at: Path, value: &T, range: &ops::RangeInclusive<T>)
     where
         T: PartialOrd + std::fmt::Display,
     {
--- a/laburnumcart/src/claim/limiter.rs
+++ b/laburnumcart/src/claim/limiter.rs
@@ -15,8 +15,8 @@
     rate: f64,
     shards: u16,
     burst: u32,
-    owned: u16,
-    next: Option<Instant>,
+    owned_shards: u16,
+    next_slot: Option<Instant>,
 }
 
 impl Limiter {
@@ -27,24 +27,24 @@
             rate: rate.0.max(1.0),
             shards: shards.max(1),
             burst,
-            owned: 0,
-            next: None,
+            owned_shards: 0,
+            next_slot: None,
         }
     }
 
     /// Counts a shard that the process has taken over.
     pub fn add_shard(&mut self) {
-        self.owned = self.owned.saturating_add(1);
+        self.owned_shards = self.owned_shards.saturating_add(1);
     }
 
     /// Counts a shard that the process has lost.
     pub fn remove_shard(&mut self) {
-        self.owned = self.owned.saturating_sub(1);
+        self.owned_shards = self.owned_shards.saturating_sub(1);
     }
 
     /// Returns the time between two appends in the long run.
     pub fn interval(&self) -> time::Duration {
-        let owned = f64::from(self.owned.max(1));
+        let owned = f64::from(self.owned_shards.max(1));
         time::Duration::from_secs_f64(f64::from(self.shards) / (self.rate * owned))
     }
 
@@ -54,8 +54,8 @@
         let earliest = now
             .checked_sub(interval * self.burst.saturating_sub(1))
             .unwrap_or(now);
-        let slot = self.next.unwrap_or(earliest).max(earliest);
-        self.next = Some(slot + interval);
+        let slot = self.next_slot.unwrap_or(earliest).max(earliest);
+        self.next_slot = Some(slot + interval);
         slot.max(now)
     }
 }
--- a/laburnumcart/src/claim/log.rs
+++ b/laburnumcart/src/claim/log.rs
@@ -31,16 +31,16 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Limits {
     /// Most claims held; more are refused.
-    pub claims: usize,
+    pub max_claims: usize,
     /// Fewest segments between two snapshots.
-    pub segments: u64,
+    pub snapshot_segments: u64,
 }
 
 impl Default for Limits {
     fn default() -> Self {
         Self {
-            claims: 60_000,
-            segments: 256,
+            max_claims: 60_000,
+            snapshot_segments: 256,
         }
     }
 }
@@ -84,16 +84,16 @@
     start: Instant,
     table: table::Table,
     limits: Limits,
-    next: u64,
+    next_number: u64,
     /// First number that the newest snapshot does not supersede.
-    first: u64,
+    first_needed: u64,
     /// Number at which a snapshot failed last.
-    postponed: u64,
-    batch: Batch,
-    gathering: Vec<record::Record>,
+    postponed_at: u64,
+    next_batch: Batch,
+    next_records: Vec<record::Record>,
     /// Whether the next append is wanted even without records.
-    probe: bool,
-    flight: Vec<record::Record>,
+    append_requested: bool,
+    appending: Vec<record::Record>,
     in_flight: bool,
     pending: collections::HashMap<id::Fingerprint, (id::RequestId, Batch)>,
 }
@@ -106,13 +106,13 @@
             start: now,
             table,
             limits,
-            next: 0,
-            first: 0,
-            postponed: 0,
-            batch: 0,
-            gathering: Vec::new(),
-            probe: false,
-            flight: Vec::new(),
+            next_number: 0,
+            first_needed: 0,
+            postponed_at: 0,
+            next_batch: 0,
+            next_records: Vec::new(),
+            append_requested: false,
+            appending: Vec::new(),
             in_flight: false,
             pending: collections::HashMap::new(),
         }
@@ -130,14 +130,14 @@
 
     /// Returns the number of the next segment.
     pub fn next_segment(&self) -> u64 {
-        self.next
+        self.next_number
     }
 
     /// Returns the first batch that is not settled.
     pub fn first_unsettled(&self) -> Batch {
         match self.in_flight {
-            true => self.batch - 1,
-            false => self.batch,
+            true => self.next_batch - 1,
+            false => self.next_batch,
         }
     }
 
@@ -148,7 +148,7 @@
 
     /// Reports whether an append is wanted.
     pub fn wants_append(&self) -> bool {
-        self.probe || !self.gathering.is_empty()
+        self.append_requested || !self.next_records.is_empty()
     }
 
     /// Asks for an append, if only an empty one, and returns its batch.
@@ -157,15 +157,15 @@
     /// a claim may have been given back since and its key granted again. That its append is
     /// durable proves that it was the owner until then.
     pub fn confirm_ownership(&mut self) -> Batch {
-        self.probe = true;
-        self.batch
+        self.append_requested = true;
+        self.next_batch
     }
 
     /// Asks for a claim; its record gathers in the next batch if the key is free.
     pub fn claim(&mut self, grant: record::Grant, now: Instant) -> Outcome {
         self.table.expire(now);
         if let Some((_, batch)) = self.pending.get(&grant.key) {
-            return self.step_pending(&grant, *batch);
+            return self.pending_outcome(&grant, *batch);
         }
         if let Some(old) = self.table.get(grant.key) {
             // Its holder asks again because an answer was lost; it acts on one answer only.
@@ -174,16 +174,16 @@
             }
             return Outcome::Taken(old.clone());
         }
-        if self.table.len() + self.pending.len() >= self.limits.claims
-            || self.gathering.len() >= BATCH_MAX
+        if self.table.len() + self.pending.len() >= self.limits.max_claims
+            || self.next_records.len() >= BATCH_MAX
         {
             return Outcome::Full;
         }
-        Outcome::Queued(self.gather(record::Record::Grant(grant)))
+        Outcome::Queued(self.add_record(record::Record::Grant(grant)))
     }
 
-    fn step_pending(&self, grant: &record::Grant, batch: Batch) -> Outcome {
-        let records = self.gathering.iter().chain(&self.flight);
+    fn pending_outcome(&self, grant: &record::Grant, batch: Batch) -> Outcome {
+        let records = self.next_records.iter().chain(&self.appending);
         let same = |record: &&record::Record| match record {
             record::Record::Grant(old) => old.key == grant.key && old.request == grant.request,
             record::Record::Release { .. } => false,
@@ -201,20 +201,20 @@
             return None;
         }
         self.table.get(key).filter(|old| old.request == request)?;
-        Some(self.gather(record::Record::Release { key, request }))
+        Some(self.add_record(record::Record::Release { key, request }))
     }
 
-    fn gather(&mut self, record: record::Record) -> Batch {
-        let pending = (record.request(), self.batch);
+    fn add_record(&mut self, record: record::Record) -> Batch {
+        let pending = (record.request(), self.next_batch);
         self.pending.insert(record.key(), pending);
-        self.gathering.push(record);
-        self.batch
+        self.next_records.push(record);
+        self.next_batch
     }
 
     /// Takes back the gathered grants that `keep` refuses; they were never in an append.
     pub fn retain_pending(&mut self, mut keep: impl FnMut(id::Fingerprint, id::RequestId) -> bool) {
         let pending = &mut self.pending;
-        self.gathering.retain(|record| {
+        self.next_records.retain(|record| {
             let kept = match record {
                 record::Record::Grant(grant) => keep(grant.key, grant.request),
                 record::Record::Release { .. } => true,
@@ -226,7 +226,7 @@
         });
     }
 
-    fn at(&self, now: Instant) -> unit::Period {
+    fn epoch_age(&self, now: Instant) -> unit::Period {
         unit::Period(now.saturating_duration_since(self.start))
     }
 
@@ -235,39 +235,39 @@
         if self.in_flight || !self.wants_append() {
             return None;
         }
-        self.probe = false;
-        self.flight = mem::take(&mut self.gathering);
+        self.append_requested = false;
+        self.appending = mem::take(&mut self.next_records);
         self.in_flight = true;
-        let batch = self.batch;
-        self.batch += 1;
+        let batch = self.next_batch;
+        self.next_batch += 1;
         Some(Append {
-            number: self.next,
+            number: self.next_number,
             batch,
             segment: record::Segment::Batch {
-                at: self.at(now),
-                records: self.flight.clone(),
+                at: self.epoch_age(now),
+                records: self.appending.clone(),
             },
         })
     }
 
     /// Records that the append in flight is in the log.
     pub fn append_succeeded(&mut self, now: Instant) {
-        for record in mem::take(&mut self.flight) {
+        for record in mem::take(&mut self.appending) {
             self.pending.remove(&record.key());
             self.table.apply(&record, now);
         }
-        self.next += 1;
+        self.next_number += 1;
         self.in_flight = false;
     }
 
     /// Records that the append in flight is provably not in the log and never will be.
     pub fn append_rejected(&mut self) {
-        for record in mem::take(&mut self.flight) {
+        for record in mem::take(&mut self.appending) {
             self.pending.remove(&record.key());
             // A release that was dropped with its append would leave the key claimed for the rest
             // of its retention, and each resend would be told "may have run".
             if let record::Record::Release { .. } = record {
-                self.gather(record);
+                self.add_record(record);
             }
         }
         self.in_flight = false;
@@ -276,16 +276,19 @@
     /// Reports whether enough segments have come since the last snapshot for a new one.
     pub fn wants_snapshot(&self) -> bool {
         let parts = (self.table.len() / PART_MAX + 1) as u64;
-        let least = self.limits.segments.max(SNAPSHOT_RATIO * (parts - 1));
-        !self.in_flight && self.next - self.first.max(self.postponed) >= least
+        let least = self
+            .limits
+            .snapshot_segments
+            .max(SNAPSHOT_RATIO * (parts - 1));
+        !self.in_flight && self.next_number - self.first_needed.max(self.postponed_at) >= least
     }
 
     /// Returns the parts of a snapshot with their numbers; appended in order by the owner, each
     /// confirmed by [`Log::snapshot_part_succeeded`].
     pub fn snapshot(&mut self, now: Instant) -> Vec<(u64, record::Segment)> {
         self.table.expire(now);
-        let first = self.next;
-        let at = self.at(now);
+        let first = self.next_number;
+        let at = self.epoch_age(now);
         let grants: Vec<_> = self.table.grants(now).collect();
         let mut parts: Vec<_> = grants.chunks(PART_MAX).map(<[_]>::to_vec).collect();
         if parts.is_empty() {
@@ -307,17 +310,17 @@
 
     /// Puts a snapshot off that could not be completed.
     pub fn postpone_snapshot(&mut self) {
-        self.postponed = self.next;
+        self.postponed_at = self.next_number;
     }
 
     /// Records that the next part of a snapshot is in the log.
     pub fn snapshot_part_succeeded(&mut self, segment: &record::Segment) {
-        self.next += 1;
+        self.next_number += 1;
         if let record::Segment::Snapshot {
             first, last: true, ..
         } = segment
         {
-            self.first = *first;
+            self.first_needed = *first;
         }
     }
 }
@@ -337,7 +340,7 @@
         match segment {
             record::Segment::Batch { records, .. } => {
                 for record in records {
-                    table.apply(&aged(record, held), now);
+                    table.apply(&age_record(record, held), now);
                 }
             }
             record::Segment::Snapshot {
@@ -352,7 +355,7 @@
                 parts.first = *first;
                 parts
                     .grants
-                    .extend(grants.iter().map(|grant| older(grant, held)));
+                    .extend(grants.iter().map(|grant| age_grant(grant, held)));
                 if *last {
                     *table = table::Table::default();
                     for grant in mem::take(&mut parts.grants) {
@@ -372,16 +375,16 @@
     grants: Vec<record::Grant>,
 }
 
-fn older(grant: &record::Grant, held: time::Duration) -> record::Grant {
+fn age_grant(grant: &record::Grant, held: time::Duration) -> record::Grant {
     record::Grant {
         age: unit::Period(grant.age.0.saturating_add(held)),
         ..grant.clone()
     }
 }
 
-fn aged(record: &record::Record, held: time::Duration) -> record::Record {
+fn age_record(record: &record::Record, held: time::Duration) -> record::Record {
     match record {
-        record::Record::Grant(grant) => record::Record::Grant(older(grant, held)),
+        record::Record::Grant(grant) => record::Record::Grant(age_grant(grant, held)),
         release => release.clone(),
     }
 }
--- a/laburnumcart/src/claim/ownership.rs
+++ b/laburnumcart/src/claim/ownership.rs
@@ -27,9 +27,9 @@
     /// Time for which the owner must have been out of reach.
     pub silence: time::Duration,
     /// Longest time between two tries without an answer that speak of the same silence.
-    pub recent: time::Duration,
+    pub max_gap: time::Duration,
     /// Time after a change of owner before the next one, doubled with each that follows soon.
-    pub settle: time::Duration,
+    pub settle_time: time::Duration,
     /// Longest such time.
     pub settle_max: time::Duration,
 }
@@ -38,8 +38,8 @@
     fn default() -> Self {
         Self {
             silence: time::Duration::from_millis(250),
-            recent: time::Duration::from_secs(10),
-            settle: time::Duration::from_millis(500),
+            max_gap: time::Duration::from_secs(10),
+            settle_time: time::Duration::from_millis(500),
             settle_max: time::Duration::from_secs(30),
         }
     }
@@ -63,52 +63,52 @@
 /// the shard with one of them for longer and longer; the other refuses, which is safe.
 #[derive(Clone, Debug)]
 pub struct Detector {
-    patience: Limits,
-    silent: Option<(Instant, Instant)>,
-    changed: Option<Instant>,
-    wait: time::Duration,
+    limits: Limits,
+    silent_span: Option<(Instant, Instant)>,
+    last_change: Option<Instant>,
+    settle_wait: time::Duration,
 }
 
 impl Detector {
     /// Creates the memory for a shard of which nothing is known.
     pub fn new(patience: Limits) -> Self {
         Self {
-            patience,
-            silent: None,
-            changed: None,
-            wait: time::Duration::ZERO,
+            limits: patience,
+            silent_span: None,
+            last_change: None,
+            settle_wait: time::Duration::ZERO,
         }
     }
 
     /// Records that the owner answered.
     pub fn record_success(&mut self) {
-        self.silent = None;
+        self.silent_span = None;
     }
 
     /// Records that the shard has a new owner.
     pub fn record_owner_change(&mut self, now: Instant) {
-        self.silent = None;
+        self.silent_span = None;
         let soon = self
-            .changed
-            .is_some_and(|last| now.saturating_duration_since(last) < self.wait * 4);
-        self.wait = match soon {
-            true => (self.wait * 2).min(self.patience.settle_max),
-            false => self.patience.settle,
+            .last_change
+            .is_some_and(|last| now.saturating_duration_since(last) < self.settle_wait * 4);
+        self.settle_wait = match soon {
+            true => (self.settle_wait * 2).min(self.limits.settle_max),
+            false => self.limits.settle_time,
         };
-        self.changed = Some(now);
+        self.last_change = Some(now);
     }
 
     /// Records that the owner did not answer, and says what to do.
     pub fn record_failure(&mut self, now: Instant) -> Action {
         let silence = self.silence(now);
-        if silence < self.patience.silence {
-            return Action::Retry(self.patience.silence - silence);
+        if silence < self.limits.silence {
+            return Action::Retry(self.limits.silence - silence);
         }
-        let settled = self.changed.map_or(time::Duration::MAX, |last| {
+        let settled = self.last_change.map_or(time::Duration::MAX, |last| {
             now.saturating_duration_since(last)
         });
-        if settled < self.wait {
-            return Action::Settle(self.wait - settled);
+        if settled < self.settle_wait {
+            return Action::Settle(self.settle_wait - settled);
         }
         Action::TakeOver
     }
@@ -120,10 +120,10 @@
     /// never be replaced, and its shards would be refused for as long as the pause lasts.
     fn silence(&mut self, now: Instant) -> time::Duration {
         let recent = |(_, last): &(Instant, Instant)| {
-            now.saturating_duration_since(*last) < self.patience.recent
+            now.saturating_duration_since(*last) < self.limits.max_gap
         };
-        let (first, _) = self.silent.filter(recent).unwrap_or((now, now));
-        self.silent = Some((first, now));
+        let (first, _) = self.silent_span.filter(recent).unwrap_or((now, now));
+        self.silent_span = Some((first, now));
         now.saturating_duration_since(first)
     }
 }
--- a/laburnumcart/src/claim/table.rs
+++ b/laburnumcart/src/claim/table.rs
@@ -17,19 +17,19 @@
 #[derive(Clone, Debug)]
 struct Entry {
     grant: record::Grant,
-    since: Instant,
+    learned_at: Instant,
 }
 
 impl Entry {
     fn age(&self, now: Instant) -> unit::Period {
-        let here = now.saturating_duration_since(self.since);
+        let here = now.saturating_duration_since(self.learned_at);
         unit::Period(self.grant.age.0.saturating_add(here))
     }
 
     /// Returns the end of the retention, `None` when it lies beyond the clock's range.
     fn expiry(&self) -> Option<Instant> {
         let left = self.grant.keep.0.saturating_sub(self.grant.age.0);
-        self.since.checked_add(left)
+        self.learned_at.checked_add(left)
     }
 }
 
@@ -71,7 +71,10 @@
     /// Adds a claim that has the age of its record at `now`.
     pub fn insert(&mut self, grant: record::Grant, now: Instant) {
         let key = grant.key;
-        let entry = Entry { grant, since: now };
+        let entry = Entry {
+            grant,
+            learned_at: now,
+        };
         if let Some(expiry) = entry.expiry() {
             self.expiries.push(cmp::Reverse((expiry, key)));
         }
--- a/laburnumcart/src/document.rs
+++ b/laburnumcart/src/document.rs
@@ -13,7 +13,7 @@
 use serde::de;
 use serde_json::Value;
 
-pub use explain::unknown;
+pub use explain::describe_unknown;
 pub use fault::{
     Fault,
     Faults,
@@ -22,7 +22,7 @@
 
 mod explain;
 mod fault;
-mod tree;
+mod json;
 
 /// Compiled schemas by document type; compiling one takes longer than checking a small document.
 static CHECKERS: sync::LazyLock<sync::Mutex<Checkers>> = sync::LazyLock::new(Default::default);
@@ -49,7 +49,7 @@
 where
     T: de::DeserializeOwned + schemars::JsonSchema + 'static,
 {
-    let (value, mut faults) = tree::parse(text)?;
+    let (value, mut faults) = json::parse(text)?;
     let checker = checker::<T>();
     for error in checker.validator.iter_errors(&value) {
         explain::explain(&checker.schema, &error, &mut faults);
--- a/laburnumcart/src/document/explain.rs
+++ b/laburnumcart/src/document/explain.rs
@@ -16,10 +16,10 @@
 };
 
 /// Checks the text of one format.
-type Check = fn(&str) -> Result<(), id::ParseError>;
+type FormatCheck = fn(&str) -> Result<(), id::ParseError>;
 
 /// Formats that documents use beside those of JSON Schema.
-pub(super) const FORMATS: &[(&str, Check)] = &[
+pub(super) const FORMATS: &[(&str, FormatCheck)] = &[
     ("size", |text| text.parse::<unit::Size>().map(drop)),
     ("period", |text| text.parse::<unit::Period>().map(drop)),
     ("rate", |text| text.parse::<unit::Rate>().map(drop)),
@@ -35,7 +35,7 @@
 ];
 
 /// Least similarity, from 0 to 1, at which a name is offered as a correction.
-const SIMILAR: f64 = 0.6;
+const MIN_SIMILARITY: f64 = 0.6;
 
 /// Adds the faults that one error stands for.
 pub(super) fn explain(
@@ -46,11 +46,11 @@
     use error::ValidationErrorKind as Kind;
 
     let path = fault::Path::from_location(error.instance_path());
-    let parent = parent(schema, error.schema_path());
+    let parent = parent_schema(schema, error.schema_path());
     match error.kind() {
         Kind::AdditionalProperties { unexpected } => {
             for key in unexpected {
-                faults.push(path.key(key), unknown_key(parent, key));
+                faults.push(path.key(key), describe_unknown_key(parent, key));
             }
         }
         Kind::Required { property } => {
@@ -59,10 +59,12 @@
         }
         // Texts of a format have a pattern too, for other tools; the format says it better.
         Kind::Pattern { .. } if has_format(parent) => {}
-        Kind::Pattern { .. } => faults.push(path, pattern(parent)),
-        Kind::Format { format } => faults.push(path, malformed(format, parent, error.instance())),
+        Kind::Pattern { .. } => faults.push(path, describe_pattern(parent)),
+        Kind::Format { format } => {
+            faults.push(path, describe_malformed(format, parent, error.instance()))
+        }
         Kind::OneOfNotValid { .. } | Kind::AnyOf { .. } | Kind::Enum { .. } => {
-            faults.push(path, choice(parent, error.instance()));
+            faults.push(path, describe_choice(parent, error.instance()));
         }
         // The value could be a secret, and so stays out of the message.
         _ => faults.push(path, error.masked().to_string()),
@@ -70,7 +72,7 @@
 }
 
 /// Returns the schema that holds the keyword at `location`.
-fn parent<'a>(schema: &'a Value, location: &paths::Location) -> &'a Value {
+fn parent_schema<'a>(schema: &'a Value, location: &paths::Location) -> &'a Value {
     let text = location.as_str();
     let end = text.rfind('/').unwrap_or(0);
     schema.pointer(&text[..end]).unwrap_or(&Value::Null)
@@ -83,7 +85,7 @@
 }
 
 /// Describes a key that the object cannot have.
-fn unknown_key(schema: &Value, key: &str) -> String {
+fn describe_unknown_key(schema: &Value, key: &str) -> String {
     if schema.get("patternProperties").is_some() {
         return "not a name (1 to 63 of a-z 0-9 . _ -, first a letter or digit)".into();
     }
@@ -96,30 +98,30 @@
 }
 
 /// Describes a text that does not match its pattern.
-fn pattern(schema: &Value) -> String {
-    match example(schema) {
+fn describe_pattern(schema: &Value) -> String {
+    match first_example(schema) {
         Some(example) => format!("malformed; an example is {example}"),
         None => format!("must match {}", schema["pattern"]),
     }
 }
 
 /// Describes a text that is not of its format.
-fn malformed(format: &str, schema: &Value, found: &Value) -> String {
+fn describe_malformed(format: &str, schema: &Value, found: &Value) -> String {
     let text = found.as_str().unwrap_or_default();
     let check = FORMATS.iter().find(|(name, _)| *name == format);
     let problem = match check.map(|(_, check)| check(text)) {
         Some(Err(error)) => error.to_string(),
         _ => format!("not a valid {format}"),
     };
-    match example(schema) {
+    match first_example(schema) {
         Some(example) => format!("{problem}; an example is {example}"),
         None => problem,
     }
 }
 
 /// Describes a text that is none of the allowed ones.
-fn choice(schema: &Value, found: &Value) -> String {
-    let names = choices(schema);
+fn describe_choice(schema: &Value, found: &Value) -> String {
+    let names = allowed_texts(schema);
     if names.is_empty() {
         return "not of an allowed form".into();
     }
@@ -131,7 +133,7 @@
 }
 
 /// Collects the texts that a choice allows.
-fn choices(schema: &Value) -> Vec<&str> {
+fn allowed_texts(schema: &Value) -> Vec<&str> {
     let mut names = Vec::new();
     for name in schema["enum"].as_array().into_iter().flatten() {
         names.extend(name.as_str());
@@ -139,14 +141,14 @@
     for branch in ["oneOf", "anyOf"] {
         for option in schema[branch].as_array().into_iter().flatten() {
             names.extend(option["const"].as_str());
-            names.extend(choices(option));
+            names.extend(allowed_texts(option));
         }
     }
     names
 }
 
 /// Returns the first example of a schema, as JSON text.
-fn example(schema: &Value) -> Option<String> {
+fn first_example(schema: &Value) -> Option<String> {
     schema["examples"].get(0).map(Value::to_string)
 }
 
@@ -154,13 +156,17 @@
 fn nearest<'a>(text: &str, names: impl Iterator<Item = &'a str>) -> Option<&'a str> {
     names
         .map(|name| (strsim::normalized_damerau_levenshtein(text, name), name))
-        .filter(|(score, _)| *score >= SIMILAR)
+        .filter(|(score, _)| *score >= MIN_SIMILARITY)
         .max_by(|a, b| a.0.total_cmp(&b.0))
         .map(|(_, name)| name)
 }
 
 /// Describes a reference to something that does not exist.
-pub fn unknown<'a>(kind: &str, text: &str, names: impl Iterator<Item = &'a str>) -> String {
+pub fn describe_unknown<'a>(
+    kind: &str,
+    text: &str,
+    names: impl Iterator<Item = &'a str>,
+) -> String {
     match nearest(text, names) {
         Some(name) => format!("unknown {kind} {text:?}; the nearest known one is {name:?}"),
         None => format!("unknown {kind} {text:?}"),
--- a/laburnumcart/src/facts/table.rs
+++ b/laburnumcart/src/facts/table.rs
@@ -15,19 +15,19 @@
 };
 
 /// Most facts of a kind; beyond it, the one that expires first goes.
-const CAPACITY: usize = 4096;
+const FACTS_MAX: usize = 4096;
 
 /// Most suspects of a crash.
-const SUSPECTS: usize = 256;
+const SUSPECTS_MAX: usize = 256;
 
 /// Longest time that a fact is kept, whatever its sender says.
 const TTL_MAX: time::Duration = time::Duration::from_secs(3600);
 
 /// Time for which a life is remembered as leaving; longer than any stop takes.
-const LEAVING: time::Duration = time::Duration::from_secs(600);
+const LEAVING_TTL: time::Duration = time::Duration::from_secs(600);
 
 /// Difference of two expiries that is due to the time a message takes, and no news.
-const JITTER: time::Duration = time::Duration::from_secs(1);
+const EXPIRY_TOLERANCE: time::Duration = time::Duration::from_secs(1);
 
 /// State of a table that a peer has been sent.
 #[derive(Clone, Copy, Debug, Default, Eq, Ord, PartialEq, PartialOrd)]
@@ -40,7 +40,7 @@
     version: Version,
 }
 
-type Kind<K, V> = collections::HashMap<K, Fact<V>>;
+type FactMap<K, V> = collections::HashMap<K, Fact<V>>;
 
 /// Facts of one process, merged with those of its peers.
 ///
@@ -68,9 +68,9 @@
 pub struct Table {
     version: Version,
     generation: (id::Generation, Version),
-    leaving: Kind<id::Incarnation, ()>,
-    crashes: Kind<id::Incarnation, Vec<id::Fingerprint>>,
-    cleared: Kind<(id::Fingerprint, id::Incarnation), ()>,
+    leaving: FactMap<id::Incarnation, ()>,
+    crashes: FactMap<id::Incarnation, Vec<id::Fingerprint>>,
+    cleared: FactMap<(id::Fingerprint, id::Incarnation), ()>,
 }
 
 impl Table {
@@ -109,9 +109,9 @@
         if self.version <= since {
             return None;
         }
-        let leaving = fresh(&self.leaving, since, now);
-        let crashes = fresh(&self.crashes, since, now);
-        let cleared = fresh(&self.cleared, since, now);
+        let leaving = changed_facts(&self.leaving, since, now);
+        let crashes = changed_facts(&self.crashes, since, now);
+        let cleared = changed_facts(&self.cleared, since, now);
         Some(facts::Facts {
             generation: self.generation.0,
             leaving: leaving.map(|(life, _)| *life).collect(),
@@ -119,14 +119,14 @@
                 .map(|(id, fact)| facts::Crash {
                     id: *id,
                     suspects: fact.value.clone(),
-                    ttl: left(fact.expiry, now),
+                    ttl: remaining_ttl(fact.expiry, now),
                 })
                 .collect(),
             cleared: cleared
                 .map(|((fingerprint, crash), fact)| facts::Cleared {
                     fingerprint: *fingerprint,
                     crash: *crash,
-                    ttl: left(fact.expiry, now),
+                    ttl: remaining_ttl(fact.expiry, now),
                 })
                 .collect(),
         })
@@ -148,7 +148,7 @@
                 &mut self.leaving,
                 life,
                 (),
-                now + LEAVING,
+                now + LEAVING_TTL,
                 &mut self.version,
             );
         }
@@ -156,9 +156,9 @@
 
     /// Adds a crash.
     pub fn add_crash(&mut self, crash: &facts::Crash, now: Instant) {
-        let expiry = expiry(crash.ttl, now);
-        let suspects = || crash.suspects.iter().take(SUSPECTS).copied().collect();
-        if is_news(&self.crashes, &crash.id, expiry) {
+        let expiry = expiry_time(crash.ttl, now);
+        let suspects = || crash.suspects.iter().take(SUSPECTS_MAX).copied().collect();
+        if should_replace(&self.crashes, &crash.id, expiry) {
             insert(
                 &mut self.crashes,
                 crash.id,
@@ -172,8 +172,8 @@
     /// Adds a clearance.
     pub fn add_cleared(&mut self, cleared: &facts::Cleared, now: Instant) {
         let key = (cleared.fingerprint, cleared.crash);
-        let expiry = expiry(cleared.ttl, now);
-        if is_news(&self.cleared, &key, expiry) {
+        let expiry = expiry_time(cleared.ttl, now);
+        if should_replace(&self.cleared, &key, expiry) {
             insert(&mut self.cleared, key, (), expiry, &mut self.version);
         }
     }
@@ -202,17 +202,17 @@
     }
 }
 
-fn expiry(ttl: unit::Period, now: Instant) -> Instant {
+fn expiry_time(ttl: unit::Period, now: Instant) -> Instant {
     now + ttl.0.min(TTL_MAX)
 }
 
-fn left(expiry: Instant, now: Instant) -> unit::Period {
+fn remaining_ttl(expiry: Instant, now: Instant) -> unit::Period {
     unit::Period(expiry.saturating_duration_since(now))
 }
 
 /// Returns the valid facts that changed since a version.
-fn fresh<K, V>(
-    kind: &Kind<K, V>,
+fn changed_facts<K, V>(
+    kind: &FactMap<K, V>,
     since: Version,
     now: Instant,
 ) -> impl Iterator<Item = (&K, &Fact<V>)> {
@@ -224,19 +224,19 @@
 ///
 /// With the later expiry, a fact that goes round among peers would live longer by the time of
 /// each message, and for ever in the end.
-fn is_news<K: Eq + hash::Hash, V>(kind: &Kind<K, V>, key: &K, expiry: Instant) -> bool {
+fn should_replace<K: Eq + hash::Hash, V>(kind: &FactMap<K, V>, key: &K, expiry: Instant) -> bool {
     kind.get(key)
-        .is_none_or(|fact| expiry + JITTER < fact.expiry)
+        .is_none_or(|fact| expiry + EXPIRY_TOLERANCE < fact.expiry)
 }
 
 fn insert<K: Copy + Eq + hash::Hash, V>(
-    kind: &mut Kind<K, V>,
+    kind: &mut FactMap<K, V>,
     key: K,
     value: V,
     expiry: Instant,
     version: &mut Version,
 ) {
-    if kind.len() >= CAPACITY && !kind.contains_key(&key) {
+    if kind.len() >= FACTS_MAX && !kind.contains_key(&key) {
         let first = kind.iter().min_by_key(|(_, fact)| fact.expiry);
         let first = first.map(|(key, _)| *key);
         first.and_then(|key| kind.remove(&key));
--- a/laburnumcart/src/head/publish.rs
+++ b/laburnumcart/src/head/publish.rs
@@ -114,7 +114,7 @@
     change: Change,
     nonce: id::Nonce,
     base: Option<id::Generation>,
-    doubt: bool,
+    in_doubt: bool,
     phase: Phase<V>,
 }
 
@@ -129,7 +129,7 @@
             change,
             nonce,
             base: None,
-            doubt: false,
+            in_doubt: false,
             phase,
         }
     }
@@ -144,7 +144,7 @@
     /// Returns what to do next.
     pub fn step(&self) -> Step<V> {
         match &self.phase {
-            Phase::Storing => self.create(),
+            Phase::Storing => self.create_step(),
             Phase::Reading | Phase::Settling { .. } => Step::Read,
             Phase::Writing { expect, head } => Step::Write {
                 expect: expect.clone(),
@@ -158,10 +158,10 @@
     ///
     /// Finding the head unchanged does not end it, as the write may still be under way.
     pub fn is_in_doubt(&self) -> bool {
-        self.doubt && !matches!(self.phase, Phase::Done(_))
+        self.in_doubt && !matches!(self.phase, Phase::Done(_))
     }
 
-    fn create(&self) -> Step<V> {
+    fn create_step(&self) -> Step<V> {
         match &self.change {
             Change::Accept(value) => Step::Create {
                 digest: signing::Digest::of(value.as_bytes()),
@@ -192,7 +192,7 @@
     /// A conflict is settled by reading as well: it may be the own write, repeated after its answer
     /// was lost, that the service now finds in its way.
     pub fn record_write(&mut self, outcome: WriteOutcome) {
-        self.doubt |= outcome == WriteOutcome::Unknown;
+        self.in_doubt |= outcome == WriteOutcome::Unknown;
         self.phase = match std::mem::replace(&mut self.phase, Phase::Reading) {
             Phase::Writing { head, .. } if outcome == WriteOutcome::Applied => {
                 Phase::Done(Ok(head))
--- a/laburnumcart/src/id.rs
+++ b/laburnumcart/src/id.rs
@@ -38,7 +38,7 @@
 }
 
 /// Reports whether `text` is a name: 1 to 63 of `a-z 0-9 . _ -`, starting with a letter or digit.
-fn is_name(text: &str) -> bool {
+fn is_valid_name(text: &str) -> bool {
     let plain = |b: &u8| b.is_ascii_lowercase() || b.is_ascii_digit();
     let valid = |b: u8| plain(&b) || matches!(b, b'.' | b'_' | b'-');
     text.len() <= NAME_MAX && text.as_bytes().first().is_some_and(plain) && text.bytes().all(valid)
@@ -69,7 +69,7 @@
             type Err = ParseError;
 
             fn from_str(text: &str) -> Result<Self, ParseError> {
-                if is_name(text) {
+                if is_valid_name(text) {
                     Ok(Self(text.into()))
                 } else {
                     Err(ParseError::new($kind, text))
@@ -139,7 +139,7 @@
     "key name"
 );
 
-macro_rules! number {
+macro_rules! hex_id {
     ($(#[$doc:meta])* $name:ident, $inner:ty, $width:literal, $kind:literal) => {
         $(#[$doc])*
         #[derive(Clone, Copy, Eq, Hash, Ord, PartialEq, PartialOrd)]
@@ -206,42 +206,42 @@
     };
 }
 
-number!(
+hex_id!(
     /// One caller's request, unique over time.
     RequestId,
     u128,
     32,
     "request id"
 );
-number!(
+hex_id!(
     /// One dispatch of a stage to one target, unique over time.
     AttemptId,
     u128,
     32,
     "attempt id"
 );
-number!(
+hex_id!(
     /// One life of one process, drawn at its start.
     Incarnation,
     u64,
     16,
     "incarnation"
 );
-number!(
+hex_id!(
     /// What a request asks for, equal for a resend under a new [`RequestId`].
     Fingerprint,
     u128,
     32,
     "fingerprint"
 );
-number!(
+hex_id!(
     /// One try of an operator to move the head, drawn anew for each.
     Nonce,
     u128,
     32,
     "nonce"
 );
-number!(
+hex_id!(
     /// Checksum of a whole stage result (xxh3, 128 bits).
     Checksum,
     u128,
--- a/laburnumcart/src/ingress.rs
+++ b/laburnumcart/src/ingress.rs
@@ -28,9 +28,9 @@
     /// Service that executes the pieces.
     pub service: id::ServiceName,
     /// Indices of the stages whose results are its inputs.
-    pub after: Vec<usize>,
+    pub inputs: Vec<usize>,
     /// Approximate size of one result.
-    pub size: unit::Size,
+    pub result_size: unit::Size,
 }
 
 /// A service and its share of a route's requests.
@@ -60,11 +60,11 @@
     /// Time within which an answer is on time.
     pub objective: time::Duration,
     /// Longest pause between two events of an answer that is on time.
-    pub gap: Option<time::Duration>,
+    pub max_gap: Option<time::Duration>,
     /// Rank; 0 goes first.
     pub rank: u8,
     /// Most targets that one attempt of a caller is sent to.
-    pub sends: u32,
+    pub max_sends: u32,
     /// Services that it goes to.
     pub backends: Vec<Backend>,
     /// Steps before the request itself.
@@ -77,7 +77,7 @@
 
 impl Route {
     /// Chooses a target by a number drawn for the request.
-    pub fn backend(&self, draw: u64) -> Option<&id::ServiceName> {
+    pub fn choose_backend(&self, draw: u64) -> Option<&id::ServiceName> {
         let total: u64 = self.backends.iter().map(|b| u64::from(b.weight)).sum();
         let mut left = draw.checked_rem(total)?;
         for backend in &self.backends {
@@ -92,7 +92,7 @@
 
     /// Returns the stages whose results no other stage takes; their results go to the target.
     pub fn last_stages(&self) -> impl Iterator<Item = usize> {
-        let taken = |i: &usize| !self.stages.iter().any(|s| s.after.contains(i));
+        let taken = |i: &usize| !self.stages.iter().any(|s| s.inputs.contains(i));
         (0..self.stages.len()).filter(taken)
     }
 }
@@ -151,13 +151,13 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Limits {
     /// Largest head of a request in bytes.
-    pub head: usize,
+    pub max_head: usize,
     /// Largest body in bytes.
-    pub body: usize,
+    pub max_body: usize,
     /// Longest time for a head to arrive.
-    pub head_time: time::Duration,
+    pub head_timeout: time::Duration,
     /// Longest time that a connection stays idle.
-    pub idle: time::Duration,
+    pub idle_timeout: time::Duration,
 }
 
 /// One version of the configuration.
@@ -220,7 +220,11 @@
     }
 
     /// Returns the team of a request on `route`; `None` where it needs none.
-    pub fn team(&self, route: &Route, key: Option<&str>) -> Result<Option<&Team>, Unauthorized> {
+    pub fn find_team(
+        &self,
+        route: &Route,
+        key: Option<&str>,
+    ) -> Result<Option<&Team>, Unauthorized> {
         let team = key.and_then(|key| self.teams.get(key));
         match team {
             Some(team) => Ok(Some(team)),
--- a/laburnumcart/src/lanes.rs
+++ b/laburnumcart/src/lanes.rs
@@ -27,23 +27,23 @@
 };
 
 /// Sessions remembered of a lane; a sender asks soon after it has lost a connection.
-const WHOLE_MAX: usize = 16;
+const PROVABLE_MAX: usize = 16;
 
 /// Newest session of each lane.
 #[derive(Debug)]
 pub struct Lanes {
     lanes: collections::HashMap<id::Incarnation, Lane>,
-    idle: time::Duration,
+    idle_timeout: time::Duration,
 }
 
 #[derive(Debug)]
 struct Lane {
     /// Newest session; older ones are fenced.
-    number: u64,
+    newest: u64,
     /// Sessions that were opened here, and of which no attempt that may have run was forgotten
     /// unacknowledged; in order, at most [`WHOLE_MAX`].
-    whole: Vec<u64>,
-    seen: time::Instant,
+    provable: Vec<u64>,
+    last_used: time::Instant,
 }
 
 impl Lanes {
@@ -51,7 +51,7 @@
     pub fn new(idle: time::Duration) -> Self {
         Self {
             lanes: collections::HashMap::new(),
-            idle,
+            idle_timeout: idle,
         }
     }
 
@@ -65,22 +65,22 @@
         now: time::Instant,
     ) -> Result<(), verdict::Refusal> {
         let known = self.lanes.entry(lane).or_insert(Lane {
-            number: 0,
-            whole: Vec::new(),
-            seen: now,
+            newest: 0,
+            provable: Vec::new(),
+            last_used: now,
         });
-        if number <= known.number {
+        if number <= known.newest {
             return Err(fenced());
         }
-        known.number = number;
-        known.seen = now;
+        known.newest = number;
+        known.last_used = now;
         // Sessions that were not opened here say nothing. Their attempts may have run and been
         // forgotten with the lane, or have run at another agent at the same address. A lower bound
         // in place of the list would be wrong: after the lane was forgotten, an old `hello` that
         // was still under way could set it too low.
-        known.whole.push(number);
-        if known.whole.len() > WHOLE_MAX {
-            known.whole.remove(0);
+        known.provable.push(number);
+        if known.provable.len() > PROVABLE_MAX {
+            known.provable.remove(0);
         }
         Ok(())
     }
@@ -93,8 +93,8 @@
         now: time::Instant,
     ) -> Result<(), verdict::Refusal> {
         match self.lanes.get_mut(&lane) {
-            Some(known) if known.number == number => {
-                known.seen = now;
+            Some(known) if known.newest == number => {
+                known.last_used = now;
                 Ok(())
             }
             _ => Err(fenced()),
@@ -104,7 +104,7 @@
     /// Notes that an attempt of session `sent` which may have run was forgotten unacknowledged.
     pub fn record_expired(&mut self, lane: id::Incarnation, sent: u64) {
         if let Some(known) = self.lanes.get_mut(&lane) {
-            known.whole.retain(|session| *session != sent);
+            known.provable.retain(|session| *session != sent);
         }
     }
 
@@ -113,14 +113,14 @@
     /// This is safe: a call of a forgotten lane is refused until `hello`, and whichever session that
     /// opens, nothing that an earlier one has sent is denied from then on.
     pub fn expire(&mut self, now: time::Instant) {
-        let idle = self.idle;
-        self.lanes.retain(|_, lane| now - lane.seen < idle);
+        let idle = self.idle_timeout;
+        self.lanes.retain(|_, lane| now - lane.last_used < idle);
     }
 
     /// Returns what is proven about an attempt of the fenced session `sent` that is not in the table.
     pub fn unknown_verdict(&self, lane: id::Incarnation, sent: u64) -> verdict::Verdict {
         match self.lanes.get(&lane) {
-            Some(known) if sent < known.number && known.whole.contains(&sent) => {
+            Some(known) if sent < known.newest && known.provable.contains(&sent) => {
                 verdict::Verdict::NotRun
             }
             _ => verdict::Verdict::MayHaveRun,
--- a/laburnumcart/src/orders.rs
+++ b/laburnumcart/src/orders.rs
@@ -10,7 +10,7 @@
 //!
 //! let now = time::Instant::now();
 //! let limit = time::Duration::from_secs(5);
-//! let mut orders = orders::Orders::new();
+//! let mut orders = orders::Reconciler::new();
 //! orders.set_wanted(bundle::Orders::Unfenced, ["case@2".into()], limit);
 //! orders.set_loaded(["case@1".into()]);
 //! orders.acquire_term(id::Term(3), now);
@@ -35,7 +35,7 @@
 
 /// Number of an order; a target that checks it takes only one that is higher than the last.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd, Serialize)]
-pub struct Number {
+pub struct FencingNumber {
     /// Term of the agent.
     pub term: id::Term,
     /// Number within the term, from 1.
@@ -47,7 +47,7 @@
 pub struct Order {
     /// Fencing number.
     #[serde(flatten)]
-    pub number: Number,
+    pub number: FencingNumber,
     /// Models to load.
     pub load: Vec<String>,
     /// Models to unload.
@@ -75,41 +75,41 @@
     /// The term was read at this moment and is ours.
     Confirmed(time::Instant),
     /// An order is under way.
-    Giving,
+    InFlight,
     /// An order has ended and the term must be read again.
-    Given,
+    Completed,
 }
 
 /// Orders of one agent.
 #[derive(Debug)]
-pub struct Orders {
+pub struct Reconciler {
     fencing: bundle::Orders,
     wanted: collections::BTreeSet<String>,
-    actual: Option<collections::BTreeSet<String>>,
-    limit: time::Duration,
+    loaded: Option<collections::BTreeSet<String>>,
+    order_limit: time::Duration,
     term: Option<id::Term>,
-    held: Option<time::Instant>,
+    acquired_at: Option<time::Instant>,
     sequence: u64,
     phase: Phase,
     superseded: bool,
 }
 
-impl Default for Orders {
+impl Default for Reconciler {
     fn default() -> Self {
         Self::new()
     }
 }
 
-impl Orders {
+impl Reconciler {
     /// Creates a state without a term, which gives no orders.
     pub fn new() -> Self {
         Self {
             fencing: bundle::Orders::None,
             wanted: collections::BTreeSet::new(),
-            actual: None,
-            limit: time::Duration::ZERO,
+            loaded: None,
+            order_limit: time::Duration::ZERO,
             term: None,
-            held: None,
+            acquired_at: None,
             sequence: 0,
             phase: Phase::Unconfirmed,
             superseded: false,
@@ -126,23 +126,23 @@
         self.fencing = fencing;
         self.wanted = models.into_iter().collect();
         // An order that was given under a longer limit may still be under way.
-        self.limit = self.limit.max(limit);
+        self.order_limit = self.order_limit.max(limit);
     }
 
     /// Takes note of the models that the target has.
     pub fn set_loaded(&mut self, models: impl IntoIterator<Item = String>) {
-        self.actual = Some(models.into_iter().collect());
+        self.loaded = Some(models.into_iter().collect());
     }
 
     /// Takes note that the target's state is not known.
     pub fn set_unknown(&mut self) {
-        self.actual = None;
+        self.loaded = None;
     }
 
     /// Takes note that this process has acquired `term` at `now`.
     pub fn acquire_term(&mut self, term: id::Term, now: time::Instant) {
         self.term = Some(term);
-        self.held = Some(now);
+        self.acquired_at = Some(now);
         self.sequence = 0;
         self.phase = Phase::Unconfirmed;
     }
@@ -159,38 +159,38 @@
         }
         self.phase = match self.phase {
             Phase::Unconfirmed => Phase::Confirmed(now),
-            Phase::Given => Phase::Unconfirmed,
+            Phase::Completed => Phase::Unconfirmed,
             other => other,
         };
     }
 
     /// Takes note that the order under way has ended; its effect is seen by [`Orders::set_loaded`].
     pub fn record_completed(&mut self) {
-        self.actual = None;
-        self.phase = Phase::Given;
+        self.loaded = None;
+        self.phase = Phase::Completed;
     }
 
     /// Returns what to do next; an order that is returned counts as under way.
     pub fn step(&mut self, now: time::Instant) -> Step {
-        let (Some(term), Some(held)) = (self.term, self.held) else {
+        let (Some(term), Some(held)) = (self.term, self.acquired_at) else {
             return Step::Idle;
         };
         match self.phase {
-            Phase::Giving => return Step::Idle,
-            Phase::Given if self.fencing == bundle::Orders::Unfenced => return Step::Confirm,
+            Phase::InFlight => return Step::Idle,
+            Phase::Completed if self.fencing == bundle::Orders::Unfenced => return Step::Confirm,
             _ => (),
         }
-        let Some((load, unload)) = self.difference() else {
+        let Some((load, unload)) = self.model_changes() else {
             return Step::Idle;
         };
         if self.fencing == bundle::Orders::Unfenced {
             // A predecessor that was paused in the middle of an order could finish it after ours.
             // Its timeout has closed that order by the time that this wait is over.
-            if now < held + self.limit {
-                return Step::Wait(held + self.limit);
+            if now < held + self.order_limit {
+                return Step::Wait(held + self.order_limit);
             }
             // A read from before a pause of this process proves nothing after it.
-            let fresh = |read: time::Instant| now - read < self.limit / 4;
+            let fresh = |read: time::Instant| now - read < self.order_limit / 4;
             match self.phase {
                 Phase::Confirmed(read) if fresh(read) => (),
                 _ => {
@@ -200,8 +200,8 @@
             }
         }
         self.sequence += 1;
-        self.phase = Phase::Giving;
-        let number = Number {
+        self.phase = Phase::InFlight;
+        let number = FencingNumber {
             term,
             sequence: self.sequence,
         };
@@ -224,15 +224,15 @@
 
     /// Reports whether the target has the wanted models.
     pub fn is_settled(&self) -> bool {
-        self.actual.is_some() && self.difference().is_none()
+        self.loaded.is_some() && self.model_changes().is_none()
     }
 
     /// Returns what to load and what to unload, `None` if nothing or not known.
-    fn difference(&self) -> Option<(Vec<String>, Vec<String>)> {
+    fn model_changes(&self) -> Option<(Vec<String>, Vec<String>)> {
         if self.fencing == bundle::Orders::None {
             return None;
         }
-        let actual = self.actual.as_ref()?;
+        let actual = self.loaded.as_ref()?;
         let load: Vec<String> = self.wanted.difference(actual).cloned().collect();
         let unload: Vec<String> = actual.difference(&self.wanted).cloned().collect();
         let none = load.is_empty() && unload.is_empty();
--- a/laburnumcart/src/signing.rs
+++ b/laburnumcart/src/signing.rs
@@ -123,7 +123,7 @@
 
     /// Adds a signature; one of the same signer is replaced.
     pub fn sign(&mut self, name: id::KeyName, key: &SecretKey) {
-        let signature = key.sign(&message(&self.bundle));
+        let signature = key.sign(&signed_bytes(&self.bundle));
         self.signatures.retain(|signed| signed.key != name);
         self.signatures.push(Signed {
             key: name,
@@ -199,7 +199,7 @@
 
     /// Returns the trusted signers with a valid signature.
     fn signers(&self, envelope: &Envelope) -> Vec<id::KeyName> {
-        let message = message(&envelope.bundle);
+        let message = signed_bytes(&envelope.bundle);
         let mut signers = collections::BTreeSet::new();
         for signed in &envelope.signatures {
             let keys = self.keys.get(&signed.key).into_iter().flat_map(Keys::iter);
@@ -239,6 +239,6 @@
 }
 
 /// Returns what is signed for a bundle.
-fn message(bundle: &str) -> Vec<u8> {
+fn signed_bytes(bundle: &str) -> Vec<u8> {
     [DOMAIN, bundle.as_bytes()].concat()
 }
--- a/laburnumcart/src/signing/key.rs
+++ b/laburnumcart/src/signing/key.rs
@@ -38,7 +38,10 @@
 }
 
 /// Decodes a base64 text of exactly `N` bytes; an error does not repeat the text.
-fn decode<const N: usize>(kind: &'static str, text: &str) -> Result<[u8; N], id::ParseError> {
+fn decode_base64<const N: usize>(
+    kind: &'static str,
+    text: &str,
+) -> Result<[u8; N], id::ParseError> {
     let bytes = BASE64_STANDARD.decode(text.trim()).ok();
     bytes
         .and_then(|bytes| bytes.try_into().ok())
@@ -73,7 +76,7 @@
 
     fn from_str(text: &str) -> Result<Self, id::ParseError> {
         let error = || id::ParseError::new("public key", "…");
-        let bytes = decode("public key", text)?;
+        let bytes = decode_base64("public key", text)?;
         let key = ed25519_dalek::VerifyingKey::from_bytes(&bytes).map_err(|_| error())?;
         // Anyone can sign for a key of small order.
         if key.is_weak() {
@@ -88,7 +91,7 @@
 /// Public keys of one signer, written in base64; two, divided by a comma, while the signer changes
 /// from one to the other.
 #[derive(Clone, Debug, Display, Eq, PartialEq, schemars::JsonSchema)]
-#[display("{}", join(_0))]
+#[display("{}", join_keys(_0))]
 #[schemars(
     with = "String",
     extend(
@@ -112,7 +115,7 @@
     }
 }
 
-fn join(keys: &[PublicKey]) -> String {
+fn join_keys(keys: &[PublicKey]) -> String {
     let texts: Vec<_> = keys.iter().map(PublicKey::to_string).collect();
     texts.join(",")
 }
@@ -165,7 +168,7 @@
     type Err = id::ParseError;
 
     fn from_str(text: &str) -> Result<Self, id::ParseError> {
-        let seed = decode("secret key", text)?;
+        let seed = decode_base64("secret key", text)?;
         Ok(Self(ed25519_dalek::SigningKey::from_bytes(&seed)))
     }
 }
@@ -184,7 +187,7 @@
     type Err = id::ParseError;
 
     fn from_str(text: &str) -> Result<Self, id::ParseError> {
-        let bytes = decode("signature", text)?;
+        let bytes = decode_base64("signature", text)?;
         Ok(Self(ed25519_dalek::Signature::from_bytes(&bytes)))
     }
 }
--- a/laburnumcart/src/sse.rs
+++ b/laburnumcart/src/sse.rs
@@ -41,7 +41,7 @@
 pub struct Splitter {
     buffer: Vec<u8>,
     /// Bytes of the buffer that hold no end of an event.
-    seen: usize,
+    scanned: usize,
 }
 
 impl Splitter {
@@ -49,12 +49,12 @@
     pub fn push(&mut self, bytes: &[u8]) -> Result<Vec<Event>, Malformed> {
         self.buffer.extend_from_slice(bytes);
         let mut events = Vec::new();
-        while let Some(end) = self.end() {
+        while let Some(end) = self.find_event_end() {
             let rest = self.buffer.split_off(end);
             let bytes = mem::replace(&mut self.buffer, rest);
-            self.seen = 0;
+            self.scanned = 0;
             events.push(Event {
-                id: id(&bytes),
+                id: event_id(&bytes),
                 bytes,
             });
         }
@@ -70,8 +70,8 @@
     }
 
     /// Returns where the first event ends.
-    fn end(&mut self) -> Option<usize> {
-        let start = self.seen.saturating_sub(3);
+    fn find_event_end(&mut self) -> Option<usize> {
+        let start = self.scanned.saturating_sub(3);
         for i in start..self.buffer.len() {
             let rest = &self.buffer[i..];
             if rest.starts_with(b"\n\n") {
@@ -81,13 +81,13 @@
                 return Some(i + 3);
             }
         }
-        self.seen = self.buffer.len();
+        self.scanned = self.buffer.len();
         None
     }
 }
 
 /// Reads the `id` field of an event.
-fn id(event: &[u8]) -> Option<u64> {
+fn event_id(event: &[u8]) -> Option<u64> {
     let line = event
         .split(|b| *b == b'\n')
         .find_map(|l| l.strip_prefix(b"id:"))?;
--- a/laburnumcart/src/unit.rs
+++ b/laburnumcart/src/unit.rs
@@ -31,17 +31,17 @@
 }
 
 /// Splits a text into its number, in any spelling that JSON allows for it, and its unit.
-fn split(text: &str) -> Option<(f64, &str)> {
+fn split_unit(text: &str) -> Option<(f64, &str)> {
     let end = text
         .find(|c: char| !c.is_ascii_digit() && c != '.')
         .unwrap_or(text.len());
-    let (number, unit) = text.split_at(end + exponent(&text[end..]));
+    let (number, unit) = text.split_at(end + exponent_len(&text[end..]));
     let value: f64 = number.parse().ok()?;
     Some((value, unit))
 }
 
 /// Returns the length of the exponent that a text begins with, 0 if there is none.
-fn exponent(text: &str) -> usize {
+fn exponent_len(text: &str) -> usize {
     let Some(rest) = text.strip_prefix(['e', 'E']) else {
         return 0;
     };
@@ -83,7 +83,7 @@
 
     fn from_str(text: &str) -> Result<Self, id::ParseError> {
         let error = || id::ParseError::new("size", text);
-        let (value, name) = split(text).ok_or_else(error)?;
+        let (value, name) = split_unit(text).ok_or_else(error)?;
         let (_, unit) = SIZE_UNITS
             .iter()
             .find(|(n, _)| *n == name)
@@ -147,7 +147,7 @@
 
     fn from_str(text: &str) -> Result<Self, id::ParseError> {
         let error = || id::ParseError::new("period", text);
-        let (value, name) = split(text).ok_or_else(error)?;
+        let (value, name) = split_unit(text).ok_or_else(error)?;
         let (_, unit) = PERIOD_UNITS
             .iter()
             .find(|(n, _)| *n == name)
@@ -180,7 +180,7 @@
     type Err = id::ParseError;
 
     fn from_str(text: &str) -> Result<Self, id::ParseError> {
-        match split(text) {
+        match split_unit(text) {
             Some((value, "/s")) if value.is_finite() => Ok(Self(value)),
             _ => Err(id::ParseError::new("rate", text)),
         }
@@ -207,7 +207,7 @@
     type Err = id::ParseError;
 
     fn from_str(text: &str) -> Result<Self, id::ParseError> {
-        match split(text) {
+        match split_unit(text) {
             Some((value, "%")) if (0.0..=100.0).contains(&value) => Ok(Self(value / 100.0)),
             _ => Err(id::ParseError::new("share", text)),
         }
--- a/laburnumcart/tests/attempts.rs
+++ b/laburnumcart/tests/attempts.rs
@@ -5,7 +5,7 @@
         Descriptor, //
         Expired,
         Limits,
-        Position,
+        PositionError,
         State,
         Table,
     },
@@ -172,8 +172,14 @@
     table.acknowledge(ID, 1);
     let view = table.read_chunks(ID, 1, 1000).unwrap().unwrap();
     assert!(matches!(view.state, State::Done(end) if end.count == 1));
-    assert_eq!(table.read_chunks(ID, 0, 1000), Some(Err(Position::Past)));
-    assert_eq!(table.read_chunks(ID, 2, 1000), Some(Err(Position::Ahead)));
+    assert_eq!(
+        table.read_chunks(ID, 0, 1000),
+        Some(Err(PositionError::Past))
+    );
+    assert_eq!(
+        table.read_chunks(ID, 2, 1000),
+        Some(Err(PositionError::Ahead))
+    );
 }
 
 #[tokio::test(start_paused = true)]
--- a/laburnumcart/tests/claim.rs
+++ b/laburnumcart/tests/claim.rs
@@ -39,7 +39,10 @@
 
 fn new_log(claims: usize, segments: u64) -> (log::Log, Instant) {
     let now = Instant::now();
-    let limits = log::Limits { claims, segments };
+    let limits = log::Limits {
+        max_claims: claims,
+        snapshot_segments: segments,
+    };
     (log::Log::new(1, table::Table::default(), limits, now), now)
 }
 
@@ -294,7 +297,7 @@
         waits.push(wait + patience.silence);
         now += wait;
     }
-    let first = patience.settle;
+    let first = patience.settle_time;
     assert_eq!(waits, [first, first * 2, first * 4, first * 8]);
 }
 
--- a/laburnumcart/tests/ingress.rs
+++ b/laburnumcart/tests/ingress.rs
@@ -9,10 +9,10 @@
 use rstest::rstest;
 
 const LIMITS: ingress::Limits = ingress::Limits {
-    head: 16384,
-    body: 1 << 20,
-    head_time: time::Duration::from_secs(3),
-    idle: time::Duration::from_secs(15),
+    max_head: 16384,
+    max_body: 1 << 20,
+    head_timeout: time::Duration::from_secs(3),
+    idle_timeout: time::Duration::from_secs(15),
 };
 
 fn route(name: &str, host: &str, prefix: &str) -> ingress::Route {
@@ -24,9 +24,9 @@
         stream: false,
         timeout: time::Duration::from_secs(1),
         objective: time::Duration::from_millis(300),
-        gap: None,
+        max_gap: None,
         rank: 0,
-        sends: 1,
+        max_sends: 1,
         backends: vec![backend("north", 1)],
         stages: Vec::new(),
         anonymous: false,
@@ -44,8 +44,8 @@
 fn stage(after: &[usize]) -> ingress::Stage {
     ingress::Stage {
         service: "encode".parse().unwrap(),
-        after: after.to_vec(),
-        size: unit::Size(1000),
+        inputs: after.to_vec(),
+        result_size: unit::Size(1000),
     }
 }
 
@@ -74,10 +74,10 @@
 fn a_split_follows_its_weights() {
     let mut split = route("split", "a.example", "/");
     split.backends = vec![backend("north", 90), backend("south", 10)];
-    let south = (0..1000).filter(|n| split.backend(*n).unwrap().as_str() == "south");
+    let south = (0..1000).filter(|n| split.choose_backend(*n).unwrap().as_str() == "south");
     assert_eq!(south.count(), 100);
     split.backends.clear();
-    assert_eq!(split.backend(7), None);
+    assert_eq!(split.choose_backend(7), None);
 }
 
 #[test]
@@ -92,18 +92,18 @@
     let mut table = ingress::Table::new(1, LIMITS);
     let (mut open, closed) = (route("open", "a", "/"), route("closed", "a", "/"));
     open.anonymous = true;
-    assert_eq!(table.team(&closed, None), Ok(None));
+    assert_eq!(table.find_team(&closed, None), Ok(None));
     let team = ingress::Team {
         regions: None,
         name: "clinic".parse().unwrap(),
         rank: Some(1),
     };
     table.add_key("secret", team.clone());
-    assert_eq!(table.team(&closed, Some("secret")), Ok(Some(&team)));
+    assert_eq!(table.find_team(&closed, Some("secret")), Ok(Some(&team)));
     assert_eq!(
-        table.team(&closed, Some("other")),
+        table.find_team(&closed, Some("other")),
         Err(ingress::Unauthorized)
     );
-    assert_eq!(table.team(&closed, None), Err(ingress::Unauthorized));
-    assert_eq!(table.team(&open, None), Ok(None));
+    assert_eq!(table.find_team(&closed, None), Err(ingress::Unauthorized));
+    assert_eq!(table.find_team(&open, None), Ok(None));
 }
--- a/laburnumcart/tests/orders.rs
+++ b/laburnumcart/tests/orders.rs
@@ -4,7 +4,7 @@
     bundle::Orders as Fencing,
     id::Term,
     orders::{
-        Orders,
+        Reconciler,
         Step, //
     },
 };
@@ -17,14 +17,14 @@
 
 const LIMIT: Duration = Duration::from_secs(5);
 
-fn orders(fencing: Fencing) -> Orders {
-    let mut orders = Orders::new();
+fn orders(fencing: Fencing) -> Reconciler {
+    let mut orders = Reconciler::new();
     orders.set_wanted(fencing, ["new".into()], LIMIT);
     orders.set_loaded(["old".into()]);
     orders
 }
 
-fn give(orders: &mut Orders, term: Term, now: Instant) -> (u64, Vec<String>) {
+fn give(orders: &mut Reconciler, term: Term, now: Instant) -> (u64, Vec<String>) {
     if orders.step(now) == Step::Confirm {
         orders.confirm_term(term, now);
     }
--- a/laburnumcart_agent/src/control/ordering.rs
+++ b/laburnumcart_agent/src/control/ordering.rs
@@ -28,7 +28,7 @@
     shared: sync::Arc<shared::Shared>,
     store: sync::Arc<S>,
     key: String,
-    orders: orders::Orders,
+    orders: orders::Reconciler,
     limit: time::Duration,
     reported: bool,
 }
@@ -44,7 +44,7 @@
         key: term::key(&shared.settings.target.name),
         shared,
         store,
-        orders: orders::Orders::new(),
+        orders: orders::Reconciler::new(),
         limit: time::Duration::ZERO,
         reported: false,
     };
--- a/laburnumcart_ctl/src/args.rs
+++ b/laburnumcart_ctl/src/args.rs
@@ -226,7 +226,9 @@
 
 fn unknown(name: &str) -> error::Error {
     let names = COMMANDS.iter().map(|command| command.name);
-    error::Error::Usage(laburnumcart::document::unknown("command", name, names))
+    error::Error::Usage(laburnumcart::document::describe_unknown(
+        "command", name, names,
+    ))
 }
 
 fn options(command: &Command) -> getopts::Options {
--- a/laburnumcart_ctl/src/command/schema.rs
+++ b/laburnumcart_ctl/src/command/schema.rs
@@ -18,7 +18,8 @@
         "bundle" => document::schema::<bundle::Bundle>(),
         "settings" => document::schema::<settings::Settings>(),
         name => {
-            let problem = document::unknown("document", name, ["bundle", "settings"].into_iter());
+            let problem =
+                document::describe_unknown("document", name, ["bundle", "settings"].into_iter());
             return Err(error::Error::Usage(problem));
         }
     };
--- a/laburnumcart_entry/src/claims/settings.rs
+++ b/laburnumcart_entry/src/claims/settings.rs
@@ -67,14 +67,14 @@
     /// Sets the most claims held for one shard; more are refused as not run.
     #[must_use]
     pub fn limit(mut self, limit: usize) -> Self {
-        self.limits.claims = limit;
+        self.limits.max_claims = limit;
         self
     }
 
     /// Sets the fewest segments of a shard's log between two snapshots.
     #[must_use]
     pub fn segments(mut self, segments: u64) -> Self {
-        self.limits.segments = segments.max(1);
+        self.limits.snapshot_segments = segments.max(1);
         self
     }
 
--- a/laburnumcart_entry/src/links/pull.rs
+++ b/laburnumcart_entry/src/links/pull.rs
@@ -91,7 +91,7 @@
             lane: self.lane,
             connection: self.connection,
             request: call.request,
-            sent: self.prepared.send(),
+            sent: self.prepared.mark_sent(),
             joiner: stage::Assembler::default(),
             patient: !call.idempotent,
             call: Some(Box::new(call)),
@@ -215,13 +215,13 @@
             Err(Failure::Broken) => self.resolve().await,
             Err(Failure::Oversized) if first => {
                 let refusal = verdict::Refusal::not_run(verdict::Reason::TooLarge);
-                return Step::Refused(self.sent.refused(refusal));
+                return Step::Refused(self.sent.settle_refused(refusal));
             }
             Err(Failure::Oversized | Failure::Rejected) => Err(verdict::Reason::Corrupt),
         };
         match progress {
             Ok(progress) => self.take(progress),
-            Err(reason) => Step::Refused(self.sent.lost(reason)),
+            Err(reason) => Step::Refused(self.sent.settle_lost(reason)),
         }
     }
 
@@ -312,14 +312,14 @@
     /// Checks an answer and adds its chunks.
     fn take(mut self, progress: stage::Progress) -> Step {
         if !self.is_ours(&progress) {
-            return Step::Refused(self.sent.lost(verdict::Reason::Corrupt));
+            return Step::Refused(self.sent.settle_lost(verdict::Reason::Corrupt));
         }
         let mut tail = String::new();
         for chunk in &progress.chunks {
             match self.joiner.push(chunk) {
                 Ok(true) => tail.push_str(&chunk.text),
                 Ok(false) => {}
-                Err(_) => return Step::Refused(self.sent.lost(verdict::Reason::Corrupt)),
+                Err(_) => return Step::Refused(self.sent.settle_lost(verdict::Reason::Corrupt)),
             }
         }
         match progress.state {
@@ -328,14 +328,14 @@
                 // The agent keeps the verdict until it hears that it was received, and a stop of
                 // the agent would wait for that until its limit.
                 tokio::spawn(self.canceller().cancel());
-                Step::Refused(self.sent.refused(refusal))
+                Step::Refused(self.sent.settle_refused(refusal))
             }
             stage::State::Done(end) if self.joiner.next_number() < end.count => {
                 Step::More(self, tail)
             }
             stage::State::Done(end) => match self.joiner.finish(&end) {
                 Ok(text) => Step::Whole(Whole { tail, text, end }),
-                Err(_) => Step::Refused(self.sent.lost(verdict::Reason::Corrupt)),
+                Err(_) => Step::Refused(self.sent.settle_lost(verdict::Reason::Corrupt)),
             },
         }
     }
--- a/laburnumcart_gateway/src/admission.rs
+++ b/laburnumcart_gateway/src/admission.rs
@@ -149,7 +149,7 @@
     let host = headers.get(header::HOST).and_then(|h| h.to_str().ok());
     let route = host.and_then(|host| table.find_route(host, path));
     let route = route.ok_or_else(|| absent(verdict::Reason::UnknownPipeline))?;
-    let team = table.team(route, call.key.as_deref());
+    let team = table.find_team(route, call.key.as_deref());
     let team = team.map_err(|_| absent(verdict::Reason::Unauthorized))?;
     // A key that was revoked while this process could not read the store, or was suspended, would
     // work on. Nothing is honoured that was not confirmed within the bound.
--- a/laburnumcart_gateway/src/callers.rs
+++ b/laburnumcart_gateway/src/callers.rs
@@ -86,7 +86,7 @@
     }
     let activity = Arc::new(Activity::new(Instant::now()));
     let table = gateway.view.table.load_full();
-    let head_max = table.map_or(HEAD_MAX, |t| t.limits.head);
+    let head_max = table.map_or(HEAD_MAX, |t| t.limits.max_head);
     let io = rt::TokioIo::new(Watched::new(stream, activity.clone()));
     let (shared, seen) = (gateway.clone(), activity.clone());
     let service = service::service_fn(move |incoming| {
@@ -138,11 +138,11 @@
         return Overdue::No;
     };
     let now = Instant::now();
-    if activity.reading(now) > table.limits.head_time {
+    if activity.reading(now) > table.limits.head_timeout {
         // A caller that sends its head byte by byte would keep a place for ever.
         return Overdue::Head;
     }
-    match activity.idle(now) > table.limits.idle {
+    match activity.idle(now) > table.limits.idle_timeout {
         true => Overdue::Idle,
         false => Overdue::No,
     }
--- a/laburnumcart_gateway/src/forward.rs
+++ b/laburnumcart_gateway/src/forward.rs
@@ -81,7 +81,7 @@
         gateway: &Arc<gateway::Gateway>,
         request: &Arc<admission::Request>,
     ) -> Result<Self, verdict::Refusal> {
-        let service = request.route.backend(rand::random());
+        let service = request.route.choose_backend(rand::random());
         let missing = verdict::Refusal::not_run(verdict::Reason::NoTarget);
         let service = service.ok_or(missing)?.clone();
         gateway.budgets.earn(&service);
@@ -103,7 +103,7 @@
 
     /// Reports whether another target may still be asked.
     pub fn has_more(&self) -> bool {
-        let sends = self.request.route.sends.max(1);
+        let sends = self.request.route.max_sends.max(1);
         self.sent < sends && self.refused < REFUSALS && !self.exhausted
     }
 
@@ -115,7 +115,7 @@
 
     /// Reports whether another target may be asked should the next send fail.
     pub fn has_spare(&self) -> bool {
-        self.sent + 1 < self.request.route.sends && self.refused < REFUSALS
+        self.sent + 1 < self.request.route.max_sends && self.refused < REFUSALS
     }
 
     /// Returns what is known of the request as a whole.
--- a/laburnumcart_gateway/src/gateway.rs
+++ b/laburnumcart_gateway/src/gateway.rs
@@ -190,7 +190,7 @@
 
     /// Returns where the inputs of a request are best made.
     pub fn near(&self, request: &admission::Request) -> Option<id::DataCentre> {
-        let service = request.route.backend(0)?;
+        let service = request.route.choose_backend(0)?;
         let prompt = request.call.prompt.as_ref()?;
         let mut engines = view::lock(&self.engines);
         let engines = self.engines_of(&mut engines, &request.table, service)?;
--- a/laburnumcart_gateway/src/pipeline.rs
+++ b/laburnumcart_gateway/src/pipeline.rs
@@ -187,7 +187,7 @@
     /// failed. What those inputs were made of often still exists.
     fn forget(&mut self, i: usize, started: &mut [bool]) {
         started[i] = false;
-        for k in &self.request.route.stages[i].after {
+        for k in &self.request.route.stages[i].inputs {
             self.results[*k] = None;
             started[*k] = false;
         }
@@ -208,7 +208,7 @@
     /// one.
     fn is_unread(&self, i: usize, started: &[bool]) -> bool {
         let stages = &self.request.route.stages;
-        let mut readers = (0..stages.len()).filter(|k| stages[*k].after.contains(&i));
+        let mut readers = (0..stages.len()).filter(|k| stages[*k].inputs.contains(&i));
         let is_last = readers.clone().next().is_none();
         is_last || readers.any(|k| !started[k])
     }
@@ -221,13 +221,13 @@
     /// Reports whether a stage alone reads the results that it takes.
     fn consumes(&self, i: usize) -> bool {
         let stages = &self.request.route.stages;
-        let readers = |k: usize| stages.iter().filter(|s| s.after.contains(&k)).count();
-        self.pieces(i) > 0 && stages[i].after.iter().all(|k| readers(*k) == 1)
+        let readers = |k: usize| stages.iter().filter(|s| s.inputs.contains(&k)).count();
+        self.pieces(i) > 0 && stages[i].inputs.iter().all(|k| readers(*k) == 1)
     }
 
     /// Reports whether all that a stage takes has been made.
     fn is_ready(&self, i: usize) -> bool {
-        let after = &self.request.route.stages[i].after;
+        let after = &self.request.route.stages[i].inputs;
         after.iter().all(|k| self.results[*k].is_some())
     }
 
@@ -271,9 +271,9 @@
 
     fn job(&mut self, i: usize, stage: &ingress::Stage) -> dispatcher::Job {
         let request = self.request;
-        let input = match stage.after.is_empty() {
+        let input = match stage.inputs.is_empty() {
             true => dialect::Input::Key(request.call.key_input.clone().unwrap_or_default()),
-            false => dialect::Input::Results(self.handles(&stage.after)),
+            false => dialect::Input::Results(self.handles(&stage.inputs)),
         };
         // A request that will be late in any case must not delay those that can be on time.
         let due = match self.late {
@@ -287,7 +287,7 @@
             stage: i as u32,
             service: stage.service.clone(),
             pieces: self.pieces(i),
-            size: stage.size,
+            size: stage.result_size,
             input,
             due: unit::Period(due),
             deadline: unit::Period(request.left().saturating_sub(self.rest(i))),
@@ -317,7 +317,7 @@
         let service = &route.stages[i].service;
         let mut before = (0..i).filter(|k| self.pieces(*k) > 0);
         let is_other = |k: usize| route.stages[k].service != *service;
-        before.all(is_other) && route.backend(0) != Some(service)
+        before.all(is_other) && route.choose_backend(0) != Some(service)
     }
 
     /// Returns where a stage is best executed, and the bytes that cross when it is not.
@@ -327,12 +327,12 @@
         let stages = &self.request.route.stages;
         let mut places: collections::HashMap<id::DataCentre, u64> = collections::HashMap::new();
         if let Some(near) = &self.near {
-            places.insert(near.clone(), stages[i].size.0);
+            places.insert(near.clone(), stages[i].result_size.0);
         }
-        for k in &stages[i].after {
+        for k in &stages[i].inputs {
             let held = self.results[*k].iter().flat_map(|held| &held.handles);
             for place in held.filter_map(|handle| self.place(handle)) {
-                *places.entry(place).or_default() += stages[*k].size.0;
+                *places.entry(place).or_default() += stages[*k].result_size.0;
             }
         }
         let pieces = u64::from(self.pieces(i));
@@ -360,7 +360,9 @@
                 continue;
             };
             for handle in &held.handles {
-                let places = self.place(handle).map(|zone| (zone, route.stages[i].size));
+                let places = self
+                    .place(handle)
+                    .map(|zone| (zone, route.stages[i].result_size));
                 inputs.places.extend(places);
             }
             inputs.handles.extend(held.handles.iter().cloned());
--- a/laburnumcart_gateway/src/pipeline/admit.rs
+++ b/laburnumcart_gateway/src/pipeline/admit.rs
@@ -61,7 +61,7 @@
             _ => self.length(i),
         };
         forecast::Stage {
-            after: self.request.route.stages[i].after.clone(),
+            after: self.request.route.stages[i].inputs.clone(),
             duration: own,
             estimate: None,
         }
@@ -92,7 +92,7 @@
             id: rand::random(),
             service: stage.service.clone(),
             pieces: self.pieces(i),
-            size: stage.size,
+            size: stage.result_size,
             due: unit::Period(request.slack().saturating_sub(rest)),
             deadline: unit::Period(request.left().saturating_sub(rest)),
             rank: request.urgency(),
--- a/laburnumcart_gateway/src/pipeline/times.rs
+++ b/laburnumcart_gateway/src/pipeline/times.rs
@@ -17,7 +17,7 @@
     /// Returns the time that is needed once stage `i` is done.
     pub(super) fn rest(&self, i: usize) -> time::Duration {
         let stages = &self.request.route.stages;
-        let next = (0..stages.len()).filter(|k| stages[*k].after.contains(&i));
+        let next = (0..stages.len()).filter(|k| stages[*k].inputs.contains(&i));
         let after = next.map(|k| self.length(k) + self.rest(k)).max();
         after.unwrap_or_else(|| self.prompt())
     }
--- a/laburnumcart_gateway/src/request.rs
+++ b/laburnumcart_gateway/src/request.rs
@@ -142,7 +142,7 @@
         head.uri.path(),
         &call,
     )?;
-    let most = admitted.table.limits.body.min(BODY_MAX);
+    let most = admitted.table.limits.max_body.min(BODY_MAX);
     let body = whole(body, most).await?;
     let spent = gateway.spent(&admitted.route, call.patience);
     let rank = admitted.team.as_ref().and_then(|t| t.rank);
--- a/laburnumcart_gateway/src/stream.rs
+++ b/laburnumcart_gateway/src/stream.rs
@@ -340,7 +340,7 @@
 fn limit_gap(request: &admission::Request, sends: &Sends) -> time::Duration {
     let left = request.left();
     let resumable = request.route.retry == ingress::RetryPolicy::Resume && sends.has_more();
-    match request.route.gap.filter(|_| resumable) {
+    match request.route.max_gap.filter(|_| resumable) {
         Some(gap) => left.min((gap * GAPS).max(GAP_MIN)),
         None => left,
     }
