--- a/laburnumcart/src/attempt.rs
+++ b/laburnumcart/src/attempt.rs
@@ -1,16 +1,16 @@
-//! Life cycle of one dispatch of a stage, as seen by its sender.
+//! Life cycle of an attempt as seen by its sender.
 
 use crate::{
     id,
     verdict, //
 };
 
-/// An attempt of which no byte has left the process.
+/// An attempt of which nothing has been sent yet.
 #[derive(Debug)]
 pub struct Prepared {
     /// Identity of the attempt.
     pub id: id::AttemptId,
-    /// Life of the agent that it is addressed to.
+    /// Incarnation of the agent that it is addressed to.
     pub incarnation: id::Incarnation,
 }
 
@@ -19,21 +19,21 @@
 pub struct Sent {
     /// Identity of the attempt.
     pub id: id::AttemptId,
-    /// Life of the agent that it is addressed to.
+    /// Incarnation of the agent that it is addressed to.
     pub incarnation: id::Incarnation,
 }
 
-/// An attempt whose result or verdict is final.
+/// An attempt whose outcome is final.
 #[derive(Debug)]
 pub struct Settled {
     /// Identity of the attempt.
     pub id: id::AttemptId,
-    /// `None` when the attempt has executed and its whole result was received.
+    /// `None` if the attempt executed and its whole result was received.
     pub refusal: Option<verdict::Refusal>,
 }
 
 impl Prepared {
-    /// Creates an attempt for the given life of an agent.
+    /// Creates an attempt for the given incarnation of an agent.
     pub fn new(incarnation: id::Incarnation) -> Self {
         Self {
             id: id::AttemptId::random(),
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Gives up before anything was sent, which proves that the attempt did not execute.
+    /// Settles the attempt before anything was sent, which proves that it did not execute.
     pub fn abandon(self, reason: verdict::Reason) -> Settled {
         Settled {
             id: self.id,
@@ -49,10 +49,10 @@
         }
     }
 
-    /// Marks the attempt as sent; must come before the first byte leaves.
+    /// Marks the attempt as sent; must be called before the first byte is sent.
     ///
-    /// An attempt that is marked late could be reported "not run" after its bytes have left, and
-    /// a non-idempotent request would run twice.
+    /// If it were called later, an attempt that was already sent could be reported as not run, and
+    /// a non-idempotent request could execute twice.
     pub fn mark_sent(self) -> Sent {
         Sent {
             id: self.id,
@@ -62,7 +62,7 @@
 }
 
 impl Sent {
-    /// Settles with a refusal in which the agent itself proves its verdict.
+    /// Settles the attempt with the agent's refusal, whose verdict the agent has proven.
     pub fn settle_refused(self, refusal: verdict::Refusal) -> Settled {
         Settled {
             id: self.id,
@@ -70,7 +70,7 @@
         }
     }
 
-    /// Settles with the whole result.
+    /// Settles the attempt after its whole result was received.
     pub fn settle_done(self) -> Settled {
         Settled {
             id: self.id,
@@ -78,7 +78,7 @@
         }
     }
 
-    /// Settles without an answer; the attempt may have executed.
+    /// Settles the attempt without a whole result; it may have executed.
     pub fn settle_lost(self, reason: verdict::Reason) -> Settled {
         self.settle_refused(verdict::Refusal::may_have_run(reason))
     }
--- a/laburnumcart/src/attempts.rs
+++ b/laburnumcart/src/attempts.rs
@@ -1,21 +1,21 @@
-//! What an agent knows of the attempts that were sent to it.
+//! Table of the attempts at an agent.
 //!
-//! The table admits each attempt id once, keeps the numbered chunks of its result until they are
-//! acknowledged, and keeps the end for a bounded time, so that a sender whose connection broke can
-//! resume or learn the verdict over a new one.
+//! The table admits each attempt id once. It keeps the numbered chunks of a result until they are
+//! acknowledged and the outcome for a bounded time, so that a sender that lost its connection can
+//! resume the result or learn the verdict over a new one.
 //!
 //! ```
 //! use laburnumcart::{attempts, id};
 //! use tokio::time;
 //!
 //! let now = time::Instant::now();
-//! let bounds = attempts::Limits {
+//! let limits = attempts::Limits {
 //!     retention: time::Duration::from_secs(60),
 //!     bytes: 1 << 20,
 //!     attempts: 1000,
 //! };
-//! let mut table = attempts::Table::new(bounds);
-//! let ticket = attempts::Descriptor {
+//! let mut table = attempts::Table::new(limits);
+//! let descriptor = attempts::Descriptor {
 //!     request: id::RequestId(1),
 //!     attempt: id::AttemptId(2),
 //!     lane: id::Incarnation(3),
@@ -23,14 +23,14 @@
 //!     arrived: now,
 //!     deadline: now + time::Duration::from_secs(10),
 //! };
-//! assert!(table.admit(ticket, "data").unwrap());
-//! assert!(!table.admit(ticket, "a duplicate never starts").unwrap());
-//! assert!(table.mark_running(ticket.attempt, now));
-//! table.push(ticket.attempt, "text");
-//! table.finish(ticket.attempt, now);
-//! let view = table.read_chunks(ticket.attempt, 0, 1 << 20).unwrap().unwrap();
-//! assert_eq!(view.chunks.len(), 1);
-//! assert!(matches!(view.state, attempts::State::Done(end) if end.count == 1));
+//! assert!(table.admit(descriptor, "data").unwrap());
+//! assert!(!table.admit(descriptor, "a duplicate never starts").unwrap());
+//! assert!(table.mark_running(descriptor.attempt, now));
+//! table.push(descriptor.attempt, "text");
+//! table.finish(descriptor.attempt, now);
+//! let progress = table.read_chunks(descriptor.attempt, 0, 1 << 20).unwrap().unwrap();
+//! assert_eq!(progress.chunks.len(), 1);
+//! assert!(matches!(progress.state, attempts::State::Done(end) if end.count == 1));
 //! ```
 
 pub mod chunks;
@@ -60,51 +60,51 @@
 };
 
 new_key_type! {
-    /// Place of an attempt in the table.
+    /// Key of an attempt in the table.
     struct Key;
 }
 
-/// Limits of a table.
+/// Limits on what a table keeps.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// How long an ended attempt that was not acknowledged is kept.
+    /// Time for which an ended attempt is kept if its sender does not settle it.
     pub retention: time::Duration,
-    /// Bytes of results kept, above which nothing is admitted.
+    /// Bytes of stored results from which on no attempt is admitted.
     pub bytes: usize,
-    /// Attempts kept, above which nothing is admitted.
+    /// Largest number of attempts.
     pub attempts: usize,
 }
 
-/// Where an attempt stands.
+/// State of an attempt as shown to its sender.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum State {
-    /// Waits for a slot at the target.
+    /// Waiting for a slot at the target.
     Queued,
-    /// The target executes it.
+    /// Being executed by the target.
     Running,
-    /// All of the result exists.
+    /// Ended with a whole result.
     Done(End),
-    /// It failed with a final verdict.
+    /// Refused or failed, with the final verdict.
     Refused(verdict::Refusal),
 }
 
-/// What a sender sees of an attempt.
+/// Progress of an attempt as shown to its sender.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Progress {
     /// Request that it belongs to.
     pub request: id::RequestId,
-    /// Chunks in order from the number that was asked for.
+    /// Chunks in order, starting at the requested number.
     pub chunks: Vec<Chunk>,
-    /// Where it stands; an end is shown only with the last chunk.
+    /// State; `Done` is reported only together with the last chunk.
     pub state: State,
 }
 
-/// An ended attempt that was forgotten before it was acknowledged and that may have run.
+/// An ended attempt that may have run and was dropped before its sender settled it.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Expired {
-    /// Lane that it came over.
+    /// Lane over which it arrived.
     pub lane: id::Incarnation,
-    /// Session of the lane that it came over.
+    /// Session of the lane over which it arrived.
     pub session: u64,
 }
 
@@ -118,14 +118,14 @@
 
 #[derive(Debug)]
 struct Entry<T> {
-    /// Empty only while a transition is made.
+    /// `None` only during a transition.
     phase: Option<Phase>,
     data: T,
-    /// The sender asks no more about it.
+    /// Whether the sender has settled the attempt and will not ask about it again.
     settled: bool,
 }
 
-/// Attempts of one agent, each with data of the program around it.
+/// Attempts of one agent, each with caller-defined data.
 #[derive(Debug)]
 pub struct Table<T> {
     limits: Limits,
@@ -136,47 +136,47 @@
 
 impl<T> Table<T> {
     /// Creates an empty table.
-    pub fn new(bounds: Limits) -> Self {
+    pub fn new(limits: Limits) -> Self {
         Self {
-            limits: bounds,
+            limits,
             entries: SlotMap::with_key(),
             ids: collections::HashMap::new(),
             bytes: 0,
         }
     }
 
-    /// Changes how long ended attempts are kept.
+    /// Sets the time for which ended attempts are kept.
     pub fn set_retention(&mut self, retention: time::Duration) {
         self.limits.retention = retention;
     }
 
-    /// Adds an attempt as queued; returns false for one that is known, which must not start again.
-    pub fn admit(&mut self, ticket: Descriptor, data: T) -> Result<bool, verdict::Refusal> {
-        if self.ids.contains_key(&ticket.attempt) {
+    /// Adds a queued attempt; returns false for a known one, which must not start again.
+    pub fn admit(&mut self, descriptor: Descriptor, data: T) -> Result<bool, verdict::Refusal> {
+        if self.ids.contains_key(&descriptor.attempt) {
             return Ok(false);
         }
         if self.entries.len() >= self.limits.attempts || self.bytes >= self.limits.bytes {
             return Err(verdict::Refusal::not_run(verdict::Reason::Overloaded));
         }
-        let attempt = lifecycle::Attempt::new(ticket);
+        let attempt = lifecycle::Attempt::new(descriptor);
         let key = self.entries.insert(Entry {
             phase: Some(Phase::Queued(attempt)),
             data,
             settled: false,
         });
-        self.ids.insert(ticket.attempt, key);
+        self.ids.insert(descriptor.attempt, key);
         Ok(true)
     }
 
-    /// Marks a queued attempt as running; returns false if it is not queued any more.
+    /// Marks a queued attempt as running; returns false if it is no longer queued.
     pub fn mark_running(&mut self, id: id::AttemptId, now: time::Instant) -> bool {
-        self.transition(id, |stage| match stage {
+        self.transition(id, |phase| match phase {
             Phase::Queued(attempt) => (Phase::Running(attempt.mark_running(now)), true),
             other => (other, false),
         })
     }
 
-    /// Appends a chunk to the result of a running attempt.
+    /// Appends a chunk to the result of a running attempt; returns false if it is not running.
     pub fn push(&mut self, id: id::AttemptId, text: &str) -> bool {
         let Some(entry) = self.get_mut(id) else {
             return false;
@@ -189,35 +189,36 @@
         true
     }
 
-    /// Ends a running attempt with its whole result.
+    /// Ends a running attempt whose result is complete; returns false if it is not running.
     pub fn finish(&mut self, id: id::AttemptId, now: time::Instant) -> bool {
-        self.end(id, |stage| match stage {
+        self.end(id, |phase| match phase {
             Phase::Running(attempt) => (Phase::Done(attempt.finish(now)), true),
             other => (other, false),
         })
     }
 
-    /// Ends a running attempt that its target may have executed.
+    /// Ends a running attempt as failed; the target may have executed it.
     pub fn fail(&mut self, id: id::AttemptId, reason: verdict::Reason, now: time::Instant) -> bool {
-        self.end(id, |stage| match stage {
+        self.end(id, |phase| match phase {
             Phase::Running(attempt) => (Phase::Refused(attempt.fail(reason, now)), true),
             other => (other, false),
         })
     }
 
-    /// Ends an attempt that provably did not run: a queued one, or one that its target refused.
+    /// Ends an attempt as proven not to have run.
     ///
-    /// A running attempt is only ended with `proof`, the target's own word that it did not start.
+    /// A running attempt is only ended if `unstarted` is set, that is, if the target itself has
+    /// reported that it did not start the attempt.
     pub fn refuse(
         &mut self,
         id: id::AttemptId,
         refusal: verdict::Refusal,
-        proof: bool,
+        unstarted: bool,
         now: time::Instant,
     ) -> bool {
-        self.end(id, |stage| match stage {
+        self.end(id, |phase| match phase {
             Phase::Queued(attempt) => (Phase::Refused(attempt.refuse(refusal, now)), true),
-            Phase::Running(attempt) if proof => {
+            Phase::Running(attempt) if unstarted => {
                 (Phase::Refused(attempt.refuse_unstarted(refusal, now)), true)
             }
             other => (other, false),
@@ -226,8 +227,8 @@
 
     /// Drops the chunks before `from`.
     ///
-    /// The attempt itself is kept even when that was all of its result: the sender asks for the next
-    /// chunk before it has seen the end mark, and would find the attempt gone instead of done.
+    /// The attempt is kept even if no chunk is left: its sender acknowledges the last chunk before
+    /// it has seen the end mark, and must still find the attempt done.
     pub fn acknowledge(&mut self, id: id::AttemptId, from: u32) {
         let Some(entry) = self.get_mut(id) else {
             return;
@@ -243,7 +244,7 @@
         self.bytes -= freed;
     }
 
-    /// Forgets an attempt that its sender has settled, now or when it ends.
+    /// Drops an attempt that its sender has settled, at once or as soon as it ends.
     pub fn forget(&mut self, id: id::AttemptId) {
         let Some(entry) = self.get_mut(id) else {
             return;
@@ -254,10 +255,10 @@
         }
     }
 
-    /// Forgets ended attempts after their retention time; returns those that may have run.
+    /// Drops ended attempts past their retention time; returns those that may have run.
     pub fn expire(&mut self, now: time::Instant) -> Vec<Expired> {
         let retention = self.limits.retention;
-        let due = |entry: &Entry<T>| match &entry.phase {
+        let has_expired = |entry: &Entry<T>| match &entry.phase {
             Some(Phase::Done(attempt)) => now - attempt.state.ended >= retention,
             Some(Phase::Refused(attempt)) => now - attempt.state.ended >= retention,
             _ => false,
@@ -265,7 +266,7 @@
         let ids: Vec<id::AttemptId> = self
             .ids
             .iter()
-            .filter(|(_, key)| due(&self.entries[**key]))
+            .filter(|(_, key)| has_expired(&self.entries[**key]))
             .map(|(id, _)| *id)
             .collect();
         ids.into_iter()
@@ -273,9 +274,10 @@
             .collect()
     }
 
-    /// Returns what the sender may see from chunk `from` on, in at most `limit` bytes of text.
+    /// Returns the progress of an attempt with the chunks from number `from` on.
     ///
-    /// Returns `None` for an attempt that is not in the table.
+    /// The chunks hold at most `limit` bytes of text, or are a single larger one. Returns `None`
+    /// for an attempt that is not in the table.
     pub fn read_chunks(
         &self,
         id: id::AttemptId,
@@ -302,34 +304,34 @@
                 (attempt.descriptor.request, None, state)
             }
         };
-        let read = match chunks.map(|chunks| chunks.read(from, limit)) {
-            Some(Err(position)) => return Some(Err(position)),
-            Some(Ok(read)) => read,
+        let chunks = match chunks.map(|chunks| chunks.read(from, limit)) {
+            Some(Err(error)) => return Some(Err(error)),
+            Some(Ok(chunks)) => chunks,
             None => Vec::new(),
         };
         let state = match state {
-            // An end shown before its last chunk would look like a broken result.
-            State::Done(end) if from + (read.len() as u32) < end.count => State::Running,
+            // The sender would take an end before the last chunk for an incomplete result.
+            State::Done(end) if from + (chunks.len() as u32) < end.count => State::Running,
             other => other,
         };
         Some(Ok(Progress {
             request,
-            chunks: read,
+            chunks,
             state,
         }))
     }
 
-    /// Returns the data of an attempt.
+    /// Returns the caller-defined data of an attempt.
     pub fn data(&self, id: id::AttemptId) -> Option<&T> {
         self.get(id).map(|entry| &entry.data)
     }
 
-    /// Returns the identity and time limit of an attempt.
+    /// Returns the descriptor of an attempt.
     pub fn descriptor(&self, id: id::AttemptId) -> Option<Descriptor> {
         self.get(id)?.phase.as_ref().map(Phase::descriptor)
     }
 
-    /// Returns when a running attempt began.
+    /// Returns the time at which a running attempt was started.
     pub fn started_at(&self, id: id::AttemptId) -> Option<time::Instant> {
         match self.get(id)?.phase.as_ref()? {
             Phase::Running(attempt) => Some(attempt.state.started),
@@ -345,7 +347,7 @@
         }
     }
 
-    /// Returns the bytes of its result that wait to be acknowledged.
+    /// Returns the bytes of a running attempt's result that are not acknowledged.
     pub fn unacknowledged_bytes(&self, id: id::AttemptId) -> usize {
         match self.get(id).and_then(|entry| entry.phase.as_ref()) {
             Some(Phase::Running(attempt)) => attempt.state.chunks.bytes(),
@@ -373,17 +375,17 @@
             })
     }
 
-    /// Returns the bytes of results kept.
+    /// Returns the bytes of all stored results.
     pub fn bytes(&self) -> usize {
         self.bytes
     }
 
-    /// Returns the number of attempts kept.
+    /// Returns the number of attempts in the table.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Reports whether no attempt is kept.
+    /// Reports whether the table is empty.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
@@ -401,11 +403,11 @@
         let Some(entry) = self.get_mut(id) else {
             return false;
         };
-        let Some(stage) = entry.phase.take() else {
+        let Some(phase) = entry.phase.take() else {
             return false;
         };
-        let (stage, changed) = next(stage);
-        entry.phase = Some(stage);
+        let (phase, changed) = next(phase);
+        entry.phase = Some(phase);
         changed
     }
 
@@ -434,16 +436,16 @@
     }
 
     fn remove_expired(&mut self, id: id::AttemptId) -> Option<Expired> {
-        let stage = self.remove(id)?;
-        let ticket = stage.descriptor();
-        let harmless = |refused: &lifecycle::Attempt<lifecycle::Refused>| {
+        let phase = self.remove(id)?;
+        let descriptor = phase.descriptor();
+        let is_not_run = |refused: &lifecycle::Attempt<lifecycle::Refused>| {
             refused.state.refusal.verdict == verdict::Verdict::NotRun
         };
-        match stage {
-            Phase::Refused(refused) if harmless(&refused) => None,
+        match phase {
+            Phase::Refused(refused) if is_not_run(&refused) => None,
             _ => Some(Expired {
-                lane: ticket.lane,
-                session: ticket.session,
+                lane: descriptor.lane,
+                session: descriptor.session,
             }),
         }
     }
--- a/laburnumcart/src/attempts/chunks.rs
+++ b/laburnumcart/src/attempts/chunks.rs
@@ -1,4 +1,4 @@
-//! Numbered parts of one result, kept until they are acknowledged.
+//! Buffer of the numbered chunks of a result, kept until they are acknowledged.
 
 use std::{
     collections,
@@ -13,27 +13,27 @@
 
 use crate::id;
 
-/// A numbered part of a result.
+/// A numbered chunk of a result.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Chunk {
     /// Number within the attempt, from 0.
     pub number: u32,
-    /// Text of the part.
+    /// Text of the chunk.
     pub text: sync::Arc<str>,
 }
 
-/// A position that no chunk can be read from.
+/// Error of reading from a position outside the buffer.
 #[derive(Clone, Copy, Debug, Display, Error, Eq, PartialEq)]
 pub enum PositionError {
-    /// The chunk was acknowledged before and is no longer kept.
+    /// The chunk was acknowledged and is no longer stored.
     #[display("chunk already acknowledged")]
     Past,
-    /// The chunks before it do not all exist yet.
+    /// The chunks before the position do not all exist yet.
     #[display("chunk beyond the next one")]
     Ahead,
 }
 
-/// Parts of one result in order.
+/// Chunks of one result, in order.
 #[derive(Default)]
 pub struct Chunks {
     kept: collections::VecDeque<sync::Arc<str>>,
@@ -53,7 +53,7 @@
 }
 
 impl Chunks {
-    /// Appends a part.
+    /// Appends a chunk.
     pub fn push(&mut self, text: impl Into<sync::Arc<str>>) {
         let text = text.into();
         self.hash.update(text.as_bytes());
@@ -61,7 +61,7 @@
         self.kept.push_back(text);
     }
 
-    /// Drops the chunks before `from`; repeated and late acknowledgements have no effect.
+    /// Drops the chunks before `from`; repeated and outdated acknowledgements have no effect.
     pub fn acknowledge(&mut self, from: u32) {
         while self.first < from {
             let Some(text) = self.kept.pop_front() else {
@@ -72,7 +72,9 @@
         }
     }
 
-    /// Returns chunks from number `from` on, of at most `limit` bytes but at least one if any.
+    /// Returns chunks from number `from` on.
+    ///
+    /// They hold at most `limit` bytes of text, or are a single larger chunk.
     pub fn read(&self, from: u32, limit: usize) -> Result<Vec<Chunk>, PositionError> {
         let skip = from.checked_sub(self.first).ok_or(PositionError::Past)?;
         if from > self.count() {
@@ -92,12 +94,12 @@
         Ok((from..).zip(texts).map(chunk).collect())
     }
 
-    /// Returns the number of chunks so far, acknowledged ones included.
+    /// Returns the number of chunks so far, including acknowledged ones.
     pub fn count(&self) -> u32 {
         self.first + self.kept.len() as u32
     }
 
-    /// Returns the bytes kept.
+    /// Returns the bytes of the chunks that are not acknowledged.
     pub fn bytes(&self) -> usize {
         self.bytes
     }
--- a/laburnumcart/src/attempts/lifecycle.rs
+++ b/laburnumcart/src/attempts/lifecycle.rs
@@ -1,7 +1,7 @@
-//! Life cycle of one attempt at the agent that executes it.
+//! Life cycle of an attempt at the agent.
 //!
-//! The verdict of a refusal follows from the state: a queued attempt can only end as "not run", a
-//! running one ends as "may have run" unless its target proves the contrary.
+//! The state determines the verdict: a queued attempt can only end as not run, and a running one ends
+//! as "may have run" unless the target reports that it did not start.
 
 use tokio::time;
 
@@ -11,88 +11,88 @@
     verdict, //
 };
 
-/// Identity and time limit of an attempt.
+/// Identity and time limits of an attempt.
 #[derive(Clone, Copy, Debug)]
 pub struct Descriptor {
     /// Request that it belongs to.
     pub request: id::RequestId,
-    /// This dispatch.
+    /// Identity of the attempt.
     pub attempt: id::AttemptId,
-    /// Lane that it came over.
+    /// Lane over which it arrived.
     pub lane: id::Incarnation,
-    /// Session of the lane that it came over.
+    /// Session of the lane over which it arrived.
     pub session: u64,
-    /// Time of its arrival.
+    /// Time of arrival.
     pub arrived: time::Instant,
-    /// Time after which its result is of no use.
+    /// Time after which its result is useless.
     pub deadline: time::Instant,
 }
 
 /// An attempt in one state of its life cycle.
 #[derive(Debug)]
 pub struct Attempt<S> {
-    /// Identity and time limit.
+    /// Identity and time limits.
     pub descriptor: Descriptor,
-    /// What belongs to the state.
+    /// Data of the state.
     pub state: S,
 }
 
-/// Waits for a slot at the target; no byte has left for it.
+/// State of an attempt that waits for a slot at the target and of which nothing was sent.
 #[derive(Debug)]
 pub struct Queued;
 
-/// The target executes it, or may do so.
+/// State of an attempt that the target may be executing.
 #[derive(Debug)]
 pub struct Running {
-    /// When its bytes may have left.
+    /// Time from which on it may have been sent.
     pub started: time::Instant,
     /// Result so far.
     pub chunks: chunks::Chunks,
 }
 
-/// All of the result exists.
+/// State of an attempt whose result is complete.
 #[derive(Debug)]
 pub struct Done {
     /// End mark.
     pub end: End,
-    /// Result, less what was acknowledged.
+    /// Result without the acknowledged chunks.
     pub chunks: chunks::Chunks,
-    /// When it ended.
+    /// Time at which it ended.
     pub ended: time::Instant,
 }
 
-/// It failed with a final verdict.
+/// State of an attempt that was refused or failed.
 #[derive(Debug)]
 pub struct Refused {
-    /// Verdict and cause.
+    /// Verdict and reason.
     pub refusal: verdict::Refusal,
-    /// When it ended.
+    /// Time at which it ended.
     pub ended: time::Instant,
 }
 
 /// End mark of a result.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct End {
-    /// Number of chunks in all.
+    /// Total number of chunks.
     pub count: u32,
-    /// xxh3 over the text of all chunks in order.
+    /// Checksum (xxh3) over the text of all chunks in order.
     pub checksum: id::Checksum,
-    /// Time that the target spent on it.
+    /// Time spent at the target.
     pub busy: time::Duration,
-    /// Time that it waited for its target.
+    /// Time spent in the queue.
     pub queued: time::Duration,
 }
 
 impl Attempt<Queued> {
-    /// Creates an attempt that has just arrived.
-    pub fn new(ticket: Descriptor) -> Self {
+    /// Creates a queued attempt.
+    pub fn new(descriptor: Descriptor) -> Self {
         Self {
-            descriptor: ticket,
+            descriptor,
             state: Queued,
         }
     }
 
-    /// Marks the attempt as running; must come before the first byte leaves for the target.
+    /// Marks the attempt as running; must be called before the first byte is sent to the target.
     pub fn mark_running(self, now: time::Instant) -> Attempt<Running> {
         self.with(Running {
             started: now,
@@ -100,14 +100,14 @@
         })
     }
 
-    /// Ends an attempt that never left the queue, which proves that it did not run.
+    /// Ends an attempt that is still queued, which proves that it did not run.
     pub fn refuse(self, refusal: verdict::Refusal, now: time::Instant) -> Attempt<Refused> {
         self.with(Refused::not_run(refusal, now))
     }
 }
 
 impl Attempt<Running> {
-    /// Ends the attempt with its whole result.
+    /// Ends the attempt with a complete result.
     pub fn finish(mut self, now: time::Instant) -> Attempt<Done> {
         let chunks = std::mem::take(&mut self.state.chunks);
         let end = End {
@@ -123,7 +123,7 @@
         })
     }
 
-    /// Ends the attempt without a whole result; the target may have executed it.
+    /// Ends the attempt without a complete result; the target may have executed it.
     pub fn fail(self, reason: verdict::Reason, now: time::Instant) -> Attempt<Refused> {
         self.with(Refused {
             refusal: verdict::Refusal::may_have_run(reason),
@@ -131,7 +131,7 @@
         })
     }
 
-    /// Ends the attempt when the target has proven that it did not start it.
+    /// Ends the attempt after the target has reported that it did not start it.
     pub fn refuse_unstarted(
         self,
         refusal: verdict::Refusal,
@@ -142,7 +142,7 @@
 }
 
 impl Refused {
-    /// Takes cause and retry time of `refusal`; the verdict follows from the state.
+    /// Creates the state with the reason and retry delay of `refusal`, and the verdict `NotRun`.
     fn not_run(refusal: verdict::Refusal, now: time::Instant) -> Self {
         let verdict = verdict::Verdict::NotRun;
         Self {
--- a/laburnumcart/src/claim.rs
+++ b/laburnumcart/src/claim.rs
@@ -1,8 +1,9 @@
-//! Claims, which make a non-idempotent request execute at most once.
+//! Claims on idempotency keys, which make a non-idempotent request execute at most once.
 //!
 //! Keys are spread over shards. Each shard has one owner at a time, which keeps a [`table`] of the
 //! granted keys and appends every change to a [`log`] in the object service before it answers.
-//! [`record`] is what the log holds; [`limiter`] limits the appends; [`ownership`] says whom to ask and when to take over.
+//! [`record`] defines the records of the log, [`limiter`] limits the rate of appends, and
+//! [`ownership`] selects owners and decides when to take over a shard.
 //!
 //! # Examples
 //!
@@ -49,23 +50,23 @@
 
 use crate::id;
 
-/// Process that executes a claimed request and keeps its answer.
+/// Process that executes a claimed request and stores its answer.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq, Serialize, Deserialize)]
 pub struct Holder {
     /// Address of its peer port.
     pub addr: net::SocketAddr,
-    /// Its life; another one there has not the answer.
+    /// Incarnation of the process; another one at this address does not have the answer.
     pub incarnation: id::Incarnation,
 }
 
-/// Digests a team and its caller's idempotency key.
+/// Returns the digest of a team and its caller's idempotency key.
 ///
-/// The digest is a cut SHA-256, so that a team cannot craft a key that collides with the key of
-/// another team and takes its claim.
+/// The digest is a truncated SHA-256, so that no team can craft a key that collides with another
+/// team's key and occupies its claim.
 pub fn key(team: &id::TeamName, text: &str) -> id::Fingerprint {
     let mut hash = sha2::Sha256::new();
     hash.update(team.as_str().as_bytes());
-    // A zero byte cannot occur in a name, so no two pairs run together.
+    // A name holds no zero byte, so that different pairs are hashed as different bytes.
     hash.update([0]);
     hash.update(text.as_bytes());
     let digest: [u8; 32] = hash.finalize().into();
--- a/laburnumcart/src/claim/limiter.rs
+++ b/laburnumcart/src/claim/limiter.rs
@@ -1,4 +1,4 @@
-//! When the next append may start, so that claims leave room for other writes.
+//! Rate limiter of appends to the claim log, which leaves capacity for other writes.
 
 use std::time;
 
@@ -6,10 +6,10 @@
 
 use crate::unit;
 
-/// Rate limit of one kind of writes of one process, over all shards that it owns.
+/// Rate limiter for one kind of write, over all shards that a process owns.
 ///
-/// Batches of a shard gather while it waits for its slot, so that under load the appends keep to
-/// the rate and grow instead, and without load a claim does not wait.
+/// While a shard waits for its slot its next batch grows, so that load increases the size of
+/// appends and not their rate. Without load a claim does not wait.
 #[derive(Clone, Debug)]
 pub struct Limiter {
     rate: f64,
@@ -20,8 +20,10 @@
 }
 
 impl Limiter {
-    /// Creates the limit of a process without shards; `rate` holds for all `shards` together, and
-    /// `burst` writes may start at once after a quiet time.
+    /// Creates the limiter of a process that owns no shards.
+    ///
+    /// `rate` applies to all `shards` of the system together. After an idle time `burst` writes may
+    /// start at once.
     pub fn new(rate: unit::Rate, shards: u16, burst: u32) -> Self {
         Self {
             rate: rate.0.max(1.0),
@@ -32,23 +34,23 @@
         }
     }
 
-    /// Counts a shard that the process has taken over.
+    /// Adds a shard that the process has taken over.
     pub fn add_shard(&mut self) {
         self.owned_shards = self.owned_shards.saturating_add(1);
     }
 
-    /// Counts a shard that the process has lost.
+    /// Removes a shard that the process has lost.
     pub fn remove_shard(&mut self) {
         self.owned_shards = self.owned_shards.saturating_sub(1);
     }
 
-    /// Returns the time between two appends in the long run.
+    /// Returns the mean time between two writes at the limit.
     pub fn interval(&self) -> time::Duration {
         let owned = f64::from(self.owned_shards.max(1));
         time::Duration::from_secs_f64(f64::from(self.shards) / (self.rate * owned))
     }
 
-    /// Reserves the next slot and returns its time, which is `now` unless the rate is used up.
+    /// Reserves the next slot and returns its time, which is `now` unless the limit is reached.
     pub fn reserve_slot(&mut self, now: Instant) -> Instant {
         let interval = self.interval();
         let earliest = now
--- a/laburnumcart/src/claim/log.rs
+++ b/laburnumcart/src/claim/log.rs
@@ -1,4 +1,4 @@
-//! The owner's side of a shard's log: group commit with one append in flight.
+//! Log of a shard at its owner: group commit with one append in flight, snapshots and replay.
 
 use std::{
     collections,
@@ -17,22 +17,22 @@
     unit, //
 };
 
-/// Most records of one batch; keeps a segment well under the largest value of an object.
+/// Largest number of records in a batch; keeps a segment below the size limit of an object.
 pub const BATCH_MAX: usize = 2048;
 
-/// Most claims of one part of a snapshot.
+/// Largest number of claims in one part of a snapshot.
 pub const PART_MAX: usize = 2048;
 
-/// Segments that each part of a snapshot must replace, which bounds the share of writes that
-/// snapshots take to an eighth.
+/// Segments that each further part of a snapshot must supersede; limits snapshots to an eighth of
+/// the writes.
 const SNAPSHOT_RATIO: u64 = 8;
 
-/// Bounds of one shard.
+/// Limits of one shard.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Limits {
-    /// Most claims held; more are refused.
+    /// Largest number of claims; more are refused.
     pub max_claims: usize,
-    /// Fewest segments between two snapshots.
+    /// Smallest number of segments between two snapshots.
     pub snapshot_segments: u64,
 }
 
@@ -45,39 +45,40 @@
     }
 }
 
-/// Number of a batch; grows by one with each.
+/// Serial number of a batch.
 pub type Batch = u64;
 
-/// What becomes of a claim at the owner.
+/// Outcome of a claim at the owner.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Outcome {
-    /// Already durable for this very request; valid once [`Log::confirm_ownership`] is durable.
+    /// Already granted to this request; valid once the batch of [`Log::confirm_ownership`] is
+    /// durable.
     Granted,
     /// Granted once the batch is durable.
     Queued(Batch),
-    /// The key is changed by a batch that is not settled; ask again when it is.
+    /// The key is changed by an unsettled batch; claim again once the batch is settled.
     Wait(Batch),
-    /// Claimed by another request; valid once [`Log::confirm_ownership`] is durable.
+    /// Claimed by another request; valid once the batch of [`Log::confirm_ownership`] is durable.
     Taken(record::Grant),
-    /// No room for another claim; nothing was recorded.
+    /// The limit of claims or of records in a batch is reached; nothing was recorded.
     Full,
 }
 
-/// An append to be made by create-if-absent.
+/// An append, to be written by create-if-absent.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Append {
-    /// Number of the segment in its epoch.
+    /// Number of the segment within its epoch.
     pub number: u64,
-    /// Batch that it makes durable.
+    /// Batch that the append makes durable.
     pub batch: Batch,
     /// Value of the object.
     pub segment: record::Segment,
 }
 
-/// State of the owner of a shard for one epoch.
+/// Log of one shard in one epoch, at the shard's owner.
 ///
 /// At most one append is in flight. With two, the second could take effect without the first, and
-/// a successor that seals the gap would miss a claim that was granted.
+/// a successor that seals the epoch at the gap would miss a granted claim.
 #[derive(Debug)]
 pub struct Log {
     epoch: record::Epoch,
@@ -85,13 +86,13 @@
     table: table::Table,
     limits: Limits,
     next_number: u64,
-    /// First number that the newest snapshot does not supersede.
+    /// First segment that the newest snapshot does not supersede.
     first_needed: u64,
-    /// Number at which a snapshot failed last.
+    /// Number of the next segment when the last snapshot failed.
     postponed_at: u64,
     next_batch: Batch,
     next_records: Vec<record::Record>,
-    /// Whether the next append is wanted even without records.
+    /// Whether an append is wanted even without records.
     append_requested: bool,
     appending: Vec<record::Record>,
     in_flight: bool,
@@ -99,7 +100,7 @@
 }
 
 impl Log {
-    /// Creates the state for an epoch that starts now without segments, within `limits`.
+    /// Creates the log of an epoch that starts at `now` and has no segments.
     pub fn new(epoch: record::Epoch, table: table::Table, limits: Limits, now: Instant) -> Self {
         Self {
             epoch,
@@ -123,7 +124,7 @@
         self.epoch
     }
 
-    /// Returns the claims that are durable.
+    /// Returns the durable claims.
     pub fn table(&self) -> &table::Table {
         &self.table
     }
@@ -151,24 +152,24 @@
         self.append_requested || !self.next_records.is_empty()
     }
 
-    /// Asks for an append, if only an empty one, and returns its batch.
+    /// Requests an append, empty if there are no records, and returns its batch.
     ///
-    /// An owner that was sealed out does not know it, and what its table says may be out of date:
-    /// a claim may have been given back since and its key granted again. That its append is
-    /// durable proves that it was the owner until then.
+    /// An owner whose epoch was sealed does not know it, and its table may be outdated: a claim may
+    /// have been released and its key granted again. A durable append proves that the process was
+    /// still the owner.
     pub fn confirm_ownership(&mut self) -> Batch {
         self.append_requested = true;
         self.next_batch
     }
 
-    /// Asks for a claim; its record gathers in the next batch if the key is free.
+    /// Claims a key; if it is free, the grant is added to the next batch.
     pub fn claim(&mut self, grant: record::Grant, now: Instant) -> Outcome {
         self.table.expire(now);
         if let Some((_, batch)) = self.pending.get(&grant.key) {
             return self.pending_outcome(&grant, *batch);
         }
         if let Some(old) = self.table.get(grant.key) {
-            // Its holder asks again because an answer was lost; it acts on one answer only.
+            // The holder claims again after a lost answer; it acts on one answer only.
             if old.request == grant.request {
                 return Outcome::Granted;
             }
@@ -194,8 +195,10 @@
         }
     }
 
-    /// Gives back a claim whose request provably never started; returns the batch that records it,
-    /// or `None` if the request does not hold the key.
+    /// Releases a claim whose request is proven never to have started.
+    ///
+    /// Returns the batch that records the release, or `None` if the request has no settled claim on
+    /// the key.
     pub fn release(&mut self, key: id::Fingerprint, request: id::RequestId) -> Option<Batch> {
         if self.pending.contains_key(&key) {
             return None;
@@ -211,7 +214,8 @@
         self.next_batch
     }
 
-    /// Takes back the gathered grants that `keep` refuses; they were never in an append.
+    /// Drops the grants of the next batch for which `keep` returns false; they were in no append
+    /// yet.
     pub fn retain_pending(&mut self, mut keep: impl FnMut(id::Fingerprint, id::RequestId) -> bool) {
         let pending = &mut self.pending;
         self.next_records.retain(|record| {
@@ -230,7 +234,7 @@
         unit::Period(now.saturating_duration_since(self.start))
     }
 
-    /// Starts the next append, unless one is in flight or nothing waits.
+    /// Starts the next append, unless one is in flight or none is wanted.
     pub fn begin_append(&mut self, now: Instant) -> Option<Append> {
         if self.in_flight || !self.wants_append() {
             return None;
@@ -250,7 +254,7 @@
         })
     }
 
-    /// Records that the append in flight is in the log.
+    /// Records that the append in flight is durable.
     pub fn append_succeeded(&mut self, now: Instant) {
         for record in mem::take(&mut self.appending) {
             self.pending.remove(&record.key());
@@ -260,12 +264,12 @@
         self.in_flight = false;
     }
 
-    /// Records that the append in flight is provably not in the log and never will be.
+    /// Records that the append in flight is proven not to be in the log, now or later.
     pub fn append_rejected(&mut self) {
         for record in mem::take(&mut self.appending) {
             self.pending.remove(&record.key());
-            // A release that was dropped with its append would leave the key claimed for the rest
-            // of its retention, and each resend would be told "may have run".
+            // If a release were dropped with its append, the key would stay claimed for the rest of
+            // its retention, and each resend would be answered with "may have run".
             if let record::Record::Release { .. } = record {
                 self.add_record(record);
             }
@@ -273,7 +277,7 @@
         self.in_flight = false;
     }
 
-    /// Reports whether enough segments have come since the last snapshot for a new one.
+    /// Reports whether enough segments were appended since the last snapshot for a new one.
     pub fn wants_snapshot(&self) -> bool {
         let parts = (self.table.len() / PART_MAX + 1) as u64;
         let least = self
@@ -283,8 +287,9 @@
         !self.in_flight && self.next_number - self.first_needed.max(self.postponed_at) >= least
     }
 
-    /// Returns the parts of a snapshot with their numbers; appended in order by the owner, each
-    /// confirmed by [`Log::snapshot_part_succeeded`].
+    /// Returns the parts of a snapshot with their segment numbers.
+    ///
+    /// The caller appends them in order and confirms each by [`Log::snapshot_part_succeeded`].
     pub fn snapshot(&mut self, now: Instant) -> Vec<(u64, record::Segment)> {
         self.table.expire(now);
         let first = self.next_number;
@@ -308,12 +313,12 @@
         parts.into_iter().enumerate().map(part).collect()
     }
 
-    /// Puts a snapshot off that could not be completed.
+    /// Postpones the next snapshot after one could not be completed.
     pub fn postpone_snapshot(&mut self) {
         self.postponed_at = self.next_number;
     }
 
-    /// Records that the next part of a snapshot is in the log.
+    /// Records that the next part of a snapshot is durable.
     pub fn snapshot_part_succeeded(&mut self, segment: &record::Segment) {
         self.next_number += 1;
         if let record::Segment::Snapshot {
@@ -325,22 +330,22 @@
     }
 }
 
-/// Replays the segments of one sealed epoch, in the order of their numbers, onto `table`.
+/// Replays the segments of one sealed epoch onto `table`, in the order of their numbers.
 ///
-/// A snapshot supersedes everything before it once its last part is there; an incomplete one is
-/// ignored, as nothing was deleted for it. A claim is as old as the epoch's owner saw it become,
-/// up to its last append.
+/// A snapshot supersedes everything before it once its last part exists; an incomplete one is
+/// ignored, as no segment is deleted before it is complete. The age of a claim is what the epoch's
+/// owner measured up to its last append.
 pub fn replay(table: &mut table::Table, segments: &[record::Segment], now: Instant) {
     let end = segments.iter().filter_map(record::Segment::epoch_age).max();
     let end = end.unwrap_or_default();
     let mut parts = Parts::default();
     for segment in segments {
-        let held = segment.epoch_age().map(|at| end.0.saturating_sub(at.0));
-        let held = held.unwrap_or_default();
+        let elapsed = segment.epoch_age().map(|at| end.0.saturating_sub(at.0));
+        let elapsed = elapsed.unwrap_or_default();
         match segment {
             record::Segment::Batch { records, .. } => {
                 for record in records {
-                    table.apply(&age_record(record, held), now);
+                    table.apply(&age_record(record, elapsed), now);
                 }
             }
             record::Segment::Snapshot {
@@ -355,7 +360,7 @@
                 parts.first = *first;
                 parts
                     .grants
-                    .extend(grants.iter().map(|grant| age_grant(grant, held)));
+                    .extend(grants.iter().map(|grant| age_grant(grant, elapsed)));
                 if *last {
                     *table = table::Table::default();
                     for grant in mem::take(&mut parts.grants) {
@@ -368,23 +373,23 @@
     }
 }
 
-/// Parts of a snapshot, read so far.
+/// Parts of a snapshot that were read so far.
 #[derive(Default)]
 struct Parts {
     first: u64,
     grants: Vec<record::Grant>,
 }
 
-fn age_grant(grant: &record::Grant, held: time::Duration) -> record::Grant {
+fn age_grant(grant: &record::Grant, elapsed: time::Duration) -> record::Grant {
     record::Grant {
-        age: unit::Period(grant.age.0.saturating_add(held)),
+        age: unit::Period(grant.age.0.saturating_add(elapsed)),
         ..grant.clone()
     }
 }
 
-fn age_record(record: &record::Record, held: time::Duration) -> record::Record {
+fn age_record(record: &record::Record, elapsed: time::Duration) -> record::Record {
     match record {
-        record::Record::Grant(grant) => record::Record::Grant(age_grant(grant, held)),
+        record::Record::Grant(grant) => record::Record::Grant(age_grant(grant, elapsed)),
         release => release.clone(),
     }
 }
--- a/laburnumcart/src/claim/ownership.rs
+++ b/laburnumcart/src/claim/ownership.rs
@@ -1,4 +1,4 @@
-//! Whom to ask about a shard, and when to take it over.
+//! Choice of the owner of a shard, and failure detection that leads to a takeover.
 
 use std::{
     net,
@@ -9,8 +9,8 @@
 
 /// Returns the process that should own a shard, by rendezvous hashing over the live addresses.
 ///
-/// This is a preference that spreads the shards. Safety does not rest on it: two processes with
-/// different lists may both try, and the log lets one through.
+/// This only spreads the shards; safety does not depend on it. Two processes with different lists
+/// may both attempt a takeover, and the log lets one of them succeed.
 pub fn preferred_owner(shard: u16, live: &[net::SocketAddr]) -> Option<net::SocketAddr> {
     let weight = |addr: &&net::SocketAddr| {
         let mut hash = xxhash_rust::xxh3::Xxh3::new();
@@ -21,16 +21,16 @@
     live.iter().max_by_key(weight).copied()
 }
 
-/// When an owner that cannot be reached is replaced.
+/// Thresholds for replacing an unreachable owner.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// Time for which the owner must have been out of reach.
+    /// Time for which the owner must have been unreachable.
     pub silence: time::Duration,
-    /// Longest time between two tries without an answer that speak of the same silence.
+    /// Longest time between two failed calls that count as one silence.
     pub max_gap: time::Duration,
-    /// Time after a change of owner before the next one, doubled with each that follows soon.
+    /// Shortest time between two changes of owner; doubled after each change that follows soon.
     pub settle_time: time::Duration,
-    /// Longest such time.
+    /// Upper limit of the doubled time.
     pub settle_max: time::Duration,
 }
 
@@ -45,35 +45,36 @@
     }
 }
 
-/// What to do about an owner that did not answer.
+/// Action after a failed call to the owner.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Action {
-    /// Ask it again after this time.
+    /// Call the owner again after this time.
     Retry(time::Duration),
     /// Take the shard over.
     TakeOver,
-    /// The shard changed hands a short while ago; refuse until this time has passed.
+    /// The shard changed its owner recently; refuse claims for this time.
     Settle(time::Duration),
 }
 
-/// Memory of an owner's silence and of a shard's changes of owner.
+/// Failure detector for the owner of a shard.
 ///
-/// Two entries that cannot reach each other but do reach the object service would take a shard
-/// from one another with every claim, each time at the cost of a replay. The doubling wait leaves
-/// the shard with one of them for longer and longer; the other refuses, which is safe.
+/// Two entries that reach the object service but not each other would take the shard from one
+/// another with every claim, each time at the cost of a replay. The doubling wait leaves the shard
+/// with one of them for longer and longer; the other refuses claims, which is safe.
 #[derive(Clone, Debug)]
 pub struct Detector {
     limits: Limits,
+    /// Times of the first and the latest failed call of the present silence.
     silent_span: Option<(Instant, Instant)>,
     last_change: Option<Instant>,
     settle_wait: time::Duration,
 }
 
 impl Detector {
-    /// Creates the memory for a shard of which nothing is known.
-    pub fn new(patience: Limits) -> Self {
+    /// Creates the detector for a shard of which nothing is known.
+    pub fn new(limits: Limits) -> Self {
         Self {
-            limits: patience,
+            limits,
             silent_span: None,
             last_change: None,
             settle_wait: time::Duration::ZERO,
@@ -98,7 +99,7 @@
         self.last_change = Some(now);
     }
 
-    /// Records that the owner did not answer, and says what to do.
+    /// Records a failed call to the owner and returns what to do next.
     pub fn record_failure(&mut self, now: Instant) -> Action {
         let silence = self.silence(now);
         if silence < self.limits.silence {
@@ -113,11 +114,11 @@
         Action::TakeOver
     }
 
-    /// Returns how long the owner has been silent; a try long ago says nothing about today.
+    /// Records a failed call and returns for how long the owner has been silent.
     ///
-    /// A process that is paused accepts connections and lets each try run into its timeouts, which
-    /// are longer than the silence asked for. If only tries in quick succession counted, it would
-    /// never be replaced, and its shards would be refused for as long as the pause lasts.
+    /// A paused process accepts connections, and each call to it ends at a timeout that is longer
+    /// than the required silence. `max_gap` must exceed such timeouts; otherwise the owner would
+    /// never be replaced, and claims on its shards would be refused for as long as the pause lasts.
     fn silence(&mut self, now: Instant) -> time::Duration {
         let recent = |(_, last): &(Instant, Instant)| {
             now.saturating_duration_since(*last) < self.limits.max_gap
--- a/laburnumcart/src/claim/record.rs
+++ b/laburnumcart/src/claim/record.rs
@@ -1,4 +1,4 @@
-//! What the claim log holds, and the keys of its objects.
+//! Records and segments of the claim log, and the keys of its objects.
 
 use serde::{
     Deserialize,
@@ -11,47 +11,47 @@
     unit, //
 };
 
-/// Number of an ownership of a shard; only ever grows.
+/// Number of a period of ownership of a shard; only increases.
 pub type Epoch = u64;
 
 /// Key of the object that fixes the number of shards.
 pub const SHARDS_KEY: &str = "claims/shards";
 
-/// Number of shards, written once.
+/// Object that fixes the number of shards; written once.
 ///
-/// Another number would send a key to a shard that does not know its claim, so the first number
-/// stays in force whatever a later bundle says.
+/// With another number a key would map to a shard that does not know its claim. The first number
+/// therefore stays in force whatever a later bundle says.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Shards {
     /// Number of shards.
     pub shards: u16,
 }
 
-/// Head of a shard's log; changes by conditional update only.
+/// Head of a shard's log; changed only by conditional update.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Head {
     /// Epoch in force.
     pub epoch: Epoch,
-    /// Its owner, `None` after an orderly stop.
+    /// Owner of the epoch, `None` after a graceful shutdown.
     pub owner: Option<claim::Holder>,
-    /// First epoch whose segments are still needed.
+    /// First epoch whose segments are still needed for a replay.
     pub base: Epoch,
 }
 
 /// A granted claim.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Grant {
-    /// Team and idempotency key together.
+    /// Digest of the team and its idempotency key.
     pub key: id::Fingerprint,
-    /// Content of the request.
+    /// Digest of the request's content.
     pub content: id::Fingerprint,
     /// Request that may execute.
     pub request: id::RequestId,
     /// Process that executes it.
     pub holder: claim::Holder,
-    /// How long the claim is kept.
+    /// Retention time of the claim.
     pub keep: unit::Period,
-    /// Least age when the record was written.
+    /// Minimum age of the claim when the record was written.
     #[serde(default, skip_serializing_if = "is_zero")]
     pub age: unit::Period,
 }
@@ -60,15 +60,15 @@
     period.0.is_zero()
 }
 
-/// A change of the table.
+/// A change of the table of claims.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Record {
     /// A key was claimed.
     Grant(Grant),
-    /// The claim of a request that provably never started was given back.
+    /// The claim of a request that is proven never to have started was released.
     Release {
-        /// Team and idempotency key together.
+        /// Digest of the team and its idempotency key.
         key: id::Fingerprint,
         /// Request that held the claim.
         request: id::RequestId,
@@ -97,33 +97,34 @@
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Segment {
-    /// Changes.
+    /// Changes made by one append.
     Batch {
         /// Age of the epoch when the batch was written.
         at: unit::Period,
-        /// Changes, in order.
+        /// Changes in order.
         records: Vec<Record>,
     },
-    /// A part of the whole table; supersedes what is before its first part, once it is complete.
+    /// One part of a snapshot of the table. A complete snapshot supersedes the segments before its
+    /// first part.
     Snapshot {
         /// Age of the epoch when the part was written.
         at: unit::Period,
-        /// Number of the first part.
+        /// Segment number of the first part.
         first: u64,
         /// Whether this is the last part.
         last: bool,
         /// Claims with their ages.
         grants: Vec<Grant>,
     },
-    /// End of the epoch; the epoch that wrote it.
+    /// End of the epoch, with the number of the epoch that wrote it.
     ///
-    /// A seal is never deleted: an owner that was paused would find its slot free, append there,
-    /// and grant a key that its successor grants too.
+    /// A seal is never deleted. Otherwise an owner that was paused could append at its number and
+    /// grant a key that its successor grants too.
     Seal(Epoch),
 }
 
 impl Segment {
-    /// Returns the age of the epoch when the segment was written, as its owner measured it.
+    /// Returns the age of the epoch when the segment was written, as measured by its owner.
     pub fn epoch_age(&self) -> Option<unit::Period> {
         match self {
             Self::Batch { at, .. } | Self::Snapshot { at, .. } => Some(*at),
@@ -137,7 +138,7 @@
     format!("claims/{shard}/head")
 }
 
-/// Returns the prefix of an epoch's segments.
+/// Returns the key prefix of an epoch's segments.
 pub fn epoch_prefix(shard: u16, epoch: Epoch) -> String {
     format!("claims/{shard}/{epoch}/")
 }
--- a/laburnumcart/src/claim/table.rs
+++ b/laburnumcart/src/claim/table.rs
@@ -1,4 +1,4 @@
-//! The claims of one shard in its owner's memory.
+//! Table of a shard's claims in its owner's memory, with their retention.
 
 use std::{
     cmp,
@@ -13,7 +13,7 @@
     unit, //
 };
 
-/// A claim and when this process learned of it.
+/// A claim with the time at which this process learned of it.
 #[derive(Clone, Debug)]
 struct Entry {
     grant: record::Grant,
@@ -22,11 +22,11 @@
 
 impl Entry {
     fn age(&self, now: Instant) -> unit::Period {
-        let here = now.saturating_duration_since(self.learned_at);
-        unit::Period(self.grant.age.0.saturating_add(here))
+        let elapsed = now.saturating_duration_since(self.learned_at);
+        unit::Period(self.grant.age.0.saturating_add(elapsed))
     }
 
-    /// Returns the end of the retention, `None` when it lies beyond the clock's range.
+    /// Returns the end of the retention time, `None` if it is beyond the clock's range.
     fn expiry(&self) -> Option<Instant> {
         let left = self.grant.keep.0.saturating_sub(self.grant.age.0);
         self.learned_at.checked_add(left)
@@ -35,9 +35,9 @@
 
 /// Claims by key.
 ///
-/// An age is what a chain of owners measured, each with a clock of its own and while it held the
-/// claim. The time between an owner's last append and the replay by its successor is not counted,
-/// so a claim may be kept longer than its retention but never shorter, whatever the clocks show.
+/// The age of a claim is the sum of what successive owners measured, each by its own clock. The
+/// time between an owner's last append and the replay by its successor is not counted, so that a
+/// claim may be kept longer than its retention time but never shorter, whatever the clocks show.
 #[derive(Clone, Debug, Default)]
 pub struct Table {
     claims: collections::HashMap<id::Fingerprint, Entry>,
@@ -55,12 +55,12 @@
         self.claims.len()
     }
 
-    /// Reports whether there are no claims.
+    /// Reports whether the table is empty.
     pub fn is_empty(&self) -> bool {
         self.claims.is_empty()
     }
 
-    /// Applies a record that was read or made durable at `now`.
+    /// Applies a record that was read or became durable at `now`.
     pub fn apply(&mut self, record: &record::Record, now: Instant) {
         match record {
             record::Record::Grant(grant) => self.insert(grant.clone(), now),
@@ -68,7 +68,7 @@
         }
     }
 
-    /// Adds a claim that has the age of its record at `now`.
+    /// Inserts a claim whose age at `now` is that of its record.
     pub fn insert(&mut self, grant: record::Grant, now: Instant) {
         let key = grant.key;
         let entry = Entry {
@@ -87,14 +87,14 @@
         }
     }
 
-    /// Forgets the claims whose retention has passed.
+    /// Drops the claims whose retention time has passed.
     pub fn expire(&mut self, now: Instant) {
         while let Some(cmp::Reverse((expiry, key))) = self.expiries.peek().copied() {
             if expiry > now {
                 break;
             }
             self.expiries.pop();
-            // The key may have been released and claimed again since.
+            // The key may have been released and claimed again, with a later expiry.
             let entry = self.claims.get(&key);
             if entry.is_some_and(|entry| entry.expiry().is_some_and(|end| end <= now)) {
                 self.claims.remove(&key);
--- a/laburnumcart/src/lanes.rs
+++ b/laburnumcart/src/lanes.rs
@@ -1,4 +1,4 @@
-//! Sessions of the lanes that lead to an agent, and what they prove about an unknown attempt.
+//! Lanes and sessions at an agent, with the verdict on attempts that the agent does not know.
 //!
 //! A lane is the series of connections from one process. Each connection opens a session with the
 //! next number, and only the newest session may start work.
@@ -12,7 +12,7 @@
 //! let mut lanes = lanes::Lanes::new(time::Duration::from_secs(600));
 //! lanes.open(entry, 1, now).unwrap();
 //! lanes.open(entry, 2, now).unwrap();
-//! // A call that was still under way in the first connection can never start.
+//! // A call that was in flight on the first connection can never start.
 //! assert_eq!(lanes.check(entry, 1, now).unwrap_err().reason, verdict::Reason::Fenced);
 //! assert_eq!(lanes.unknown_verdict(entry, 1), verdict::Verdict::NotRun);
 //! ```
@@ -26,7 +26,8 @@
     verdict, //
 };
 
-/// Sessions remembered of a lane; a sender asks soon after it has lost a connection.
+/// Sessions remembered of a lane. Senders query an attempt soon after losing its connection, so
+/// that a few suffice.
 const PROVABLE_MAX: usize = 16;
 
 /// Newest session of each lane.
@@ -40,24 +41,25 @@
 struct Lane {
     /// Newest session; older ones are fenced.
     newest: u64,
-    /// Sessions that were opened here, and of which no attempt that may have run was forgotten
-    /// unacknowledged; in order, at most [`WHOLE_MAX`].
+    /// Sessions whose unknown attempts are proven not to have run; in order, at most
+    /// [`PROVABLE_MAX`]. They were opened here, and none of their attempts that may have run
+    /// expired before it was settled.
     provable: Vec<u64>,
     last_used: time::Instant,
 }
 
 impl Lanes {
-    /// Creates a table that forgets a lane after it was unused for `idle`.
-    pub fn new(idle: time::Duration) -> Self {
+    /// Creates a table that drops a lane after it was unused for `idle_timeout`.
+    pub fn new(idle_timeout: time::Duration) -> Self {
         Self {
             lanes: collections::HashMap::new(),
-            idle_timeout: idle,
+            idle_timeout,
         }
     }
 
     /// Opens session `number` of `lane` and fences the older ones.
     ///
-    /// A session is opened once: a repeated number would let calls of two connections through.
+    /// A number can be opened only once; otherwise the calls of two connections would be accepted.
     pub fn open(
         &mut self,
         lane: id::Incarnation,
@@ -74,10 +76,10 @@
         }
         known.newest = number;
         known.last_used = now;
-        // Sessions that were not opened here say nothing. Their attempts may have run and been
-        // forgotten with the lane, or have run at another agent at the same address. A lower bound
-        // in place of the list would be wrong: after the lane was forgotten, an old `hello` that
-        // was still under way could set it too low.
+        // Nothing is proven for sessions that were not opened here. Their attempts may have run and
+        // been dropped with the lane, or have run at another agent at the same address. A lower
+        // bound in place of the list would be wrong: once the lane was dropped, an old `hello` that
+        // was still in flight could set it too low.
         known.provable.push(number);
         if known.provable.len() > PROVABLE_MAX {
             known.provable.remove(0);
@@ -85,7 +87,7 @@
         Ok(())
     }
 
-    /// Refuses a call unless it names the newest session of a known lane.
+    /// Refuses a call that does not belong to the newest session of a known lane.
     pub fn check(
         &mut self,
         lane: id::Incarnation,
@@ -101,26 +103,26 @@
         }
     }
 
-    /// Notes that an attempt of session `sent` which may have run was forgotten unacknowledged.
-    pub fn record_expired(&mut self, lane: id::Incarnation, sent: u64) {
+    /// Records that an attempt of `session` that may have run expired before it was settled.
+    pub fn record_expired(&mut self, lane: id::Incarnation, session: u64) {
         if let Some(known) = self.lanes.get_mut(&lane) {
-            known.provable.retain(|session| *session != sent);
+            known.provable.retain(|number| *number != session);
         }
     }
 
-    /// Forgets lanes that were not used for long.
+    /// Drops lanes that were unused for the idle timeout.
     ///
-    /// This is safe: a call of a forgotten lane is refused until `hello`, and whichever session that
-    /// opens, nothing that an earlier one has sent is denied from then on.
+    /// This is safe: calls of a dropped lane are refused until the next `hello`, and attempts of
+    /// sessions that were opened earlier are then never reported as not run.
     pub fn expire(&mut self, now: time::Instant) {
-        let idle = self.idle_timeout;
-        self.lanes.retain(|_, lane| now - lane.last_used < idle);
+        let timeout = self.idle_timeout;
+        self.lanes.retain(|_, lane| now - lane.last_used < timeout);
     }
 
-    /// Returns what is proven about an attempt of the fenced session `sent` that is not in the table.
-    pub fn unknown_verdict(&self, lane: id::Incarnation, sent: u64) -> verdict::Verdict {
+    /// Returns the verdict on an attempt of `session` that is not in the table of attempts.
+    pub fn unknown_verdict(&self, lane: id::Incarnation, session: u64) -> verdict::Verdict {
         match self.lanes.get(&lane) {
-            Some(known) if sent < known.newest && known.provable.contains(&sent) => {
+            Some(known) if session < known.newest && known.provable.contains(&session) => {
                 verdict::Verdict::NotRun
             }
             _ => verdict::Verdict::MayHaveRun,
@@ -132,7 +134,7 @@
         self.lanes.contains_key(&lane)
     }
 
-    /// Returns the number of lanes known.
+    /// Returns the number of known lanes.
     pub fn len(&self) -> usize {
         self.lanes.len()
     }
--- a/laburnumcart/src/verdict.rs
+++ b/laburnumcart/src/verdict.rs
@@ -1,4 +1,4 @@
-//! What is known about whether a request has run.
+//! Refusals of requests: the reason, and whether the request may have executed.
 
 use derive_more::{
     Display,
@@ -24,7 +24,7 @@
 }
 
 impl Verdict {
-    /// Combines the verdicts of two parts of one request: only two proofs are a proof.
+    /// Combines the verdicts of two parts of one request; `NotRun` only if both are.
     pub fn combine(self, other: Self) -> Self {
         match (self, other) {
             (Self::NotRun, Self::NotRun) => Self::NotRun,
@@ -33,7 +33,7 @@
     }
 }
 
-/// Why a request was refused or given up on.
+/// Reason for which a request was refused or failed.
 #[derive(Clone, Copy, Debug, Display, Eq, Hash, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 #[display(rename_all = "kebab-case")]
@@ -50,7 +50,7 @@
     KeyMissing,
     /// The idempotency key was used before with another body.
     KeyReused,
-    /// The request with this key has run or may have, and its answer is no longer kept.
+    /// The request with this key may have executed, and its answer is no longer stored.
     AlreadyClaimed,
     /// The claim could not be made durable.
     ClaimUnavailable,
@@ -62,45 +62,45 @@
     OverShare,
     /// Queues are full.
     Overloaded,
-    /// The process or target is stopping.
+    /// The process or target is shutting down.
     Leaving,
     /// No target of the service is reachable.
     NoTarget,
-    /// The request crashed several targets and is refused for a while.
+    /// The request crashed several targets and is quarantined.
     Quarantined,
-    /// The call names another incarnation than the one that received it.
+    /// The call is addressed to another incarnation than the one that received it.
     WrongIncarnation,
-    /// The call came over a session that a newer one has fenced.
+    /// The call arrived over a session that a newer one has fenced.
     Fenced,
-    /// The target failed while it executed the request.
+    /// The target failed while executing the request.
     TargetFailed,
-    /// The target refused the request as wrong.
+    /// The target rejected the request as invalid.
     TargetRefused,
-    /// The connection to the process that held the attempt was lost for good.
+    /// The connection to the process that held the attempt was lost permanently.
     Lost,
     /// A result was incomplete or failed its checksum.
     Corrupt,
-    /// The caller went away.
+    /// The caller abandoned the request.
     Cancelled,
     /// No bundle is in force yet.
     NoBundle,
 }
 
-/// Final negative answer to a request or to one attempt.
+/// Final refusal or failure of a request or of one attempt.
 #[derive(Clone, Copy, Debug, Display, Error, Eq, PartialEq, Serialize, Deserialize)]
 #[display("{reason} ({verdict})")]
 pub struct Refusal {
     /// Whether the request may have executed.
     pub verdict: Verdict,
-    /// Cause.
+    /// Reason for it.
     pub reason: Reason,
-    /// Time after which a new try is worthwhile.
+    /// Suggested delay before a retry.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub retry: Option<unit::Period>,
 }
 
 impl Refusal {
-    /// Creates a refusal of a request that provably did not execute.
+    /// Creates a refusal of a request that is proven not to have executed.
     pub fn not_run(reason: Reason) -> Self {
         Self {
             verdict: Verdict::NotRun,
@@ -109,7 +109,7 @@
         }
     }
 
-    /// Creates the answer for a request that may have executed.
+    /// Creates a refusal of a request that may have executed.
     pub fn may_have_run(reason: Reason) -> Self {
         Self {
             verdict: Verdict::MayHaveRun,
@@ -118,7 +118,7 @@
         }
     }
 
-    /// Adds the time after which a new try is worthwhile.
+    /// Sets the suggested delay before a retry.
     #[must_use]
     pub fn retry_after(mut self, period: unit::Period) -> Self {
         self.retry = Some(period);
--- a/laburnumcart/tests/attempts.rs
+++ b/laburnumcart/tests/attempts.rs
@@ -1,4 +1,4 @@
-//! The table of attempts: life cycles, bounds, and results read in any sequence of breaks.
+//! Table of attempts: life cycle, limits, and reading of results under lost and late messages.
 
 use laburnumcart::{
     attempts::{
@@ -40,7 +40,7 @@
     })
 }
 
-fn ticket(id: AttemptId) -> Descriptor {
+fn descriptor(id: AttemptId) -> Descriptor {
     let now = Instant::now();
     Descriptor {
         request: RequestId(1),
@@ -52,35 +52,35 @@
     }
 }
 
-fn running() -> Table<()> {
+fn running_table() -> Table<()> {
     let mut table = table();
-    assert!(table.admit(ticket(ID), ()).unwrap());
+    assert!(table.admit(descriptor(ID), ()).unwrap());
     assert!(table.mark_running(ID, Instant::now()));
     table
 }
 
-fn state(table: &Table<()>) -> State {
+fn read_state(table: &Table<()>) -> State {
     table.read_chunks(ID, 0, 1000).unwrap().unwrap().state
 }
 
 #[derive(Clone, Copy, Debug)]
 enum End {
-    Whole,
+    Finished,
     Failed,
-    Proven,
+    Unstarted,
 }
 
-/// Ends the attempt and returns the verdict, `None` if its result is whole.
-fn end(table: &mut Table<()>, how: End) -> Option<Verdict> {
+/// Ends the attempt and returns its verdict, `None` if its result is complete.
+fn end_attempt(table: &mut Table<()>, how: End) -> Option<Verdict> {
     let now = Instant::now();
     let refusal = Refusal::not_run(Reason::Overloaded);
     let ended = match how {
-        End::Whole => table.finish(ID, now),
+        End::Finished => table.finish(ID, now),
         End::Failed => table.fail(ID, Reason::TargetFailed, now),
-        End::Proven => table.refuse(ID, refusal, true, now),
+        End::Unstarted => table.refuse(ID, refusal, true, now),
     };
     assert!(ended);
-    match state(table) {
+    match read_state(table) {
         State::Done(_) => None,
         State::Refused(refusal) => Some(refusal.verdict),
         other => panic!("not ended: {other:?}"),
@@ -88,68 +88,68 @@
 }
 
 #[rstest]
-#[case(End::Whole, None)]
+#[case(End::Finished, None)]
 #[case(End::Failed, Some(Verdict::MayHaveRun))]
-#[case(End::Proven, Some(Verdict::NotRun))]
+#[case(End::Unstarted, Some(Verdict::NotRun))]
 #[tokio::test(start_paused = true)]
-async fn verdict_follows_from_the_end(#[case] how: End, #[case] verdict: Option<Verdict>) {
-    let mut table = running();
-    assert_eq!(end(&mut table, how), verdict);
+async fn end_determines_the_verdict(#[case] how: End, #[case] verdict: Option<Verdict>) {
+    let mut table = running_table();
+    assert_eq!(end_attempt(&mut table, how), verdict);
     assert!(!table.mark_running(ID, Instant::now()), "an end is final");
     assert!(!table.fail(ID, Reason::Lost, Instant::now()));
     assert!(!table.push(ID, "late"));
     assert!(
-        !table.admit(ticket(ID), ()).unwrap(),
+        !table.admit(descriptor(ID), ()).unwrap(),
         "a duplicate never starts"
     );
 }
 
-/// A queued attempt ends as "not run" whatever cause is given; a running one can't be refused
-/// without the target's word.
+/// A queued attempt ends as not run whatever the refusal says; a running one can only be refused if
+/// the target has reported that it did not start.
 #[tokio::test(start_paused = true)]
-async fn refusal_needs_a_proof() {
+async fn only_a_proof_refuses_a_running_attempt() {
     let mut table = table();
-    table.admit(ticket(ID), ()).unwrap();
+    table.admit(descriptor(ID), ()).unwrap();
     assert!(!table.fail(ID, Reason::TargetFailed, Instant::now()));
     let wrong = Refusal::may_have_run(Reason::Leaving);
     assert!(table.refuse(ID, wrong, false, Instant::now()));
     let proven = Refusal::not_run(Reason::Leaving);
-    assert_eq!(state(&table), State::Refused(proven));
-    let mut table = running();
+    assert_eq!(read_state(&table), State::Refused(proven));
+    let mut table = running_table();
     assert!(!table.refuse(ID, proven, false, Instant::now()));
-    assert_eq!(state(&table), State::Running);
+    assert_eq!(read_state(&table), State::Running);
 }
 
-/// What is forgotten unacknowledged is named if it may have run, so that it is not denied later.
+/// Expired attempts that may have run are returned, so that they are not reported as not run later.
 #[rstest]
-#[case(End::Whole, true)]
+#[case(End::Finished, true)]
 #[case(End::Failed, true)]
-#[case(End::Proven, false)]
+#[case(End::Unstarted, false)]
 #[tokio::test(start_paused = true)]
-async fn retention(#[case] how: End, #[case] named: bool) {
-    let mut table = running();
+async fn ended_attempts_expire(#[case] how: End, #[case] returned: bool) {
+    let mut table = running_table();
     table.push(ID, "text");
-    end(&mut table, how);
+    end_attempt(&mut table, how);
     time::advance(RETENTION - Duration::from_millis(1)).await;
     assert_eq!(table.expire(Instant::now()), []);
     assert_eq!(table.len(), 1);
     time::advance(Duration::from_millis(1)).await;
-    let forgotten = Expired {
+    let expired = Expired {
         lane: Incarnation(3),
         session: 4,
     };
-    let expected: Vec<_> = named.then_some(forgotten).into_iter().collect();
+    let expected: Vec<_> = returned.then_some(expired).into_iter().collect();
     assert_eq!(table.expire(Instant::now()), expected);
     assert!(table.is_empty() && table.bytes() == 0);
 }
 
-/// What its sender has settled is forgotten at once, or when it ends, and is not named.
+/// A settled attempt is dropped at once, or when it ends.
 #[rstest]
 #[case::after_the_end(true)]
 #[case::before_the_end(false)]
 #[tokio::test(start_paused = true)]
-async fn release(#[case] ended: bool) {
-    let mut table = running();
+async fn settled_attempt_is_dropped(#[case] ended: bool) {
+    let mut table = running_table();
     table.push(ID, "text");
     if ended {
         table.finish(ID, Instant::now());
@@ -162,16 +162,15 @@
     assert!(table.is_empty() && table.bytes() == 0);
 }
 
-/// The sender sees the end mark although it has acknowledged the last chunk before.
 #[tokio::test(start_paused = true)]
-async fn end_is_seen_after_the_last_acknowledgement() {
-    let mut table = running();
+async fn end_mark_is_readable_after_the_last_acknowledgement() {
+    let mut table = running_table();
     table.push(ID, "a");
     table.acknowledge(ID, 1);
     table.finish(ID, Instant::now());
     table.acknowledge(ID, 1);
-    let view = table.read_chunks(ID, 1, 1000).unwrap().unwrap();
-    assert!(matches!(view.state, State::Done(end) if end.count == 1));
+    let progress = table.read_chunks(ID, 1, 1000).unwrap().unwrap();
+    assert!(matches!(progress.state, State::Done(end) if end.count == 1));
     assert_eq!(
         table.read_chunks(ID, 0, 1000),
         Some(Err(PositionError::Past))
@@ -183,39 +182,39 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn bounds() {
-    let mut table = running();
+async fn full_table_admits_nothing() {
+    let mut table = running_table();
     let overloaded = Err(Refusal::not_run(Reason::Overloaded));
     table.push(ID, &"x".repeat(1000));
-    assert_eq!(table.admit(ticket(AttemptId(8)), ()), overloaded);
+    assert_eq!(table.admit(descriptor(AttemptId(8)), ()), overloaded);
     table.acknowledge(ID, 1);
-    assert_eq!(table.admit(ticket(AttemptId(8)), ()), Ok(true));
-    assert_eq!(table.admit(ticket(AttemptId(9)), ()), overloaded);
+    assert_eq!(table.admit(descriptor(AttemptId(8)), ()), Ok(true));
+    assert_eq!(table.admit(descriptor(AttemptId(9)), ()), overloaded);
 }
 
-/// One step of a reader and of the target that it reads from.
+/// One event at the reader or at the target that it reads from.
 #[derive(Clone, Debug)]
 enum Step {
-    /// The target sends a piece.
-    Piece(String),
-    /// The reader asks for what it lacks, which acknowledges what it has.
-    Next(usize),
-    /// The answer is lost on its way.
-    Lost(usize),
-    /// An acknowledgement from before comes late.
-    Late(u32),
+    /// The target sends a chunk.
+    Chunk(String),
+    /// The reader requests the next chunks, which acknowledges those it has.
+    Read(usize),
+    /// The response to such a request is lost.
+    LostResponse(usize),
+    /// An earlier acknowledgement arrives late.
+    LateAcknowledgement(u32),
 }
 
 fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
-        "[a-zé]{0,4}".prop_map(Step::Piece),
-        (1usize..20).prop_map(Step::Next),
-        (1usize..20).prop_map(Step::Lost),
-        (0u32..10).prop_map(Step::Late),
+        "[a-zé]{0,4}".prop_map(Step::Chunk),
+        (1usize..20).prop_map(Step::Read),
+        (1usize..20).prop_map(Step::LostResponse),
+        (0u32..10).prop_map(Step::LateAcknowledgement),
     ]
 }
 
-/// What a reader has received.
+/// Reader of a result.
 #[derive(Default)]
 struct Reader {
     text: String,
@@ -225,39 +224,39 @@
 impl Reader {
     fn read(&mut self, table: &mut Table<()>, limit: usize) -> State {
         table.acknowledge(ID, self.next);
-        let view = table.read_chunks(ID, self.next, limit).unwrap().unwrap();
-        for chunk in view.chunks {
+        let progress = table.read_chunks(ID, self.next, limit).unwrap().unwrap();
+        for chunk in progress.chunks {
             assert_eq!(chunk.number, self.next);
             self.text.push_str(&chunk.text);
             self.next += 1;
         }
-        view.state
+        progress.state
     }
 }
 
 proptest! {
-    /// Whatever is lost or late, the reader gets all pieces in order, each once, and an end that
-    /// agrees with them; nothing stays charged.
+    /// Whatever is lost or late, the reader gets each chunk once and in order, with a matching end
+    /// mark, and the bytes in use return to zero.
     #[test]
     fn any_sequence_reads_the_whole(steps in proptest::collection::vec(step(), 0..60)) {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_time().build().unwrap();
         let _guard = runtime.enter();
-        let mut table = running();
+        let mut table = running_table();
         let (mut sent, mut reader) = (String::new(), Reader::default());
         for step in steps {
             match step {
-                Step::Piece(text) => {
+                Step::Chunk(text) => {
                     table.push(ID, &text);
                     sent.push_str(&text);
                 }
-                Step::Next(limit) => {
+                Step::Read(limit) => {
                     prop_assert_eq!(reader.read(&mut table, limit), State::Running);
                 }
-                Step::Lost(limit) => {
+                Step::LostResponse(limit) => {
                     table.acknowledge(ID, reader.next);
                     table.read_chunks(ID, reader.next, limit).unwrap().unwrap();
                 }
-                Step::Late(number) => table.acknowledge(ID, number.min(reader.next)),
+                Step::LateAcknowledgement(number) => table.acknowledge(ID, number.min(reader.next)),
             }
         }
         table.finish(ID, Instant::now());
--- a/laburnumcart/tests/claim.rs
+++ b/laburnumcart/tests/claim.rs
@@ -1,4 +1,4 @@
-//! The claim log, its table and the choice of owners, as plain state machines.
+//! Claim log, table of claims, rate limiter and choice of owners.
 
 use std::{
     collections,
@@ -46,31 +46,30 @@
     (log::Log::new(1, table::Table::default(), limits, now), now)
 }
 
-fn records(append: &log::Append) -> usize {
+fn record_count(append: &log::Append) -> usize {
     match &append.segment {
         record::Segment::Batch { records, .. } => records.len(),
         _ => panic!("not a batch"),
     }
 }
 
-/// Claims that come while an append is in flight go into the next one together.
 #[test]
-fn next_batch_gathers_while_one_is_in_flight() {
+fn claims_during_an_append_share_the_next_batch() {
     let (mut log, now) = new_log(100, 256);
     assert_eq!(log.claim(grant(1, 1), now), log::Outcome::Queued(0));
     let first = log.begin_append(now).unwrap();
-    assert_eq!((first.number, records(&first)), (0, 1));
+    assert_eq!((first.number, record_count(&first)), (0, 1));
     for key in 2..6 {
         assert_eq!(log.claim(grant(key, key), now), log::Outcome::Queued(1));
     }
     assert_eq!(log.begin_append(now), None);
     log.append_succeeded(now);
     let second = log.begin_append(now).unwrap();
-    assert_eq!((second.number, records(&second)), (1, 4));
+    assert_eq!((second.number, record_count(&second)), (1, 4));
 }
 
-/// A second request under a key cannot be told "taken" before the first one's fate is known: that
-/// one may still be refused as not run.
+/// A second request under a key must not be answered with "taken" before the first claim is
+/// settled, as that one may still be refused as not run.
 #[test]
 fn claim_of_a_pending_key_waits() {
     let (mut log, now) = new_log(100, 256);
@@ -89,7 +88,7 @@
     assert_eq!(log.claim(grant(1, 2), now), log::Outcome::Granted);
 }
 
-/// A caller that has gone before its batch was sent leaves no record; later it is too late.
+/// A claim can be withdrawn only before its batch is appended.
 #[test]
 fn withdrawn_claim_is_not_appended() {
     let (mut log, now) = new_log(100, 256);
@@ -97,7 +96,7 @@
     log.claim(grant(2, 2), now);
     log.retain_pending(|key, _| key != id::Fingerprint(1));
     let append = log.begin_append(now).unwrap();
-    assert_eq!(records(&append), 1);
+    assert_eq!(record_count(&append), 1);
     log.retain_pending(|_, _| false);
     log.append_succeeded(now);
     assert_eq!(log.claim(grant(1, 3), now), log::Outcome::Queued(1));
@@ -107,24 +106,23 @@
     ));
 }
 
-/// Claims beyond the limit are refused before anything is recorded, those in flight count.
+/// Claims beyond the limit are refused without a record; pending claims count towards the limit.
 #[test]
 fn full_log_records_nothing() {
     let (mut log, now) = new_log(2, 256);
     log.claim(grant(1, 1), now);
     log.claim(grant(2, 2), now);
     assert_eq!(log.claim(grant(3, 3), now), log::Outcome::Full);
-    assert_eq!(records(&log.begin_append(now).unwrap()), 2);
+    assert_eq!(record_count(&log.begin_append(now).unwrap()), 2);
     log.append_succeeded(now);
     assert_eq!(log.claim(grant(3, 3), now), log::Outcome::Full);
     let later = now + 101 * SECOND;
     assert_eq!(log.claim(grant(3, 3), later), log::Outcome::Queued(1));
 }
 
-/// Segments of an epoch are replayed: the batches alone, or a snapshot and what follows it. A
-/// snapshot that its owner did not finish must not hide the batches before it.
+/// A complete snapshot supersedes the batches before it; an unfinished one must not hide them.
 #[rstest]
-#[case::whole(false)]
+#[case::finished(false)]
 #[case::unfinished(true)]
 fn replay_restores_the_table(#[case] unfinished: bool) {
     let now = Instant::now();
@@ -152,8 +150,8 @@
     assert_eq!(table.get(id::Fingerprint(9)).is_some(), unfinished);
 }
 
-/// A replayed claim is as old as its owner saw it become, so that it is forgotten no sooner than
-/// its retention after the grant, and not a whole retention after the replay.
+/// A replayed claim keeps the age that its owner measured: it must not expire before its retention
+/// time after the grant, nor only after a full retention time after the replay.
 #[test]
 fn replay_keeps_ages() {
     let now = Instant::now();
@@ -170,9 +168,9 @@
     assert!(table.get(id::Fingerprint(2)).is_some());
 }
 
-/// A key that was released and claimed again is kept for the retention of its second claim.
+/// The expiry of a released claim must not drop a later claim on the same key.
 #[test]
-fn expiry_of_a_released_claim_spares_the_next() {
+fn reclaimed_key_outlives_the_expiry_of_its_released_claim() {
     let now = Instant::now();
     let mut table = table::Table::default();
     table.insert(grant(1, 1), now);
@@ -186,9 +184,9 @@
     assert!(table.get(id::Fingerprint(1)).is_some());
 }
 
-/// A snapshot is due after enough segments, and supersedes them once its last part is durable.
+/// A snapshot is wanted after enough segments, and supersedes them once its last part is durable.
 #[test]
-fn snapshot_after_enough_segments() {
+fn snapshot_is_taken_after_enough_segments() {
     let (mut log, now) = new_log(100_000, 4);
     for key in 0..4 {
         assert!(!log.wants_snapshot());
@@ -210,7 +208,7 @@
     assert_eq!(table.len(), 4);
 }
 
-/// A part of a snapshot, and a full batch, fit into an object of 1 MiB.
+/// A full part of a snapshot and a full batch each fit into an object of 1 MiB.
 #[test]
 fn segments_fit_into_an_object() {
     let grants: Vec<_> = (0..log::PART_MAX as u128)
@@ -246,10 +244,9 @@
     }
 }
 
-/// Keys spread over all shards, and owners over the live processes; the loss of one process moves
-/// its shards alone.
+/// Keys map to all shards; the loss of a process moves only the shards that it owned.
 #[test]
-fn shards_spread_and_stay() {
+fn shards_move_only_from_a_lost_process() {
     let team = "clinic".parse().unwrap();
     let mut shards = collections::HashSet::new();
     for number in 0..500 {
@@ -268,62 +265,61 @@
     assert_eq!(ownership::preferred_owner(0, &[]), None);
 }
 
-/// An owner is replaced after a time of silence, not at the first failure; soon after a change the
-/// shard is left where it is, for longer with each change.
+/// An owner is replaced after a time of silence, not at the first failure; after each change of
+/// owner the next one has to wait longer.
 #[test]
-fn suspicion_waits_longer_with_each_change() {
-    let patience = ownership::Limits::default();
-    let mut suspicion = ownership::Detector::new(patience);
+fn takeover_waits_longer_after_each_change_of_owner() {
+    let limits = ownership::Limits::default();
+    let mut detector = ownership::Detector::new(limits);
     let mut now = Instant::now();
     assert_eq!(
-        suspicion.record_failure(now),
-        ownership::Action::Retry(patience.silence)
+        detector.record_failure(now),
+        ownership::Action::Retry(limits.silence)
     );
-    suspicion.record_success();
+    detector.record_success();
     assert_eq!(
-        suspicion.record_failure(now),
-        ownership::Action::Retry(patience.silence)
+        detector.record_failure(now),
+        ownership::Action::Retry(limits.silence)
     );
-    now += patience.silence;
-    assert_eq!(suspicion.record_failure(now), ownership::Action::TakeOver);
+    now += limits.silence;
+    assert_eq!(detector.record_failure(now), ownership::Action::TakeOver);
     let mut waits = Vec::new();
     for _ in 0..4 {
-        suspicion.record_owner_change(now);
-        suspicion.record_failure(now);
-        now += patience.silence;
-        let ownership::Action::Settle(wait) = suspicion.record_failure(now) else {
-            panic!("the shard would change hands at once");
+        detector.record_owner_change(now);
+        detector.record_failure(now);
+        now += limits.silence;
+        let ownership::Action::Settle(wait) = detector.record_failure(now) else {
+            panic!("the shard would change its owner at once");
         };
-        waits.push(wait + patience.silence);
+        waits.push(wait + limits.silence);
         now += wait;
     }
-    let first = patience.settle_time;
+    let first = limits.settle_time;
     assert_eq!(waits, [first, first * 2, first * 4, first * 8]);
 }
 
-/// The owner's process is paused: it accepts connections and answers nothing, so that each try ends
-/// only at a timeout of two seconds. The second one replaces it, as no answer came in between; a try
-/// from a minute ago does not count.
+/// A paused owner accepts connections but does not answer, so that calls fail only after a timeout
+/// of two seconds. Two such failures replace it; a failure from a minute ago does not count.
 #[test]
-fn an_owner_whose_tries_time_out_is_replaced() {
-    let patience = ownership::Limits::default();
-    let mut suspicion = ownership::Detector::new(patience);
+fn owner_whose_calls_time_out_is_replaced() {
+    let limits = ownership::Limits::default();
+    let mut detector = ownership::Detector::new(limits);
     let timeout = time::Duration::from_secs(2);
     let mut now = Instant::now();
-    suspicion.record_failure(now);
+    detector.record_failure(now);
     now += time::Duration::from_secs(60);
     assert_eq!(
-        suspicion.record_failure(now),
-        ownership::Action::Retry(patience.silence)
+        detector.record_failure(now),
+        ownership::Action::Retry(limits.silence)
     );
-    now += patience.silence + timeout;
-    assert_eq!(suspicion.record_failure(now), ownership::Action::TakeOver);
+    now += limits.silence + timeout;
+    assert_eq!(detector.record_failure(now), ownership::Action::TakeOver);
 }
 
-/// The object service refuses the append that gives a claim back. The release stays for the next append;
-/// dropped, it would leave the key claimed and each resend told "may have run".
+/// A release whose append was rejected moves to the next batch. Without it the key would stay
+/// claimed and each resend would be answered with "may have run".
 #[test]
-fn a_release_outlives_a_refused_append() {
+fn release_is_kept_after_a_rejected_append() {
     let now = Instant::now();
     let mut log = log::Log::new(1, Default::default(), Default::default(), now);
     log.claim(grant(7, 1), now);
@@ -341,17 +337,20 @@
     ));
 }
 
-/// Appends start at once after a quiet time, and keep to the rate in the long run; a process that
-/// owns a quarter of the shards has a quarter of the rate.
+/// Appends start at once after an idle time and keep to the rate otherwise; a process that owns a
+/// quarter of the shards has a quarter of the rate.
 #[test]
-fn pace_keeps_the_rate() {
-    let mut pace = limiter::Limiter::new(unit::Rate(200.0), 16, 8);
-    (0..4).for_each(|_| pace.add_shard());
+fn limiter_keeps_to_the_rate() {
+    let mut limiter = limiter::Limiter::new(unit::Rate(200.0), 16, 8);
+    (0..4).for_each(|_| limiter.add_shard());
     let start = Instant::now() + 10 * SECOND;
-    assert_eq!(pace.reserve_slot(start), start);
-    let last = (0..500).map(|_| pace.reserve_slot(start)).last().unwrap();
-    let taken = (last - start).as_secs_f64();
-    assert!((9.0..=10.0).contains(&taken), "{taken}");
+    assert_eq!(limiter.reserve_slot(start), start);
+    let last = (0..500)
+        .map(|_| limiter.reserve_slot(start))
+        .last()
+        .unwrap();
+    let elapsed = (last - start).as_secs_f64();
+    assert!((9.0..=10.0).contains(&elapsed), "{elapsed}");
     let later = last + 10 * SECOND;
-    assert_eq!(pace.reserve_slot(later), later);
+    assert_eq!(limiter.reserve_slot(later), later);
 }
--- a/laburnumcart/tests/lanes.rs
+++ b/laburnumcart/tests/lanes.rs
@@ -1,4 +1,4 @@
-//! Sessions of lanes and what they prove.
+//! Sessions of lanes, and verdicts on unknown attempts.
 
 use laburnumcart::{
     id::Incarnation,
@@ -30,7 +30,7 @@
 #[case::unknown_lane(&[], 1, false)]
 #[case::newest(&[1], 1, true)]
 #[case::older(&[1, 2], 1, false)]
-#[case::to_come(&[1], 2, false)]
+#[case::not_opened(&[1], 2, false)]
 #[case::skipped(&[1, 5], 5, true)]
 #[tokio::test(start_paused = true)]
 async fn only_the_newest_session_may_call(
@@ -44,12 +44,12 @@
     assert!(refusal.is_none_or(|r| r.reason == Reason::Fenced && r.verdict == Verdict::NotRun));
 }
 
-/// A `hello` that was overtaken by a newer one, or comes twice, opens nothing.
+/// A late or repeated `hello` opens no session.
 #[rstest]
 #[case(1)]
 #[case(2)]
 #[tokio::test(start_paused = true)]
-async fn sessions_only_go_up(#[case] number: u64) {
+async fn session_numbers_only_increase(#[case] number: u64) {
     let mut lanes = lanes(&[2]);
     assert!(lanes.open(LANE, number, Instant::now()).is_err());
     assert!(lanes.check(LANE, 2, Instant::now()).is_ok());
@@ -62,14 +62,18 @@
 #[case::older_than_the_agent(&[4, 5], 3, Verdict::MayHaveRun)]
 #[case::unknown_lane(&[], 1, Verdict::MayHaveRun)]
 #[tokio::test(start_paused = true)]
-async fn unknown_attempt(#[case] sessions: &[u64], #[case] sent: u64, #[case] verdict: Verdict) {
-    assert_eq!(lanes(sessions).unknown_verdict(LANE, sent), verdict);
+async fn verdict_on_an_unknown_attempt(
+    #[case] sessions: &[u64],
+    #[case] session: u64,
+    #[case] verdict: Verdict,
+) {
+    assert_eq!(lanes(sessions).unknown_verdict(LANE, session), verdict);
 }
 
-/// The sender is told "may have run" of an attempt whose result was forgotten before it asked.
-/// Without the note of its session it would be told "not run" and run the request twice.
+/// A result that expires before its sender asks for it must not be reported as not run, or the
+/// request would execute twice.
 #[tokio::test(start_paused = true)]
-async fn forgotten_result_is_not_denied() {
+async fn expired_attempt_may_have_run() {
     let mut lanes = lanes(&[1, 2, 3]);
     lanes.record_expired(LANE, 2);
     assert_eq!(lanes.unknown_verdict(LANE, 1), Verdict::NotRun);
@@ -78,10 +82,10 @@
     assert_eq!(lanes.unknown_verdict(LANE, 3), Verdict::NotRun);
 }
 
-/// A lane that was idle for long is forgotten; its old calls stay refused, and after the next
-/// `hello` nothing that went before is denied.
+/// After an idle lane is dropped, its old calls stay refused, and attempts from before the next
+/// `hello` are not reported as not run.
 #[tokio::test(start_paused = true)]
-async fn forgotten_lane_denies_nothing() {
+async fn dropped_lane_proves_nothing() {
     let mut lanes = lanes(&[1, 2]);
     time::advance(IDLE - Duration::from_millis(1)).await;
     lanes.expire(Instant::now());
@@ -95,11 +99,10 @@
     assert_eq!(lanes.unknown_verdict(LANE, 2), Verdict::MayHaveRun);
 }
 
-/// The sender is told "may have run". Its first `hello` was stuck in a connection, the stage ran
-/// under session 2 and was forgotten with the idle lane; then the old `hello` arrives and opens the
-/// lane at 1. If all from 1 on were taken for known, session 3 would get a false "not run".
+/// Session 2 ran a stage and was dropped with its idle lane; then a delayed `hello` reopens the lane
+/// at 1. If all sessions from 1 on counted as known, the stage would be reported as not run.
 #[tokio::test(start_paused = true)]
-async fn late_hello_after_a_forgotten_lane() {
+async fn late_hello_proves_nothing_about_a_dropped_lane() {
     let mut lanes = lanes(&[2]);
     time::advance(IDLE).await;
     lanes.expire(Instant::now());
@@ -109,7 +112,7 @@
     assert_eq!(lanes.unknown_verdict(LANE, 1), Verdict::NotRun);
 }
 
-/// Only the latest sessions are remembered; older ones are not denied.
+/// Only the latest sessions are remembered; nothing is proven about older ones.
 #[tokio::test(start_paused = true)]
 async fn memory_is_bounded() {
     let sessions: Vec<u64> = (1..=20).collect();
