--- a/laburnumcart/examples/bundle_cost.rs
+++ b/laburnumcart/examples/bundle_cost.rs
@@ -1,4 +1,4 @@
-//! Measures what taking in a bundle with many teams costs a process.
+//! Measures the time that a process needs to verify and parse a bundle with many teams.
 //!
 //! `cargo run --release -p laburnumcart --example bundle_cost [TEAMS]`
 
@@ -22,9 +22,11 @@
 
 const ROUNDS: usize = 20;
 
-/// Pipelines, and of them those that each team may call.
+/// Number of pipelines.
 const PIPELINES: usize = 28;
-const CALLED: usize = 3;
+
+/// Number of pipelines that each team may call.
+const PIPELINES_PER_TEAM: usize = 3;
 
 fn main() {
     let teams = env::args().nth(1).and_then(|arg| arg.parse().ok());
@@ -46,7 +48,7 @@
     });
     measure("verify", ROUNDS, || trust.verify(&envelope, None));
     measure("parse and check", ROUNDS, || bundle::check::parse(&text));
-    measure("read without a check", ROUNDS, || {
+    measure("deserialize without a check", ROUNDS, || {
         serde_json::from_str::<bundle::Bundle>(&text)
     });
 }
@@ -88,7 +90,7 @@
 
 fn team(number: usize) -> Value {
     let promise = json!({"deadline": "10s", "priority": "high"});
-    let names = (0..CALLED).map(|n| format!("pipeline-{}", (number + n) % PIPELINES));
+    let names = (0..PIPELINES_PER_TEAM).map(|n| format!("pipeline-{}", (number + n) % PIPELINES));
     let token = signing::Digest::of(&number.to_le_bytes());
     json!({
         "tokens": [token.to_string()],
--- a/laburnumcart/examples/decision_cost/main.rs
+++ b/laburnumcart/examples/decision_cost/main.rs
@@ -1,4 +1,4 @@
-//! Prints what each decision costs in time and memory, at several sizes.
+//! Measures the time and memory of each decision at several sizes.
 //!
 //! Run with `cargo run --release -p laburnumcart --example decision_cost`.
 
@@ -34,24 +34,24 @@
 fn main() {
     println!("| decision | sizes | nanoseconds (median, least to most of 5) | bytes each |");
     println!("|---|---|---|---|");
-    TEAMS.iter().for_each(|n| fair_queue(*n));
-    TEAMS.iter().for_each(|n| admission(*n));
-    TARGETS.iter().for_each(|n| routing(*n, None));
-    TARGETS.iter().for_each(|n| routing(*n, Some(0)));
-    TARGETS.iter().for_each(|n| ejection(*n));
-    TARGETS.iter().for_each(|n| limits(*n));
-    TARGETS.iter().for_each(|n| subsets(*n));
-    STAGES.iter().for_each(|n| estimates(*n));
-    FACTS.iter().for_each(|n| merging(*n));
-    FACTS.iter().for_each(|n| judging(*n));
+    TEAMS.iter().for_each(|n| measure_fair_queue(*n));
+    TEAMS.iter().for_each(|n| measure_admission(*n));
+    TARGETS.iter().for_each(|n| measure_balancer(*n, None));
+    TARGETS.iter().for_each(|n| measure_balancer(*n, Some(0)));
+    TARGETS.iter().for_each(|n| measure_outlier_detection(*n));
+    TARGETS.iter().for_each(|n| measure_concurrency_limit(*n));
+    TARGETS.iter().for_each(|n| measure_subset(*n));
+    STAGES.iter().for_each(|n| measure_estimates(*n));
+    FACTS.iter().for_each(|n| measure_merge(*n));
+    FACTS.iter().for_each(|n| measure_suspects(*n));
 }
 
 fn rng() -> rand::rngs::StdRng {
     rand::rngs::StdRng::seed_from_u64(1)
 }
 
-/// Four entries of each team wait; each step adds one and takes one.
-fn fair_queue(teams: usize) {
+/// Measures a push and a pop with four entries of each team in the queue.
+fn measure_fair_queue(teams: usize) {
     let now = Instant::now();
     let mut rng = rng();
     let mut request = || fair::Request {
@@ -82,7 +82,7 @@
     );
 }
 
-fn admission(teams: usize) {
+fn measure_admission(teams: usize) {
     let now = Instant::now();
     let mut rng = rng();
     let ((mut admission, keys), bytes) = measure::bytes(|| {
@@ -124,20 +124,20 @@
     (0..count).map(target).collect()
 }
 
-fn routing(count: usize, prefix: Option<u64>) {
+fn measure_balancer(count: usize, prefix: Option<u64>) {
     let now = Instant::now();
     let mut rng = rng();
     let (table, bytes) = measure::bytes(|| balancer::Table::new(targets(count, now)));
     let own = |i: usize| i as u32 % 3;
     let times = measure::nanos(|i| {
         let prefix = prefix.map(|p| p + i as u64);
-        let ask = balancer::Request {
+        let request = balancer::Request {
             tried: &[],
             prefix,
             own: &own,
             now,
         };
-        table.choose(&ask, &mut rng)
+        table.choose(&request, &mut rng)
     });
     let name = if prefix.is_some() {
         "route: by prefix"
@@ -147,18 +147,18 @@
     measure::row(name, format!("{count} targets"), times, bytes / count);
 }
 
-/// Comparisons of all targets are included, one for each 10,000 calls.
-fn ejection(count: usize) {
+/// Includes the comparisons of all targets, one per 10,000 outcomes.
+fn measure_outlier_detection(count: usize) {
     let mut now = Instant::now();
-    let ((mut ejector, keys), bytes) = measure::bytes(|| {
-        let mut ejector = outlier::Detector::new(unit::Share(0.3), now);
-        let keys: Vec<_> = (0..count).map(|_| ejector.add()).collect();
-        (ejector, keys)
+    let ((mut detector, keys), bytes) = measure::bytes(|| {
+        let mut detector = outlier::Detector::new(unit::Share(0.3), now);
+        let keys: Vec<_> = (0..count).map(|_| detector.add()).collect();
+        (detector, keys)
     });
-    let usual = outlier::Outcome::Success(time::Duration::from_millis(20));
+    let success = outlier::Outcome::Success(time::Duration::from_millis(20));
     let times = measure::nanos(|i| {
         now += outlier::COMPARISON_INTERVAL / 10_000;
-        ejector.record_outcome(keys[i % count], usual, now);
+        detector.record_outcome(keys[i % count], success, now);
     });
     measure::row(
         "eject: record",
@@ -168,7 +168,7 @@
     );
 }
 
-fn limits(count: usize) {
+fn measure_concurrency_limit(count: usize) {
     let mut now = Instant::now();
     let (mut all, bytes) = measure::bytes(|| {
         let all = (0..count).map(|_| concurrency::Limit::new());
@@ -187,7 +187,7 @@
     );
 }
 
-fn subsets(count: usize) {
+fn measure_subset(count: usize) {
     let own = "entry-1".parse().expect("The name is valid.");
     let data_centres = ["a", "b", "c", "d"].map(|z| z.parse().expect("The name is valid."));
     let targets = targets(count, Instant::now());
@@ -208,7 +208,7 @@
     );
 }
 
-fn estimates(stages: usize) {
+fn measure_estimates(stages: usize) {
     let now = Instant::now();
     let (mut estimates, bytes) = measure::bytes(|| {
         let mut estimates = estimate::Estimates::default();
@@ -242,7 +242,7 @@
     table
 }
 
-fn merging(count: usize) {
+fn measure_merge(count: usize) {
     let now = Instant::now();
     let (mut table, bytes) = measure::bytes(|| crashes(count, now));
     let known = table
@@ -261,7 +261,7 @@
     measure::row("facts: nothing new for a peer", size, times, bytes / count);
 }
 
-fn judging(count: usize) {
+fn measure_suspects(count: usize) {
     let now = Instant::now();
     let table = crashes(count, now);
     let size = format!("{count} crashes, 8 suspects each");
--- a/laburnumcart/examples/embed.rs
+++ b/laburnumcart/examples/embed.rs
@@ -1,9 +1,10 @@
-//! Embeds admission, routing, the retry decision and its budget in a service of one's own.
+//! Embeds admission control, load balancing, retry decisions and the retry budget in another
+//! service.
 //!
 //! `cargo run -p laburnumcart --example embed`
 //!
-//! The library opens no connection: [`send`] stands for the call of a target, by whatever client the
-//! service has.
+//! The library opens no connections; [`send`] stands for a call to a target by the service's own
+//! client.
 
 use std::time::Duration;
 
@@ -20,7 +21,7 @@
     verdict, //
 };
 
-/// What a service keeps beside its connections.
+/// State of the service besides its connections.
 struct Service {
     admission: admission::Controller,
     targets: balancer::Table,
@@ -28,7 +29,7 @@
     rng: rand::rngs::StdRng,
 }
 
-/// Calls a target. One is stopping and refuses, one breaks the connection, one answers.
+/// Calls a target: one is shutting down and refuses, one breaks the connection, and one answers.
 fn send(target: &balancer::Target) -> Result<String, verdict::Refusal> {
     match target.name.as_str() {
         "stopping" => Err(verdict::Refusal::not_run(verdict::Reason::Leaving)),
@@ -38,8 +39,8 @@
 }
 
 impl Service {
-    /// Runs one request of a team, on as many targets as it takes and is safe.
-    fn run(
+    /// Runs a request of a team and retries it at other targets while that is safe.
+    fn run_request(
         &mut self,
         team: admission::TeamKey,
         idempotent: bool,
@@ -47,7 +48,7 @@
         let now = Instant::now();
         let priority = bundle::Priority::Normal;
         self.admission.admit(team, priority, now, &mut self.rng)?;
-        let answer = self.attempts(idempotent, now + Duration::from_secs(2));
+        let answer = self.try_targets(idempotent, now + Duration::from_secs(2));
         let outcome = match &answer {
             Ok(_) => admission::Outcome::Done,
             Err(refusal) => admission::Outcome::Refused(refusal.reason),
@@ -56,7 +57,7 @@
         answer
     }
 
-    fn attempts(
+    fn try_targets(
         &mut self,
         idempotent: bool,
         deadline: Instant,
@@ -65,18 +66,22 @@
         let mut tried = Vec::new();
         loop {
             let now = Instant::now();
-            let ask = balancer::Request {
+            let request = balancer::Request {
                 tried: &tried,
                 prefix: None,
                 own: &|_| 0,
                 now,
             };
-            // The verdict covers all attempts: that no target is left says nothing of earlier ones.
-            let nowhere = verdict::Refusal {
+            // The verdict must cover all attempts; an earlier one may have run although no target
+            // is left.
+            let no_target = verdict::Refusal {
                 verdict: attempts.verdict(),
                 ..verdict::Refusal::not_run(verdict::Reason::NoTarget)
             };
-            let chosen = self.targets.choose(&ask, &mut self.rng).ok_or(nowhere)?;
+            let chosen = self
+                .targets
+                .choose(&request, &mut self.rng)
+                .ok_or(no_target)?;
             let refusal = match send(&self.targets.targets()[chosen]) {
                 Ok(answer) => {
                     self.budget.deposit(now);
@@ -104,7 +109,7 @@
     }
 }
 
-/// Describes a target; the load comes from its reports in a real service.
+/// Creates a target; in a real service its load is taken from its reports.
 fn target(name: &str, pending: u32, now: Instant) -> balancer::Target {
     balancer::Target {
         name: name.parse().expect("a name"),
@@ -125,7 +130,7 @@
     let now = Instant::now();
     let mut admission = admission::Controller::new(now);
     let team = admission.add_team(1);
-    // The least loaded ones are those that fail, so that both decisions are seen.
+    // The least loaded targets are those that fail, so that both retry decisions are shown.
     let targets = [("stopping", 0), ("broken", 1), ("sound", 40)];
     let targets = targets.map(|(name, pending)| target(name, pending, now));
     let mut service = Service {
@@ -134,12 +139,12 @@
         budget: budget::Budget::new(unit::Share(0.1), now),
         rng: rand::rngs::StdRng::seed_from_u64(1),
     };
-    let answer = service.run(team, true).expect("an answer");
+    let answer = service.run_request(team, true).expect("an answer");
     println!("idempotent: {answer}");
     assert_eq!(answer, "answer of sound");
 
-    // The broken connection is no proof of "not run", so that another target must not be tried.
-    let refusal = service.run(team, false).expect_err("a refusal");
+    // The broken connection does not prove that the request did not run, so it must not be retried.
+    let refusal = service.run_request(team, false).expect_err("a refusal");
     println!("non-idempotent: {refusal}");
     assert_eq!(refusal.verdict, verdict::Verdict::MayHaveRun);
     assert_eq!(service.admission.in_flight(), 0);
--- a/laburnumcart/src/bundle.rs
+++ b/laburnumcart/src/bundle.rs
@@ -1,4 +1,4 @@
-//! The versioned description of what the system serves, as operators write and sign it.
+//! Bundle: the signed configuration of services, pipelines and teams.
 
 use std::{
     collections, //
@@ -17,16 +17,16 @@
 
 pub mod check;
 
-/// The only format number so far.
+/// Supported format number.
 pub const FORMAT: u32 = 1;
 
-/// What runs, for whom, under which promise.
+/// Services, pipelines and teams of the system, with its limits.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, schemars::JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Bundle {
     /// Format number, [`FORMAT`].
     pub format: u32,
-    /// Free text for operators, shown in status.
+    /// Free text for operators, shown in the status output.
     #[serde(default)]
     pub title: String,
     /// Pools of targets by name.
@@ -35,7 +35,7 @@
     pub pipelines: collections::BTreeMap<id::PipelineName, Pipeline>,
     /// Teams by name.
     pub teams: collections::BTreeMap<id::TeamName, Team>,
-    /// How claims of non-idempotent requests are kept.
+    /// Retention and sharding of the claims of non-idempotent requests.
     #[serde(default)]
     pub claims: Claims,
     /// Budgets and retention times.
@@ -52,15 +52,15 @@
     /// Whether its targets check the fencing number of an order.
     #[serde(default)]
     pub orders: Orders,
-    /// Models that each target must have loaded, `name@version`; engines only.
+    /// Models that each target must have loaded, as `name@version`; engines only.
     #[serde(default)]
     pub models: Vec<String>,
-    /// Longest time an order to a target can take.
-    #[serde(default = "default_order")]
+    /// Timeout of an order to a target.
+    #[serde(default = "default_order_limit")]
     pub order_limit: unit::Period,
 }
 
-fn default_order() -> unit::Period {
+fn default_order_limit() -> unit::Period {
     unit::Period::from_secs(5)
 }
 
@@ -70,11 +70,11 @@
 pub enum Kind {
     /// A model engine that streams tokens.
     Engine,
-    /// An encoder, retriever, reranker or plain service that answers in one piece.
+    /// An encoder, retriever, reranker or other service that does not stream its answer.
     Pool,
 }
 
-/// What a target does with the fencing number of an order.
+/// How the targets of a service treat the fencing number of an order.
 #[derive(
     Clone, Copy, Debug, Default, Eq, PartialEq, Serialize, Deserialize, schemars::JsonSchema,
 )]
@@ -83,9 +83,9 @@
     /// The service takes no orders.
     #[default]
     None,
-    /// An order with an old number is refused by the target.
+    /// The targets reject orders with a stale number.
     Fenced,
-    /// The target ignores the number.
+    /// The targets ignore the number.
     Unfenced,
 }
 
@@ -99,7 +99,7 @@
     #[serde(default = "default_true")]
     pub idempotent: bool,
     /// Largest body of a request.
-    #[serde(default = "default_body")]
+    #[serde(default = "default_body_limit")]
     pub body_limit: unit::Size,
 }
 
@@ -107,11 +107,11 @@
     true
 }
 
-fn default_body() -> unit::Size {
+fn default_body_limit() -> unit::Size {
     unit::Size(1 << 20)
 }
 
-/// One step of a pipeline.
+/// One stage of a pipeline.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, schemars::JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Stage {
@@ -119,42 +119,42 @@
     pub name: id::StageName,
     /// Service that executes it.
     pub service: id::ServiceName,
-    /// Whether this stage may execute more than once, if it differs from its pipeline.
+    /// Whether this stage may execute more than once; defaults to the value of its pipeline.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub idempotent: Option<bool>,
 }
 
-/// A customer and what was promised to it.
+/// A paying customer, with its share of the targets and its service levels.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, schemars::JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Team {
     /// SHA-256 of each bearer token, 64 hexadecimal digits.
     pub tokens: Vec<String>,
-    /// Weight of its share of every contended target.
+    /// Weight of the team's share of each contended target.
     pub weight: u32,
-    /// Pipelines that it may call, with the promise for each.
+    /// Pipelines that the team may call, with the service level of each.
     pub pipelines: collections::BTreeMap<id::PipelineName, Promise>,
-    /// Most requests of the team that wait at one target.
-    #[serde(default = "default_queue")]
+    /// Largest number of the team's requests in the queue of one target.
+    #[serde(default = "default_queue_limit")]
     pub queue_limit: u32,
 }
 
-fn default_queue() -> u32 {
+fn default_queue_limit() -> u32 {
     64
 }
 
-/// What a team was promised for one pipeline.
+/// Service level of a team for one pipeline.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, schemars::JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Promise {
-    /// Time from the request's arrival to its whole answer.
+    /// Time from the arrival of a request to its complete answer.
     pub deadline: unit::Period,
     /// Priority under contention.
     #[serde(default)]
     pub priority: Priority,
 }
 
-/// Priority under contention; the first is served first.
+/// Priority under contention, highest first.
 #[derive(
     Clone,
     Copy,
@@ -171,12 +171,12 @@
 )]
 #[serde(rename_all = "kebab-case")]
 pub enum Priority {
-    /// A person waits.
+    /// Interactive work: a person waits for the answer.
     High,
-    /// Ordinary.
+    /// Ordinary work; the default.
     #[default]
     Normal,
-    /// Can be shed first.
+    /// Shed first.
     Low,
 }
 
@@ -190,11 +190,11 @@
     }
 }
 
-/// How claims of non-idempotent requests are kept.
+/// Retention and sharding of the claims of non-idempotent requests.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, schemars::JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct Claims {
-    /// How long a claim is kept; longer than any caller resends.
+    /// Time for which a claim is kept; must exceed the time for which callers resend a request.
     pub retention: unit::Period,
     /// Number of shards, each with one owner at a time.
     pub shards: u16,
@@ -213,13 +213,13 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, schemars::JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct Limits {
-    /// How long an agent keeps a finished result that was not acknowledged.
+    /// Time for which an agent keeps a finished result that was not acknowledged.
     pub result_retention: unit::Period,
-    /// How long a request that crashed targets is refused.
+    /// Time for which a request that crashed targets is refused.
     pub quarantine: unit::Period,
-    /// Retries after "may have run", as a part of recent successes.
+    /// Retries of requests that may have run, as a fraction of recent successes.
     pub retry_ratio: unit::Share,
-    /// Hedges, as a part of recent requests.
+    /// Hedges, as a fraction of recent requests.
     pub hedge_ratio: unit::Share,
 }
 
--- a/laburnumcart/src/bundle/check.rs
+++ b/laburnumcart/src/bundle/check.rs
@@ -1,4 +1,4 @@
-//! Rules of a bundle that its schema cannot express.
+//! Validation of the rules of a bundle that its JSON Schema cannot express.
 
 use std::{
     collections,
@@ -25,39 +25,39 @@
     unit, //
 };
 
-/// Deadlines that can be promised.
+/// Range of the deadline of a service level.
 pub const DEADLINE: ops::RangeInclusive<unit::Period> =
     unit::Period::from_millis(10)..=unit::Period::from_secs(600);
 
-/// Times for which claims can be kept.
+/// Range of the retention time of claims.
 pub const CLAIM_RETENTION: ops::RangeInclusive<unit::Period> =
     unit::Period::from_secs(60)..=unit::Period::from_secs(7 * 24 * 3600);
 
-/// Times for which an agent can keep results.
+/// Range of the retention time of results.
 pub const RESULT_RETENTION: ops::RangeInclusive<unit::Period> =
     unit::Period::from_secs(1)..=unit::Period::from_secs(3600);
 
-/// Times for which a request can be quarantined.
+/// Range of the quarantine time.
 pub const QUARANTINE: ops::RangeInclusive<unit::Period> =
     unit::Period::from_secs(1)..=unit::Period::from_secs(24 * 3600);
 
-/// Times that an order to a target can take.
+/// Range of the timeout of an order.
 pub const ORDER_LIMIT: ops::RangeInclusive<unit::Period> =
     unit::Period::from_millis(100)..=unit::Period::from_secs(600);
 
-/// Sizes of a request's body.
+/// Range of the size limit of a request's body.
 pub const BODY_LIMIT: ops::RangeInclusive<unit::Size> = unit::Size(1)..=unit::Size(16 << 20);
 
-/// Most stages of one pipeline.
+/// Largest number of stages of a pipeline.
 pub const STAGES_MAX: usize = 16;
 
-/// Most shards of the claim log.
+/// Largest number of shards of the claim log.
 pub const SHARDS_MAX: u16 = 1024;
 
-/// Room that signatures need in an envelope, in bytes.
+/// Upper bound on the bytes of the signatures in an envelope.
 const SIGNATURES_BYTES_MAX: usize = signing::SIGNATURES_MAX * 256;
 
-/// Reads a bundle, or reports every fault in it.
+/// Parses and checks a bundle; the error lists all faults.
 pub fn parse(text: &str) -> Result<Bundle, Faults> {
     check_size(text)?;
     let bundle: Bundle = document::parse(text)?;
@@ -65,24 +65,24 @@
     Ok(bundle)
 }
 
-/// Reports every rule that a bundle breaks.
+/// Checks a parsed bundle; the error lists all broken checker.
 pub fn check(bundle: &Bundle) -> Result<(), Faults> {
-    let mut rules = Rules {
+    let mut checker = Checker {
         bundle,
         faults: Faults::default(),
     };
-    rules.check_format();
-    rules.check_services();
-    rules.check_pipelines();
-    rules.check_teams();
-    rules.check_claims();
-    rules.check_limits();
-    rules.faults.into_result(())
+    checker.check_format();
+    checker.check_services();
+    checker.check_pipelines();
+    checker.check_teams();
+    checker.check_claims();
+    checker.check_limits();
+    checker.faults.into_result(())
 }
 
-/// Checks that the bundle's envelope will fit into one object.
+/// Checks that the bundle's envelope will fit into an object.
 fn check_size(text: &str) -> Result<(), Faults> {
-    // Within the envelope each quotation mark, backslash and line end takes one byte more.
+    // JSON escapes each of these with one more byte within the envelope.
     let escaped = |b: &&u8| matches!(**b, b'"' | b'\\' | b'\n' | b'\r' | b'\t');
     let bytes = text.len() + text.as_bytes().iter().filter(escaped).count() + SIGNATURES_BYTES_MAX;
     if bytes <= signing::ENVELOPE_MAX {
@@ -92,13 +92,13 @@
     Err(Faults::single(Path::root(), problem))
 }
 
-/// The rules, with the faults found so far.
-struct Rules<'a> {
+/// Checker of a bundle, with the faults found so far.
+struct Checker<'a> {
     bundle: &'a Bundle,
     faults: Faults,
 }
 
-impl Rules<'_> {
+impl Checker<'_> {
     fn check_format(&mut self) {
         if self.bundle.format != FORMAT {
             let problem = format!("this release reads format {FORMAT}");
@@ -177,7 +177,7 @@
                     let problem = "must be the SHA-256 of a token, 64 hexadecimal digits";
                     self.faults.push(at.clone(), problem);
                 }
-                // A token of two teams would charge one for the other's requests.
+                // With a shared token one team would be charged for the other's requests.
                 if let Some(owner) = tokens.insert(token, name) {
                     self.faults
                         .push(at, format!("is a token of {owner} already"));
@@ -209,7 +209,7 @@
         let at = Path::root().key("claims");
         let claims = &self.bundle.claims;
         self.check_range(at.key("retention"), &claims.retention, &CLAIM_RETENTION);
-        // A claim that expires while its request may still run would let a resend run it again.
+        // If a claim expired while its request may still run, a resend would execute it again.
         let longest = self.longest_deadline();
         if claims.retention <= longest {
             let problem = format!("must be longer than the longest deadline, {longest}");
@@ -229,7 +229,7 @@
         self.check_range(at.key("quarantine"), &limits.quarantine, &QUARANTINE);
     }
 
-    /// Returns the longest deadline that any team was promised.
+    /// Returns the longest deadline of all service levels.
     fn longest_deadline(&self) -> unit::Period {
         let promises = self
             .bundle
@@ -239,7 +239,7 @@
         promises.map(|p| p.deadline).max().unwrap_or_default()
     }
 
-    /// Reports a value that is out of its range.
+    /// Adds a fault if a value is out of its range.
     fn check_range<T>(&mut self, at: Path, value: &T, range: &ops::RangeInclusive<T>)
     where
         T: PartialOrd + std::fmt::Display,
--- a/laburnumcart/src/document.rs
+++ b/laburnumcart/src/document.rs
@@ -1,7 +1,7 @@
-//! JSON documents that operators write: settings and bundles.
+//! Parsing and validation of JSON documents written by operators: settings and bundles.
 //!
-//! A document is checked against the JSON Schema of its type before it is read, so that every fault
-//! is reported in one run, each with its path.
+//! A document is validated against the JSON Schema of its type before it is deserialized, so that
+//! all faults are reported together, each with its path.
 
 use std::{
     any,
@@ -24,18 +24,18 @@
 mod fault;
 mod json;
 
-/// Compiled schemas by document type; compiling one takes longer than checking a small document.
+/// Compiled schemas by document type; compiling one takes longer than validating a small document.
 static CHECKERS: sync::LazyLock<sync::Mutex<Checkers>> = sync::LazyLock::new(Default::default);
 
 type Checkers = collections::HashMap<any::TypeId, sync::Arc<Checker>>;
 
-/// A compiled schema with its text, in which explanations look up what was allowed.
+/// A compiled schema with its JSON text, from which error messages take the allowed values.
 struct Checker {
     schema: Value,
     validator: jsonschema::Validator,
 }
 
-/// Returns the JSON Schema of a document type, without references.
+/// Returns the JSON Schema of a document type, with all subschemas inlined.
 pub fn schema<T: schemars::JsonSchema>() -> Value {
     generate::SchemaSettings::draft2020_12()
         .with(|settings| settings.inline_subschemas = true)
@@ -44,7 +44,7 @@
         .to_value()
 }
 
-/// Reads a document, or reports every fault in it.
+/// Parses a document; the error lists all faults.
 pub fn parse<T>(text: &str) -> Result<T, Faults>
 where
     T: de::DeserializeOwned + schemars::JsonSchema + 'static,
@@ -72,7 +72,7 @@
         .clone()
 }
 
-/// Compiles a schema, with the formats of the unit types.
+/// Compiles a schema, including the formats of [`explain::FORMATS`].
 fn compile(schema: Value) -> Checker {
     let mut options = jsonschema::options().should_validate_formats(true);
     for (name, check) in explain::FORMATS {
--- a/laburnumcart/src/document/explain.rs
+++ b/laburnumcart/src/document/explain.rs
@@ -1,4 +1,4 @@
-//! Faults found by a schema, in words that tell an operator what to write instead.
+//! Messages for schema validation errors, with the allowed values or the nearest known name.
 
 use std::net;
 
@@ -15,10 +15,10 @@
     unit, //
 };
 
-/// Checks the text of one format.
+/// Validator of one text format.
 type FormatCheck = fn(&str) -> Result<(), id::ParseError>;
 
-/// Formats that documents use beside those of JSON Schema.
+/// Text formats of documents in addition to those of JSON Schema.
 pub(super) const FORMATS: &[(&str, FormatCheck)] = &[
     ("size", |text| text.parse::<unit::Size>().map(drop)),
     ("period", |text| text.parse::<unit::Period>().map(drop)),
@@ -34,10 +34,10 @@
     }),
 ];
 
-/// Least similarity, from 0 to 1, at which a name is offered as a correction.
+/// Minimum similarity, from 0 to 1, at which a name is suggested.
 const MIN_SIMILARITY: f64 = 0.6;
 
-/// Adds the faults that one error stands for.
+/// Adds the faults of one validation error.
 pub(super) fn explain(
     schema: &Value,
     error: &jsonschema::ValidationError<'_>,
@@ -57,7 +57,8 @@
             let key = property.as_str().unwrap_or_default();
             faults.push(path.key(key), "missing");
         }
-        // Texts of a format have a pattern too, for other tools; the format says it better.
+        // The types of these formats also have a pattern, for other tools; the error of the format
+        // has the better message.
         Kind::Pattern { .. } if has_format(parent) => {}
         Kind::Pattern { .. } => faults.push(path, describe_pattern(parent)),
         Kind::Format { format } => {
@@ -66,7 +67,7 @@
         Kind::OneOfNotValid { .. } | Kind::AnyOf { .. } | Kind::Enum { .. } => {
             faults.push(path, describe_choice(parent, error.instance()));
         }
-        // The value could be a secret, and so stays out of the message.
+        // The value is masked, as it could be a secret.
         _ => faults.push(path, error.masked().to_string()),
     }
 }
@@ -78,13 +79,13 @@
     schema.pointer(&text[..end]).unwrap_or(&Value::Null)
 }
 
-/// Returns whether a schema names one of [`FORMATS`].
+/// Reports whether a schema has one of [`FORMATS`].
 fn has_format(schema: &Value) -> bool {
     let name = schema["format"].as_str();
     FORMATS.iter().any(|(format, _)| Some(*format) == name)
 }
 
-/// Describes a key that the object cannot have.
+/// Describes a key that the schema does not allow.
 fn describe_unknown_key(schema: &Value, key: &str) -> String {
     if schema.get("patternProperties").is_some() {
         return "not a name (1 to 63 of a-z 0-9 . _ -, first a letter or digit)".into();
@@ -105,7 +106,7 @@
     }
 }
 
-/// Describes a text that is not of its format.
+/// Describes a text that does not have its format.
 fn describe_malformed(format: &str, schema: &Value, found: &Value) -> String {
     let text = found.as_str().unwrap_or_default();
     let check = FORMATS.iter().find(|(name, _)| *name == format);
@@ -119,7 +120,7 @@
     }
 }
 
-/// Describes a text that is none of the allowed ones.
+/// Describes a value that is none of the allowed ones.
 fn describe_choice(schema: &Value, found: &Value) -> String {
     let names = allowed_texts(schema);
     if names.is_empty() {
@@ -132,7 +133,7 @@
     }
 }
 
-/// Collects the texts that a choice allows.
+/// Returns the texts that an enumeration allows.
 fn allowed_texts(schema: &Value) -> Vec<&str> {
     let mut names = Vec::new();
     for name in schema["enum"].as_array().into_iter().flatten() {
@@ -152,7 +153,7 @@
     schema["examples"].get(0).map(Value::to_string)
 }
 
-/// Returns the candidate that is most like `text`, if one is similar.
+/// Returns the name most similar to `text`, if one is similar enough.
 fn nearest<'a>(text: &str, names: impl Iterator<Item = &'a str>) -> Option<&'a str> {
     names
         .map(|name| (strsim::normalized_damerau_levenshtein(text, name), name))
--- a/laburnumcart/src/document/fault.rs
+++ b/laburnumcart/src/document/fault.rs
@@ -1,8 +1,8 @@
-//! Faults of a document and where they are.
+//! Faults of a document, with their paths.
 
 use std::fmt;
 
-/// Place in a JSON document, written as `$.teams["a-b"].weight`.
+/// Path of a value in a JSON document, written as `$.teams["a-b"].weight`.
 #[derive(Clone, Debug, derive_more::Display, Eq, Ord, PartialEq, PartialOrd)]
 pub struct Path(String);
 
@@ -12,7 +12,7 @@
         Self("$".into())
     }
 
-    /// Returns the path of a member of the object here.
+    /// Returns the path of a member of this object.
     pub fn key(&self, key: &str) -> Self {
         let first = |c: char| c.is_ascii_alphabetic() || c == '_';
         let plain = |c: char| first(c) || c.is_ascii_digit();
@@ -23,12 +23,12 @@
         }
     }
 
-    /// Returns the path of an element of the array here.
+    /// Returns the path of an element of this array.
     pub fn index(&self, index: usize) -> Self {
         Self(format!("{}[{index}]", self.0))
     }
 
-    /// Converts the path of an error of deserialization.
+    /// Converts the path of a deserialization error.
     pub(super) fn from_segments(path: &serde_path_to_error::Path) -> Self {
         use serde_path_to_error::Segment;
 
@@ -40,7 +40,7 @@
         })
     }
 
-    /// Converts the path of an error of validation.
+    /// Converts the path of a validation error.
     pub(super) fn from_location(location: &jsonschema::paths::Location) -> Self {
         use jsonschema::paths::LocationSegment;
 
@@ -57,13 +57,13 @@
 #[derive(Clone, Debug, derive_more::Display, Eq, Ord, PartialEq, PartialOrd)]
 #[display("{path}: {problem}")]
 pub struct Fault {
-    /// Where it is.
+    /// Path of the faulty value.
     pub path: Path,
-    /// What is wrong; holds no value that could be secret.
+    /// Description, without values that could be secret.
     pub problem: String,
 }
 
-/// All faults of a document, one a line.
+/// All faults of a document, displayed as one per line.
 #[derive(Clone, Debug, Default, derive_more::Error, Eq, PartialEq)]
 pub struct Faults(#[error(not(source))] Vec<Fault>);
 
@@ -81,7 +81,7 @@
         self.0.push(Fault { path, problem });
     }
 
-    /// Returns whether there is none.
+    /// Reports whether there are no faults.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
@@ -91,7 +91,7 @@
         self.0.iter()
     }
 
-    /// Returns `value` if there is no fault.
+    /// Returns `value` if there are no faults, else the faults.
     pub fn into_result<T>(self, value: T) -> Result<T, Self> {
         if self.is_empty() {
             Ok(value)
@@ -100,7 +100,7 @@
         }
     }
 
-    /// Orders the faults by path and drops repeated ones.
+    /// Sorts the faults by path and drops duplicates.
     #[must_use]
     pub(super) fn sorted(mut self) -> Self {
         self.0.sort();
--- a/laburnumcart/src/document/json.rs
+++ b/laburnumcart/src/document/json.rs
@@ -1,7 +1,7 @@
-//! JSON text to a tree of values, with repeated keys found.
+//! JSON parser that reports duplicate keys.
 //!
-//! JSON readers keep the last of two equal keys. In a bundle that would drop a team without a word,
-//! while the operator who signs it reads both.
+//! Common JSON parsers keep the last of two equal keys. In a bundle that would silently drop a team
+//! that the operator who signs the bundle sees in its text.
 
 use std::fmt;
 
@@ -13,7 +13,7 @@
 
 use super::fault;
 
-/// Parses a text; the faults are the repeated keys.
+/// Parses a text into a value and the faults of its duplicate keys.
 pub(super) fn parse(text: &str) -> Result<(Value, fault::Faults), fault::Faults> {
     let mut faults = fault::Faults::default();
     let mut input = serde_json::Deserializer::from_str(text);
@@ -28,7 +28,7 @@
         .map(|value| (value, faults))
 }
 
-/// One value to be read, at its path.
+/// Deserialization seed of the value at a path.
 struct Node<'a> {
     path: fault::Path,
     faults: &'a mut fault::Faults,
--- a/laburnumcart/src/event.rs
+++ b/laburnumcart/src/event.rs
@@ -1,20 +1,20 @@
-//! Log lines for changes of state, as `key=value` pairs.
+//! Structured log events, written as `key=value` pairs.
 //!
-//! Lines go to the logger that the program has installed, through the crate `log`:
+//! Events go through the crate `log` to the logger that the program has installed:
 //!
 //! ```
 //! let generation = laburnumcart::id::Generation(7);
 //! laburnumcart::event!(Info, "bundle-accepted", generation = generation);
 //! ```
 //!
-//! writes `event=bundle-accepted generation=7`. What happens once for each request belongs into a
-//! counter, not here.
+//! writes `event=bundle-accepted generation=7`. Events are for changes of state; what happens once
+//! per request is counted by a metric instead.
 
 use std::fmt;
 
 pub use log;
 
-/// Writes a value so that it stays one word: in quotes, with escapes, where it is not plain.
+/// Displays a value as one word: quoted and escaped unless it is plain.
 #[derive(Debug)]
 pub struct Quoted<T>(pub T);
 
@@ -30,7 +30,7 @@
     }
 }
 
-/// Writes a line of `key=value` pairs: `event!(Warn, "peer-lost", peer = addr, after = period)`.
+/// Logs an event with `key=value` pairs: `event!(Warn, "peer-lost", peer = addr, after = period)`.
 #[macro_export]
 macro_rules! event {
     ($level:ident, $name:literal $(, $key:ident = $value:expr)* $(,)?) => {
--- a/laburnumcart/src/facts.rs
+++ b/laburnumcart/src/facts.rs
@@ -1,4 +1,4 @@
-//! Rare facts that travel on every heartbeat.
+//! Facts about the system that are replicated by gossip on heartbeats.
 
 use serde::{
     Deserialize,
@@ -17,19 +17,19 @@
     Version, //
 };
 
-/// Facts that merge monotonically: the highest generation, the union of the lists.
+/// Facts, merged by taking the highest generation and the union of each list.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Facts {
     /// Highest generation in force at the sender.
     #[serde(default)]
     pub generation: id::Generation,
-    /// Lives that accept no new work.
+    /// Incarnations that accept no new work.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub leaving: Vec<id::Incarnation>,
-    /// Crashes of targets, with what ran at the time.
+    /// Crashes of targets, with the requests that were running.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub crashes: Vec<Crash>,
-    /// Suspects that have completed since, and so are cleared of the crashes before.
+    /// Suspects that have completed since, which clears them of a crash.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub cleared: Vec<Cleared>,
 }
@@ -39,18 +39,18 @@
 pub struct Crash {
     /// Random number that identifies the crash.
     pub id: id::Incarnation,
-    /// What ran on the target when it crashed.
+    /// Contents of the requests that ran on the target when it crashed.
     pub suspects: Vec<id::Fingerprint>,
     /// Time for which the fact stays valid.
     pub ttl: unit::Period,
 }
 
-/// A suspect that has completed.
+/// Clearance of a suspect that has completed.
 #[derive(Clone, Debug, Eq, Hash, PartialEq, Serialize, Deserialize)]
 pub struct Cleared {
-    /// The request's content.
+    /// Content of the request.
     pub fingerprint: id::Fingerprint,
-    /// Crash that it is cleared of.
+    /// Crash of which it is cleared.
     pub crash: id::Incarnation,
     /// Time for which the fact stays valid.
     pub ttl: unit::Period,
--- a/laburnumcart/src/facts/table.rs
+++ b/laburnumcart/src/facts/table.rs
@@ -1,4 +1,4 @@
-//! Merged facts of one process.
+//! Table of the merged facts of one process.
 
 use std::{
     collections,
@@ -14,22 +14,22 @@
     unit, //
 };
 
-/// Most facts of a kind; beyond it, the one that expires first goes.
+/// Largest number of facts of a kind; beyond it the one that expires first is dropped.
 const FACTS_MAX: usize = 4096;
 
-/// Most suspects of a crash.
+/// Largest number of suspects of a crash.
 const SUSPECTS_MAX: usize = 256;
 
-/// Longest time that a fact is kept, whatever its sender says.
+/// Upper limit of a fact's time to live, whatever its sender states.
 const TTL_MAX: time::Duration = time::Duration::from_secs(3600);
 
-/// Time for which a life is remembered as leaving; longer than any stop takes.
+/// Time for which an incarnation is remembered as leaving; longer than any graceful shutdown.
 const LEAVING_TTL: time::Duration = time::Duration::from_secs(600);
 
-/// Difference of two expiries that is due to the time a message takes, and no news.
+/// Differences of expiry up to this one are taken for message latency and not for a change.
 const EXPIRY_TOLERANCE: time::Duration = time::Duration::from_secs(1);
 
-/// State of a table that a peer has been sent.
+/// Version of a table, which identifies the changes that a peer has received.
 #[derive(Clone, Copy, Debug, Default, Eq, Ord, PartialEq, PartialOrd)]
 pub struct Version(u64);
 
@@ -45,8 +45,8 @@
 /// Facts of one process, merged with those of its peers.
 ///
 /// Merging takes the highest generation, the union of the lists, and the earliest expiry of each
-/// fact. It is commutative, associative and idempotent, so that facts may arrive in any order, by
-/// any way, any number of times.
+/// fact. It is commutative, associative and idempotent, so that facts may arrive in any order, over
+/// any path and any number of times.
 ///
 /// ```
 /// use std::time::Duration;
@@ -61,7 +61,7 @@
 /// table.set_leaving(id::Incarnation(7), now);
 /// peer.merge(&table.changes(sent, now).unwrap(), now);
 /// assert!(peer.is_leaving(id::Incarnation(7), now));
-/// // Only what changed since is sent.
+/// // Only later changes are sent.
 /// assert_eq!(table.changes(table.version(), now), None);
 /// ```
 #[derive(Clone, Debug, Default)]
@@ -74,7 +74,7 @@
 }
 
 impl Table {
-    /// Returns the version to remember for a peer once it has received the changes up to now.
+    /// Returns the current version, to be remembered for a peer that has received all changes.
     pub fn version(&self) -> Version {
         self.version
     }
@@ -84,12 +84,13 @@
         self.generation.0
     }
 
-    /// Reports whether a life accepts no new work.
-    pub fn is_leaving(&self, life: id::Incarnation, now: Instant) -> bool {
-        self.leaving.get(&life).is_some_and(|f| f.expiry > now)
+    /// Reports whether an incarnation accepts no new work.
+    pub fn is_leaving(&self, incarnation: id::Incarnation, now: Instant) -> bool {
+        let fact = self.leaving.get(&incarnation);
+        fact.is_some_and(|f| f.expiry > now)
     }
 
-    /// Returns the crashes that are valid, with what ran and until when.
+    /// Returns the valid crashes with their suspects and expiry.
     pub fn crashes(
         &self,
         now: Instant,
@@ -99,12 +100,17 @@
     }
 
     /// Reports whether a request's content is cleared of a crash.
-    pub fn is_cleared(&self, print: id::Fingerprint, crash: id::Incarnation, now: Instant) -> bool {
-        let fact = self.cleared.get(&(print, crash));
+    pub fn is_cleared(
+        &self,
+        fingerprint: id::Fingerprint,
+        crash: id::Incarnation,
+        now: Instant,
+    ) -> bool {
+        let fact = self.cleared.get(&(fingerprint, crash));
         fact.is_some_and(|f| f.expiry > now)
     }
 
-    /// Returns what changed since a version, with the time that each fact stays valid.
+    /// Returns the changes since a version, with the remaining time to live of each fact.
     pub fn changes(&self, since: Version, now: Instant) -> Option<facts::Facts> {
         if self.version <= since {
             return None;
@@ -114,7 +120,7 @@
         let cleared = changed_facts(&self.cleared, since, now);
         Some(facts::Facts {
             generation: self.generation.0,
-            leaving: leaving.map(|(life, _)| *life).collect(),
+            leaving: leaving.map(|(incarnation, _)| *incarnation).collect(),
             crashes: crashes
                 .map(|(id, fact)| facts::Crash {
                     id: *id,
@@ -132,7 +138,7 @@
         })
     }
 
-    /// Raises the generation; a lower one changes nothing.
+    /// Raises the generation; a lower one has no effect.
     pub fn set_generation(&mut self, generation: id::Generation) {
         if generation > self.generation.0 {
             self.version = Version(self.version.0 + 1);
@@ -140,13 +146,13 @@
         }
     }
 
-    /// Adds a life that accepts no new work.
-    pub fn set_leaving(&mut self, life: id::Incarnation, now: Instant) {
-        // A life never comes back, so that the fact cannot turn false and needs no time of its own.
-        if !self.is_leaving(life, now) {
+    /// Adds an incarnation that accepts no new work.
+    pub fn set_leaving(&mut self, incarnation: id::Incarnation, now: Instant) {
+        // A leaving incarnation never accepts work again, so that the fact carries no time to live.
+        if !self.is_leaving(incarnation, now) {
             insert(
                 &mut self.leaving,
-                life,
+                incarnation,
                 (),
                 now + LEAVING_TTL,
                 &mut self.version,
@@ -182,8 +188,8 @@
     pub fn merge(&mut self, facts: &facts::Facts, now: Instant) -> bool {
         let before = self.version;
         self.set_generation(facts.generation);
-        for life in &facts.leaving {
-            self.set_leaving(*life, now);
+        for incarnation in &facts.leaving {
+            self.set_leaving(*incarnation, now);
         }
         for crash in &facts.crashes {
             self.add_crash(crash, now);
@@ -194,7 +200,7 @@
         self.version != before
     }
 
-    /// Forgets what has expired.
+    /// Drops expired facts.
     pub fn expire(&mut self, now: Instant) {
         self.leaving.retain(|_, fact| fact.expiry > now);
         self.crashes.retain(|_, fact| fact.expiry > now);
@@ -220,10 +226,11 @@
         .filter(move |(_, fact)| fact.version > since && fact.expiry > now)
 }
 
-/// Reports whether a fact is unknown or expires clearly earlier than known.
+/// Reports whether a fact is unknown or expires earlier than the known one by more than the
+/// tolerance.
 ///
-/// With the later expiry, a fact that goes round among peers would live longer by the time of
-/// each message, and for ever in the end.
+/// If the later expiry were kept, the latency of each message would prolong a fact that circulates
+/// among peers, and it would never expire.
 fn should_replace<K: Eq + hash::Hash, V>(kind: &FactMap<K, V>, key: &K, expiry: Instant) -> bool {
     kind.get(key)
         .is_none_or(|fact| expiry + EXPIRY_TOLERANCE < fact.expiry)
--- a/laburnumcart/src/head/publish.rs
+++ b/laburnumcart/src/head/publish.rs
@@ -1,7 +1,7 @@
-//! One operator's change of the head, as a state machine.
+//! State machine of one operator's change of the head.
 //!
-//! The driver asks for the next [`Step`], performs it on the object service and reports what came of
-//! it. A step that the service refused is simply performed again.
+//! The driver gets the next [`Step`], performs it on the object service and records its outcome. A
+//! step that the service refused can be performed again.
 
 use std::fmt;
 
@@ -19,21 +19,21 @@
     signing, //
 };
 
-/// What an operator wants to be in force.
+/// Change of the bundle in force.
 #[derive(Clone, Debug)]
 pub enum Change {
-    /// A signed envelope in its stored form.
+    /// Accepts a signed envelope, in its stored form.
     Accept(String),
-    /// The bundle of an earlier generation.
+    /// Restores the bundle of an earlier generation.
     Restore(id::Generation),
 }
 
-/// What the driver does next. `V` is the object service's version of an object.
+/// Next step of the driver. `V` is the object service's type of object versions.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Step<V> {
-    /// Create the object of the envelope unless it exists.
+    /// Create the envelope's object unless it exists.
     Create {
-        /// Name of the object.
+        /// Digest that names the object.
         digest: signing::Digest,
         /// Envelope.
         value: String,
@@ -47,68 +47,68 @@
         /// New value.
         value: String,
     },
-    /// Nothing is left to do.
+    /// The change has ended.
     Done(Result<Head, PublishError>),
 }
 
-/// What came of writing the head.
+/// Outcome of writing the head.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum WriteOutcome {
     /// The write took effect.
     Applied,
     /// The head had another version.
     Conflict,
-    /// No answer came; the write may have taken effect.
+    /// No response arrived; the write may have taken effect.
     Unknown,
 }
 
-/// A change that is not in force.
+/// Reason for which a change is not known to be in force.
 #[derive(Clone, Debug, Display, Error, Eq, PartialEq)]
 pub enum PublishError {
-    /// Another operator moved the head first.
+    /// Another operator changed the head first.
     #[display("generation {} was accepted by another operator meanwhile", winner.generation)]
     Conflict {
-        /// What that operator accepted.
+        /// Generation that the other operator accepted.
         winner: Accepted,
     },
-    /// The operator expected another generation to be in force.
+    /// The head has another generation than the operator expected.
     #[display("generation {found} is accepted, not {expected}")]
     Moved {
-        /// What the operator expected.
+        /// Generation that the operator expected.
         expected: id::Generation,
-        /// What the head says.
+        /// Generation of the head.
         found: id::Generation,
     },
-    /// The head has moved on so far that the change's own generation is no longer listed.
-    #[display("unknown whether accepted; generation {now} is accepted by now")]
+    /// So many changes followed that the change's own generation is no longer listed.
+    #[display("unknown whether the change was accepted; generation {now} is accepted now")]
     Forgotten {
-        /// What the head says.
+        /// Generation of the head.
         now: id::Generation,
     },
     /// The generation to restore is not listed in the head.
-    #[display("generation {wanted} is not among the last ones")]
+    #[display("generation {wanted} is not listed in the head")]
     NoSuchGeneration {
-        /// What was to be restored.
+        /// Generation to restore.
         wanted: id::Generation,
     },
 }
 
-/// Where a change stands.
+/// Phase of a change.
 #[derive(Clone, Debug)]
 enum Phase<V> {
-    /// The envelope has no object yet.
+    /// The envelope's object has to be created.
     Storing,
-    /// The head was not read yet.
+    /// The head has to be read.
     Reading,
-    /// The head was read; `head` is to follow it.
+    /// `head` has to be written over version `expect`.
     Writing { expect: Option<V>, head: Head },
-    /// It is open whether the write took effect.
+    /// The head has to be read to find out whether the write took effect.
     Settling { expect: Option<V>, head: Head },
-    /// Final.
+    /// The outcome is final.
     Done(Result<Head, PublishError>),
 }
 
-/// One try to change the head, from the first call to its proven outcome.
+/// One attempt to change the head, from its first call to a proven outcome.
 #[derive(Clone, Debug)]
 pub struct Publish<V> {
     change: Change,
@@ -119,7 +119,7 @@
 }
 
 impl<V: Clone + Eq + fmt::Debug> Publish<V> {
-    /// Creates a try with a nonce that no other try has.
+    /// Creates an attempt; its nonce must differ from that of any other.
     pub fn new(change: Change, nonce: id::Nonce) -> Self {
         let phase = match change {
             Change::Accept(_) => Phase::Storing,
@@ -134,14 +134,14 @@
         }
     }
 
-    /// Lets the change succeed only on top of this generation.
+    /// Requires that the change replaces this generation.
     #[must_use]
     pub fn with_base(mut self, base: id::Generation) -> Self {
         self.base = Some(base);
         self
     }
 
-    /// Returns what to do next.
+    /// Returns the next step.
     pub fn step(&self) -> Step<V> {
         match &self.phase {
             Phase::Storing => self.create_step(),
@@ -154,9 +154,9 @@
         }
     }
 
-    /// Returns whether a write may have taken effect, or may do so yet, without that being known.
+    /// Reports whether it is unknown if a write took effect or still will.
     ///
-    /// Finding the head unchanged does not end it, as the write may still be under way.
+    /// Reading an unchanged head does not resolve the doubt, as the write may still be in flight.
     pub fn is_in_doubt(&self) -> bool {
         self.in_doubt && !matches!(self.phase, Phase::Done(_))
     }
@@ -171,14 +171,14 @@
         }
     }
 
-    /// Reports that the envelope's object exists.
+    /// Records that the envelope's object exists.
     pub fn record_created(&mut self) {
         if matches!(self.phase, Phase::Storing) {
             self.phase = Phase::Reading;
         }
     }
 
-    /// Reports what the head is.
+    /// Records the version and value of the head, `None` if there is no head.
     pub fn record_read(&mut self, found: Option<(V, Head)>) {
         self.phase = match std::mem::replace(&mut self.phase, Phase::Reading) {
             Phase::Reading => self.prepare(found),
@@ -187,10 +187,10 @@
         };
     }
 
-    /// Reports what came of writing the head.
+    /// Records the outcome of writing the head.
     ///
-    /// A conflict is settled by reading as well: it may be the own write, repeated after its answer
-    /// was lost, that the service now finds in its way.
+    /// A conflict is settled by reading as well: it may be caused by this change's own earlier
+    /// write, if that was repeated after a lost response.
     pub fn record_write(&mut self, outcome: WriteOutcome) {
         self.in_doubt |= outcome == WriteOutcome::Unknown;
         self.phase = match std::mem::replace(&mut self.phase, Phase::Reading) {
@@ -202,7 +202,7 @@
         };
     }
 
-    /// Works out the head that is to follow the one that was read.
+    /// Computes the head that follows the one that was read.
     fn prepare(&self, found: Option<(V, Head)>) -> Phase<V> {
         let (expect, base) = found.unzip();
         let now = base
@@ -233,15 +233,15 @@
         }
     }
 
-    /// Decides by the nonce whether a write in doubt took effect.
+    /// Determines by the nonce whether a write in doubt took effect.
     fn settle(&self, expect: Option<V>, head: Head, found: Option<(V, Head)>) -> Phase<V> {
         let own = head.accepted;
         let Some((version, now)) = found else {
-            // Nothing there is what the write expected, or else a stale read.
+            // The head is absent as the write expected, or the read is stale.
             return Phase::Writing { expect, head };
         };
-        // The head is as before: the write did not take effect, or the read is stale. The same
-        // conditional write again is safe, as only one of the two can find that version.
+        // The head is unchanged: the write did not take effect, or the read is stale. Repeating the
+        // conditional write is safe, as only one of the two can find that version.
         if expect.as_ref() == Some(&version) {
             return Phase::Writing { expect, head };
         }
--- a/laburnumcart/src/id.rs
+++ b/laburnumcart/src/id.rs
@@ -1,4 +1,4 @@
-//! Names and numbers that identify things across processes.
+//! Identifiers that processes exchange: names, random numbers and serial numbers.
 
 use std::{
     fmt, //
@@ -17,18 +17,18 @@
 /// Longest name in bytes.
 pub const NAME_MAX: usize = 63;
 
-/// A text that is not a valid identifier of the wanted kind.
+/// Error of parsing an identifier or a value with a unit.
 #[derive(Clone, Debug, Display, Error, Eq, PartialEq)]
 #[display("invalid {kind}: {text:?}")]
 pub struct ParseError {
-    /// Kind of identifier that was expected.
+    /// Expected kind of identifier or value.
     pub kind: &'static str,
-    /// Text that was found, cut to [`NAME_MAX`] characters.
+    /// Rejected text, truncated to [`NAME_MAX`] characters.
     pub text: String,
 }
 
 impl ParseError {
-    /// Creates an error for `text`, cut so that a hostile input cannot fill a log line.
+    /// Creates an error for `text`, truncated so that a hostile input cannot flood the log.
     pub fn new(kind: &'static str, text: &str) -> Self {
         Self {
             kind,
@@ -37,7 +37,7 @@
     }
 }
 
-/// Reports whether `text` is a name: 1 to 63 of `a-z 0-9 . _ -`, starting with a letter or digit.
+/// Reports whether `text` is 1 to 63 of `a-z 0-9 . _ -` and starts with a letter or digit.
 fn is_valid_name(text: &str) -> bool {
     let plain = |b: &u8| b.is_ascii_lowercase() || b.is_ascii_digit();
     let valid = |b: u8| plain(&b) || matches!(b, b'.' | b'_' | b'-');
@@ -146,7 +146,7 @@
         pub struct $name(pub $inner);
 
         impl $name {
-            /// Draws a random number from the system's generator.
+            /// Draws a random number.
             pub fn random() -> Self {
                 Self(rand::random())
             }
@@ -214,35 +214,35 @@
     "request id"
 );
 hex_id!(
-    /// One dispatch of a stage to one target, unique over time.
+    /// One attempt to execute a stage at one target, unique over time.
     AttemptId,
     u128,
     32,
     "attempt id"
 );
 hex_id!(
-    /// One life of one process, drawn at its start.
+    /// Random number of one run of a process, drawn at its start.
     Incarnation,
     u64,
     16,
     "incarnation"
 );
 hex_id!(
-    /// What a request asks for, equal for a resend under a new [`RequestId`].
+    /// Digest of a request's content, equal for a resend under a new [`RequestId`].
     Fingerprint,
     u128,
     32,
     "fingerprint"
 );
 hex_id!(
-    /// One try of an operator to move the head, drawn anew for each.
+    /// Random number of one attempt of an operator to change the head.
     Nonce,
     u128,
     32,
     "nonce"
 );
 hex_id!(
-    /// Checksum of a whole stage result (xxh3, 128 bits).
+    /// Checksum of a complete stage result (xxh3, 128 bits).
     Checksum,
     u128,
     32,
@@ -250,15 +250,15 @@
 );
 
 impl Fingerprint {
-    /// Digests what identifies a request's content: its team, its pipeline and its body.
+    /// Returns the digest of a request's team, pipeline and body.
     pub fn of(team: &TeamName, pipeline: &PipelineName, body: &[u8]) -> Self {
         Self::digest([team.as_str(), pipeline.as_str()], body)
     }
 
-    /// Digests names, none of which has a zero byte, and a body.
+    /// Returns the digest of names, none of which may hold a zero byte, and a body.
     pub fn digest<'a>(names: impl IntoIterator<Item = &'a str>, body: &[u8]) -> Self {
         let mut hash = xxhash_rust::xxh3::Xxh3::new();
-        // The zero byte keeps names from running together.
+        // The zero byte separates the names.
         for name in names {
             hash.update(name.as_bytes());
             hash.update(&[0]);
@@ -295,9 +295,9 @@
     }
 }
 
-/// Start of a target in milliseconds since the Unix epoch, by its own clock.
+/// Start time of a target in milliseconds since the Unix epoch, by its own clock.
 ///
-/// A target may start again under the name that it had; then this number is higher.
+/// A target that restarts under the same name has a later start time.
 #[derive(
     Clone,
     Copy,
@@ -316,20 +316,20 @@
 #[serde(transparent)]
 pub struct Life(pub u64);
 
-/// One life of a target.
+/// One run of a target, from a start to its end.
 ///
-/// A later life holds and knows nothing of an earlier one, so that what was learned of one (load,
-/// room, cached prompts, connections) is kept by this and not by the name.
+/// A restarted target has none of its earlier state. What is known of a target (load, capacity,
+/// cached prompts, connections) is therefore kept by run and not by name.
 #[derive(Clone, Debug, Display, Eq, Hash, Ord, PartialEq, PartialOrd)]
 #[display("{name}@{life}")]
 pub struct TargetLife {
     /// Name of the target.
     pub name: TargetName,
-    /// Its start.
+    /// Start time.
     pub life: Life,
 }
 
-/// Number of an agent's term over its target; an order with a lower one is stale.
+/// Number of an agent's term as the owner of its target; orders of lower terms are stale.
 #[derive(
     Clone,
     Copy,
--- a/laburnumcart/src/ingress.rs
+++ b/laburnumcart/src/ingress.rs
@@ -1,4 +1,4 @@
-//! Routes of the HTTP ingress: which service answers a host and path, and for whom.
+//! Routing table of the HTTP ingress: routes by host and path, services, and teams by API key.
 
 use std::{
     collections,
@@ -11,72 +11,72 @@
     unit, //
 };
 
-/// What may be done again when an attempt fails.
+/// Whether a request may be retried after a failed attempt.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum RetryPolicy {
-    /// The request is idempotent.
+    /// The request is idempotent and may be retried.
     Any,
-    /// The request runs at most once.
+    /// The request must execute at most once.
     Never,
-    /// The answer is a stream of numbered events that can be continued after any of them.
+    /// The answer is a stream of numbered events that can be resumed after any of them.
     Resume,
 }
 
-/// A step that prepares inputs for the request, made of pieces that are executed in batches.
+/// A stage that prepares inputs of the request, made of pieces that are executed in batches.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Stage {
     /// Service that executes the pieces.
     pub service: id::ServiceName,
-    /// Indices of the stages whose results are its inputs.
+    /// Indices of the stages whose results are the inputs.
     pub inputs: Vec<usize>,
     /// Approximate size of one result.
     pub result_size: unit::Size,
 }
 
-/// A service and its share of a route's requests.
+/// A service with its share of a route's requests.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Backend {
     /// Name of the service.
     pub service: id::ServiceName,
-    /// Share, relative to the other targets of the route.
+    /// Weight relative to the other services of the route.
     pub weight: u32,
 }
 
-/// How the requests of one host and path prefix are served.
+/// Handling of the requests with one host and path prefix.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Route {
     /// Name for logs.
     pub name: String,
-    /// Host that it answers, in lower case.
+    /// Host in lower case.
     pub host: String,
-    /// Start of the path, from slash to slash.
+    /// Path prefix, from slash to slash.
     pub prefix: String,
-    /// What may be done again.
+    /// Whether requests may be retried.
     pub retry: RetryPolicy,
     /// Whether the answer is an event stream.
     pub stream: bool,
-    /// Longest time until the final answer.
+    /// Time limit for the complete answer.
     pub timeout: time::Duration,
     /// Time within which an answer is on time.
     pub objective: time::Duration,
-    /// Longest pause between two events of an answer that is on time.
+    /// Longest pause between two events of a stream that is on time.
     pub max_gap: Option<time::Duration>,
-    /// Rank; 0 goes first.
+    /// Priority rank; 0 is served first.
     pub rank: u8,
-    /// Most targets that one attempt of a caller is sent to.
+    /// Largest number of targets to which one attempt of a caller is sent.
     pub max_sends: u32,
-    /// Services that it goes to.
+    /// Services that execute the request.
     pub backends: Vec<Backend>,
-    /// Steps before the request itself.
+    /// Stages that are executed before the request itself.
     pub stages: Vec<Stage>,
-    /// Whether it needs no key.
+    /// Whether requests need no API key.
     pub anonymous: bool,
-    /// Regions whose targets may run it, any if none is named.
+    /// Regions whose targets may execute the requests; all if `None`.
     pub regions: Option<Vec<id::Region>>,
 }
 
 impl Route {
-    /// Chooses a target by a number drawn for the request.
+    /// Chooses a service by weight, from a random number drawn for the request.
     pub fn choose_backend(&self, draw: u64) -> Option<&id::ServiceName> {
         let total: u64 = self.backends.iter().map(|b| u64::from(b.weight)).sum();
         let mut left = draw.checked_rem(total)?;
@@ -90,34 +90,34 @@
         None
     }
 
-    /// Returns the stages whose results no other stage takes; their results go to the target.
+    /// Returns the stages whose results are no stage's input; they are the inputs of the request.
     pub fn last_stages(&self) -> impl Iterator<Item = usize> {
-        let taken = |i: &usize| !self.stages.iter().any(|s| s.inputs.contains(i));
-        (0..self.stages.len()).filter(taken)
+        let is_last = |i: &usize| !self.stages.iter().any(|s| s.inputs.contains(i));
+        (0..self.stages.len()).filter(is_last)
     }
 }
 
-/// Batches of pieces that each target of a service executes.
+/// Batching of the pieces that a target of a service executes.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Batching {
-    /// Most pieces in one call.
+    /// Largest number of pieces in a call.
     pub pieces: usize,
-    /// Time that a call takes apart from its pieces.
+    /// Duration of a call without its pieces.
     pub call_time: time::Duration,
-    /// Time that each piece adds.
+    /// Duration that each piece adds.
     pub piece_time: time::Duration,
-    /// Room for results at one target.
+    /// Room for results at a target.
     pub capacity: unit::Size,
-    /// Time that a target keeps a result.
+    /// Time for which a target keeps a result.
     pub ttl: time::Duration,
 }
 
-/// A model engine's limits.
+/// Limits of a model engine.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Engine {
-    /// Requests that one engine runs at once.
+    /// Largest number of concurrent requests.
     pub slots: usize,
-    /// Tokens that its KV cache holds.
+    /// Tokens that the KV cache holds.
     pub tokens: u64,
 }
 
@@ -126,55 +126,55 @@
 pub struct Service {
     /// Name.
     pub name: id::ServiceName,
-    /// Most connections to one target from all processes together.
+    /// Largest number of connections to a target from all processes together.
     pub connections: usize,
     /// Set for services that execute pieces of stages.
     pub batching: Option<Batching>,
     /// Set for services of model engines.
     pub engine: Option<Engine>,
-    /// Requests in a second that a target bears while it is cold, from all processes together.
+    /// Rate limit of requests to a cold target from all processes together.
     pub cold_rate: Option<unit::Rate>,
 }
 
-/// A paying customer, as found by a key.
+/// A paying customer, identified by API key.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Team {
-    /// Name that targets are told.
+    /// Name, which is sent to targets.
     pub name: id::TeamName,
-    /// Rank that goes before the route's.
+    /// Priority rank; overrides the route's.
     pub rank: Option<u8>,
-    /// Regions whose targets may run its requests, any if none is named.
+    /// Regions whose targets may execute its requests; all if `None`.
     pub regions: Option<Vec<id::Region>>,
 }
 
-/// Bounds on what a caller may send.
+/// Limits on callers' requests and connections.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Limits {
-    /// Largest head of a request in bytes.
+    /// Largest size of a request's head in bytes.
     pub max_head: usize,
-    /// Largest body in bytes.
+    /// Largest size of a request's body in bytes.
     pub max_body: usize,
-    /// Longest time for a head to arrive.
+    /// Longest time for receiving a head.
     pub head_timeout: time::Duration,
-    /// Longest time that a connection stays idle.
+    /// Longest time for which a connection may be idle.
     pub idle_timeout: time::Duration,
 }
 
 /// One version of the configuration.
 #[derive(Clone, Debug)]
 pub struct Table {
-    /// Version; grows with each change.
+    /// Version; increases with each change.
     pub version: u64,
-    /// Bounds on what a caller may send.
+    /// Limits on callers' requests and connections.
     pub limits: Limits,
-    /// Whether requests need a key.
+    /// Whether requests need an API key.
     pub requires_key: bool,
     teams: collections::HashMap<String, Team>,
     hosts: collections::HashMap<String, Vec<sync::Arc<Route>>>,
     services: collections::HashMap<id::ServiceName, Service>,
 }
 
-/// Why a request belongs to no team.
+/// Error for a request without a valid API key.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Unauthorized;
 
@@ -191,12 +191,12 @@
         }
     }
 
-    /// Adds a route; the longest prefix of a host goes first.
+    /// Adds a route; routes of a host are tried from the longest prefix to the shortest.
     pub fn add_route(&mut self, route: Route) {
         let routes = self.hosts.entry(route.host.clone()).or_default();
         let shorter = |other: &sync::Arc<Route>| other.prefix.len() < route.prefix.len();
-        let place = routes.iter().position(shorter).unwrap_or(routes.len());
-        routes.insert(place, sync::Arc::new(route));
+        let index = routes.iter().position(shorter).unwrap_or(routes.len());
+        routes.insert(index, sync::Arc::new(route));
     }
 
     /// Adds a service.
@@ -204,22 +204,22 @@
         self.services.insert(service.name.clone(), service);
     }
 
-    /// Adds a team's key; from then on requests need one.
+    /// Adds a team's API key; from then on requests need one.
     pub fn add_key(&mut self, key: impl Into<String>, team: Team) {
         self.requires_key = true;
         self.teams.insert(key.into(), team);
     }
 
-    /// Returns the route of a host and path.
+    /// Returns the route with the longest matching prefix.
     ///
-    /// The host is compared without its port and its case; the path as it is.
+    /// The port and the case of the host are ignored; the path is compared verbatim.
     pub fn find_route(&self, host: &str, path: &str) -> Option<&sync::Arc<Route>> {
         let name = host.rsplit_once(':').map_or(host, |(name, _)| name);
         let routes = self.hosts.get(&name.to_ascii_lowercase())?;
         routes.iter().find(|r| path.starts_with(&r.prefix))
     }
 
-    /// Returns the team of a request on `route`; `None` where it needs none.
+    /// Returns the team of an API key, or `None` without a valid key if the route needs none.
     pub fn find_team(
         &self,
         route: &Route,
@@ -238,12 +238,12 @@
         self.services.get(name)
     }
 
-    /// Lists the services.
+    /// Iterates over the services.
     pub fn services(&self) -> impl Iterator<Item = &Service> {
         self.services.values()
     }
 
-    /// Reports whether a route sends requests to a service.
+    /// Reports whether any route has the service as a backend.
     pub fn is_routed(&self, service: &id::ServiceName) -> bool {
         let mut routes = self.hosts.values().flatten();
         routes.any(|route| route.backends.iter().any(|b| b.service == *service))
--- a/laburnumcart/src/lib.rs
+++ b/laburnumcart/src/lib.rs
@@ -1,7 +1,7 @@
-//! Coordination and policy for multi-stage model pipelines, as plain state machines.
+//! Coordination and scheduling of multi-stage model pipelines, as state machines without I/O.
 //!
-//! Nothing in this crate opens a socket or spawns a task. Time comes in as an argument or from the
-//! runtime's clock, so that a test can pause and advance it.
+//! Nothing in this crate opens a socket or spawns a task. The time is passed as an argument or
+//! taken from the runtime's clock, so that tests can pause and advance it.
 
 pub mod admission;
 pub mod attempt;
--- a/laburnumcart/src/orders.rs
+++ b/laburnumcart/src/orders.rs
@@ -1,8 +1,9 @@
-//! Orders of one agent to its own target, driven by the difference of wanted and actual state.
+//! Orders of an agent to its target, which load and unload models until the target has the wanted
+//! ones.
 //!
-//! An order carries the number (term, sequence). Targets that check it refuse a stale one. For those
-//! that ignore it, a new term first waits until no order of its predecessor can be under way, and
-//! every order is enclosed by two reads of the term.
+//! An order carries a fencing number (term, sequence). Targets that check it reject a stale order.
+//! For those that ignore it, a new term first waits until no order of its predecessor can be in
+//! flight, and the term is read before and after each order.
 //!
 //! ```
 //! use laburnumcart::{bundle, id, orders};
@@ -33,7 +34,7 @@
     id, //
 };
 
-/// Number of an order; a target that checks it takes only one that is higher than the last.
+/// Fencing number of an order; a target that checks it accepts only increasing numbers.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct FencingNumber {
     /// Term of the agent.
@@ -54,33 +55,34 @@
     pub unload: Vec<String>,
 }
 
-/// What to do next.
+/// Next step of the agent.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Step {
-    /// Nothing, until something changes.
+    /// Nothing until the state changes.
     Idle,
-    /// Nothing before this moment.
+    /// Nothing before this time.
     Wait(time::Instant),
-    /// Read the term from the object service and report it by [`Orders::confirm_term`].
+    /// Read the term from the object service and pass it to [`Reconciler::confirm_term`].
     Confirm,
-    /// Send the order, with the order limit as its timeout, and report it by [`Orders::record_completed`].
+    /// Send the order with the order limit as its timeout, then call
+    /// [`Reconciler::record_completed`].
     Send(Order),
 }
 
-/// Where the agent stands between two orders.
+/// Phase of an order.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum Phase {
     /// The term must be read before an order.
     Unconfirmed,
-    /// The term was read at this moment and is ours.
+    /// The term was read at this time and is held by this agent.
     Confirmed(time::Instant),
-    /// An order is under way.
+    /// An order is in flight.
     InFlight,
-    /// An order has ended and the term must be read again.
+    /// An order has completed and the term must be read again.
     Completed,
 }
 
-/// Orders of one agent.
+/// Decides which orders one agent sends, by the difference of the wanted and the loaded models.
 #[derive(Debug)]
 pub struct Reconciler {
     fencing: bundle::Orders,
@@ -101,7 +103,7 @@
 }
 
 impl Reconciler {
-    /// Creates a state without a term, which gives no orders.
+    /// Creates a reconciler without a term, which sends no orders.
     pub fn new() -> Self {
         Self {
             fencing: bundle::Orders::None,
@@ -116,7 +118,7 @@
         }
     }
 
-    /// Sets the wanted models, what the target does with numbers, and the longest time of an order.
+    /// Sets the wanted models, how the target treats fencing numbers, and the timeout of an order.
     pub fn set_wanted(
         &mut self,
         fencing: bundle::Orders,
@@ -125,21 +127,21 @@
     ) {
         self.fencing = fencing;
         self.wanted = models.into_iter().collect();
-        // An order that was given under a longer limit may still be under way.
+        // An order that was sent under a longer limit may still be in flight.
         self.order_limit = self.order_limit.max(limit);
     }
 
-    /// Takes note of the models that the target has.
+    /// Sets the models that the target has loaded.
     pub fn set_loaded(&mut self, models: impl IntoIterator<Item = String>) {
         self.loaded = Some(models.into_iter().collect());
     }
 
-    /// Takes note that the target's state is not known.
+    /// Records that the target's loaded models are unknown.
     pub fn set_unknown(&mut self) {
         self.loaded = None;
     }
 
-    /// Takes note that this process has acquired `term` at `now`.
+    /// Records that this process acquired `term` at `now`.
     pub fn acquire_term(&mut self, term: id::Term, now: time::Instant) {
         self.term = Some(term);
         self.acquired_at = Some(now);
@@ -147,10 +149,10 @@
         self.phase = Phase::Unconfirmed;
     }
 
-    /// Takes note of the term that the object service shows, read after `now`.
+    /// Records the term in the object service, which was read after `now`.
     ///
-    /// With another term than its own this process gives no more orders: its successor has begun
-    /// to wait for those under way, and will put the wanted state back if one came late.
+    /// If the term is another process's, this one sends no more orders. Its successor waits for
+    /// those in flight and restores the wanted state if one took effect late.
     pub fn confirm_term(&mut self, term: id::Term, now: time::Instant) {
         if self.term != Some(term) {
             self.superseded = self.term.is_some();
@@ -164,15 +166,16 @@
         };
     }
 
-    /// Takes note that the order under way has ended; its effect is seen by [`Orders::set_loaded`].
+    /// Records that the order in flight has completed; its effect is reported by
+    /// [`Reconciler::set_loaded`].
     pub fn record_completed(&mut self) {
         self.loaded = None;
         self.phase = Phase::Completed;
     }
 
-    /// Returns what to do next; an order that is returned counts as under way.
+    /// Returns the next step; an order that is returned counts as in flight.
     pub fn step(&mut self, now: time::Instant) -> Step {
-        let (Some(term), Some(held)) = (self.term, self.acquired_at) else {
+        let (Some(term), Some(acquired)) = (self.term, self.acquired_at) else {
             return Step::Idle;
         };
         match self.phase {
@@ -184,15 +187,15 @@
             return Step::Idle;
         };
         if self.fencing == bundle::Orders::Unfenced {
-            // A predecessor that was paused in the middle of an order could finish it after ours.
-            // Its timeout has closed that order by the time that this wait is over.
-            if now < held + self.order_limit {
-                return Step::Wait(held + self.order_limit);
+            // A predecessor that was paused during an order could complete it after ours. By the
+            // end of this wait its order has timed out.
+            if now < acquired + self.order_limit {
+                return Step::Wait(acquired + self.order_limit);
             }
-            // A read from before a pause of this process proves nothing after it.
-            let fresh = |read: time::Instant| now - read < self.order_limit / 4;
+            // A read from before a pause of this process does not prove that it still has the term.
+            let is_fresh = |read: time::Instant| now - read < self.order_limit / 4;
             match self.phase {
-                Phase::Confirmed(read) if fresh(read) => (),
+                Phase::Confirmed(read) if is_fresh(read) => (),
                 _ => {
                     self.phase = Phase::Unconfirmed;
                     return Step::Confirm;
@@ -212,7 +215,7 @@
         })
     }
 
-    /// Returns the term held, if any.
+    /// Returns the term that this process holds, if any.
     pub fn term(&self) -> Option<id::Term> {
         self.term
     }
@@ -222,19 +225,19 @@
         self.superseded
     }
 
-    /// Reports whether the target has the wanted models.
+    /// Reports whether the target is known to have exactly the wanted models.
     pub fn is_settled(&self) -> bool {
         self.loaded.is_some() && self.model_changes().is_none()
     }
 
-    /// Returns what to load and what to unload, `None` if nothing or not known.
+    /// Returns the models to load and to unload, `None` if there are none or the state is unknown.
     fn model_changes(&self) -> Option<(Vec<String>, Vec<String>)> {
         if self.fencing == bundle::Orders::None {
             return None;
         }
-        let actual = self.loaded.as_ref()?;
-        let load: Vec<String> = self.wanted.difference(actual).cloned().collect();
-        let unload: Vec<String> = actual.difference(&self.wanted).cloned().collect();
+        let loaded = self.loaded.as_ref()?;
+        let load: Vec<String> = self.wanted.difference(loaded).cloned().collect();
+        let unload: Vec<String> = loaded.difference(&self.wanted).cloned().collect();
         let none = load.is_empty() && unload.is_empty();
         (!none).then_some((load, unload))
     }
--- a/laburnumcart/src/signing.rs
+++ b/laburnumcart/src/signing.rs
@@ -1,8 +1,7 @@
-//! Signed bundles: who signed, and whether that suffices.
+//! Signing and verification of bundles.
 //!
-//! An envelope holds the text of a bundle with detached signatures over it. The digest of the
-//! envelope's own text names it wherever it is stored. A bundle's text is parsed only after its
-//! envelope was verified.
+//! An envelope holds the text of a bundle with detached signatures over it. It is identified by the
+//! digest of its own text. A bundle's text is parsed only after its envelope was verified.
 
 use std::{
     collections,
@@ -33,17 +32,20 @@
 
 mod key;
 
-/// Largest envelope in bytes, which is the largest value of the object service.
+/// Largest envelope in bytes; the size limit of an object in the object service.
 pub const ENVELOPE_MAX: usize = 1 << 20;
 
-/// Most signatures on one envelope; more would let a forger buy processor time cheaply.
+/// Largest number of signatures on an envelope; limits the processor time that a forged one can
+/// cost.
 pub const SIGNATURES_MAX: usize = 16;
 
-/// Prefix of what is signed, so that a signature cannot be used for anything but a bundle.
+/// Prefix of the signed message, so that a signature is valid for bundles only.
 const DOMAIN: &[u8] = b"laburnumcart bundle 1\n";
 
-/// A bundle's text with its signatures; the fields are in the order of their names, so that a
-/// reader that sorts members writes the same text.
+/// A bundle's text with its signatures.
+///
+/// The fields are in alphabetical order, so that a program that sorts the members of an object
+/// writes the same text.
 #[derive(Clone, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Envelope {
@@ -57,20 +59,20 @@
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Signed {
-    /// Who signed.
+    /// Name of the signer's key.
     pub key: id::KeyName,
     /// Ed25519 signature.
     pub signature: Signature,
 }
 
-/// Keys that a process trusts, and how many signers it requires.
+/// Keys that a process trusts, and the number of signers that it requires.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Trust {
     keys: collections::BTreeMap<id::KeyName, Keys>,
     required: u32,
 }
 
-/// An envelope that bears enough valid signatures.
+/// Contents of an envelope that has enough valid signatures.
 #[derive(Clone, Eq, PartialEq)]
 pub struct Verified {
     bundle: String,
@@ -78,24 +80,24 @@
     signers: Vec<id::KeyName>,
 }
 
-/// An envelope that must not be used.
+/// Error of verifying an envelope.
 #[derive(Clone, Copy, Debug, Display, Error, Eq, PartialEq)]
 pub enum VerifyError {
-    /// It exceeds [`ENVELOPE_MAX`].
+    /// The text exceeds [`ENVELOPE_MAX`].
     #[display("envelope is larger than 1MiB")]
     TooLarge,
-    /// It is not an envelope.
+    /// The text is not an envelope.
     #[display("not a signed bundle")]
     Malformed,
-    /// It is not the envelope that was asked for.
+    /// The envelope does not have the expected digest.
     #[display("envelope differs from the one that was accepted")]
     WrongDigest,
-    /// Too few trusted signers have signed this text.
+    /// Too few trusted signers have signed the bundle.
     #[display("signed by {valid} trusted signers, {required} required")]
     TooFew {
-        /// Signers whose signature is valid.
+        /// Number of trusted signers with a valid signature.
         valid: usize,
-        /// Signers that are needed.
+        /// Number of required signers.
         required: u32,
     },
 }
@@ -109,7 +111,7 @@
         }
     }
 
-    /// Reads the stored form.
+    /// Parses the stored form.
     pub fn parse(text: &str) -> Result<Self, VerifyError> {
         if text.len() > ENVELOPE_MAX {
             return Err(VerifyError::TooLarge);
@@ -121,7 +123,7 @@
         Ok(envelope)
     }
 
-    /// Adds a signature; one of the same signer is replaced.
+    /// Adds a signature, which replaces one of the same signer.
     pub fn sign(&mut self, name: id::KeyName, key: &SecretKey) {
         let signature = key.sign(&signed_bytes(&self.bundle));
         self.signatures.retain(|signed| signed.key != name);
@@ -169,17 +171,17 @@
 }
 
 impl Trust {
-    /// Verifies an envelope in its stored form, which must have the digest if one is given.
+    /// Verifies an envelope in its stored form, and its digest if one is expected.
     ///
-    /// Signatures of unknown keys are passed over: while keys change, an envelope bears some that
-    /// not every process knows yet. The outcome does not depend on the order of the signatures, and
-    /// all are checked in any case.
-    pub fn verify(&self, text: &str, wanted: Option<Digest>) -> Result<Verified, VerifyError> {
+    /// Signatures of unknown keys are ignored: during a key rotation an envelope may have some that
+    /// not every process knows yet. All signatures are checked, and the outcome does not depend on
+    /// their order.
+    pub fn verify(&self, text: &str, expected: Option<Digest>) -> Result<Verified, VerifyError> {
         if text.len() > ENVELOPE_MAX {
             return Err(VerifyError::TooLarge);
         }
         let digest = Digest::of(text.as_bytes());
-        if wanted.is_some_and(|wanted| wanted != digest) {
+        if expected.is_some_and(|expected| expected != digest) {
             return Err(VerifyError::WrongDigest);
         }
         let envelope = Envelope::parse(text)?;
@@ -211,7 +213,9 @@
         signers.into_iter().collect()
     }
 
-    /// Checks keys and the number of signers, which settings hold as `keys` and `signers` at `at`.
+    /// Checks the keys and the number of required signers.
+    ///
+    /// Faults refer to the members `keys` and `signers` of the settings at `at`.
     pub fn new(
         keys: collections::BTreeMap<id::KeyName, Keys>,
         required: u32,
@@ -223,7 +227,7 @@
             .iter()
             .flat_map(|(name, k)| k.iter().map(move |k| (name, k)))
         {
-            // Else one person could count as two signers.
+            // With a shared key one person could count as two signers.
             if let Some(owner) = owners.insert(*key, name) {
                 let problem = format!("holds a key that {owner} has already");
                 faults.push(at.key("keys").key(name.as_str()), problem);
@@ -238,7 +242,7 @@
     }
 }
 
-/// Returns what is signed for a bundle.
+/// Returns the message that is signed for a bundle.
 fn signed_bytes(bundle: &str) -> Vec<u8> {
     [DOMAIN, bundle.as_bytes()].concat()
 }
--- a/laburnumcart/src/signing/key.rs
+++ b/laburnumcart/src/signing/key.rs
@@ -1,4 +1,4 @@
-//! Keys, signatures and digests with their text forms.
+//! Keys, signatures and digests, with their text forms.
 
 use std::{
     fmt,
@@ -19,7 +19,7 @@
 
 use crate::id;
 
-/// Implements the serde traits by the text form.
+/// Implements the serde traits through the text form.
 macro_rules! text_serde {
     ($name:ident) => {
         impl Serialize for $name {
@@ -37,7 +37,7 @@
     };
 }
 
-/// Decodes a base64 text of exactly `N` bytes; an error does not repeat the text.
+/// Decodes a base64 text of exactly `N` bytes; the error does not quote the text.
 fn decode_base64<const N: usize>(
     kind: &'static str,
     text: &str,
@@ -53,7 +53,7 @@
 pub struct PublicKey(ed25519_dalek::VerifyingKey);
 
 impl PublicKey {
-    /// Returns whether the signature is by this key over the message.
+    /// Reports whether this key has signed the message.
     pub(super) fn verify(&self, message: &[u8], signature: &Signature) -> bool {
         self.0.verify_strict(message, &signature.0).is_ok()
     }
@@ -78,7 +78,7 @@
         let error = || id::ParseError::new("public key", "…");
         let bytes = decode_base64("public key", text)?;
         let key = ed25519_dalek::VerifyingKey::from_bytes(&bytes).map_err(|_| error())?;
-        // Anyone can sign for a key of small order.
+        // A signature that verifies under a key of small order can be made without the secret key.
         if key.is_weak() {
             return Err(error());
         }
@@ -88,8 +88,7 @@
 
 text_serde!(PublicKey);
 
-/// Public keys of one signer, written in base64; two, divided by a comma, while the signer changes
-/// from one to the other.
+/// Public keys of one signer, written in base64; two, separated by a comma, during a key rotation.
 #[derive(Clone, Debug, Display, Eq, PartialEq, schemars::JsonSchema)]
 #[display("{}", join_keys(_0))]
 #[schemars(
@@ -135,14 +134,14 @@
 pub struct SecretKey(ed25519_dalek::SigningKey);
 
 impl SecretKey {
-    /// Draws a key from the system's generator.
+    /// Generates a random key.
     pub fn generate() -> Result<Self, getrandom::Error> {
         let mut seed = [0; 32];
         getrandom::fill(&mut seed)?;
         Ok(Self(ed25519_dalek::SigningKey::from_bytes(&seed)))
     }
 
-    /// Returns the text form, which is a secret.
+    /// Returns the secret text form.
     pub fn expose(&self) -> String {
         BASE64_STANDARD.encode(self.0.to_bytes())
     }
@@ -199,7 +198,7 @@
 pub struct Digest([u8; 32]);
 
 impl Digest {
-    /// Digests bytes.
+    /// Returns the digest of bytes.
     pub fn of(bytes: &[u8]) -> Self {
         Self(sha2::Sha256::digest(bytes).into())
     }
--- a/laburnumcart/src/sse.rs
+++ b/laburnumcart/src/sse.rs
@@ -1,4 +1,4 @@
-//! Splitter of an event stream, so that a stream can be resumed after its last whole event.
+//! Splitter of server-sent event streams into whole events.
 
 use std::mem;
 
@@ -7,27 +7,27 @@
     Error, //
 };
 
-/// Longest event in bytes.
+/// Largest size of an event in bytes.
 const EVENT_MAX: usize = 1 << 20;
 
-/// A stream that breaks the format.
+/// Error for a stream with an event that is too large.
 #[derive(Clone, Copy, Debug, Display, Eq, Error, PartialEq)]
 #[display("malformed event stream")]
 pub struct Malformed;
 
-/// One whole event with its closing empty line.
+/// One whole event, including the empty line at its end.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Event {
     /// Number in the `id` field.
     pub id: Option<u64>,
-    /// Bytes as they came.
+    /// Bytes as received.
     pub bytes: Vec<u8>,
 }
 
-/// Cuts the bytes of a stream into whole events.
+/// Splits the bytes of a stream into whole events.
 ///
-/// A target can stop in the middle of an event. Part of an event that had been forwarded could not
-/// be taken back, and the resumed stream would send that event twice.
+/// A target can stop in the middle of an event. If a part of that event had been forwarded, the
+/// resumed stream would send its beginning twice.
 ///
 /// ```
 /// use laburnumcart::sse;
@@ -40,12 +40,12 @@
 #[derive(Debug, Default)]
 pub struct Splitter {
     buffer: Vec<u8>,
-    /// Bytes of the buffer that hold no end of an event.
+    /// Bytes of the buffer that were scanned without finding the end of an event.
     scanned: usize,
 }
 
 impl Splitter {
-    /// Takes the next bytes and returns the events that they complete.
+    /// Appends bytes and returns the events that they complete.
     pub fn push(&mut self, bytes: &[u8]) -> Result<Vec<Event>, Malformed> {
         self.buffer.extend_from_slice(bytes);
         let mut events = Vec::new();
@@ -64,12 +64,12 @@
         }
     }
 
-    /// Reports whether no part of an event is left over.
+    /// Reports whether no incomplete event is buffered.
     pub fn is_empty(&self) -> bool {
         self.buffer.is_empty()
     }
 
-    /// Returns where the first event ends.
+    /// Returns the length of the first event, `None` if it is incomplete.
     fn find_event_end(&mut self) -> Option<usize> {
         let start = self.scanned.saturating_sub(3);
         for i in start..self.buffer.len() {
@@ -86,7 +86,7 @@
     }
 }
 
-/// Reads the `id` field of an event.
+/// Returns the number in the `id` field of an event.
 fn event_id(event: &[u8]) -> Option<u64> {
     let line = event
         .split(|b| *b == b'\n')
--- a/laburnumcart/src/unit.rs
+++ b/laburnumcart/src/unit.rs
@@ -1,4 +1,4 @@
-//! Sizes, periods, rates and shares, written with their units.
+//! Sizes, periods, rates and shares with their text forms, which include the unit.
 
 use std::{
     fmt,
@@ -30,7 +30,7 @@
     };
 }
 
-/// Splits a text into its number, in any spelling that JSON allows for it, and its unit.
+/// Splits a text into its number, in any form that JSON allows, and its unit.
 fn split_unit(text: &str) -> Option<(f64, &str)> {
     let end = text
         .find(|c: char| !c.is_ascii_digit() && c != '.')
@@ -40,7 +40,7 @@
     Some((value, unit))
 }
 
-/// Returns the length of the exponent that a text begins with, 0 if there is none.
+/// Returns the length in bytes of the exponent at the start of a text, 0 if there is none.
 fn exponent_len(text: &str) -> usize {
     let Some(rest) = text.strip_prefix(['e', 'E']) else {
         return 0;
@@ -53,7 +53,7 @@
     }
 }
 
-/// A number of bytes, written as `"512B"`, `"64KiB"`, `"1MiB"` or `"2GiB"`.
+/// Number of bytes, written as `"512B"`, `"64KiB"`, `"1MiB"` or `"2GiB"`.
 #[derive(
     Clone, Copy, Debug, Default, Eq, Hash, Ord, PartialEq, PartialOrd, schemars::JsonSchema,
 )]
@@ -98,7 +98,7 @@
 
 text_serde!(Size);
 
-/// A length of time, written as `"250ms"`, `"1.5s"`, `"10m"` or `"1h"`; microseconds as `"80us"`.
+/// Length of time, written as `"250ms"`, `"1.5s"`, `"10m"` or `"1h"`; microseconds as `"80us"`.
 #[derive(
     Clone, Copy, Debug, Default, Eq, Hash, Ord, PartialEq, PartialOrd, schemars::JsonSchema,
 )]
@@ -162,7 +162,7 @@
 
 text_serde!(Period);
 
-/// Events a second, written as `"600/s"`.
+/// Events per second, written as `"600/s"`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, PartialOrd, schemars::JsonSchema)]
 #[schemars(
     with = "String",
@@ -189,7 +189,7 @@
 
 text_serde!(Rate);
 
-/// A part of a whole from 0 to 1, written as `"25%"`.
+/// Fraction from 0 to 1, written as `"25%"`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, PartialOrd, schemars::JsonSchema)]
 #[schemars(
     with = "String",
--- a/laburnumcart/tests/bundle.rs
+++ b/laburnumcart/tests/bundle.rs
@@ -1,4 +1,4 @@
-//! Rules of bundles.
+//! Validation of bundles.
 
 use proptest::prelude::*;
 use rstest::rstest;
@@ -83,7 +83,7 @@
     json!(["m"]),
     r#"$.services["case-model"].models[0]: must be written as name@version"#
 )]
-fn a_broken_rule_is_reported(#[case] at: &str, #[case] value: Value, #[case] expected: &str) {
+fn broken_rule_is_reported(#[case] at: &str, #[case] value: Value, #[case] expected: &str) {
     let (parent, key) = at.rsplit_once('/').expect("a path");
     let found = faults(|bundle| {
         let parent = bundle.pointer_mut(parent).expect("an object");
@@ -95,9 +95,9 @@
     assert!(found.iter().any(|line| line == expected), "{found:#?}");
 }
 
-/// Two teams with the same token: requests of one would be charged to the other.
+/// With a shared token, requests of one team would be charged to the other.
 #[test]
-fn a_token_belongs_to_one_team() {
+fn token_belongs_to_one_team() {
     let found = faults(|bundle| {
         let token = bundle["teams"]["rural-clinics"]["tokens"][0].clone();
         bundle["teams"]["archive-audit"]["tokens"][0] = token;
@@ -107,7 +107,7 @@
 }
 
 #[test]
-fn a_team_can_only_be_promised_what_exists() {
+fn service_level_of_an_unknown_pipeline_is_a_fault() {
     let found = faults(|bundle| {
         let promise = json!({"deadline": "1s"});
         bundle["teams"]["archive-audit"]["pipelines"]["find-record"] = promise;
@@ -118,9 +118,9 @@
     assert_eq!(found, expected);
 }
 
-/// A claim that expires before its request must have ended would let a resend run it again.
+/// If a claim expired before its request has ended, a resend would execute the request again.
 #[test]
-fn claims_outlive_every_deadline() {
+fn claim_retention_exceeds_every_deadline() {
     let found = faults(|bundle| {
         bundle["claims"]["retention"] = json!("5m");
         let promise = json!({"deadline": "5m"});
@@ -131,7 +131,7 @@
 }
 
 #[test]
-fn a_bundle_fits_into_one_object() {
+fn bundle_too_large_for_an_object_is_a_fault() {
     let found = faults(|bundle| bundle["title"] = json!("x".repeat(1 << 20)));
     assert_eq!(found.len(), 1);
     assert!(
@@ -140,9 +140,8 @@
     );
 }
 
-/// All rules are checked in one run, whatever else is broken.
 #[test]
-fn all_faults_come_in_one_run() {
+fn all_faults_are_reported_together() {
     let found = faults(|bundle| {
         bundle["format"] = json!(9);
         bundle["claims"]["shards"] = json!(0);
@@ -154,7 +153,7 @@
 
 proptest! {
     #[test]
-    fn no_value_makes_the_check_panic(
+    fn check_of_arbitrary_values_does_not_panic(
         at in prop::sample::select(vec!["format", "services", "pipelines", "teams", "claims"]),
         text in r#"[\[\]{}",:a-z0-9 ]{0,40}"#,
     ) {
--- a/laburnumcart/tests/document.rs
+++ b/laburnumcart/tests/document.rs
@@ -1,4 +1,4 @@
-//! Documents of operators: every fault in one run, with its path.
+//! Validation of documents, with the paths of all faults.
 
 use std::collections;
 
@@ -43,8 +43,6 @@
     }
 }
 
-/// The operator sees all that is wrong in one run: unknown keys with the nearest known one, missing
-/// keys, wrong types and wrong units, each at its place.
 #[test]
 fn every_fault_is_reported_with_its_path() {
     let text = r#"{"adress": "x", "small": 300, "limits": {
@@ -66,7 +64,7 @@
     assert_eq!(faults(text), expected);
 }
 
-/// Two teams under one name: a reader that keeps the last would drop the first without a word.
+/// Of two teams under one name, a parser that keeps the last would silently drop the first.
 #[test]
 fn repeated_keys_are_faults() {
     let text = r#"{"address": "x", "limits": {"a": {"size": "1B", "size": "2B"}}, "address": "y"}"#;
@@ -81,14 +79,14 @@
 #[case::empty("")]
 #[case::cut(r#"{"address": "x""#)]
 #[case::more(r#"{"address": "x"} true"#)]
-fn text_that_is_not_json_is_one_fault(#[case] text: &str) {
+fn invalid_json_is_a_single_fault(#[case] text: &str) {
     let faults = faults(text);
     assert_eq!(faults.len(), 1);
     assert!(faults[0].starts_with("$: not valid JSON: "), "{faults:?}");
 }
 
 #[test]
-fn faults_do_not_repeat_values_that_may_be_secret() {
+fn faults_do_not_quote_values_that_may_be_secret() {
     let text = r#"{"address": ["hunter2"], "small": "hunter2", "key": "hunter2"}"#;
     let faults = faults(text);
     assert_eq!(faults.len(), 3);
@@ -96,7 +94,7 @@
 }
 
 #[test]
-fn units_may_have_any_of_their_written_forms() {
+fn values_with_units_are_parsed() {
     let text = r#"{"address": "x", "limits": {"a":
         {"size": "1.5KiB", "wait": "80us", "rate": "0.5/s", "share": "12.5%"}}}"#;
     let sample: Sample = document::parse(text).expect("no faults");
@@ -107,17 +105,17 @@
 
 proptest! {
     #[test]
-    fn no_text_makes_the_parser_panic(text in ".{0,200}") {
+    fn parsing_arbitrary_text_does_not_panic(text in ".{0,200}") {
         let _ = document::parse::<bundle::Bundle>(&text);
     }
 
     #[test]
-    fn no_json_makes_the_parser_panic(text in r#"[\[\]{}",:a-z0-9 .%]{0,200}"#) {
+    fn parsing_arbitrary_json_does_not_panic(text in r#"[\[\]{}",:a-z0-9 .%]{0,200}"#) {
         let _ = document::parse::<Sample>(&text);
     }
 
     #[test]
-    fn whatever_a_unit_shows_is_read_back(bytes in 0u64..1 << 53, micros in 0u64..1 << 50) {
+    fn values_with_units_round_trip(bytes in 0u64..1 << 53, micros in 0u64..1 << 50) {
         let size = unit::Size(bytes);
         prop_assert_eq!(size.to_string().parse(), Ok(size));
         let period = unit::Period(std::time::Duration::from_micros(micros));
--- a/laburnumcart/tests/facts.rs
+++ b/laburnumcart/tests/facts.rs
@@ -1,4 +1,4 @@
-//! Facts merge in any order, by any way, any number of times.
+//! Merging of facts in any order and any number of times, and their expiry.
 
 use std::time;
 
@@ -11,23 +11,24 @@
 use tokio::time::Instant;
 
 fn facts() -> impl Strategy<Value = facts::Facts> {
-    let life = || (0u64..6).prop_map(id::Incarnation);
+    let incarnation = || (0u64..6).prop_map(id::Incarnation);
     let ttl = || (1u64..9).prop_map(|n| unit::Period::from_secs(n * 10));
-    // A crash has the same suspects wherever it is told of.
-    let crash = (life(), ttl()).prop_map(|(id, ttl)| facts::Crash {
+    // Every report of a crash lists the same suspects.
+    let crash = (incarnation(), ttl()).prop_map(|(id, ttl)| facts::Crash {
         id,
         suspects: vec![id::Fingerprint(id.0.into()), id::Fingerprint(99)],
         ttl,
     });
-    let print = (0u128..4).prop_map(id::Fingerprint);
-    let cleared = (print, life(), ttl()).prop_map(|(fingerprint, crash, ttl)| facts::Cleared {
-        fingerprint,
-        crash,
-        ttl,
-    });
+    let fingerprint = (0u128..4).prop_map(id::Fingerprint);
+    let cleared =
+        (fingerprint, incarnation(), ttl()).prop_map(|(fingerprint, crash, ttl)| facts::Cleared {
+            fingerprint,
+            crash,
+            ttl,
+        });
     (
         0u64..9,
-        prop::collection::vec(life(), 0..4),
+        prop::collection::vec(incarnation(), 0..4),
         prop::collection::vec(crash, 0..4),
         prop::collection::vec(cleared, 0..4),
     )
@@ -39,7 +40,7 @@
         })
 }
 
-/// Returns all that a table holds, in a fixed order.
+/// Returns the facts of a table in a fixed order.
 fn content(table: &facts::Table, now: Instant) -> facts::Facts {
     let mut facts = table
         .changes(facts::Version::default(), now)
@@ -74,7 +75,7 @@
     }
 
     #[test]
-    fn changes_alone_bring_a_peer_up_to_date(parts in prop::collection::vec(facts(), 1..6)) {
+    fn peer_is_up_to_date_after_each_change(parts in prop::collection::vec(facts(), 1..6)) {
         let now = Instant::now();
         let (mut table, mut peer) = (facts::Table::default(), facts::Table::default());
         let mut sent = facts::Version::default();
@@ -89,10 +90,10 @@
     }
 }
 
-/// Two peers tell each other of a crash again and again. Each message takes some time, which must
-/// not add to the life of the fact: it is forgotten when its first holder's time is up.
+/// The latency of the messages by which two peers exchange a crash again and again must not prolong
+/// its time to live.
 #[test]
-fn facts_do_not_outlive_their_time() {
+fn circulating_facts_expire_on_time() {
     let mut now = Instant::now();
     let crash = facts::Crash {
         id: id::Incarnation(1),
--- a/laburnumcart/tests/head.rs
+++ b/laburnumcart/tests/head.rs
@@ -1,4 +1,4 @@
-//! The head: one winner for each generation, and a view that only goes up.
+//! Changes of the head: one winner for each generation, and lost responses.
 
 use laburnumcart::{
     head,
@@ -18,7 +18,7 @@
     publish
 }
 
-/// Builds a head by accepting texts one after the other, with their positions as nonces.
+/// Builds a head by accepting `texts` in turn, with their indices as nonces.
 fn head_of(texts: &[&str]) -> head::Head {
     let mut head = None;
     for (number, text) in texts.iter().enumerate() {
@@ -28,7 +28,7 @@
     head.expect("at least one text")
 }
 
-fn written(publish: &Publish) -> head::Head {
+fn head_to_write(publish: &Publish) -> head::Head {
     match publish.step() {
         head::Step::Write { value, .. } => head::Head::parse(&value).expect("a head"),
         step => panic!("expected a write, not {step:?}"),
@@ -39,28 +39,28 @@
 fn the_object_exists_before_the_head_names_it() {
     let mut publish = Publish::new(head::Change::Accept("a".into()), id::Nonce(7));
     assert!(matches!(publish.step(), head::Step::Create { .. }));
-    // Nothing but the object's creation leads on.
+    // Only the creation of the object leads to the next step.
     publish.record_read(None);
     publish.record_write(head::WriteOutcome::Applied);
     assert!(matches!(publish.step(), head::Step::Create { .. }));
     publish.record_created();
     assert_eq!(publish.step(), head::Step::Read);
     publish.record_read(None);
-    let head = written(&publish);
+    let head = head_to_write(&publish);
     assert_eq!(head.accepted.generation, id::Generation(1));
     publish.record_write(head::WriteOutcome::Applied);
     assert_eq!(publish.step(), head::Step::Done(Ok(head)));
 }
 
-/// The answer to the write is lost. The operator reads the head and finds its own nonce there, or one
-/// generation further down as another operator has moved on: it has won in either case.
+/// The response to the write is lost. The change took effect if its nonce is in the head, be it as
+/// the accepted generation or as an earlier one.
 #[test]
-fn a_lost_answer_is_settled_by_the_nonce() {
+fn lost_response_is_settled_by_the_nonce() {
     for others in 0..3_u128 {
         let base = head_of(&["a"]);
         let mut publish = accept("b", 100);
         publish.record_read(Some((1, base)));
-        let own = written(&publish);
+        let own = head_to_write(&publish);
         publish.record_write(head::WriteOutcome::Unknown);
         assert!(publish.is_in_doubt());
         let mut now = own.clone();
@@ -72,10 +72,10 @@
     }
 }
 
-/// The call was lost before it took effect: the head is unchanged, and the same write is repeated.
-/// If the first one arrives after all, the repeated one meets a conflict that is no loss.
+/// If the head is unchanged after a lost response, the same write is repeated. If the first one
+/// arrives after all, the conflict of the repeated one is not a failure.
 #[test]
-fn a_lost_call_is_repeated_with_the_same_expectation() {
+fn lost_write_is_repeated_with_the_same_version() {
     let base = head_of(&["a"]);
     let mut publish = accept("b", 100);
     publish.record_read(Some((1, base.clone())));
@@ -84,21 +84,21 @@
     publish.record_read(Some((1, base)));
     assert_eq!(publish.step(), first);
     assert!(publish.is_in_doubt(), "the first write may still arrive");
-    let own = written(&publish);
+    let own = head_to_write(&publish);
     publish.record_write(head::WriteOutcome::Conflict);
     assert!(
         publish.is_in_doubt(),
-        "the first write may be what is in the way"
+        "the first write may have caused the conflict"
     );
     publish.record_read(Some((2, own.clone())));
     assert_eq!(publish.step(), head::Step::Done(Ok(own)));
     assert!(!publish.is_in_doubt());
 }
 
-/// Both operators have read the same head. The second to write is told, with what the first one
-/// accepted under the generation that both wanted.
+/// Two operators have read the same head. The second one to write gets an error with the generation
+/// that the first one accepted.
 #[test]
-fn the_loser_of_a_race_is_told_the_winner() {
+fn conflict_reports_the_winner() {
     let base = head_of(&["a"]);
     let mut loser = accept("b", 100);
     loser.record_read(Some((1, base.clone())));
@@ -107,14 +107,14 @@
     loser.record_write(head::WriteOutcome::Conflict);
     loser.record_read(Some((3, later)));
     let winner = winner.accepted;
-    let lost = head::PublishError::Conflict { winner };
-    assert_eq!(loser.step(), head::Step::Done(Err(lost)));
+    let error = head::PublishError::Conflict { winner };
+    assert_eq!(loser.step(), head::Step::Done(Err(error)));
 }
 
-/// The answer is lost, and a stale read shows a head from before the one that was read. It proves
-/// nothing, so the operator reads again.
+/// After a lost response, a read that returns an older head than before proves nothing; the head is
+/// read again.
 #[test]
-fn a_stale_read_settles_nothing() {
+fn stale_read_settles_nothing() {
     let old = head_of(&["a"]);
     let base = head::Head::after(Some(&old), digest("b"), id::Nonce(1));
     let mut publish = accept("c", 100);
@@ -126,24 +126,24 @@
 }
 
 #[test]
-fn too_many_later_generations_leave_it_open() {
+fn outcome_is_unknown_after_too_many_later_generations() {
     let mut publish = accept("b", 100);
     publish.record_read(Some((1, head_of(&["a"]))));
     publish.record_write(head::WriteOutcome::Unknown);
     let now = head_of(&["x"; 2 * head::EARLIER_MAX]);
-    let lost = head::PublishError::Forgotten {
+    let error = head::PublishError::Forgotten {
         now: now.accepted.generation,
     };
     publish.record_read(Some((9, now)));
-    assert_eq!(publish.step(), head::Step::Done(Err(lost)));
+    assert_eq!(publish.step(), head::Step::Done(Err(error)));
 }
 
 #[test]
-fn rolling_back_is_a_new_generation_with_an_older_digest() {
+fn rollback_is_a_new_generation_with_an_older_digest() {
     let change = head::Change::Restore(id::Generation(1));
     let mut publish = Publish::new(change, id::Nonce(100));
     publish.record_read(Some((1, head_of(&["a", "b", "c"]))));
-    let head = written(&publish);
+    let head = head_to_write(&publish);
     assert_eq!(head.accepted.generation, id::Generation(4));
     assert_eq!(head.accepted.digest, digest("a"));
 }
@@ -153,19 +153,19 @@
     let wanted = id::Generation(9);
     let mut publish = Publish::new(head::Change::Restore(wanted), id::Nonce(100));
     publish.record_read(Some((1, head_of(&["a"]))));
-    let lost = head::PublishError::NoSuchGeneration { wanted };
-    assert_eq!(publish.step(), head::Step::Done(Err(lost)));
+    let error = head::PublishError::NoSuchGeneration { wanted };
+    assert_eq!(publish.step(), head::Step::Done(Err(error)));
 }
 
 #[test]
-fn an_expected_generation_is_kept_to() {
+fn change_of_an_unexpected_generation_fails() {
     let mut publish = accept("b", 100).with_base(id::Generation(4));
     publish.record_read(Some((1, head_of(&["a"]))));
-    let lost = head::PublishError::Moved {
+    let error = head::PublishError::Moved {
         expected: id::Generation(4),
         found: id::Generation(1),
     };
-    assert_eq!(publish.step(), head::Step::Done(Err(lost)));
+    assert_eq!(publish.step(), head::Step::Done(Err(error)));
 }
 
 #[test]
@@ -182,12 +182,12 @@
 }
 
 #[test]
-fn the_stored_form_is_read_back_and_bounded() {
+fn stored_form_round_trips_and_is_bounded() {
     let head = head_of(&["x"; 2 * head::EARLIER_MAX]);
     assert_eq!(head.earlier.len(), head::EARLIER_MAX);
     assert_eq!(head::Head::parse(&head.to_text()), Ok(head));
     assert_eq!(head::Head::parse("{}"), Err(head::Malformed));
-    // The form without earlier generations, as others may write it.
+    // Other programs may leave out the empty list of earlier generations.
     let text = format!(
         r#"{{"generation":1,"digest":"{}","nonce":"{:032x}"}}"#,
         digest("a"),
--- a/laburnumcart/tests/ingress.rs
+++ b/laburnumcart/tests/ingress.rs
@@ -1,4 +1,4 @@
-//! Routes by host and path, and the teams of keys.
+//! Routes by host and path, weights of backends, and teams by API key.
 
 use std::time;
 
@@ -41,10 +41,10 @@
     }
 }
 
-fn stage(after: &[usize]) -> ingress::Stage {
+fn stage(inputs: &[usize]) -> ingress::Stage {
     ingress::Stage {
         service: "encode".parse().unwrap(),
-        inputs: after.to_vec(),
+        inputs: inputs.to_vec(),
         result_size: unit::Size(1000),
     }
 }
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn a_split_follows_its_weights() {
+fn requests_are_split_by_weight() {
     let mut split = route("split", "a.example", "/");
     split.backends = vec![backend("north", 90), backend("south", 10)];
     let south = (0..1000).filter(|n| split.choose_backend(*n).unwrap().as_str() == "south");
@@ -81,14 +81,14 @@
 }
 
 #[test]
-fn results_of_last_stages_go_to_the_target() {
+fn last_stages_are_those_without_a_reader() {
     let mut staged = route("staged", "a.example", "/");
     staged.stages = vec![stage(&[]), stage(&[]), stage(&[1]), stage(&[2])];
     assert_eq!(staged.last_stages().collect::<Vec<_>>(), [0, 3]);
 }
 
 #[test]
-fn keys_belong_to_teams() {
+fn api_key_identifies_the_team() {
     let mut table = ingress::Table::new(1, LIMITS);
     let (mut open, closed) = (route("open", "a", "/"), route("closed", "a", "/"));
     open.anonymous = true;
--- a/laburnumcart/tests/orders.rs
+++ b/laburnumcart/tests/orders.rs
@@ -1,4 +1,4 @@
-//! Orders under takeovers, pauses and targets that ignore the number.
+//! Orders under takeovers, pauses and targets that ignore the fencing number.
 
 use laburnumcart::{
     bundle::Orders as Fencing,
@@ -24,7 +24,7 @@
     orders
 }
 
-fn give(orders: &mut Reconciler, term: Term, now: Instant) -> (u64, Vec<String>) {
+fn send_order(orders: &mut Reconciler, term: Term, now: Instant) -> (u64, Vec<String>) {
     if orders.step(now) == Step::Confirm {
         orders.confirm_term(term, now);
     }
@@ -43,14 +43,14 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn no_order_to_a_service_without() {
+async fn service_without_orders_gets_none() {
     let mut orders = orders(Fencing::None);
     orders.acquire_term(Term(1), Instant::now());
     assert_eq!(orders.step(Instant::now()), Step::Idle);
 }
 
 #[tokio::test(start_paused = true)]
-async fn fenced_target_is_ordered_at_once() {
+async fn fenced_target_gets_an_order_at_once() {
     let mut orders = orders(Fencing::Fenced);
     orders.acquire_term(Term(7), Instant::now());
     assert!(
@@ -63,10 +63,10 @@
     );
 }
 
-/// The operator sees the target take the new model only after the order limit. A predecessor may be
-/// paused in the middle of an order; one that was sent before the takeover has ended by then.
+/// A predecessor may be paused during an order. One that was sent before the takeover has timed out
+/// by the end of the order limit.
 #[tokio::test(start_paused = true)]
-async fn unfenced_target_is_waited_for() {
+async fn unfenced_target_gets_no_order_within_the_order_limit() {
     let mut orders = orders(Fencing::Unfenced);
     let start = Instant::now();
     orders.acquire_term(Term(2), start);
@@ -74,13 +74,13 @@
     time::advance(LIMIT - Duration::from_millis(1)).await;
     assert_eq!(orders.step(Instant::now()), Step::Wait(start + LIMIT));
     time::advance(Duration::from_millis(1)).await;
-    assert_eq!(give(&mut orders, Term(2), Instant::now()).0, 1);
+    assert_eq!(send_order(&mut orders, Term(2), Instant::now()).0, 1);
 }
 
-/// The target keeps the successor's state. The old agent read its term, was paused, and resumes
-/// when the term has gone to another; it must read again before it orders.
+/// An agent that was paused after reading its term must read it again, as another agent may have
+/// acquired the target since.
 #[tokio::test(start_paused = true)]
-async fn paused_agent_confirms_again() {
+async fn paused_agent_confirms_its_term_again() {
     let mut orders = orders(Fencing::Unfenced);
     orders.acquire_term(Term(2), Instant::now());
     time::advance(LIMIT).await;
@@ -93,14 +93,14 @@
     assert!(orders.is_superseded());
 }
 
-/// The target ends with the successor's models. An order of the old agent arrives after the
-/// successor's own; the state is polled, found wrong and put back.
+/// An order of the previous agent takes effect after the successor's own; the successor restores
+/// the wanted models.
 #[tokio::test(start_paused = true)]
-async fn late_order_is_put_right() {
+async fn late_order_is_reverted() {
     let mut orders = orders(Fencing::Unfenced);
     orders.acquire_term(Term(3), Instant::now());
     time::advance(LIMIT).await;
-    give(&mut orders, Term(3), Instant::now());
+    send_order(&mut orders, Term(3), Instant::now());
     orders.record_completed();
     assert_eq!(orders.step(Instant::now()), Step::Confirm);
     orders.confirm_term(Term(3), Instant::now());
@@ -108,13 +108,12 @@
     assert!(orders.is_settled());
     assert_eq!(orders.step(Instant::now()), Step::Idle);
     orders.set_loaded(["old".into()]);
-    let (sequence, load) = give(&mut orders, Term(3), Instant::now());
+    let (sequence, load) = send_order(&mut orders, Term(3), Instant::now());
     assert_eq!((sequence, load), (2, vec!["new".to_owned()]));
 }
 
-/// No second order goes out on top of one whose effect is not yet seen.
 #[tokio::test(start_paused = true)]
-async fn state_is_read_after_an_order() {
+async fn no_order_before_the_effect_of_the_last_is_known() {
     let mut orders = orders(Fencing::Fenced);
     orders.acquire_term(Term(1), Instant::now());
     assert!(matches!(orders.step(Instant::now()), Step::Send(_)));
--- a/laburnumcart/tests/signing.rs
+++ b/laburnumcart/tests/signing.rs
@@ -1,4 +1,4 @@
-//! Signed bundles.
+//! Signing and verification of envelopes.
 
 use std::collections;
 
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn an_envelope_with_enough_signers_is_verified() {
+fn envelope_with_enough_signers_is_verified() {
     let (ana, eva) = (key(), key());
     let text = signed(TEXT, &[("ana", &ana), ("eva", &eva)]);
     let digest = signing::Digest::of(text.as_bytes());
@@ -64,8 +64,7 @@
     );
 }
 
-/// Someone else's key under a trusted name, a signature of another text, and a signature twice in
-/// the envelope: none of them counts.
+/// Neither a foreign key under a trusted name nor a signature of another text counts.
 #[test]
 fn forged_signatures_do_not_count() {
     let (ana, bob) = (key(), key());
@@ -96,8 +95,8 @@
     assert_eq!(trust.verify(&envelope.to_text(), None), Err(refused));
 }
 
-/// While a signer changes keys, processes with the old, the new and both keys in their settings
-/// accept what is signed with the key they know.
+/// During a key rotation, processes with the old, the new or both keys in their settings accept
+/// signatures by a key that they know.
 #[test]
 fn keys_are_rotated_without_a_gap() {
     let (old, new) = (key(), key());
@@ -105,10 +104,10 @@
         .parse()
         .expect("keys");
     let keys = collections::BTreeMap::from([("ana".parse().expect("a name"), both)]);
-    let between = signing::Trust::new(keys, 1, &document::Path::root()).expect("valid settings");
+    let rotating = signing::Trust::new(keys, 1, &document::Path::root()).expect("valid settings");
     for key in [&old, &new] {
         let text = signed(TEXT, &[("ana", key)]);
-        assert!(between.verify(&text, None).is_ok());
+        assert!(rotating.verify(&text, None).is_ok());
         assert!(trust(&[("ana", key)], 1).verify(&text, None).is_ok());
     }
     let stale = trust(&[("ana", &old)], 1);
@@ -128,7 +127,7 @@
 #[rstest]
 #[case(0)]
 #[case(2)]
-fn the_number_of_signers_must_be_possible(#[case] required: u32) {
+fn required_signers_must_not_exceed_the_keys(#[case] required: u32) {
     let ana = key();
     let keys = [("ana".parse().expect("a name"), ana.public().into())];
     let faults = signing::Trust::new(keys.into(), required, &document::Path::root());
@@ -149,7 +148,7 @@
 }
 
 #[test]
-fn a_large_envelope_is_refused_unread() {
+fn large_envelope_is_rejected_unparsed() {
     let text = "x".repeat(signing::ENVELOPE_MAX + 1);
     let outcome = trust(&[("ana", &key())], 1).verify(&text, None);
     assert_eq!(outcome, Err(signing::VerifyError::TooLarge));
@@ -157,12 +156,12 @@
 
 proptest! {
     #[test]
-    fn no_text_makes_verification_panic(text in ".{0,300}") {
+    fn verification_of_arbitrary_text_does_not_panic(text in ".{0,300}") {
         let _ = trust(&[("ana", &key())], 1).verify(&text, None);
     }
 
     #[test]
-    fn what_is_signed_is_verified(text in ".{0,300}") {
+    fn signed_text_is_verified(text in ".{0,300}") {
         let ana = key();
         let stored = signed(&text, &[("ana", &ana)]);
         let verified = trust(&[("ana", &ana)], 1).verify(&stored, None);
@@ -170,7 +169,7 @@
     }
 
     #[test]
-    fn a_changed_byte_is_noticed(text in "[a-z]{1,80}", at in any::<prop::sample::Index>()) {
+    fn changed_byte_is_detected(text in "[a-z]{1,80}", at in any::<prop::sample::Index>()) {
         let ana = key();
         let trust = trust(&[("ana", &ana)], 1);
         let stored = signed(&text, &[("ana", &ana)]);
--- a/laburnumcart/tests/sse.rs
+++ b/laburnumcart/tests/sse.rs
@@ -1,4 +1,4 @@
-//! Event streams cut into whole events.
+//! Splitting of event streams into whole events.
 
 use laburnumcart::sse;
 use rstest::rstest;
@@ -13,7 +13,7 @@
 #[case(&[b"id: 1\ndata: a\n\nid: 2\ndata: b\n\n" as &[u8]])]
 #[case(&[b"id: 1\ndata: a\n" as &[u8], b"\nid: 2\ndata: b\n\n"])]
 #[case(&[b"id: 1\nda" as &[u8], b"ta: a\n\nid: 2\n", b"data: b\n\n"])]
-fn events_are_whole_wherever_the_bytes_are_cut(#[case] parts: &[&[u8]]) {
+fn events_are_whole_for_any_chunking(#[case] parts: &[&[u8]]) {
     let events = split(parts);
     let ids: Vec<_> = events.iter().map(|e| e.id).collect();
     assert_eq!(ids, [Some(1), Some(2)]);
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn every_cut_gives_the_same_bytes() {
+fn events_preserve_the_bytes_for_any_chunking() {
     let whole = b"version: 3\nid: 7\ndata: x\n\nid: 8\r\ndata: y\r\n\r\n: comment\n\n";
     for cut in 0..whole.len() {
         let events = split(&[&whole[..cut], &whole[cut..]]);
@@ -31,18 +31,18 @@
     }
 }
 
-// A target stops in the middle of an event. The part must not be passed on, or the caller would
-// get the event's beginning twice when the stream is resumed.
+/// If a target stops in the middle of an event and its part is forwarded, the caller gets the
+/// beginning of the event twice once the stream is resumed.
 #[test]
-fn a_part_of_an_event_is_kept_back() {
+fn incomplete_event_is_held_back() {
     let mut splitter = sse::Splitter::default();
     assert!(splitter.push(b"id: 1\ndata: a\n").unwrap().is_empty());
     assert!(!splitter.is_empty());
 }
 
-// A target sends bytes without an end of an event. The process must not collect them for ever.
+/// A target that never ends an event must not fill the memory of the process.
 #[test]
-fn an_endless_event_is_refused() {
+fn endless_event_is_rejected() {
     let mut splitter = sse::Splitter::default();
     let chunk = [b'x'; 1 << 16];
     let refused = (0..64).any(|_| splitter.push(&chunk).is_err());
