--- a/laburnumcart/src/bundle/check.rs
+++ b/laburnumcart/src/bundle/check.rs
@@ -180,7 +180,7 @@
                 // With a shared token one team would be charged for the other's requests.
                 if let Some(owner) = tokens.insert(token, name) {
                     self.faults
-                        .push(at, format!("is a token of {owner} already"));
+                        .push(at, format!("is already a token of {owner}"));
                 }
             }
         }
--- a/laburnumcart/src/claim/ownership.rs
+++ b/laburnumcart/src/claim/ownership.rs
@@ -101,7 +101,7 @@
 
     /// Records a failed call to the owner and returns what to do next.
     pub fn record_failure(&mut self, now: Instant) -> Action {
-        let silence = self.silence(now);
+        let silence = self.record_silence(now);
         if silence < self.limits.silence {
             return Action::Retry(self.limits.silence - silence);
         }
@@ -119,7 +119,7 @@
     /// A paused process accepts connections, and each call to it ends at a timeout that is longer
     /// than the required silence. `max_gap` must exceed such timeouts; otherwise the owner would
     /// never be replaced, and claims on its shards would be refused for as long as the pause lasts.
-    fn silence(&mut self, now: Instant) -> time::Duration {
+    fn record_silence(&mut self, now: Instant) -> time::Duration {
         let recent = |(_, last): &(Instant, Instant)| {
             now.saturating_duration_since(*last) < self.limits.max_gap
         };
--- a/laburnumcart/src/document/explain.rs
+++ b/laburnumcart/src/document/explain.rs
@@ -88,7 +88,8 @@
 /// Describes a key that the schema does not allow.
 fn describe_unknown_key(schema: &Value, key: &str) -> String {
     if schema.get("patternProperties").is_some() {
-        return "not a name (1 to 63 of a-z 0-9 . _ -, first a letter or digit)".into();
+        return "not a valid name (1 to 63 of a-z 0-9 . _ -, starting with a letter or digit)"
+            .into();
     }
     let known = schema["properties"].as_object();
     let names = known.into_iter().flatten().map(|(name, _)| name.as_str());
@@ -124,7 +125,7 @@
 fn describe_choice(schema: &Value, found: &Value) -> String {
     let names = allowed_texts(schema);
     if names.is_empty() {
-        return "not of an allowed form".into();
+        return "does not have an allowed form".into();
     }
     let near = nearest(found.as_str().unwrap_or_default(), names.iter().copied());
     match near {
--- a/laburnumcart/src/signing.rs
+++ b/laburnumcart/src/signing.rs
@@ -229,7 +229,7 @@
         {
             // With a shared key one person could count as two signers.
             if let Some(owner) = owners.insert(*key, name) {
-                let problem = format!("holds a key that {owner} has already");
+                let problem = format!("holds a key that {owner} already has");
                 faults.push(at.key("keys").key(name.as_str()), problem);
             }
         }
