--- a/laburnumcart/src/bundle/check.rs
+++ b/laburnumcart/src/bundle/check.rs
@@ -1,4 +1,4 @@
-//! Rules of a bundle that its schema cannot express.
+//! Validation of the rules of a bundle that its JSON Schema cannot express.
 
 use std::{
     collections,
@@ -25,66 +25,66 @@
     unit, //
 };
 
-/// Deadlines that can be promised.
+/// Range of the deadline of a service level.
 pub const DEADLINE: ops::RangeInclusive<unit::Period> =
     unit::Period::from_millis(10)..=unit::Period::from_secs(600);
 
-/// Times for which claims can be kept.
+/// Range of the retention time of claims.
 pub const CLAIM_RETENTION: ops::RangeInclusive<unit::Period> =
     unit::Period::from_secs(60)..=unit::Period::from_secs(7 * 24 * 3600);
 
-/// Times for which an agent can keep results.
+/// Range of the retention time of results.
 pub const RESULT_RETENTION: ops::RangeInclusive<unit::Period> =
     unit::Period::from_secs(1)..=unit::Period::from_secs(3600);
 
-/// Times for which a request can be quarantined.
+/// Range of the quarantine time.
 pub const QUARANTINE: ops::RangeInclusive<unit::Period> =
     unit::Period::from_secs(1)..=unit::Period::from_secs(24 * 3600);
 
-/// Times that an order to a target can take.
+/// Range of the timeout of an order.
 pub const ORDER_LIMIT: ops::RangeInclusive<unit::Period> =
     unit::Period::from_millis(100)..=unit::Period::from_secs(600);
 
-/// Sizes of a request's body.
+/// Range of the size limit of a request's body.
 pub const BODY_LIMIT: ops::RangeInclusive<unit::Size> = unit::Size(1)..=unit::Size(16 << 20);
 
-/// Most stages of one pipeline.
+/// Largest number of stages of a pipeline.
 pub const STAGES_MAX: usize = 16;
 
-/// Most shards of the claim log.
+/// Largest number of shards of the claim log.
 pub const SHARDS_MAX: u16 = 1024;
 
-/// Room that signatures need in an envelope, in bytes.
-const SIGNATURES_ROOM: usize = signing::SIGNATURES_MAX * 256;
+/// Upper bound on the bytes of the signatures in an envelope.
+const SIGNATURES_BYTES_MAX: usize = signing::SIGNATURES_MAX * 256;
 
-/// Reads a bundle, or reports every fault in it.
+/// Parses and checks a bundle; the error lists all faults.
 pub fn parse(text: &str) -> Result<Bundle, Faults> {
-    size(text)?;
+    check_size(text)?;
     let bundle: Bundle = document::parse(text)?;
     check(&bundle)?;
     Ok(bundle)
 }
 
-/// Reports every rule that a bundle breaks.
+/// Checks a parsed bundle; the error lists all broken checker.
 pub fn check(bundle: &Bundle) -> Result<(), Faults> {
-    let mut rules = Rules {
+    let mut checker = Checker {
         bundle,
         faults: Faults::default(),
     };
-    rules.format();
-    rules.services();
-    rules.pipelines();
-    rules.teams();
-    rules.claims();
-    rules.limits();
-    rules.faults.into_result(())
+    checker.check_format();
+    checker.check_services();
+    checker.check_pipelines();
+    checker.check_teams();
+    checker.check_claims();
+    checker.check_limits();
+    checker.faults.into_result(())
 }
 
-/// Checks that the bundle's envelope will fit into one object.
-fn size(text: &str) -> Result<(), Faults> {
-    // Within the envelope each quotation mark, backslash and line end takes one byte more.
+/// Checks that the bundle's envelope will fit into an object.
+fn check_size(text: &str) -> Result<(), Faults> {
+    // JSON escapes each of these with one more byte within the envelope.
     let escaped = |b: &&u8| matches!(**b, b'"' | b'\\' | b'\n' | b'\r' | b'\t');
-    let bytes = text.len() + text.as_bytes().iter().filter(escaped).count() + SIGNATURES_ROOM;
+    let bytes = text.len() + text.as_bytes().iter().filter(escaped).count() + SIGNATURES_BYTES_MAX;
     if bytes <= signing::ENVELOPE_MAX {
         return Ok(());
     }
@@ -92,29 +92,29 @@
     Err(Faults::single(Path::root(), problem))
 }
 
-/// The rules, with the faults found so far.
-struct Rules<'a> {
+/// Checker of a bundle, with the faults found so far.
+struct Checker<'a> {
     bundle: &'a Bundle,
     faults: Faults,
 }
 
-impl Rules<'_> {
-    fn format(&mut self) {
+impl Checker<'_> {
+    fn check_format(&mut self) {
         if self.bundle.format != FORMAT {
             let problem = format!("this release reads format {FORMAT}");
             self.faults.push(Path::root().key("format"), problem);
         }
     }
 
-    fn services(&mut self) {
+    fn check_services(&mut self) {
         for (name, service) in &self.bundle.services {
             let at = Path::root().key("services").key(name.as_str());
-            self.service(&at, service);
+            self.check_service(&at, service);
         }
     }
 
-    fn service(&mut self, at: &Path, service: &Service) {
-        self.within(at.key("order_limit"), &service.order_limit, &ORDER_LIMIT);
+    fn check_service(&mut self, at: &Path, service: &Service) {
+        self.check_range(at.key("order_limit"), &service.order_limit, &ORDER_LIMIT);
         if service.kind == Kind::Pool && service.orders != Orders::None {
             self.faults
                 .push(at.key("orders"), "only engines take orders");
@@ -137,15 +137,15 @@
         }
     }
 
-    fn pipelines(&mut self) {
+    fn check_pipelines(&mut self) {
         for (name, pipeline) in &self.bundle.pipelines {
             let at = Path::root().key("pipelines").key(name.as_str());
-            self.pipeline(&at, pipeline);
+            self.check_pipeline(&at, pipeline);
         }
     }
 
-    fn pipeline(&mut self, at: &Path, pipeline: &Pipeline) {
-        self.within(at.key("body_limit"), &pipeline.body_limit, &BODY_LIMIT);
+    fn check_pipeline(&mut self, at: &Path, pipeline: &Pipeline) {
+        self.check_range(at.key("body_limit"), &pipeline.body_limit, &BODY_LIMIT);
         let count = pipeline.stages.len();
         if !(1..=STAGES_MAX).contains(&count) {
             let problem = format!("must have 1 to {STAGES_MAX} stages, has {count}");
@@ -160,33 +160,33 @@
             }
             if !self.bundle.services.contains_key(&stage.service) {
                 let known = self.bundle.services.keys().map(id::ServiceName::as_str);
-                let problem = document::unknown("service", stage.service.as_str(), known);
+                let problem = document::describe_unknown("service", stage.service.as_str(), known);
                 self.faults.push(at.key("service"), problem);
             }
         }
     }
 
-    fn teams(&mut self) {
+    fn check_teams(&mut self) {
         let mut tokens = collections::HashMap::new();
         for (name, team) in &self.bundle.teams {
             let at = Path::root().key("teams").key(name.as_str());
-            self.team(&at, team);
+            self.check_team(&at, team);
             for (index, token) in team.tokens.iter().enumerate() {
                 let at = at.key("tokens").index(index);
                 if token.parse::<signing::Digest>().is_err() {
                     let problem = "must be the SHA-256 of a token, 64 hexadecimal digits";
                     self.faults.push(at.clone(), problem);
                 }
-                // A token of two teams would charge one for the other's requests.
+                // With a shared token one team would be charged for the other's requests.
                 if let Some(owner) = tokens.insert(token, name) {
                     self.faults
-                        .push(at, format!("is a token of {owner} already"));
+                        .push(at, format!("is already a token of {owner}"));
                 }
             }
         }
     }
 
-    fn team(&mut self, at: &Path, team: &Team) {
+    fn check_team(&mut self, at: &Path, team: &Team) {
         if team.weight == 0 {
             self.faults.push(at.key("weight"), "must be at least 1");
         }
@@ -198,18 +198,18 @@
             let at = at.key("pipelines").key(name.as_str());
             if !self.bundle.pipelines.contains_key(name) {
                 let known = self.bundle.pipelines.keys().map(id::PipelineName::as_str);
-                let problem = document::unknown("pipeline", name.as_str(), known);
+                let problem = document::describe_unknown("pipeline", name.as_str(), known);
                 self.faults.push(at.clone(), problem);
             }
-            self.within(at.key("deadline"), &promise.deadline, &DEADLINE);
+            self.check_range(at.key("deadline"), &promise.deadline, &DEADLINE);
         }
     }
 
-    fn claims(&mut self) {
+    fn check_claims(&mut self) {
         let at = Path::root().key("claims");
         let claims = &self.bundle.claims;
-        self.within(at.key("retention"), &claims.retention, &CLAIM_RETENTION);
-        // A claim that expires while its request may still run would let a resend run it again.
+        self.check_range(at.key("retention"), &claims.retention, &CLAIM_RETENTION);
+        // If a claim expired while its request may still run, a resend would execute it again.
         let longest = self.longest_deadline();
         if claims.retention <= longest {
             let problem = format!("must be longer than the longest deadline, {longest}");
@@ -221,15 +221,15 @@
         }
     }
 
-    fn limits(&mut self) {
+    fn check_limits(&mut self) {
         let at = Path::root().key("limits");
         let limits = &self.bundle.limits;
         let kept = &limits.result_retention;
-        self.within(at.key("result_retention"), kept, &RESULT_RETENTION);
-        self.within(at.key("quarantine"), &limits.quarantine, &QUARANTINE);
+        self.check_range(at.key("result_retention"), kept, &RESULT_RETENTION);
+        self.check_range(at.key("quarantine"), &limits.quarantine, &QUARANTINE);
     }
 
-    /// Returns the longest deadline that any team was promised.
+    /// Returns the longest deadline of all service levels.
     fn longest_deadline(&self) -> unit::Period {
         let promises = self
             .bundle
@@ -239,8 +239,8 @@
         promises.map(|p| p.deadline).max().unwrap_or_default()
     }
 
-    /// Reports a value that is out of its range.
-    fn within<T>(&mut self, at: Path, value: &T, range: &ops::RangeInclusive<T>)
+    /// Adds a fault if a value is out of its range.
+    fn check_range<T>(&mut self, at: Path, value: &T, range: &ops::RangeInclusive<T>)
     where
         T: PartialOrd + std::fmt::Display,
     {
--- a/laburnumcart/src/claim/log.rs
+++ b/laburnumcart/src/claim/log.rs
@@ -1,4 +1,4 @@
-//! The owner's side of a shard's log: group commit with one append in flight.
+//! Log of a shard at its owner: group commit with one append in flight, snapshots and replay.
 
 use std::{
     collections,
@@ -17,102 +17,103 @@
     unit, //
 };
 
-/// Most records of one batch; keeps a segment well under the largest value of an object.
+/// Largest number of records in a batch; keeps a segment below the size limit of an object.
 pub const BATCH_MAX: usize = 2048;
 
-/// Most claims of one part of a snapshot.
+/// Largest number of claims in one part of a snapshot.
 pub const PART_MAX: usize = 2048;
 
-/// Segments that each part of a snapshot must replace, which bounds the share of writes that
-/// snapshots take to an eighth.
+/// Segments that each further part of a snapshot must supersede; limits snapshots to an eighth of
+/// the writes.
 const SNAPSHOT_RATIO: u64 = 8;
 
-/// Bounds of one shard.
+/// Limits of one shard.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Limits {
-    /// Most claims held; more are refused.
-    pub claims: usize,
-    /// Fewest segments between two snapshots.
-    pub segments: u64,
+    /// Largest number of claims; more are refused.
+    pub max_claims: usize,
+    /// Smallest number of segments between two snapshots.
+    pub snapshot_segments: u64,
 }
 
 impl Default for Limits {
     fn default() -> Self {
         Self {
-            claims: 60_000,
-            segments: 256,
+            max_claims: 60_000,
+            snapshot_segments: 256,
         }
     }
 }
 
-/// Number of a batch; grows by one with each.
+/// Serial number of a batch.
 pub type Batch = u64;
 
-/// What becomes of a claim at the owner.
+/// Outcome of a claim at the owner.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Outcome {
-    /// Already durable for this very request; valid once [`Log::confirm_ownership`] is durable.
+    /// Already granted to this request; valid once the batch of [`Log::confirm_ownership`] is
+    /// durable.
     Granted,
     /// Granted once the batch is durable.
     Queued(Batch),
-    /// The key is changed by a batch that is not settled; ask again when it is.
+    /// The key is changed by an unsettled batch; claim again once the batch is settled.
     Wait(Batch),
-    /// Claimed by another request; valid once [`Log::confirm_ownership`] is durable.
+    /// Claimed by another request; valid once the batch of [`Log::confirm_ownership`] is durable.
     Taken(record::Grant),
-    /// No room for another claim; nothing was recorded.
+    /// The limit of claims or of records in a batch is reached; nothing was recorded.
     Full,
 }
 
-/// An append to be made by create-if-absent.
+/// An append, to be written by create-if-absent.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Append {
-    /// Number of the segment in its epoch.
+    /// Number of the segment within its epoch.
     pub number: u64,
-    /// Batch that it makes durable.
+    /// Batch that the append makes durable.
     pub batch: Batch,
     /// Value of the object.
     pub segment: record::Segment,
 }
 
-/// State of the owner of a shard for one epoch.
+/// Log of one shard in one epoch, at the shard's owner.
 ///
 /// At most one append is in flight. With two, the second could take effect without the first, and
-/// a successor that seals the gap would miss a claim that was granted.
+/// a successor that seals the epoch at the gap would miss a granted claim.
 #[derive(Debug)]
 pub struct Log {
     epoch: record::Epoch,
     start: Instant,
     table: table::Table,
     limits: Limits,
-    next: u64,
-    /// First number that the newest snapshot does not supersede.
-    first: u64,
-    /// Number at which a snapshot failed last.
-    postponed: u64,
-    batch: Batch,
-    gathering: Vec<record::Record>,
-    /// Whether the next append is wanted even without records.
-    probe: bool,
-    flight: Vec<record::Record>,
+    next_number: u64,
+    /// First segment that the newest snapshot does not supersede.
+    first_needed: u64,
+    /// Number of the next segment when the last snapshot failed.
+    postponed_at: u64,
+    next_batch: Batch,
+    next_records: Vec<record::Record>,
+    /// Whether an append is wanted even without records.
+    append_requested: bool,
+    appending: Vec<record::Record>,
     in_flight: bool,
     pending: collections::HashMap<id::Fingerprint, (id::RequestId, Batch)>,
 }
 
 impl Log {
-    /// Creates the state for an epoch that starts now without segments, within `limits`.
+    /// Creates the log of an epoch that starts at `now` and has no segments.
     pub fn new(epoch: record::Epoch, table: table::Table, limits: Limits, now: Instant) -> Self {
         Self {
             epoch,
             start: now,
             table,
             limits,
-            next: 0,
-            first: 0,
-            postponed: 0,
-            batch: 0,
-            gathering: Vec::new(),
-            probe: false,
-            flight: Vec::new(),
+            next_number: 0,
+            first_needed: 0,
+            postponed_at: 0,
+            next_batch: 0,
+            next_records: Vec::new(),
+            append_requested: false,
+            appending: Vec::new(),
             in_flight: false,
             pending: collections::HashMap::new(),
         }
@@ -123,21 +124,21 @@
         self.epoch
     }
 
-    /// Returns the claims that are durable.
+    /// Returns the durable claims.
     pub fn table(&self) -> &table::Table {
         &self.table
     }
 
     /// Returns the number of the next segment.
     pub fn next_segment(&self) -> u64 {
-        self.next
+        self.next_number
     }
 
     /// Returns the first batch that is not settled.
     pub fn first_unsettled(&self) -> Batch {
         match self.in_flight {
-            true => self.batch - 1,
-            false => self.batch,
+            true => self.next_batch - 1,
+            false => self.next_batch,
         }
     }
 
@@ -148,42 +149,42 @@
 
     /// Reports whether an append is wanted.
     pub fn wants_append(&self) -> bool {
-        self.probe || !self.gathering.is_empty()
+        self.append_requested || !self.next_records.is_empty()
     }
 
-    /// Asks for an append, if only an empty one, and returns its batch.
+    /// Requests an append, empty if there are no records, and returns its batch.
     ///
-    /// An owner that was sealed out does not know it, and what its table says may be out of date:
-    /// a claim may have been given back since and its key granted again. That its append is
-    /// durable proves that it was the owner until then.
+    /// An owner whose epoch was sealed does not know it, and its table may be outdated: a claim may
+    /// have been released and its key granted again. A durable append proves that the process was
+    /// still the owner.
     pub fn confirm_ownership(&mut self) -> Batch {
-        self.probe = true;
-        self.batch
+        self.append_requested = true;
+        self.next_batch
     }
 
-    /// Asks for a claim; its record gathers in the next batch if the key is free.
+    /// Claims a key; if it is free, the grant is added to the next batch.
     pub fn claim(&mut self, grant: record::Grant, now: Instant) -> Outcome {
         self.table.expire(now);
         if let Some((_, batch)) = self.pending.get(&grant.key) {
-            return self.step_pending(&grant, *batch);
+            return self.pending_outcome(&grant, *batch);
         }
         if let Some(old) = self.table.get(grant.key) {
-            // Its holder asks again because an answer was lost; it acts on one answer only.
+            // The holder claims again after a lost answer; it acts on one answer only.
             if old.request == grant.request {
                 return Outcome::Granted;
             }
             return Outcome::Taken(old.clone());
         }
-        if self.table.len() + self.pending.len() >= self.limits.claims
-            || self.gathering.len() >= BATCH_MAX
+        if self.table.len() + self.pending.len() >= self.limits.max_claims
+            || self.next_records.len() >= BATCH_MAX
         {
             return Outcome::Full;
         }
-        Outcome::Queued(self.gather(record::Record::Grant(grant)))
+        Outcome::Queued(self.add_record(record::Record::Grant(grant)))
     }
 
-    fn step_pending(&self, grant: &record::Grant, batch: Batch) -> Outcome {
-        let records = self.gathering.iter().chain(&self.flight);
+    fn pending_outcome(&self, grant: &record::Grant, batch: Batch) -> Outcome {
+        let records = self.next_records.iter().chain(&self.appending);
         let same = |record: &&record::Record| match record {
             record::Record::Grant(old) => old.key == grant.key && old.request == grant.request,
             record::Record::Release { .. } => false,
@@ -194,27 +195,30 @@
         }
     }
 
-    /// Gives back a claim whose request provably never started; returns the batch that records it,
-    /// or `None` if the request does not hold the key.
+    /// Releases a claim whose request is proven never to have started.
+    ///
+    /// Returns the batch that records the release, or `None` if the request has no settled claim on
+    /// the key.
     pub fn release(&mut self, key: id::Fingerprint, request: id::RequestId) -> Option<Batch> {
         if self.pending.contains_key(&key) {
             return None;
         }
         self.table.get(key).filter(|old| old.request == request)?;
-        Some(self.gather(record::Record::Release { key, request }))
+        Some(self.add_record(record::Record::Release { key, request }))
     }
 
-    fn gather(&mut self, record: record::Record) -> Batch {
-        let pending = (record.request(), self.batch);
+    fn add_record(&mut self, record: record::Record) -> Batch {
+        let pending = (record.request(), self.next_batch);
         self.pending.insert(record.key(), pending);
-        self.gathering.push(record);
-        self.batch
+        self.next_records.push(record);
+        self.next_batch
     }
 
-    /// Takes back the gathered grants that `keep` refuses; they were never in an append.
+    /// Drops the grants of the next batch for which `keep` returns false; they were in no append
+    /// yet.
     pub fn retain_pending(&mut self, mut keep: impl FnMut(id::Fingerprint, id::RequestId) -> bool) {
         let pending = &mut self.pending;
-        self.gathering.retain(|record| {
+        self.next_records.retain(|record| {
             let kept = match record {
                 record::Record::Grant(grant) => keep(grant.key, grant.request),
                 record::Record::Release { .. } => true,
@@ -226,66 +230,70 @@
         });
     }
 
-    fn at(&self, now: Instant) -> unit::Period {
+    fn epoch_age(&self, now: Instant) -> unit::Period {
         unit::Period(now.saturating_duration_since(self.start))
     }
 
-    /// Starts the next append, unless one is in flight or nothing waits.
+    /// Starts the next append, unless one is in flight or none is wanted.
     pub fn begin_append(&mut self, now: Instant) -> Option<Append> {
         if self.in_flight || !self.wants_append() {
             return None;
         }
-        self.probe = false;
-        self.flight = mem::take(&mut self.gathering);
+        self.append_requested = false;
+        self.appending = mem::take(&mut self.next_records);
         self.in_flight = true;
-        let batch = self.batch;
-        self.batch += 1;
+        let batch = self.next_batch;
+        self.next_batch += 1;
         Some(Append {
-            number: self.next,
+            number: self.next_number,
             batch,
             segment: record::Segment::Batch {
-                at: self.at(now),
-                records: self.flight.clone(),
+                at: self.epoch_age(now),
+                records: self.appending.clone(),
             },
         })
     }
 
-    /// Records that the append in flight is in the log.
+    /// Records that the append in flight is durable.
     pub fn append_succeeded(&mut self, now: Instant) {
-        for record in mem::take(&mut self.flight) {
+        for record in mem::take(&mut self.appending) {
             self.pending.remove(&record.key());
             self.table.apply(&record, now);
         }
-        self.next += 1;
+        self.next_number += 1;
         self.in_flight = false;
     }
 
-    /// Records that the append in flight is provably not in the log and never will be.
+    /// Records that the append in flight is proven not to be in the log, now or later.
     pub fn append_rejected(&mut self) {
-        for record in mem::take(&mut self.flight) {
+        for record in mem::take(&mut self.appending) {
             self.pending.remove(&record.key());
-            // A release that was dropped with its append would leave the key claimed for the rest
-            // of its retention, and each resend would be told "may have run".
+            // If a release were dropped with its append, the key would stay claimed for the rest of
+            // its retention, and each resend would be answered with "may have run".
             if let record::Record::Release { .. } = record {
-                self.gather(record);
+                self.add_record(record);
             }
         }
         self.in_flight = false;
     }
 
-    /// Reports whether enough segments have come since the last snapshot for a new one.
+    /// Reports whether enough segments were appended since the last snapshot for a new one.
     pub fn wants_snapshot(&self) -> bool {
         let parts = (self.table.len() / PART_MAX + 1) as u64;
-        let least = self.limits.segments.max(SNAPSHOT_RATIO * (parts - 1));
-        !self.in_flight && self.next - self.first.max(self.postponed) >= least
+        let least = self
+            .limits
+            .snapshot_segments
+            .max(SNAPSHOT_RATIO * (parts - 1));
+        !self.in_flight && self.next_number - self.first_needed.max(self.postponed_at) >= least
     }
 
-    /// Returns the parts of a snapshot with their numbers; appended in order by the owner, each
-    /// confirmed by [`Log::snapshot_part_succeeded`].
+    /// Returns the parts of a snapshot with their segment numbers.
+    ///
+    /// The caller appends them in order and confirms each by [`Log::snapshot_part_succeeded`].
     pub fn snapshot(&mut self, now: Instant) -> Vec<(u64, record::Segment)> {
         self.table.expire(now);
-        let first = self.next;
-        let at = self.at(now);
+        let first = self.next_number;
+        let at = self.epoch_age(now);
         let grants: Vec<_> = self.table.grants(now).collect();
         let mut parts: Vec<_> = grants.chunks(PART_MAX).map(<[_]>::to_vec).collect();
         if parts.is_empty() {
@@ -305,39 +313,39 @@
         parts.into_iter().enumerate().map(part).collect()
     }
 
-    /// Puts a snapshot off that could not be completed.
+    /// Postpones the next snapshot after one could not be completed.
     pub fn postpone_snapshot(&mut self) {
-        self.postponed = self.next;
+        self.postponed_at = self.next_number;
     }
 
-    /// Records that the next part of a snapshot is in the log.
+    /// Records that the next part of a snapshot is durable.
     pub fn snapshot_part_succeeded(&mut self, segment: &record::Segment) {
-        self.next += 1;
+        self.next_number += 1;
         if let record::Segment::Snapshot {
             first, last: true, ..
         } = segment
         {
-            self.first = *first;
+            self.first_needed = *first;
         }
     }
 }
 
-/// Replays the segments of one sealed epoch, in the order of their numbers, onto `table`.
+/// Replays the segments of one sealed epoch onto `table`, in the order of their numbers.
 ///
-/// A snapshot supersedes everything before it once its last part is there; an incomplete one is
-/// ignored, as nothing was deleted for it. A claim is as old as the epoch's owner saw it become,
-/// up to its last append.
+/// A snapshot supersedes everything before it once its last part exists; an incomplete one is
+/// ignored, as no segment is deleted before it is complete. The age of a claim is what the epoch's
+/// owner measured up to its last append.
 pub fn replay(table: &mut table::Table, segments: &[record::Segment], now: Instant) {
     let end = segments.iter().filter_map(record::Segment::epoch_age).max();
     let end = end.unwrap_or_default();
     let mut parts = Parts::default();
     for segment in segments {
-        let held = segment.epoch_age().map(|at| end.0.saturating_sub(at.0));
-        let held = held.unwrap_or_default();
+        let elapsed = segment.epoch_age().map(|at| end.0.saturating_sub(at.0));
+        let elapsed = elapsed.unwrap_or_default();
         match segment {
             record::Segment::Batch { records, .. } => {
                 for record in records {
-                    table.apply(&aged(record, held), now);
+                    table.apply(&age_record(record, elapsed), now);
                 }
             }
             record::Segment::Snapshot {
@@ -352,7 +360,7 @@
                 parts.first = *first;
                 parts
                     .grants
-                    .extend(grants.iter().map(|grant| older(grant, held)));
+                    .extend(grants.iter().map(|grant| age_grant(grant, elapsed)));
                 if *last {
                     *table = table::Table::default();
                     for grant in mem::take(&mut parts.grants) {
@@ -365,23 +373,23 @@
     }
 }
 
-/// Parts of a snapshot, read so far.
+/// Parts of a snapshot that were read so far.
 #[derive(Default)]
 struct Parts {
     first: u64,
     grants: Vec<record::Grant>,
 }
 
-fn older(grant: &record::Grant, held: time::Duration) -> record::Grant {
+fn age_grant(grant: &record::Grant, elapsed: time::Duration) -> record::Grant {
     record::Grant {
-        age: unit::Period(grant.age.0.saturating_add(held)),
+        age: unit::Period(grant.age.0.saturating_add(elapsed)),
         ..grant.clone()
     }
 }
 
-fn aged(record: &record::Record, held: time::Duration) -> record::Record {
+fn age_record(record: &record::Record, elapsed: time::Duration) -> record::Record {
     match record {
-        record::Record::Grant(grant) => record::Record::Grant(older(grant, held)),
+        record::Record::Grant(grant) => record::Record::Grant(age_grant(grant, elapsed)),
         release => release.clone(),
     }
 }
--- a/laburnumcart/src/claim/ownership.rs
+++ b/laburnumcart/src/claim/ownership.rs
@@ -1,4 +1,4 @@
-//! Whom to ask about a shard, and when to take it over.
+//! Choice of the owner of a shard, and failure detection that leads to a takeover.
 
 use std::{
     net,
@@ -9,8 +9,8 @@
 
 /// Returns the process that should own a shard, by rendezvous hashing over the live addresses.
 ///
-/// This is a preference that spreads the shards. Safety does not rest on it: two processes with
-/// different lists may both try, and the log lets one through.
+/// This only spreads the shards; safety does not depend on it. Two processes with different lists
+/// may both attempt a takeover, and the log lets one of them succeed.
 pub fn preferred_owner(shard: u16, live: &[net::SocketAddr]) -> Option<net::SocketAddr> {
     let weight = |addr: &&net::SocketAddr| {
         let mut hash = xxhash_rust::xxh3::Xxh3::new();
@@ -21,16 +21,16 @@
     live.iter().max_by_key(weight).copied()
 }
 
-/// When an owner that cannot be reached is replaced.
+/// Thresholds for replacing an unreachable owner.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// Time for which the owner must have been out of reach.
+    /// Time for which the owner must have been unreachable.
     pub silence: time::Duration,
-    /// Longest time between two tries without an answer that speak of the same silence.
-    pub recent: time::Duration,
-    /// Time after a change of owner before the next one, doubled with each that follows soon.
-    pub settle: time::Duration,
-    /// Longest such time.
+    /// Longest time between two failed calls that count as one silence.
+    pub max_gap: time::Duration,
+    /// Shortest time between two changes of owner; doubled after each change that follows soon.
+    pub settle_time: time::Duration,
+    /// Upper limit of the doubled time.
     pub settle_max: time::Duration,
 }
 
@@ -38,92 +38,93 @@
     fn default() -> Self {
         Self {
             silence: time::Duration::from_millis(250),
-            recent: time::Duration::from_secs(10),
-            settle: time::Duration::from_millis(500),
+            max_gap: time::Duration::from_secs(10),
+            settle_time: time::Duration::from_millis(500),
             settle_max: time::Duration::from_secs(30),
         }
     }
 }
 
-/// What to do about an owner that did not answer.
+/// Action after a failed call to the owner.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Action {
-    /// Ask it again after this time.
+    /// Call the owner again after this time.
     Retry(time::Duration),
     /// Take the shard over.
     TakeOver,
-    /// The shard changed hands a short while ago; refuse until this time has passed.
+    /// The shard changed its owner recently; refuse claims for this time.
     Settle(time::Duration),
 }
 
-/// Memory of an owner's silence and of a shard's changes of owner.
+/// Failure detector for the owner of a shard.
 ///
-/// Two entries that cannot reach each other but do reach the object service would take a shard
-/// from one another with every claim, each time at the cost of a replay. The doubling wait leaves
-/// the shard with one of them for longer and longer; the other refuses, which is safe.
+/// Two entries that reach the object service but not each other would take the shard from one
+/// another with every claim, each time at the cost of a replay. The doubling wait leaves the shard
+/// with one of them for longer and longer; the other refuses claims, which is safe.
 #[derive(Clone, Debug)]
 pub struct Detector {
-    patience: Limits,
-    silent: Option<(Instant, Instant)>,
-    changed: Option<Instant>,
-    wait: time::Duration,
+    limits: Limits,
+    /// Times of the first and the latest failed call of the present silence.
+    silent_span: Option<(Instant, Instant)>,
+    last_change: Option<Instant>,
+    settle_wait: time::Duration,
 }
 
 impl Detector {
-    /// Creates the memory for a shard of which nothing is known.
-    pub fn new(patience: Limits) -> Self {
+    /// Creates the detector for a shard of which nothing is known.
+    pub fn new(limits: Limits) -> Self {
         Self {
-            patience,
-            silent: None,
-            changed: None,
-            wait: time::Duration::ZERO,
+            limits,
+            silent_span: None,
+            last_change: None,
+            settle_wait: time::Duration::ZERO,
         }
     }
 
     /// Records that the owner answered.
     pub fn record_success(&mut self) {
-        self.silent = None;
+        self.silent_span = None;
     }
 
     /// Records that the shard has a new owner.
     pub fn record_owner_change(&mut self, now: Instant) {
-        self.silent = None;
+        self.silent_span = None;
         let soon = self
-            .changed
-            .is_some_and(|last| now.saturating_duration_since(last) < self.wait * 4);
-        self.wait = match soon {
-            true => (self.wait * 2).min(self.patience.settle_max),
-            false => self.patience.settle,
+            .last_change
+            .is_some_and(|last| now.saturating_duration_since(last) < self.settle_wait * 4);
+        self.settle_wait = match soon {
+            true => (self.settle_wait * 2).min(self.limits.settle_max),
+            false => self.limits.settle_time,
         };
-        self.changed = Some(now);
+        self.last_change = Some(now);
     }
 
-    /// Records that the owner did not answer, and says what to do.
+    /// Records a failed call to the owner and returns what to do next.
     pub fn record_failure(&mut self, now: Instant) -> Action {
-        let silence = self.silence(now);
-        if silence < self.patience.silence {
-            return Action::Retry(self.patience.silence - silence);
+        let silence = self.record_silence(now);
+        if silence < self.limits.silence {
+            return Action::Retry(self.limits.silence - silence);
         }
-        let settled = self.changed.map_or(time::Duration::MAX, |last| {
+        let settled = self.last_change.map_or(time::Duration::MAX, |last| {
             now.saturating_duration_since(last)
         });
-        if settled < self.wait {
-            return Action::Settle(self.wait - settled);
+        if settled < self.settle_wait {
+            return Action::Settle(self.settle_wait - settled);
         }
         Action::TakeOver
     }
 
-    /// Returns how long the owner has been silent; a try long ago says nothing about today.
+    /// Records a failed call and returns for how long the owner has been silent.
     ///
-    /// A process that is paused accepts connections and lets each try run into its timeouts, which
-    /// are longer than the silence asked for. If only tries in quick succession counted, it would
-    /// never be replaced, and its shards would be refused for as long as the pause lasts.
-    fn silence(&mut self, now: Instant) -> time::Duration {
+    /// A paused process accepts connections, and each call to it ends at a timeout that is longer
+    /// than the required silence. `max_gap` must exceed such timeouts; otherwise the owner would
+    /// never be replaced, and claims on its shards would be refused for as long as the pause lasts.
+    fn record_silence(&mut self, now: Instant) -> time::Duration {
         let recent = |(_, last): &(Instant, Instant)| {
-            now.saturating_duration_since(*last) < self.patience.recent
+            now.saturating_duration_since(*last) < self.limits.max_gap
         };
-        let (first, _) = self.silent.filter(recent).unwrap_or((now, now));
-        self.silent = Some((first, now));
+        let (first, _) = self.silent_span.filter(recent).unwrap_or((now, now));
+        self.silent_span = Some((first, now));
         now.saturating_duration_since(first)
     }
 }
--- a/laburnumcart/src/facts/table.rs
+++ b/laburnumcart/src/facts/table.rs
@@ -1,4 +1,4 @@
-//! Merged facts of one process.
+//! Table of the merged facts of one process.
 
 use std::{
     collections,
@@ -14,22 +14,22 @@
     unit, //
 };
 
-/// Most facts of a kind; beyond it, the one that expires first goes.
-const CAPACITY: usize = 4096;
+/// Largest number of facts of a kind; beyond it the one that expires first is dropped.
+const FACTS_MAX: usize = 4096;
 
-/// Most suspects of a crash.
-const SUSPECTS: usize = 256;
+/// Largest number of suspects of a crash.
+const SUSPECTS_MAX: usize = 256;
 
-/// Longest time that a fact is kept, whatever its sender says.
+/// Upper limit of a fact's time to live, whatever its sender states.
 const TTL_MAX: time::Duration = time::Duration::from_secs(3600);
 
-/// Time for which a life is remembered as leaving; longer than any stop takes.
-const LEAVING: time::Duration = time::Duration::from_secs(600);
+/// Time for which an incarnation is remembered as leaving; longer than any graceful shutdown.
+const LEAVING_TTL: time::Duration = time::Duration::from_secs(600);
 
-/// Difference of two expiries that is due to the time a message takes, and no news.
-const JITTER: time::Duration = time::Duration::from_secs(1);
+/// Differences of expiry up to this one are taken for message latency and not for a change.
+const EXPIRY_TOLERANCE: time::Duration = time::Duration::from_secs(1);
 
-/// State of a table that a peer has been sent.
+/// Version of a table, which identifies the changes that a peer has received.
 #[derive(Clone, Copy, Debug, Default, Eq, Ord, PartialEq, PartialOrd)]
 pub struct Version(u64);
 
@@ -40,13 +40,13 @@
     version: Version,
 }
 
-type Kind<K, V> = collections::HashMap<K, Fact<V>>;
+type FactMap<K, V> = collections::HashMap<K, Fact<V>>;
 
 /// Facts of one process, merged with those of its peers.
 ///
 /// Merging takes the highest generation, the union of the lists, and the earliest expiry of each
-/// fact. It is commutative, associative and idempotent, so that facts may arrive in any order, by
-/// any way, any number of times.
+/// fact. It is commutative, associative and idempotent, so that facts may arrive in any order, over
+/// any path and any number of times.
 ///
 /// ```
 /// use std::time::Duration;
@@ -61,20 +61,20 @@
 /// table.set_leaving(id::Incarnation(7), now);
 /// peer.merge(&table.changes(sent, now).unwrap(), now);
 /// assert!(peer.is_leaving(id::Incarnation(7), now));
-/// // Only what changed since is sent.
+/// // Only later changes are sent.
 /// assert_eq!(table.changes(table.version(), now), None);
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct Table {
     version: Version,
     generation: (id::Generation, Version),
-    leaving: Kind<id::Incarnation, ()>,
-    crashes: Kind<id::Incarnation, Vec<id::Fingerprint>>,
-    cleared: Kind<(id::Fingerprint, id::Incarnation), ()>,
+    leaving: FactMap<id::Incarnation, ()>,
+    crashes: FactMap<id::Incarnation, Vec<id::Fingerprint>>,
+    cleared: FactMap<(id::Fingerprint, id::Incarnation), ()>,
 }
 
 impl Table {
-    /// Returns the version to remember for a peer once it has received the changes up to now.
+    /// Returns the current version, to be remembered for a peer that has received all changes.
     pub fn version(&self) -> Version {
         self.version
     }
@@ -84,12 +84,13 @@
         self.generation.0
     }
 
-    /// Reports whether a life accepts no new work.
-    pub fn is_leaving(&self, life: id::Incarnation, now: Instant) -> bool {
-        self.leaving.get(&life).is_some_and(|f| f.expiry > now)
+    /// Reports whether an incarnation accepts no new work.
+    pub fn is_leaving(&self, incarnation: id::Incarnation, now: Instant) -> bool {
+        let fact = self.leaving.get(&incarnation);
+        fact.is_some_and(|f| f.expiry > now)
     }
 
-    /// Returns the crashes that are valid, with what ran and until when.
+    /// Returns the valid crashes with their suspects and expiry.
     pub fn crashes(
         &self,
         now: Instant,
@@ -99,40 +100,45 @@
     }
 
     /// Reports whether a request's content is cleared of a crash.
-    pub fn is_cleared(&self, print: id::Fingerprint, crash: id::Incarnation, now: Instant) -> bool {
-        let fact = self.cleared.get(&(print, crash));
+    pub fn is_cleared(
+        &self,
+        fingerprint: id::Fingerprint,
+        crash: id::Incarnation,
+        now: Instant,
+    ) -> bool {
+        let fact = self.cleared.get(&(fingerprint, crash));
         fact.is_some_and(|f| f.expiry > now)
     }
 
-    /// Returns what changed since a version, with the time that each fact stays valid.
+    /// Returns the changes since a version, with the remaining time to live of each fact.
     pub fn changes(&self, since: Version, now: Instant) -> Option<facts::Facts> {
         if self.version <= since {
             return None;
         }
-        let leaving = fresh(&self.leaving, since, now);
-        let crashes = fresh(&self.crashes, since, now);
-        let cleared = fresh(&self.cleared, since, now);
+        let leaving = changed_facts(&self.leaving, since, now);
+        let crashes = changed_facts(&self.crashes, since, now);
+        let cleared = changed_facts(&self.cleared, since, now);
         Some(facts::Facts {
             generation: self.generation.0,
-            leaving: leaving.map(|(life, _)| *life).collect(),
+            leaving: leaving.map(|(incarnation, _)| *incarnation).collect(),
             crashes: crashes
                 .map(|(id, fact)| facts::Crash {
                     id: *id,
                     suspects: fact.value.clone(),
-                    ttl: left(fact.expiry, now),
+                    ttl: remaining_ttl(fact.expiry, now),
                 })
                 .collect(),
             cleared: cleared
                 .map(|((fingerprint, crash), fact)| facts::Cleared {
                     fingerprint: *fingerprint,
                     crash: *crash,
-                    ttl: left(fact.expiry, now),
+                    ttl: remaining_ttl(fact.expiry, now),
                 })
                 .collect(),
         })
     }
 
-    /// Raises the generation; a lower one changes nothing.
+    /// Raises the generation; a lower one has no effect.
     pub fn set_generation(&mut self, generation: id::Generation) {
         if generation > self.generation.0 {
             self.version = Version(self.version.0 + 1);
@@ -140,15 +146,15 @@
         }
     }
 
-    /// Adds a life that accepts no new work.
-    pub fn set_leaving(&mut self, life: id::Incarnation, now: Instant) {
-        // A life never comes back, so that the fact cannot turn false and needs no time of its own.
-        if !self.is_leaving(life, now) {
+    /// Adds an incarnation that accepts no new work.
+    pub fn set_leaving(&mut self, incarnation: id::Incarnation, now: Instant) {
+        // A leaving incarnation never accepts work again, so that the fact carries no time to live.
+        if !self.is_leaving(incarnation, now) {
             insert(
                 &mut self.leaving,
-                life,
+                incarnation,
                 (),
-                now + LEAVING,
+                now + LEAVING_TTL,
                 &mut self.version,
             );
         }
@@ -156,9 +162,9 @@
 
     /// Adds a crash.
     pub fn add_crash(&mut self, crash: &facts::Crash, now: Instant) {
-        let expiry = expiry(crash.ttl, now);
-        let suspects = || crash.suspects.iter().take(SUSPECTS).copied().collect();
-        if is_news(&self.crashes, &crash.id, expiry) {
+        let expiry = expiry_time(crash.ttl, now);
+        let suspects = || crash.suspects.iter().take(SUSPECTS_MAX).copied().collect();
+        if should_replace(&self.crashes, &crash.id, expiry) {
             insert(
                 &mut self.crashes,
                 crash.id,
@@ -172,8 +178,8 @@
     /// Adds a clearance.
     pub fn add_cleared(&mut self, cleared: &facts::Cleared, now: Instant) {
         let key = (cleared.fingerprint, cleared.crash);
-        let expiry = expiry(cleared.ttl, now);
-        if is_news(&self.cleared, &key, expiry) {
+        let expiry = expiry_time(cleared.ttl, now);
+        if should_replace(&self.cleared, &key, expiry) {
             insert(&mut self.cleared, key, (), expiry, &mut self.version);
         }
     }
@@ -182,8 +188,8 @@
     pub fn merge(&mut self, facts: &facts::Facts, now: Instant) -> bool {
         let before = self.version;
         self.set_generation(facts.generation);
-        for life in &facts.leaving {
-            self.set_leaving(*life, now);
+        for incarnation in &facts.leaving {
+            self.set_leaving(*incarnation, now);
         }
         for crash in &facts.crashes {
             self.add_crash(crash, now);
@@ -194,7 +200,7 @@
         self.version != before
     }
 
-    /// Forgets what has expired.
+    /// Drops expired facts.
     pub fn expire(&mut self, now: Instant) {
         self.leaving.retain(|_, fact| fact.expiry > now);
         self.crashes.retain(|_, fact| fact.expiry > now);
@@ -202,17 +208,17 @@
     }
 }
 
-fn expiry(ttl: unit::Period, now: Instant) -> Instant {
+fn expiry_time(ttl: unit::Period, now: Instant) -> Instant {
     now + ttl.0.min(TTL_MAX)
 }
 
-fn left(expiry: Instant, now: Instant) -> unit::Period {
+fn remaining_ttl(expiry: Instant, now: Instant) -> unit::Period {
     unit::Period(expiry.saturating_duration_since(now))
 }
 
 /// Returns the valid facts that changed since a version.
-fn fresh<K, V>(
-    kind: &Kind<K, V>,
+fn changed_facts<K, V>(
+    kind: &FactMap<K, V>,
     since: Version,
     now: Instant,
 ) -> impl Iterator<Item = (&K, &Fact<V>)> {
@@ -220,23 +226,24 @@
         .filter(move |(_, fact)| fact.version > since && fact.expiry > now)
 }
 
-/// Reports whether a fact is unknown or expires clearly earlier than known.
+/// Reports whether a fact is unknown or expires earlier than the known one by more than the
+/// tolerance.
 ///
-/// With the later expiry, a fact that goes round among peers would live longer by the time of
-/// each message, and for ever in the end.
-fn is_news<K: Eq + hash::Hash, V>(kind: &Kind<K, V>, key: &K, expiry: Instant) -> bool {
+/// If the later expiry were kept, the latency of each message would prolong a fact that circulates
+/// among peers, and it would never expire.
+fn should_replace<K: Eq + hash::Hash, V>(kind: &FactMap<K, V>, key: &K, expiry: Instant) -> bool {
     kind.get(key)
-        .is_none_or(|fact| expiry + JITTER < fact.expiry)
+        .is_none_or(|fact| expiry + EXPIRY_TOLERANCE < fact.expiry)
 }
 
 fn insert<K: Copy + Eq + hash::Hash, V>(
-    kind: &mut Kind<K, V>,
+    kind: &mut FactMap<K, V>,
     key: K,
     value: V,
     expiry: Instant,
     version: &mut Version,
 ) {
-    if kind.len() >= CAPACITY && !kind.contains_key(&key) {
+    if kind.len() >= FACTS_MAX && !kind.contains_key(&key) {
         let first = kind.iter().min_by_key(|(_, fact)| fact.expiry);
         let first = first.map(|(key, _)| *key);
         first.and_then(|key| kind.remove(&key));
--- a/laburnumcart/src/lanes.rs
+++ b/laburnumcart/src/lanes.rs
@@ -1,4 +1,4 @@
-//! Sessions of the lanes that lead to an agent, and what they prove about an unknown attempt.
+//! Lanes and sessions at an agent, with the verdict on attempts that the agent does not know.
 //!
 //! A lane is the series of connections from one process. Each connection opens a session with the
 //! next number, and only the newest session may start work.
@@ -12,7 +12,7 @@
 //! let mut lanes = lanes::Lanes::new(time::Duration::from_secs(600));
 //! lanes.open(entry, 1, now).unwrap();
 //! lanes.open(entry, 2, now).unwrap();
-//! // A call that was still under way in the first connection can never start.
+//! // A call that was in flight on the first connection can never start.
 //! assert_eq!(lanes.check(entry, 1, now).unwrap_err().reason, verdict::Reason::Fenced);
 //! assert_eq!(lanes.unknown_verdict(entry, 1), verdict::Verdict::NotRun);
 //! ```
@@ -26,38 +26,40 @@
     verdict, //
 };
 
-/// Sessions remembered of a lane; a sender asks soon after it has lost a connection.
-const WHOLE_MAX: usize = 16;
+/// Sessions remembered of a lane. Senders query an attempt soon after losing its connection, so
+/// that a few suffice.
+const PROVABLE_MAX: usize = 16;
 
 /// Newest session of each lane.
 #[derive(Debug)]
 pub struct Lanes {
     lanes: collections::HashMap<id::Incarnation, Lane>,
-    idle: time::Duration,
+    idle_timeout: time::Duration,
 }
 
 #[derive(Debug)]
 struct Lane {
     /// Newest session; older ones are fenced.
-    number: u64,
-    /// Sessions that were opened here, and of which no attempt that may have run was forgotten
-    /// unacknowledged; in order, at most [`WHOLE_MAX`].
-    whole: Vec<u64>,
-    seen: time::Instant,
+    newest: u64,
+    /// Sessions whose unknown attempts are proven not to have run; in order, at most
+    /// [`PROVABLE_MAX`]. They were opened here, and none of their attempts that may have run
+    /// expired before it was settled.
+    provable: Vec<u64>,
+    last_used: time::Instant,
 }
 
 impl Lanes {
-    /// Creates a table that forgets a lane after it was unused for `idle`.
-    pub fn new(idle: time::Duration) -> Self {
+    /// Creates a table that drops a lane after it was unused for `idle_timeout`.
+    pub fn new(idle_timeout: time::Duration) -> Self {
         Self {
             lanes: collections::HashMap::new(),
-            idle,
+            idle_timeout,
         }
     }
 
     /// Opens session `number` of `lane` and fences the older ones.
     ///
-    /// A session is opened once: a repeated number would let calls of two connections through.
+    /// A number can be opened only once; otherwise the calls of two connections would be accepted.
     pub fn open(
         &mut self,
         lane: id::Incarnation,
@@ -65,27 +67,27 @@
         now: time::Instant,
     ) -> Result<(), verdict::Refusal> {
         let known = self.lanes.entry(lane).or_insert(Lane {
-            number: 0,
-            whole: Vec::new(),
-            seen: now,
+            newest: 0,
+            provable: Vec::new(),
+            last_used: now,
         });
-        if number <= known.number {
+        if number <= known.newest {
             return Err(fenced());
         }
-        known.number = number;
-        known.seen = now;
-        // Sessions that were not opened here say nothing. Their attempts may have run and been
-        // forgotten with the lane, or have run at another agent at the same address. A lower bound
-        // in place of the list would be wrong: after the lane was forgotten, an old `hello` that
-        // was still under way could set it too low.
-        known.whole.push(number);
-        if known.whole.len() > WHOLE_MAX {
-            known.whole.remove(0);
+        known.newest = number;
+        known.last_used = now;
+        // Nothing is proven for sessions that were not opened here. Their attempts may have run and
+        // been dropped with the lane, or have run at another agent at the same address. A lower
+        // bound in place of the list would be wrong: once the lane was dropped, an old `hello` that
+        // was still in flight could set it too low.
+        known.provable.push(number);
+        if known.provable.len() > PROVABLE_MAX {
+            known.provable.remove(0);
         }
         Ok(())
     }
 
-    /// Refuses a call unless it names the newest session of a known lane.
+    /// Refuses a call that does not belong to the newest session of a known lane.
     pub fn check(
         &mut self,
         lane: id::Incarnation,
@@ -93,34 +95,34 @@
         now: time::Instant,
     ) -> Result<(), verdict::Refusal> {
         match self.lanes.get_mut(&lane) {
-            Some(known) if known.number == number => {
-                known.seen = now;
+            Some(known) if known.newest == number => {
+                known.last_used = now;
                 Ok(())
             }
             _ => Err(fenced()),
         }
     }
 
-    /// Notes that an attempt of session `sent` which may have run was forgotten unacknowledged.
-    pub fn record_expired(&mut self, lane: id::Incarnation, sent: u64) {
+    /// Records that an attempt of `session` that may have run expired before it was settled.
+    pub fn record_expired(&mut self, lane: id::Incarnation, session: u64) {
         if let Some(known) = self.lanes.get_mut(&lane) {
-            known.whole.retain(|session| *session != sent);
+            known.provable.retain(|number| *number != session);
         }
     }
 
-    /// Forgets lanes that were not used for long.
+    /// Drops lanes that were unused for the idle timeout.
     ///
-    /// This is safe: a call of a forgotten lane is refused until `hello`, and whichever session that
-    /// opens, nothing that an earlier one has sent is denied from then on.
+    /// This is safe: calls of a dropped lane are refused until the next `hello`, and attempts of
+    /// sessions that were opened earlier are then never reported as not run.
     pub fn expire(&mut self, now: time::Instant) {
-        let idle = self.idle;
-        self.lanes.retain(|_, lane| now - lane.seen < idle);
+        let timeout = self.idle_timeout;
+        self.lanes.retain(|_, lane| now - lane.last_used < timeout);
     }
 
-    /// Returns what is proven about an attempt of the fenced session `sent` that is not in the table.
-    pub fn unknown_verdict(&self, lane: id::Incarnation, sent: u64) -> verdict::Verdict {
+    /// Returns the verdict on an attempt of `session` that is not in the table of attempts.
+    pub fn unknown_verdict(&self, lane: id::Incarnation, session: u64) -> verdict::Verdict {
         match self.lanes.get(&lane) {
-            Some(known) if sent < known.number && known.whole.contains(&sent) => {
+            Some(known) if session < known.newest && known.provable.contains(&session) => {
                 verdict::Verdict::NotRun
             }
             _ => verdict::Verdict::MayHaveRun,
@@ -132,7 +134,7 @@
         self.lanes.contains_key(&lane)
     }
 
-    /// Returns the number of lanes known.
+    /// Returns the number of known lanes.
     pub fn len(&self) -> usize {
         self.lanes.len()
     }
--- a/laburnumcart/src/signing/key.rs
+++ b/laburnumcart/src/signing/key.rs
@@ -1,4 +1,4 @@
-//! Keys, signatures and digests with their text forms.
+//! Keys, signatures and digests, with their text forms.
 
 use std::{
     fmt,
@@ -19,7 +19,7 @@
 
 use crate::id;
 
-/// Implements the serde traits by the text form.
+/// Implements the serde traits through the text form.
 macro_rules! text_serde {
     ($name:ident) => {
         impl Serialize for $name {
@@ -37,8 +37,11 @@
     };
 }
 
-/// Decodes a base64 text of exactly `N` bytes; an error does not repeat the text.
-fn decode<const N: usize>(kind: &'static str, text: &str) -> Result<[u8; N], id::ParseError> {
+/// Decodes a base64 text of exactly `N` bytes; the error does not quote the text.
+fn decode_base64<const N: usize>(
+    kind: &'static str,
+    text: &str,
+) -> Result<[u8; N], id::ParseError> {
     let bytes = BASE64_STANDARD.decode(text.trim()).ok();
     bytes
         .and_then(|bytes| bytes.try_into().ok())
@@ -50,7 +53,7 @@
 pub struct PublicKey(ed25519_dalek::VerifyingKey);
 
 impl PublicKey {
-    /// Returns whether the signature is by this key over the message.
+    /// Reports whether this key has signed the message.
     pub(super) fn verify(&self, message: &[u8], signature: &Signature) -> bool {
         self.0.verify_strict(message, &signature.0).is_ok()
     }
@@ -73,9 +76,9 @@
 
     fn from_str(text: &str) -> Result<Self, id::ParseError> {
         let error = || id::ParseError::new("public key", "…");
-        let bytes = decode("public key", text)?;
+        let bytes = decode_base64("public key", text)?;
         let key = ed25519_dalek::VerifyingKey::from_bytes(&bytes).map_err(|_| error())?;
-        // Anyone can sign for a key of small order.
+        // A signature that verifies under a key of small order can be made without the secret key.
         if key.is_weak() {
             return Err(error());
         }
@@ -85,10 +88,9 @@
 
 text_serde!(PublicKey);
 
-/// Public keys of one signer, written in base64; two, divided by a comma, while the signer changes
-/// from one to the other.
+/// Public keys of one signer, written in base64; two, separated by a comma, during a key rotation.
 #[derive(Clone, Debug, Display, Eq, PartialEq, schemars::JsonSchema)]
-#[display("{}", join(_0))]
+#[display("{}", join_keys(_0))]
 #[schemars(
     with = "String",
     extend(
@@ -112,7 +114,7 @@
     }
 }
 
-fn join(keys: &[PublicKey]) -> String {
+fn join_keys(keys: &[PublicKey]) -> String {
     let texts: Vec<_> = keys.iter().map(PublicKey::to_string).collect();
     texts.join(",")
 }
@@ -132,14 +134,14 @@
 pub struct SecretKey(ed25519_dalek::SigningKey);
 
 impl SecretKey {
-    /// Draws a key from the system's generator.
+    /// Generates a random key.
     pub fn generate() -> Result<Self, getrandom::Error> {
         let mut seed = [0; 32];
         getrandom::fill(&mut seed)?;
         Ok(Self(ed25519_dalek::SigningKey::from_bytes(&seed)))
     }
 
-    /// Returns the text form, which is a secret.
+    /// Returns the secret text form.
     pub fn expose(&self) -> String {
         BASE64_STANDARD.encode(self.0.to_bytes())
     }
@@ -165,7 +167,7 @@
     type Err = id::ParseError;
 
     fn from_str(text: &str) -> Result<Self, id::ParseError> {
-        let seed = decode("secret key", text)?;
+        let seed = decode_base64("secret key", text)?;
         Ok(Self(ed25519_dalek::SigningKey::from_bytes(&seed)))
     }
 }
@@ -184,7 +186,7 @@
     type Err = id::ParseError;
 
     fn from_str(text: &str) -> Result<Self, id::ParseError> {
-        let bytes = decode("signature", text)?;
+        let bytes = decode_base64("signature", text)?;
         Ok(Self(ed25519_dalek::Signature::from_bytes(&bytes)))
     }
 }
@@ -196,7 +198,7 @@
 pub struct Digest([u8; 32]);
 
 impl Digest {
-    /// Digests bytes.
+    /// Returns the digest of bytes.
     pub fn of(bytes: &[u8]) -> Self {
         Self(sha2::Sha256::digest(bytes).into())
     }
--- a/laburnumcart/tests/ingress.rs
+++ b/laburnumcart/tests/ingress.rs
@@ -1,4 +1,4 @@
-//! Routes by host and path, and the teams of keys.
+//! Routes by host and path, weights of backends, and teams by API key.
 
 use std::time;
 
@@ -9,10 +9,10 @@
 use rstest::rstest;
 
 const LIMITS: ingress::Limits = ingress::Limits {
-    head: 16384,
-    body: 1 << 20,
-    head_time: time::Duration::from_secs(3),
-    idle: time::Duration::from_secs(15),
+    max_head: 16384,
+    max_body: 1 << 20,
+    head_timeout: time::Duration::from_secs(3),
+    idle_timeout: time::Duration::from_secs(15),
 };
 
 fn route(name: &str, host: &str, prefix: &str) -> ingress::Route {
@@ -24,9 +24,9 @@
         stream: false,
         timeout: time::Duration::from_secs(1),
         objective: time::Duration::from_millis(300),
-        gap: None,
+        max_gap: None,
         rank: 0,
-        sends: 1,
+        max_sends: 1,
         backends: vec![backend("north", 1)],
         stages: Vec::new(),
         anonymous: false,
@@ -41,11 +41,11 @@
     }
 }
 
-fn stage(after: &[usize]) -> ingress::Stage {
+fn stage(inputs: &[usize]) -> ingress::Stage {
     ingress::Stage {
         service: "encode".parse().unwrap(),
-        after: after.to_vec(),
-        size: unit::Size(1000),
+        inputs: inputs.to_vec(),
+        result_size: unit::Size(1000),
     }
 }
 
@@ -71,39 +71,39 @@
 }
 
 #[test]
-fn a_split_follows_its_weights() {
+fn requests_are_split_by_weight() {
     let mut split = route("split", "a.example", "/");
     split.backends = vec![backend("north", 90), backend("south", 10)];
-    let south = (0..1000).filter(|n| split.backend(*n).unwrap().as_str() == "south");
+    let south = (0..1000).filter(|n| split.choose_backend(*n).unwrap().as_str() == "south");
     assert_eq!(south.count(), 100);
     split.backends.clear();
-    assert_eq!(split.backend(7), None);
+    assert_eq!(split.choose_backend(7), None);
 }
 
 #[test]
-fn results_of_last_stages_go_to_the_target() {
+fn last_stages_are_those_without_a_reader() {
     let mut staged = route("staged", "a.example", "/");
     staged.stages = vec![stage(&[]), stage(&[]), stage(&[1]), stage(&[2])];
     assert_eq!(staged.last_stages().collect::<Vec<_>>(), [0, 3]);
 }
 
 #[test]
-fn keys_belong_to_teams() {
+fn api_key_identifies_the_team() {
     let mut table = ingress::Table::new(1, LIMITS);
     let (mut open, closed) = (route("open", "a", "/"), route("closed", "a", "/"));
     open.anonymous = true;
-    assert_eq!(table.team(&closed, None), Ok(None));
+    assert_eq!(table.find_team(&closed, None), Ok(None));
     let team = ingress::Team {
         regions: None,
         name: "clinic".parse().unwrap(),
         rank: Some(1),
     };
     table.add_key("secret", team.clone());
-    assert_eq!(table.team(&closed, Some("secret")), Ok(Some(&team)));
+    assert_eq!(table.find_team(&closed, Some("secret")), Ok(Some(&team)));
     assert_eq!(
-        table.team(&closed, Some("other")),
+        table.find_team(&closed, Some("other")),
         Err(ingress::Unauthorized)
     );
-    assert_eq!(table.team(&closed, None), Err(ingress::Unauthorized));
-    assert_eq!(table.team(&open, None), Ok(None));
+    assert_eq!(table.find_team(&closed, None), Err(ingress::Unauthorized));
+    assert_eq!(table.find_team(&open, None), Ok(None));
 }
--- a/laburnumcart_gateway/src/admission.rs
+++ b/laburnumcart_gateway/src/admission.rs
@@ -150,7 +150,7 @@
     let host = headers.get(header::HOST).and_then(|h| h.to_str().ok());
     let route = host.and_then(|host| table.find_route(host, path));
     let route = route.ok_or_else(|| refuse_unknown(verdict::Reason::UnknownPipeline))?;
-    let team = table.team(route, call.api_key.as_deref());
+    let team = table.find_team(route, call.api_key.as_deref());
     let team = team.map_err(|_| refuse_unknown(verdict::Reason::Unauthorized))?;
     // The key may have been revoked while this process was suspended or could not read the store,
     // so it is accepted only with a configuration that was confirmed within the bound.
--- a/laburnumcart_gateway/src/forward.rs
+++ b/laburnumcart_gateway/src/forward.rs
@@ -81,7 +81,7 @@
         gateway: &Arc<gateway::Gateway>,
         request: &Arc<admission::Request>,
     ) -> Result<Self, verdict::Refusal> {
-        let service = request.route.backend(rand::random());
+        let service = request.route.choose_backend(rand::random());
         let missing = verdict::Refusal::not_run(verdict::Reason::NoTarget);
         let service = service.ok_or(missing)?.clone();
         gateway.budgets.record_request(&service);
@@ -103,7 +103,7 @@
 
     /// Reports whether the request may be sent again.
     pub fn can_retry(&self) -> bool {
-        let sends = self.request.route.sends.max(1);
+        let sends = self.request.route.max_sends.max(1);
         self.sent < sends && self.refused < REFUSALS_MAX && !self.exhausted
     }
 
@@ -115,7 +115,7 @@
 
     /// Reports whether another attempt is left if the next one fails.
     pub fn has_spare_attempt(&self) -> bool {
-        self.sent + 1 < self.request.route.sends && self.refused < REFUSALS_MAX
+        self.sent + 1 < self.request.route.max_sends && self.refused < REFUSALS_MAX
     }
 
     /// Returns the verdict on all attempts of the request.
--- a/laburnumcart_gateway/src/gateway.rs
+++ b/laburnumcart_gateway/src/gateway.rs
@@ -193,7 +193,7 @@
 
     /// Returns the data centre in which the inputs of a request should be produced.
     pub fn preferred_data_centre(&self, request: &admission::Request) -> Option<id::DataCentre> {
-        let service = request.route.backend(0)?;
+        let service = request.route.choose_backend(0)?;
         let prompt = request.call.prompt.as_ref()?;
         let mut engines = view::lock(&self.engines);
         let engines = self.service_engines(&mut engines, &request.table, service)?;
--- a/laburnumcart_gateway/src/http_server.rs
+++ b/laburnumcart_gateway/src/http_server.rs
@@ -93,7 +93,7 @@
     }
     let activity = Arc::new(Activity::new(Instant::now()));
     let table = gateway.view.table.load_full();
-    let head_max = table.map_or(HEAD_MAX, |t| t.limits.head);
+    let head_max = table.map_or(HEAD_MAX, |t| t.limits.max_head);
     let io = rt::TokioIo::new(ActivityStream::new(stream, activity.clone()));
     let (shared, requests) = (gateway.clone(), activity.clone());
     let service = service::service_fn(move |incoming| {
@@ -145,11 +145,11 @@
         return Overdue::No;
     };
     let now = Instant::now();
-    if activity.head_time(now) > table.limits.head_time {
+    if activity.head_time(now) > table.limits.head_timeout {
         // Otherwise a caller that sends its head byte by byte would occupy a connection forever.
         return Overdue::Head;
     }
-    match activity.idle_time(now) > table.limits.idle {
+    match activity.idle_time(now) > table.limits.idle_timeout {
         true => Overdue::Idle,
         false => Overdue::No,
     }
--- a/laburnumcart_gateway/src/pipeline.rs
+++ b/laburnumcart_gateway/src/pipeline.rs
@@ -188,7 +188,7 @@
     /// failed. The inputs of the stages before often still exist.
     fn remake_inputs(&mut self, i: usize, started: &mut [bool]) {
         started[i] = false;
-        for k in &self.request.route.stages[i].after {
+        for k in &self.request.route.stages[i].inputs {
             self.results[*k] = None;
             started[*k] = false;
         }
@@ -208,7 +208,7 @@
     /// by the request's target.
     fn is_needed(&self, i: usize, started: &[bool]) -> bool {
         let stages = &self.request.route.stages;
-        let mut readers = (0..stages.len()).filter(|k| stages[*k].after.contains(&i));
+        let mut readers = (0..stages.len()).filter(|k| stages[*k].inputs.contains(&i));
         let is_last = readers.clone().next().is_none();
         is_last || readers.any(|k| !started[k])
     }
@@ -221,13 +221,13 @@
     /// Reports whether a stage is the only reader of its inputs.
     fn consumes_inputs(&self, i: usize) -> bool {
         let stages = &self.request.route.stages;
-        let readers = |k: usize| stages.iter().filter(|s| s.after.contains(&k)).count();
-        self.piece_count(i) > 0 && stages[i].after.iter().all(|k| readers(*k) == 1)
+        let readers = |k: usize| stages.iter().filter(|s| s.inputs.contains(&k)).count();
+        self.piece_count(i) > 0 && stages[i].inputs.iter().all(|k| readers(*k) == 1)
     }
 
     /// Reports whether all inputs of a stage exist.
     fn is_ready(&self, i: usize) -> bool {
-        let after = &self.request.route.stages[i].after;
+        let after = &self.request.route.stages[i].inputs;
         after.iter().all(|k| self.results[*k].is_some())
     }
 
@@ -274,9 +274,9 @@
 
     fn build_job(&mut self, i: usize, stage: &ingress::Stage) -> dispatcher::Job {
         let request = self.request;
-        let input = match stage.after.is_empty() {
+        let input = match stage.inputs.is_empty() {
             true => dialect::Input::Key(request.call.input_key.clone().unwrap_or_default()),
-            false => dialect::Input::Results(self.result_handles(&stage.after)),
+            false => dialect::Input::Results(self.result_handles(&stage.inputs)),
         };
         // A request that will be late anyway must not delay those that can be on time.
         let due = match self.late {
@@ -290,7 +290,7 @@
             stage: i as u32,
             service: stage.service.clone(),
             pieces: self.piece_count(i),
-            size: stage.size,
+            size: stage.result_size,
             input,
             due: unit::Period(due),
             deadline: unit::Period(request.remaining().saturating_sub(self.time_after(i))),
@@ -320,7 +320,7 @@
         let service = &route.stages[i].service;
         let mut before = (0..i).filter(|k| self.piece_count(*k) > 0);
         let is_other = |k: usize| route.stages[k].service != *service;
-        before.all(is_other) && route.backend(0) != Some(service)
+        before.all(is_other) && route.choose_backend(0) != Some(service)
     }
 
     /// Returns the preferred data centre of a stage, and the bytes that are sent between data
@@ -331,12 +331,12 @@
         let stages = &self.request.route.stages;
         let mut bytes: collections::HashMap<id::DataCentre, u64> = collections::HashMap::new();
         if let Some(near) = &self.near {
-            bytes.insert(near.clone(), stages[i].size.0);
+            bytes.insert(near.clone(), stages[i].result_size.0);
         }
-        for k in &stages[i].after {
+        for k in &stages[i].inputs {
             let results = self.results[*k].iter().flat_map(|results| &results.handles);
             for data_centre in results.filter_map(|handle| self.data_centre(handle)) {
-                *bytes.entry(data_centre).or_default() += stages[*k].size.0;
+                *bytes.entry(data_centre).or_default() += stages[*k].result_size.0;
             }
         }
         let pieces = u64::from(self.piece_count(i));
@@ -366,7 +366,7 @@
             for handle in &results.handles {
                 let location = self
                     .data_centre(handle)
-                    .map(|data_centre| (data_centre, route.stages[i].size));
+                    .map(|data_centre| (data_centre, route.stages[i].result_size));
                 inputs.locations.extend(location);
             }
             inputs.handles.extend(results.handles.iter().cloned());
--- a/laburnumcart_gateway/src/pipeline/admit.rs
+++ b/laburnumcart_gateway/src/pipeline/admit.rs
@@ -68,7 +68,7 @@
             _ => self.stage_time(i),
         };
         forecast::Stage {
-            after: self.request.route.stages[i].after.clone(),
+            after: self.request.route.stages[i].inputs.clone(),
             duration: own,
             estimate: None,
         }
@@ -104,7 +104,7 @@
             id: rand::random(),
             service: stage.service.clone(),
             pieces: self.piece_count(i),
-            size: stage.size,
+            size: stage.result_size,
             due: unit::Period(request.slack().saturating_sub(rest)),
             deadline: unit::Period(request.remaining().saturating_sub(rest)),
             rank: request.batch_rank(),
--- a/laburnumcart_gateway/src/pipeline/estimates.rs
+++ b/laburnumcart_gateway/src/pipeline/estimates.rs
@@ -17,7 +17,7 @@
     /// Returns the estimated time from the end of stage `i` to the first token.
     pub(super) fn time_after(&self, i: usize) -> time::Duration {
         let stages = &self.request.route.stages;
-        let next = (0..stages.len()).filter(|k| stages[*k].after.contains(&i));
+        let next = (0..stages.len()).filter(|k| stages[*k].inputs.contains(&i));
         let after = next.map(|k| self.stage_time(k) + self.time_after(k)).max();
         after.unwrap_or_else(|| self.first_token_time())
     }
--- a/laburnumcart_gateway/src/request.rs
+++ b/laburnumcart_gateway/src/request.rs
@@ -145,7 +145,7 @@
         head.uri.path(),
         &call,
     )?;
-    let limit = admitted.table.limits.body.min(BODY_MAX);
+    let limit = admitted.table.limits.max_body.min(BODY_MAX);
     let body = read_body(body, limit).await?;
     let spent = gateway.spent_before(&admitted.route, call.timeout);
     let rank = admitted.team.as_ref().and_then(|t| t.rank);
--- a/laburnumcart_gateway/src/stream.rs
+++ b/laburnumcart_gateway/src/stream.rs
@@ -357,7 +357,7 @@
 fn gap_timeout(request: &admission::Request, forwarder: &Forwarder) -> time::Duration {
     let remaining = request.remaining();
     let is_resumable = request.route.retry == ingress::RetryPolicy::Resume && forwarder.can_retry();
-    match request.route.gap.filter(|_| is_resumable) {
+    match request.route.max_gap.filter(|_| is_resumable) {
         Some(gap) => remaining.min((gap * GAP_FACTOR).max(GAP_TIMEOUT_MIN)),
         None => remaining,
     }
