--- a/laburnumcart_entry/examples/claims_bench.rs
+++ b/laburnumcart_entry/examples/claims_bench.rs
@@ -158,7 +158,7 @@
         addr: net::SocketAddr,
         claim: entry::Claim,
     ) -> Result<entry::Decision, claims::Unreachable> {
-        Ok(self.reach(addr).await?.serve(claim).await)
+        Ok(self.reach(addr).await?.serve_claim(claim).await)
     }
 
     async fn release(
@@ -210,9 +210,9 @@
             let service = claims::Builder::new(claim::Holder { addr, incarnation })
                 .write_rate(rate)
                 .shards(shards)
-                .segments(SEGMENTS)
+                .snapshot_interval(SEGMENTS)
                 .start(store.clone(), sync::Arc::new(peers.clone()));
-            service.set_live(live.clone());
+            service.set_live_entries(live.clone());
             let mut entries = peers.0.lock().expect("lock is not poisoned");
             entries.insert(addr, service.clone());
             service
@@ -233,7 +233,7 @@
                     .is_ok()
             }
             Self::Log(entries) => {
-                let ask = claims::Ask {
+                let ask = claims::ClaimRequest {
                     key,
                     content: key,
                     request: id::RequestId(rand::random()),
--- a/laburnumcart_entry/src/answers.rs
+++ b/laburnumcart_entry/src/answers.rs
@@ -65,7 +65,7 @@
     }
 
     /// Keeps the final answer for `period`, as far as the space allows.
-    pub fn keep(&self, slot: Slot, answer: entry::Answer, period: time::Duration) {
+    pub fn store(&self, slot: Slot, answer: entry::Answer, period: time::Duration) {
         let mut inner = self.lock();
         let bytes = size(&answer);
         let until = time::Instant::now() + period;
--- a/laburnumcart_entry/src/claimed.rs
+++ b/laburnumcart_entry/src/at_most_once.rs
@@ -31,13 +31,13 @@
 #[async_trait]
 pub trait Claims: fmt::Debug + Send + Sync {
     /// Claims a key; see [`claims::Service::claim`].
-    async fn claim(&self, ask: claims::Ask, deadline: time::Instant) -> claims::Outcome;
+    async fn claim(&self, ask: claims::ClaimRequest, deadline: time::Instant) -> claims::Outcome;
 
     /// Gives a claim back; see [`claims::Service::release`].
     async fn release(&self, key: id::Fingerprint, request: id::RequestId) -> bool;
 
     /// Answers another entry's claim; see [`claims::Service::serve`].
-    async fn serve(&self, claim: entry::Claim) -> entry::Decision;
+    async fn serve_claim(&self, claim: entry::Claim) -> entry::Decision;
 
     /// Answers another entry's release; see [`claims::Service::serve_release`].
     async fn serve_release(&self, release: entry::Release) -> bool;
@@ -51,7 +51,7 @@
     ) -> Result<String, verdict::Refusal>;
 
     /// Sets the live entries; see [`claims::Service::set_live`].
-    fn set_live(&self, live: &[std::net::SocketAddr]);
+    fn set_live_entries(&self, live: &[std::net::SocketAddr]);
 
     /// Sets the number of shards; see [`claims::Service::set_shards`].
     fn set_shards(&self, shards: u16);
@@ -62,7 +62,7 @@
 
 /// A claims service with the peers that it asks.
 #[derive(Debug)]
-pub struct Local<S, P> {
+pub struct ClaimService<S, P> {
     /// The service.
     pub service: Arc<claims::Service<S, P>>,
     /// Other entries.
@@ -70,12 +70,12 @@
 }
 
 #[async_trait]
-impl<S, P> Claims for Local<S, P>
+impl<S, P> Claims for ClaimService<S, P>
 where
     S: store::Store + fmt::Debug,
     P: claims::Peers + fmt::Debug,
 {
-    async fn claim(&self, ask: claims::Ask, deadline: time::Instant) -> claims::Outcome {
+    async fn claim(&self, ask: claims::ClaimRequest, deadline: time::Instant) -> claims::Outcome {
         self.service.claim(ask, deadline).await
     }
 
@@ -83,8 +83,8 @@
         self.service.release(key, request).await
     }
 
-    async fn serve(&self, claim: entry::Claim) -> entry::Decision {
-        self.service.serve(claim).await
+    async fn serve_claim(&self, claim: entry::Claim) -> entry::Decision {
+        self.service.serve_claim(claim).await
     }
 
     async fn serve_release(&self, release: entry::Release) -> bool {
@@ -100,8 +100,8 @@
         resend::join(&*self.peers, holder, request, wait).await
     }
 
-    fn set_live(&self, live: &[std::net::SocketAddr]) {
-        self.service.set_live(live.to_vec());
+    fn set_live_entries(&self, live: &[std::net::SocketAddr]) {
+        self.service.set_live_entries(live.to_vec());
     }
 
     fn set_shards(&self, shards: u16) {
@@ -114,7 +114,7 @@
 }
 
 /// Claims a request, runs it if the claim is granted, and keeps its answer.
-pub async fn run(
+pub async fn execute(
     entry: &Arc<shared::Entry>,
     head: &request::Head,
     content: id::Fingerprint,
@@ -123,10 +123,10 @@
     let unavailable = verdict::Refusal::not_run(verdict::Reason::ClaimUnavailable);
     let claims = entry
         .claims()
-        .ok_or(unavailable.retry_after(claims::RETRY))?;
+        .ok_or(unavailable.retry_after(claims::RETRY_DELAY))?;
     let text = head.key.as_deref();
     let text = text.ok_or(verdict::Refusal::not_run(verdict::Reason::KeyMissing))?;
-    let ask = claims::Ask {
+    let ask = claims::ClaimRequest {
         key: claim::key(&head.team, text),
         content,
         request: head.id,
@@ -138,7 +138,7 @@
     match claimed.decision {
         entry::Decision::Granted => {
             let outcome = execute.await;
-            keep(entry, &*claims, ask, slot, &outcome).await;
+            store_answer(entry, &*claims, ask, slot, &outcome).await;
             outcome
         }
         entry::Decision::Taken {
@@ -150,23 +150,23 @@
                 .await
         }
         entry::Decision::Refused(refusal) => {
-            if claimed.doubtful {
+            if claimed.in_doubt {
                 // A resend that finds the claim before it is given back is refused as this one was.
                 // Without an answer here it would be told "may have run", which is final.
                 let answer = entry::Answer::Refused(refusal);
-                entry.answers.keep(slot, answer, ask.retention.0);
+                entry.answers.store(slot, answer, ask.retention.0);
             }
             Err(refusal)
         }
-        entry::Decision::Elsewhere { .. } => Err(unavailable.retry_after(claims::RETRY)),
+        entry::Decision::Elsewhere { .. } => Err(unavailable.retry_after(claims::RETRY_DELAY)),
     }
 }
 
 /// Keeps the final answer; gives the claim back when nothing has run.
-async fn keep(
+async fn store_answer(
     entry: &Arc<shared::Entry>,
     claims: &dyn Claims,
-    ask: claims::Ask,
+    ask: claims::ClaimRequest,
     slot: crate::answers::Slot,
     outcome: &driver::Outcome,
 ) {
@@ -174,7 +174,7 @@
         Ok(body) => entry::Answer::Whole { body: body.clone() },
         Err(refusal) => entry::Answer::Refused(*refusal),
     };
-    entry.answers.keep(slot, answer, ask.retention.0);
+    entry.answers.store(slot, answer, ask.retention.0);
     let unused = |r: &verdict::Refusal| r.verdict == verdict::Verdict::NotRun;
     if outcome.as_ref().is_err_and(unused) {
         // Else a caller that sends again, as it was told to, would be refused until the claim ends.
--- a/laburnumcart_entry/src/callers.rs
+++ b/laburnumcart_entry/src/callers.rs
@@ -1,9 +1,9 @@
 //! HTTP for callers.
 
-mod events;
+mod event_stream;
+mod full;
 pub mod problem;
 mod socket;
-mod whole;
 
 use std::{
     io,
@@ -85,7 +85,7 @@
     threads: usize,
 ) -> io::Result<xitca_server::ServerFuture> {
     let connections = socket::Connections::default();
-    let gate = socket::Gate {
+    let gate = socket::ListenerConfig {
         listener,
         connections: connections.clone(),
         runtime: entry.traffic.clone(),
@@ -122,7 +122,7 @@
     let entry = entry.clone();
     admin::Pages::new(metrics, move || {
         let view = entry.view.load();
-        let missing = match (&view.rules, view.settled) {
+        let missing = match (&view.rules, view.agents_known) {
             _ if entry.is_leaving() => verdict::Reason::Leaving,
             (None, _) => verdict::Reason::NoBundle,
             (Some(_), false) => verdict::Reason::NoTarget,
@@ -176,7 +176,7 @@
             let head = &request.head;
             let (ended, took) = (refusal.verdict.into(), head.arrived.elapsed());
             let metrics = &entry.metrics;
-            metrics.request(&head.team, &head.pipeline, ended, took);
+            metrics.record_request(&head.team, &head.pipeline, ended, took);
             refuse(ctx, refusal, Some(id), None)
         }
     }
@@ -201,7 +201,7 @@
     request: Option<id::RequestId>,
     work: Option<stop::Work>,
 ) -> WebResponse {
-    ctx.state().entry.metrics.refusal(&refusal);
+    ctx.state().entry.metrics.record_refusal(&refusal);
     let mut response = problem::response(refusal, request, work);
     if refusal.reason == verdict::Reason::Leaving {
         // The next request of this caller should come over a connection to another entry.
@@ -273,9 +273,9 @@
     let gone = ctx
         .state()
         .connections
-        .gone(*ctx.req().body().socket_addr());
+        .wait_closed(*ctx.req().body().socket_addr());
     if stream {
-        let events = events::Events::new(id, driven, gone);
+        let events = event_stream::EventStream::new(id, driven, gone);
         return typed(WebResponse::new(ResponseBody::boxed(events)), EVENTS);
     }
     let (outcome, work) = tokio::select! {
@@ -288,7 +288,7 @@
     };
     match outcome {
         Ok(body) => {
-            let body = ResponseBody::boxed(whole::Whole::new(body, work));
+            let body = ResponseBody::boxed(full::FullBody::new(body, work));
             typed(WebResponse::new(body), "application/json")
         }
         Err(refusal) => refuse(ctx, refusal, Some(id), work),
--- a/laburnumcart_entry/src/callers/events.rs
+++ b/laburnumcart_entry/src/callers/event_stream.rs
@@ -35,7 +35,7 @@
 /// Body of a streamed answer; ends with `event: end` or `event: error`.
 ///
 /// Its request is in flight until the last event was written, as with an answer in one piece.
-pub(super) struct Events {
+pub(super) struct EventStream {
     request: id::RequestId,
     driven: Option<driver::Driven>,
     /// Ends when the caller has gone.
@@ -44,7 +44,7 @@
     paused: bool,
 }
 
-impl Events {
+impl EventStream {
     /// Creates the stream of a request that runs.
     pub(super) fn new(
         request: id::RequestId,
@@ -78,7 +78,7 @@
             Ok(body) => frame("end", &body),
             Err(refusal) => {
                 let problem = problem::Problem::new(refusal, Some(self.request));
-                frame("error", &problem.text())
+                frame("error", &problem.to_json())
             }
         }
     }
@@ -93,7 +93,7 @@
     format!("event: {event}\ndata: {data}\n\n").into()
 }
 
-impl Body for Events {
+impl Body for EventStream {
     type Data = Bytes;
     type Error = convert::Infallible;
 
--- a/laburnumcart_entry/src/callers/whole.rs
+++ b/laburnumcart_entry/src/callers/full.rs
@@ -23,14 +23,14 @@
 /// that counted the request as finished by then could exit in between and cut the answer off. The
 /// pause before the end makes the server write first.
 #[derive(Debug)]
-pub(super) struct Whole {
+pub(super) struct FullBody {
     len: usize,
     bytes: Option<Bytes>,
     paused: bool,
     _work: Option<stop::Work>,
 }
 
-impl Whole {
+impl FullBody {
     /// Creates the body.
     pub(super) fn new(text: String, work: Option<stop::Work>) -> Self {
         Self {
@@ -42,7 +42,7 @@
     }
 }
 
-impl Body for Whole {
+impl Body for FullBody {
     type Data = Bytes;
     type Error = convert::Infallible;
 
--- a/laburnumcart_entry/src/callers/problem.rs
+++ b/laburnumcart_entry/src/callers/problem.rs
@@ -16,7 +16,7 @@
 };
 use laburnumcart_daemon::stop;
 
-use crate::callers::whole;
+use crate::callers::full;
 
 /// Media type of a problem.
 const MEDIA: &str = "application/problem+json";
@@ -52,7 +52,7 @@
     }
 
     /// Returns the JSON text.
-    pub fn text(&self) -> String {
+    pub fn to_json(&self) -> String {
         serde_json::to_string(self).unwrap_or_default()
     }
 }
@@ -96,7 +96,7 @@
     work: Option<stop::Work>,
 ) -> WebResponse {
     let problem = Problem::new(refusal, request);
-    let body = whole::Whole::new(problem.text(), work);
+    let body = full::FullBody::new(problem.to_json(), work);
     let mut response = WebResponse::new(ResponseBody::boxed(body));
     *response.status_mut() = status(refusal.reason);
     let media = header::HeaderValue::from_static(MEDIA);
--- a/laburnumcart_entry/src/callers/socket.rs
+++ b/laburnumcart_entry/src/callers/socket.rs
@@ -35,7 +35,10 @@
 
 impl Connections {
     /// Waits until the caller has closed its side; an address that is not known has done so.
-    pub(super) fn gone(&self, addr: net::SocketAddr) -> impl Future<Output = ()> + Send + 'static {
+    pub(super) fn wait_closed(
+        &self,
+        addr: net::SocketAddr,
+    ) -> impl Future<Output = ()> + Send + 'static {
         let open = self.lock().get(&addr).cloned();
         async move {
             if let Some(mut open) = open {
@@ -87,7 +90,7 @@
 
 /// A listener that is not yet bound to the server's runtime.
 #[derive(Debug)]
-pub(super) struct Gate {
+pub(super) struct ListenerConfig {
     /// Socket that listens.
     pub(super) listener: net::TcpListener,
     /// Table that new connections enter.
@@ -98,19 +101,19 @@
 
 /// A listener at work.
 #[derive(Debug)]
-pub(super) struct Accepting {
+pub(super) struct Listener {
     listener: TcpListener,
     connections: Connections,
     runtime: runtime::Handle,
     permits: sync::Arc<tokio::sync::Semaphore>,
 }
 
-impl IntoListener for Gate {
-    type Listener = Accepting;
+impl IntoListener for ListenerConfig {
+    type Listener = Listener;
 
-    fn into_listener(self) -> io::Result<Accepting> {
+    fn into_listener(self) -> io::Result<Listener> {
         self.listener.set_nonblocking(true)?;
-        Ok(Accepting {
+        Ok(Listener {
             listener: TcpListener::from_std(self.listener)?,
             connections: self.connections,
             runtime: self.runtime,
@@ -119,7 +122,7 @@
     }
 }
 
-impl Listen for Accepting {
+impl Listen for Listener {
     async fn accept(&self) -> io::Result<Stream> {
         let permit = self.permits.clone().acquire_owned().await;
         let permit = permit.map_err(io::Error::other)?;
--- a/laburnumcart_entry/src/claims.rs
+++ b/laburnumcart_entry/src/claims.rs
@@ -6,13 +6,13 @@
 
 mod actor;
 mod append;
+mod compaction;
 pub mod metrics;
 mod owned;
+mod release_guard;
 pub mod resend;
 mod settings;
-mod sweep;
 mod takeover;
-mod undecided;
 
 use std::{
     future,
@@ -55,10 +55,10 @@
 pub use settings::Builder;
 
 /// Time after which a refused claim is worth a new try, when nothing better is known.
-pub const RETRY: unit::Period = unit::Period::from_secs(1);
+pub const RETRY_DELAY: unit::Period = unit::Period::from_secs(1);
 
 /// Commands that wait at one shard; more are refused.
-const INBOX: usize = 4096;
+const COMMAND_QUEUE: usize = 4096;
 
 /// Appends of this process that may start at once after a quiet time.
 const APPEND_BURST: u32 = 4;
@@ -97,7 +97,7 @@
 
 /// What a request claims.
 #[derive(Clone, Copy, Debug)]
-pub struct Ask {
+pub struct ClaimRequest {
     /// Team and idempotency key together, from [`claim::key`].
     pub key: id::Fingerprint,
     /// Content of the request.
@@ -114,14 +114,14 @@
     /// The decision.
     pub decision: entry::Decision,
     /// Whether a refused claim may be in the log until it has been given back.
-    pub doubtful: bool,
+    pub in_doubt: bool,
 }
 
 /// Access to the task of one shard.
 #[derive(Debug)]
 struct Shard {
-    inbox: mpsc::Sender<actor::Command>,
-    suspicion: sync::Arc<sync::Mutex<ownership::Detector>>,
+    commands: mpsc::Sender<actor::Command>,
+    detector: sync::Arc<sync::Mutex<ownership::Detector>>,
 }
 
 /// Claims and releases, wherever their shards are owned.
@@ -131,38 +131,39 @@
     store: sync::Arc<S>,
     peers: sync::Arc<P>,
     runtime: runtime::Handle,
-    live: sync::RwLock<Vec<net::SocketAddr>>,
+    live_entries: sync::RwLock<Vec<net::SocketAddr>>,
     /// Number of shards to fix if no process has done so before.
-    wanted: atomic::AtomicU16,
+    initial_shards: atomic::AtomicU16,
     shards: OnceCell<Vec<Shard>>,
 }
 
 impl<S: store::Store, P: Peers> Service<S, P> {
     fn new(config: Builder, store: sync::Arc<S>, peers: sync::Arc<P>) -> sync::Arc<Self> {
         sync::Arc::new(Self {
-            wanted: config.shards.into(),
+            initial_shards: config.shards.into(),
             config,
             store,
             peers,
             runtime: runtime::Handle::current(),
-            live: sync::RwLock::default(),
+            live_entries: sync::RwLock::default(),
             shards: OnceCell::new(),
         })
     }
 
     /// Sets the peer addresses of the live entries, over which ownership spreads.
-    pub fn set_live(&self, live: Vec<net::SocketAddr>) {
-        *self.live.write().expect("lock is not poisoned") = live;
+    pub fn set_live_entries(&self, live: Vec<net::SocketAddr>) {
+        *self.live_entries.write().expect("lock is not poisoned") = live;
     }
 
     /// Sets the number of shards, which counts only until a process has fixed it for good.
     pub fn set_shards(&self, shards: u16) {
-        self.wanted.store(shards.max(1), atomic::Ordering::Relaxed);
+        self.initial_shards
+            .store(shards.max(1), atomic::Ordering::Relaxed);
     }
 
     /// Returns the address and life of this process.
     pub fn holder(&self) -> claim::Holder {
-        self.config.me
+        self.config.holder
     }
 
     /// Claims a key for a request that executes in this process, at its owner.
@@ -170,32 +171,39 @@
     /// Never answers `Elsewhere`. A key that was claimed with other content is refused as
     /// `KeyReused`. At the deadline an undecided claim is refused as not run: only this process
     /// could have executed the request, and it gives the claim back.
-    pub async fn claim(self: &sync::Arc<Self>, ask: Ask, deadline: clock::Instant) -> Outcome {
-        let mut undecided = undecided::Undecided::new(self.clone(), ask);
-        let deciding = self.decide(&ask, &mut undecided.unanswered);
+    pub async fn claim(
+        self: &sync::Arc<Self>,
+        ask: ClaimRequest,
+        deadline: clock::Instant,
+    ) -> Outcome {
+        let mut undecided = release_guard::ReleaseGuard::new(self.clone(), ask);
+        let deciding = self.claim_at_owner(&ask, &mut undecided.unanswered);
         let decided = clock::timeout_at(deadline, deciding).await;
         let Ok(decision) = decided else {
             return Outcome {
-                decision: refused(verdict::Reason::ClaimUnavailable, Some(RETRY)),
-                doubtful: true,
+                decision: refused(verdict::Reason::ClaimUnavailable, Some(RETRY_DELAY)),
+                in_doubt: true,
             };
         };
-        let doubtful = undecided.decide(&decision);
+        let doubtful = undecided.resolve(&decision);
         let decision = match decision {
             entry::Decision::Taken { content, .. } if content != ask.content => {
                 refused(verdict::Reason::KeyReused, None)
             }
             decision => decision,
         };
-        Outcome { decision, doubtful }
+        Outcome {
+            decision,
+            in_doubt: doubtful,
+        }
     }
 
     /// Answers a claim that another entry asks for.
     ///
     /// `Elsewhere` if this process does not own the shard.
-    pub async fn serve(&self, claim: entry::Claim) -> entry::Decision {
+    pub async fn serve_claim(&self, claim: entry::Claim) -> entry::Decision {
         let Ok(shard) = self.shard_of(claim.key).await else {
-            return refused(verdict::Reason::ClaimUnavailable, Some(RETRY));
+            return refused(verdict::Reason::ClaimUnavailable, Some(RETRY_DELAY));
         };
         let grant = record::Grant {
             key: claim.key,
@@ -209,9 +217,9 @@
         let mode = actor::Mode::Serve;
         let command = actor::Command::Claim { grant, mode, reply };
         if self.send(shard, command).is_err() {
-            return refused(verdict::Reason::Overloaded, Some(RETRY));
+            return refused(verdict::Reason::Overloaded, Some(RETRY_DELAY));
         }
-        let limit = self.config.serve_limit;
+        let limit = self.config.serve_timeout;
         if let Ok(Ok(decision)) = clock::timeout(limit, &mut answer).await {
             return decision;
         }
@@ -219,7 +227,7 @@
         answer.close();
         answer
             .try_recv()
-            .unwrap_or_else(|_| refused(verdict::Reason::ClaimUnavailable, Some(RETRY)))
+            .unwrap_or_else(|_| refused(verdict::Reason::ClaimUnavailable, Some(RETRY_DELAY)))
     }
 
     /// Gives back a claim whose request provably never started; returns whether it is recorded.
@@ -234,12 +242,12 @@
             key,
             request,
         };
-        let owner = match self.release_here(&release).await {
+        let owner = match self.release_locally(&release).await {
             actor::Released::Here(recorded) => return recorded,
             actor::Released::Elsewhere(owner) => owner,
         };
-        let addr = owner.map_or_else(|| self.preferred(shard), |owner| owner.addr);
-        if addr == self.config.me.addr {
+        let addr = owner.map_or_else(|| self.preferred_owner(shard), |owner| owner.addr);
+        if addr == self.config.holder.addr {
             return false;
         }
         let answer = self.peers.release(addr, release).await;
@@ -249,7 +257,7 @@
     /// Answers a release that another entry asks for.
     pub async fn serve_release(&self, release: entry::Release) -> bool {
         matches!(
-            self.release_here(&release).await,
+            self.release_locally(&release).await,
             actor::Released::Here(true)
         )
     }
@@ -262,7 +270,7 @@
         let mut answers = Vec::new();
         for shard in shards {
             let (reply, answer) = oneshot::channel();
-            let sent = shard.inbox.send(actor::Command::Drain { reply }).await;
+            let sent = shard.commands.send(actor::Command::Drain { reply }).await;
             if sent.is_ok() {
                 answers.push(answer);
             }
@@ -273,7 +281,7 @@
         }
     }
 
-    async fn release_here(&self, release: &entry::Release) -> actor::Released {
+    async fn release_locally(&self, release: &entry::Release) -> actor::Released {
         let Ok(shard) = self.shard_of(release.key).await else {
             return actor::Released::Here(false);
         };
@@ -290,18 +298,18 @@
     }
 
     /// Asks until there is a decision; sets `unanswered` if a peer did not answer on the way.
-    async fn decide(&self, ask: &Ask, unanswered: &mut bool) -> entry::Decision {
+    async fn claim_at_owner(&self, ask: &ClaimRequest, unanswered: &mut bool) -> entry::Decision {
         let shard = match self.shard_of(ask.key).await {
             Ok(shard) => shard,
-            Err(_) => return refused(verdict::Reason::ClaimUnavailable, Some(RETRY)),
+            Err(_) => return refused(verdict::Reason::ClaimUnavailable, Some(RETRY_DELAY)),
         };
         let mut mode = actor::Mode::Cached;
         loop {
-            let owner = match self.ask_here(shard, ask, mode).await {
+            let owner = match self.claim_locally(shard, ask, mode).await {
                 entry::Decision::Elsewhere { owner } => owner,
                 decision => return decision,
             };
-            mode = match self.ask_there(shard, ask, owner, unanswered).await {
+            mode = match self.claim_remotely(shard, ask, owner, unanswered).await {
                 Ok(decision) => return decision,
                 Err(mode) => mode,
             };
@@ -309,50 +317,55 @@
     }
 
     /// Asks the task of the shard in this process.
-    async fn ask_here(&self, shard: u16, ask: &Ask, mode: actor::Mode) -> entry::Decision {
+    async fn claim_locally(
+        &self,
+        shard: u16,
+        ask: &ClaimRequest,
+        mode: actor::Mode,
+    ) -> entry::Decision {
         let grant = record::Grant {
             key: ask.key,
             content: ask.content,
             request: ask.request,
-            holder: self.config.me,
+            holder: self.config.holder,
             keep: ask.retention,
             age: unit::Period::default(),
         };
         let (reply, answer) = oneshot::channel();
         let command = actor::Command::Claim { grant, mode, reply };
         if self.send(shard, command).is_err() {
-            return refused(verdict::Reason::Overloaded, Some(RETRY));
+            return refused(verdict::Reason::Overloaded, Some(RETRY_DELAY));
         }
-        let lost = |_| refused(verdict::Reason::ClaimUnavailable, Some(RETRY));
+        let lost = |_| refused(verdict::Reason::ClaimUnavailable, Some(RETRY_DELAY));
         answer.await.unwrap_or_else(lost)
     }
 
     /// Asks the owner, or who should become it; otherwise returns how to ask here next.
-    async fn ask_there(
+    async fn claim_remotely(
         &self,
         shard: u16,
-        ask: &Ask,
+        ask: &ClaimRequest,
         owner: Option<claim::Holder>,
         unanswered: &mut bool,
     ) -> Result<entry::Decision, actor::Mode> {
-        let me = self.config.me.addr;
-        let addr = owner.map_or_else(|| self.preferred(shard), |owner| owner.addr);
+        let me = self.config.holder.addr;
+        let addr = owner.map_or_else(|| self.preferred_owner(shard), |owner| owner.addr);
         if addr == me {
             // Nobody owns it, or an earlier life at this address did.
-            return Err(actor::Mode::Take(owner));
+            return Err(actor::Mode::TakeOver(owner));
         }
         let claim = entry::Claim {
             shard,
             key: ask.key,
             content: ask.content,
             request: ask.request,
-            holder: self.config.me,
+            holder: self.config.holder,
             retention: ask.retention,
         };
         match self.peers.claim(addr, claim).await {
             // Who should own it does not want it: it stops, or knows of others than this process.
             Ok(entry::Decision::Elsewhere { owner: None }) if owner.is_none() => {
-                Err(actor::Mode::Take(None))
+                Err(actor::Mode::TakeOver(None))
             }
             Ok(entry::Decision::Elsewhere { .. }) => {
                 self.suspicion(shard, ownership::Detector::record_success);
@@ -365,13 +378,13 @@
             }
             Err(Unreachable) => {
                 *unanswered = true;
-                self.replace(shard, owner).await
+                self.handle_unreachable(shard, owner).await
             }
         }
     }
 
     /// Follows the advice about an owner that did not answer.
-    async fn replace(
+    async fn handle_unreachable(
         &self,
         shard: u16,
         owner: Option<claim::Holder>,
@@ -382,7 +395,7 @@
                 clock::sleep(wait).await;
                 Err(actor::Mode::Refresh)
             }
-            ownership::Action::TakeOver => Err(actor::Mode::Take(owner)),
+            ownership::Action::TakeOver => Err(actor::Mode::TakeOver(owner)),
             ownership::Action::Settle(wait) => {
                 let retry = unit::Period(wait);
                 Ok(refused(verdict::Reason::ClaimUnavailable, Some(retry)))
@@ -393,29 +406,29 @@
     fn suspicion<T>(&self, shard: u16, act: impl FnOnce(&mut ownership::Detector) -> T) -> T {
         let shards = self.shards.get().expect("shards are known");
         let shard = &shards[usize::from(shard)];
-        act(&mut shard.suspicion.lock().expect("lock is not poisoned"))
+        act(&mut shard.detector.lock().expect("lock is not poisoned"))
     }
 
-    fn preferred(&self, shard: u16) -> net::SocketAddr {
-        let live = self.live.read().expect("lock is not poisoned");
-        ownership::preferred_owner(shard, &live).unwrap_or(self.config.me.addr)
+    fn preferred_owner(&self, shard: u16) -> net::SocketAddr {
+        let live = self.live_entries.read().expect("lock is not poisoned");
+        ownership::preferred_owner(shard, &live).unwrap_or(self.config.holder.addr)
     }
 
     fn send(&self, shard: u16, command: actor::Command) -> Result<(), ()> {
         let shards = self.shards.get().ok_or(())?;
         let shard = shards.get(usize::from(shard)).ok_or(())?;
-        shard.inbox.try_send(command).map_err(|_| ())
+        shard.commands.try_send(command).map_err(|_| ())
     }
 
     async fn shard_of(&self, key: id::Fingerprint) -> Result<u16, store::Failure> {
-        let shards = self.shards.get_or_try_init(|| self.open()).await?;
+        let shards = self.shards.get_or_try_init(|| self.start_shards()).await?;
         Ok(claim::shard(key, shards.len() as u16))
     }
 
     /// Learns the number of shards and starts a task for each.
-    async fn open(&self) -> Result<Vec<Shard>, store::Failure> {
-        let wanted = self.wanted.load(atomic::Ordering::Relaxed);
-        let count = takeover::shards(&*self.store, wanted).await?;
+    async fn start_shards(&self) -> Result<Vec<Shard>, store::Failure> {
+        let wanted = self.initial_shards.load(atomic::Ordering::Relaxed);
+        let count = takeover::fix_shard_count(&*self.store, wanted).await?;
         if count != wanted {
             laburnumcart_daemon::event!(
                 Warn,
@@ -430,28 +443,36 @@
         let pace =
             |burst| sync::Arc::new(sync::Mutex::new(limiter::Limiter::new(half, count, burst)));
         let (appends, deletions) = (pace(APPEND_BURST), pace(1));
-        let spawn = |shard| self.spawn(shard, appends.clone(), deletions.clone());
-        Ok((0..count).map(spawn).collect())
+        let spawn_shard = |shard| self.spawn(shard, appends.clone(), deletions.clone());
+        Ok((0..count).map(spawn_shard).collect())
     }
 
-    fn spawn(&self, shard: u16, appends: actor::Pace, deletions: actor::Pace) -> Shard {
-        let (inbox, commands) = mpsc::channel(INBOX);
-        let suspicion = ownership::Detector::new(self.config.patience);
+    fn spawn(
+        &self,
+        shard: u16,
+        appends: actor::SharedLimiter,
+        deletions: actor::SharedLimiter,
+    ) -> Shard {
+        let (inbox, commands) = mpsc::channel(COMMAND_QUEUE);
+        let suspicion = ownership::Detector::new(self.config.takeover_limits);
         let suspicion = sync::Arc::new(sync::Mutex::new(suspicion));
         let context = actor::Context {
             shard,
-            me: self.config.me,
+            holder: self.config.holder,
             store: self.store.clone(),
             runtime: self.runtime.clone(),
             limits: self.config.limits,
             appends,
             deletions,
-            call_limit: self.config.call_limit,
-            suspicion: suspicion.clone(),
+            store_timeout: self.config.store_timeout,
+            detector: suspicion.clone(),
             metrics: self.config.metrics.clone(),
         };
         self.runtime.spawn(actor::run(context, commands));
-        Shard { inbox, suspicion }
+        Shard {
+            commands: inbox,
+            detector: suspicion,
+        }
     }
 }
 
--- a/laburnumcart_entry/src/claims/actor.rs
+++ b/laburnumcart_entry/src/claims/actor.rs
@@ -31,9 +31,9 @@
 use crate::claims::{
     self,
     append,
+    compaction,
     metrics,
     owned,
-    sweep,
     takeover, //
 };
 
@@ -41,7 +41,7 @@
 const HEAD_AGE_MAX: time::Duration = time::Duration::from_secs(5);
 
 /// How long to refuse at once after the object service could not be used.
-pub(super) const DOWN: time::Duration = time::Duration::from_millis(250);
+pub(super) const UNAVAILABLE_TIME: time::Duration = time::Duration::from_millis(250);
 
 /// How a claim is to be treated when this process does not own the shard.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -53,7 +53,7 @@
     /// Take the shard if nobody owns it; a peer asks.
     Serve,
     /// Take the shard if nobody owns it, or this owner does.
-    Take(Option<claim::Holder>),
+    TakeOver(Option<claim::Holder>),
 }
 
 /// Outcome of a release.
@@ -94,25 +94,25 @@
 }
 
 /// A rate limit that the shards of a process share.
-pub(super) type Pace = sync::Arc<sync::Mutex<claim::limiter::Limiter>>;
+pub(super) type SharedLimiter = sync::Arc<sync::Mutex<claim::limiter::Limiter>>;
 
 /// What the task works with.
 pub(super) struct Context<S> {
     pub(super) shard: u16,
-    pub(super) me: claim::Holder,
+    pub(super) holder: claim::Holder,
     pub(super) store: sync::Arc<S>,
     pub(super) runtime: runtime::Handle,
     pub(super) limits: claim::log::Limits,
-    pub(super) appends: Pace,
-    pub(super) deletions: Pace,
-    pub(super) call_limit: time::Duration,
-    pub(super) suspicion: sync::Arc<sync::Mutex<ownership::Detector>>,
+    pub(super) appends: SharedLimiter,
+    pub(super) deletions: SharedLimiter,
+    pub(super) store_timeout: time::Duration,
+    pub(super) detector: sync::Arc<sync::Mutex<ownership::Detector>>,
     pub(super) metrics: metrics::Metrics,
 }
 
 impl<S> Context<S> {
     /// Changes both rate limits of this process.
-    fn count(&self, change: impl Fn(&mut claim::limiter::Limiter)) {
+    fn update_limiters(&self, change: impl Fn(&mut claim::limiter::Limiter)) {
         for pace in [&self.appends, &self.deletions] {
             change(&mut pace.lock().expect("lock is not poisoned"));
         }
@@ -147,10 +147,10 @@
         let Some(taken) = follower.handle(&context, command).await else {
             continue;
         };
-        context.count(claim::limiter::Limiter::add_shard);
+        context.update_limiters(claim::limiter::Limiter::add_shard);
         let ended = owned::run(&context, &mut inbox, taken).await;
-        context.count(claim::limiter::Limiter::remove_shard);
-        follower.lose(&context);
+        context.update_limiters(claim::limiter::Limiter::remove_shard);
+        follower.record_loss(&context);
         match ended {
             owned::Ended::Sealed => {}
             owned::Ended::Drained => follower.stopped = true,
@@ -200,26 +200,26 @@
             context.refuse(reply, verdict::Reason::ClaimUnavailable, retry);
             return None;
         }
-        if self.stopped && matches!(mode, Mode::Take(_)) {
-            context.refuse(reply, verdict::Reason::Leaving, claims::RETRY);
+        if self.stopped && matches!(mode, Mode::TakeOver(_)) {
+            context.refuse(reply, verdict::Reason::Leaving, claims::RETRY_DELAY);
             return None;
         }
         if mode != Mode::Cached {
             self.read = None;
         }
         match self.decide(context, mode).await {
-            Ok(Next::Taken(taken)) => Some(owned::Start {
-                taken,
+            Ok(Ownership::Taken(taken)) => Some(owned::Start {
+                log: taken,
                 grant,
                 reply,
             }),
-            Ok(Next::Elsewhere(owner)) => {
+            Ok(Ownership::Elsewhere(owner)) => {
                 reply.send(entry::Decision::Elsewhere { owner }).ok();
                 None
             }
             Err(failure) => {
-                let retry = append::retry(&failure).unwrap_or(claims::RETRY);
-                self.down = Some((clock::Instant::now() + DOWN.min(retry.0), retry));
+                let retry = append::retry_after(&failure).unwrap_or(claims::RETRY_DELAY);
+                self.down = Some((clock::Instant::now() + UNAVAILABLE_TIME.min(retry.0), retry));
                 context.refuse(reply, verdict::Reason::ClaimUnavailable, retry);
                 None
             }
@@ -230,16 +230,16 @@
         &mut self,
         context: &Context<S>,
         mode: Mode,
-    ) -> Result<Next, store::Failure> {
+    ) -> Result<Ownership, store::Failure> {
         let owner = self.owner(context).await?;
-        let here = owner.is_none_or(|owner| owner.addr == context.me.addr);
+        let here = owner.is_none_or(|owner| owner.addr == context.holder.addr);
         let take = match mode {
             Mode::Cached | Mode::Refresh => false,
             Mode::Serve => here,
-            Mode::Take(suspect) => here || owner == suspect,
+            Mode::TakeOver(suspect) => here || owner == suspect,
         };
         if self.stopped || !take {
-            return Ok(Next::Elsewhere(owner));
+            return Ok(Ownership::Elsewhere(owner));
         }
         self.take(context, owner).await
     }
@@ -248,16 +248,16 @@
         &mut self,
         context: &Context<S>,
         suspect: Option<claim::Holder>,
-    ) -> Result<Next, store::Failure> {
+    ) -> Result<Ownership, store::Failure> {
         let plan = takeover::Plan {
             shard: context.shard,
-            me: context.me,
+            holder: context.holder,
             suspect,
             limits: context.limits,
-            call_limit: context.call_limit,
+            store_timeout: context.store_timeout,
         };
         self.read = None;
-        match takeover::take(&*context.store, plan).await? {
+        match takeover::take_over(&*context.store, plan).await? {
             takeover::Outcome::Owner(taken) => {
                 context.metrics.takeovers.inc();
                 event!(
@@ -267,20 +267,20 @@
                     epoch = taken.log.epoch(),
                     claims = taken.log.table().len()
                 );
-                self.saw(context, Some(taken.base.head));
-                let sweep = sweep::run(
+                self.record_head(context, Some(taken.base.head));
+                let sweep = compaction::delete_superseded(
                     context.store.clone(),
-                    taken.old,
+                    taken.superseded,
                     Some(taken.base),
                     context.deletions.clone(),
-                    context.call_limit,
+                    context.store_timeout,
                 );
                 context.runtime.spawn(sweep);
-                Ok(Next::Taken(Box::new(taken.log)))
+                Ok(Ownership::Taken(Box::new(taken.log)))
             }
             takeover::Outcome::Foreign(head) => {
-                self.saw(context, head);
-                Ok(Next::Elsewhere(head.and_then(|head| head.owner)))
+                self.record_head(context, head);
+                Ok(Ownership::Elsewhere(head.and_then(|head| head.owner)))
             }
         }
     }
@@ -293,26 +293,27 @@
         let now = clock::Instant::now();
         let fresh = self.read.is_some_and(|read| now < read + HEAD_AGE_MAX);
         if !fresh {
-            let found = takeover::head(&*context.store, context.shard, context.call_limit).await?;
-            self.saw(context, found.map(|(head, _)| head));
+            let found =
+                takeover::read_head(&*context.store, context.shard, context.store_timeout).await?;
+            self.record_head(context, found.map(|(head, _)| head));
             self.read = Some(clock::Instant::now());
         }
         Ok(self.head.and_then(|head| head.owner))
     }
 
     /// Remembers a head, and when the shard changed hands.
-    fn saw<S>(&mut self, context: &Context<S>, head: Option<record::Head>) {
+    fn record_head<S>(&mut self, context: &Context<S>, head: Option<record::Head>) {
         let known = self.head.map(|head| head.epoch);
         let epoch = head.map(|head| head.epoch);
         if known.is_some() && epoch > known {
-            let mut suspicion = context.suspicion.lock().expect("lock is not poisoned");
+            let mut suspicion = context.detector.lock().expect("lock is not poisoned");
             suspicion.record_owner_change(clock::Instant::now());
         }
         self.head = head.or(self.head);
     }
 
     /// Forgets whose the shard is, as it is no longer this process's.
-    fn lose<S>(&mut self, context: &Context<S>) {
+    fn record_loss<S>(&mut self, context: &Context<S>) {
         self.read = None;
         context.metrics.lost.inc();
         event!(Info, "claim-shard-lost", shard = context.shard);
@@ -320,7 +321,7 @@
 }
 
 /// What follows a claim in a shard that was not owned here.
-enum Next {
+enum Ownership {
     /// The shard was taken over.
     Taken(Box<claim::log::Log>),
     /// It is owned elsewhere.
--- a/laburnumcart_entry/src/claims/append.rs
+++ b/laburnumcart_entry/src/claims/append.rs
@@ -18,7 +18,7 @@
 
 /// Outcome of an append.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(super) enum Appended {
+pub(super) enum Outcome {
     /// In the log.
     Durable(store::Version),
     /// The slot holds a seal; the records are not in the log and never will be.
@@ -28,7 +28,7 @@
 }
 
 /// Bounds one call; a call without an answer in time may have taken effect.
-pub(super) async fn bounded<T>(
+pub(super) async fn with_timeout<T>(
     limit: time::Duration,
     call: impl Future<Output = Result<T, store::Failure>>,
 ) -> Result<T, store::Failure> {
@@ -42,18 +42,18 @@
 /// would be refused as "not run" and yet be found by a resend, or another batch in its slot would
 /// be mistaken for it. So the same value is written to the same slot until one of the two writes,
 /// or a seal, is seen there. `doubt` is set meanwhile.
-pub(super) async fn append(
+pub(super) async fn append_segment(
     store: &impl store::Store,
     key: &str,
     segment: &record::Segment,
     limit: time::Duration,
     doubt: &watch::Sender<bool>,
-) -> Appended {
+) -> Outcome {
     let value = serde_json::to_string(segment).expect("segments serialize");
     loop {
         let call = store.put(key, store::Expect::Absent, &value);
-        match bounded(limit, call).await {
-            Ok(version) => return Appended::Durable(version),
+        match with_timeout(limit, call).await {
+            Ok(version) => return Outcome::Durable(version),
             Err(store::Failure::Conflict) => {
                 if let Some(outcome) = read_back(store, key, &value, limit).await {
                     return outcome;
@@ -61,7 +61,7 @@
             }
             Err(store::Failure::Unanswered) => {}
             Err(failure) if !*doubt.borrow() => {
-                return Appended::Refused(retry(&failure));
+                return Outcome::Refused(retry_after(&failure));
             }
             Err(_) => {}
         }
@@ -73,7 +73,7 @@
 }
 
 /// Returns when the service asked to be called again.
-pub(super) fn retry(failure: &store::Failure) -> Option<unit::Period> {
+pub(super) fn retry_after(failure: &store::Failure) -> Option<unit::Period> {
     match failure {
         store::Failure::Unavailable { retry } => *retry,
         _ => None,
@@ -86,14 +86,14 @@
     key: &str,
     value: &str,
     limit: time::Duration,
-) -> Option<Appended> {
-    let object = bounded(limit, store.get(key)).await.ok()??;
+) -> Option<Outcome> {
+    let object = with_timeout(limit, store.get(key)).await.ok()??;
     let found: record::Segment = serde_json::from_str(&object.value).ok()?;
     // Written periods are rounded. Compared before that, the own append would pass for a seal, the
     // shard would be given up, and its waiting claims would be taken for not being in the log.
     let found = serde_json::to_string(&found).ok()?;
     match found == value {
-        true => Some(Appended::Durable(object.version)),
-        false => Some(Appended::Sealed),
+        true => Some(Outcome::Durable(object.version)),
+        false => Some(Outcome::Sealed),
     }
 }
--- a/laburnumcart_entry/src/claims/sweep.rs
+++ b/laburnumcart_entry/src/claims/compaction.rs
@@ -17,7 +17,7 @@
 
 /// An object to delete.
 #[derive(Clone, Debug)]
-pub(super) struct Old {
+pub(super) struct Superseded {
     /// Its key.
     pub(super) key: String,
     /// Its version.
@@ -26,7 +26,7 @@
 
 /// Head to move once the old epochs are empty but for their seals.
 #[derive(Clone, Debug)]
-pub(super) struct Base {
+pub(super) struct BaseUpdate {
     /// Shard of the head.
     pub(super) shard: u16,
     /// Head as this owner wrote it.
@@ -40,11 +40,11 @@
 /// A deletion is a write as an append is, so it has a rate limit too.
 ///
 /// Stops at the first failure: what is left lies within the base and is found by the next owner.
-pub(super) async fn run<S: store::Store>(
+pub(super) async fn delete_superseded<S: store::Store>(
     store: sync::Arc<S>,
-    old: Vec<Old>,
-    base: Option<Base>,
-    pace: actor::Pace,
+    old: Vec<Superseded>,
+    base: Option<BaseUpdate>,
+    pace: actor::SharedLimiter,
     limit: time::Duration,
 ) {
     for object in old {
@@ -52,7 +52,7 @@
         let slot = pace.lock().expect("lock is not poisoned").reserve_slot(now);
         clock::sleep_until(slot).await;
         let call = store.delete(&object.key, object.version);
-        if append::bounded(limit, call).await.is_err() {
+        if append::with_timeout(limit, call).await.is_err() {
             return;
         }
     }
@@ -65,5 +65,5 @@
     let value = serde_json::to_string(&head).expect("heads serialize");
     let call = store.put(&key, store::Expect::Version(base.version), &value);
     // Without it the next owner reads more epochs than it needs.
-    append::bounded(limit, call).await.ok();
+    append::with_timeout(limit, call).await.ok();
 }
--- a/laburnumcart_entry/src/claims/owned.rs
+++ b/laburnumcart_entry/src/claims/owned.rs
@@ -32,17 +32,17 @@
     self,
     actor,
     append,
-    sweep,
+    compaction,
     takeover, //
 };
 
 type Reply = oneshot::Sender<entry::Decision>;
 type Asked = (record::Grant, Reply);
-type Call = pin::Pin<Box<dyn Future<Output = append::Appended> + Send>>;
+type Call = pin::Pin<Box<dyn Future<Output = append::Outcome> + Send>>;
 
 /// A shard just taken over, and the claim that it was taken for.
 pub(super) struct Start {
-    pub(super) taken: Box<log::Log>,
+    pub(super) log: Box<log::Log>,
     pub(super) grant: record::Grant,
     pub(super) reply: Reply,
 }
@@ -70,7 +70,7 @@
     unconfirmed: collections::BTreeMap<log::Batch, Vec<(entry::Decision, Reply)>>,
     releases: collections::BTreeMap<log::Batch, Vec<oneshot::Sender<actor::Released>>>,
     flight: Vec<record::Record>,
-    segments: Vec<sweep::Old>,
+    segments: Vec<compaction::Superseded>,
     /// Whether an append has had no answer and is being settled.
     doubt: sync::Arc<watch::Sender<bool>>,
     down: Option<(clock::Instant, unit::Period)>,
@@ -86,7 +86,7 @@
 ) -> Ended {
     let mut owner = Owner {
         context,
-        log: start.taken,
+        log: start.log,
         waiting: collections::HashMap::new(),
         parked: Vec::new(),
         unconfirmed: collections::BTreeMap::new(),
@@ -177,11 +177,11 @@
             self.flight = records.clone();
         }
         let store = self.context.store.clone();
-        let limit = self.context.call_limit;
+        let limit = self.context.store_timeout;
         let doubt = self.doubt.clone();
         let key = record::segment_key(self.context.shard, self.log.epoch(), append.number);
         Some(Box::pin(async move {
-            append::append(&*store, &key, &append.segment, limit, &doubt).await
+            append::append_segment(&*store, &key, &append.segment, limit, &doubt).await
         }))
     }
 
@@ -198,7 +198,7 @@
         // Behind an append without an answer there is no telling how long a claim would wait.
         if *self.doubt.borrow() {
             let reason = verdict::Reason::ClaimUnavailable;
-            return self.context.refuse(reply, reason, claims::RETRY);
+            return self.context.refuse(reply, reason, claims::RETRY_DELAY);
         }
         match self.log.claim(grant.clone(), now) {
             log::Outcome::Granted => self.confirm(entry::Decision::Granted, reply),
@@ -218,7 +218,7 @@
             }
             log::Outcome::Full => {
                 let reason = verdict::Reason::Overloaded;
-                self.context.refuse(reply, reason, claims::RETRY);
+                self.context.refuse(reply, reason, claims::RETRY_DELAY);
             }
         }
     }
@@ -250,14 +250,14 @@
     }
 
     /// Takes the outcome of the append in flight; `false` when the shard is lost.
-    fn settle(&mut self, appended: append::Appended) -> bool {
+    fn settle(&mut self, appended: append::Outcome) -> bool {
         if self.doubt.send_replace(false) {
             self.context.metrics.unanswered.inc();
         }
         match appended {
-            append::Appended::Durable(version) => self.durable(version),
-            append::Appended::Refused(retry) => self.refused(retry.unwrap_or(claims::RETRY)),
-            append::Appended::Sealed => return false,
+            append::Outcome::Durable(version) => self.durable(version),
+            append::Outcome::Refused(retry) => self.refused(retry.unwrap_or(claims::RETRY_DELAY)),
+            append::Outcome::Sealed => return false,
         }
         for (grant, reply) in mem::take(&mut self.parked) {
             self.claim(grant, reply);
@@ -269,7 +269,7 @@
         self.context.metrics.appends.inc();
         let (shard, epoch) = (self.context.shard, self.log.epoch());
         let key = record::segment_key(shard, epoch, self.log.next_segment());
-        self.segments.push(sweep::Old { key, version });
+        self.segments.push(compaction::Superseded { key, version });
         self.log.append_succeeded(clock::Instant::now());
         for record in mem::take(&mut self.flight) {
             match record {
@@ -320,7 +320,10 @@
         self.log.append_rejected();
         self.log.retain_pending(|_, _| false);
         self.flight.clear();
-        self.down = Some((clock::Instant::now() + actor::DOWN.min(retry.0), retry));
+        self.down = Some((
+            clock::Instant::now() + actor::UNAVAILABLE_TIME.min(retry.0),
+            retry,
+        ));
         for reply in self.take_waiting() {
             let reason = verdict::Reason::ClaimUnavailable;
             self.context.refuse(reply, reason, retry);
@@ -344,7 +347,7 @@
         let unconfirmed = unconfirmed.map(|(_, reply)| reply);
         for reply in gathered.into_iter().chain(parked).chain(unconfirmed) {
             let reason = verdict::Reason::ClaimUnavailable;
-            self.context.refuse(reply, reason, claims::RETRY);
+            self.context.refuse(reply, reason, claims::RETRY_DELAY);
         }
     }
 
@@ -363,14 +366,14 @@
         let mut parts = Vec::new();
         for (number, segment) in self.log.snapshot(now) {
             let key = record::segment_key(self.context.shard, self.log.epoch(), number);
-            let (store, limit) = (&*self.context.store, self.context.call_limit);
-            match append::append(store, &key, &segment, limit, &self.doubt).await {
-                append::Appended::Durable(version) => {
+            let (store, limit) = (&*self.context.store, self.context.store_timeout);
+            match append::append_segment(store, &key, &segment, limit, &self.doubt).await {
+                append::Outcome::Durable(version) => {
                     self.log.snapshot_part_succeeded(&segment);
-                    parts.push(sweep::Old { key, version });
+                    parts.push(compaction::Superseded { key, version });
                 }
-                append::Appended::Sealed => return false,
-                append::Appended::Refused(_) => {
+                append::Outcome::Sealed => return false,
+                append::Outcome::Refused(_) => {
                     // What is there of it is ignored and deleted with the next one.
                     self.segments.append(&mut parts);
                     self.log.postpone_snapshot();
@@ -385,7 +388,8 @@
         let old = mem::replace(&mut self.segments, parts);
         let store = self.context.store.clone();
         let pace = self.context.deletions.clone();
-        let sweep = sweep::run(store, old, None, pace, self.context.call_limit);
+        let sweep =
+            compaction::delete_superseded(store, old, None, pace, self.context.store_timeout);
         self.context.runtime.spawn(sweep);
         true
     }
@@ -399,15 +403,15 @@
             }
         }
         let store = &*self.context.store;
-        let limit = self.context.call_limit;
+        let limit = self.context.store_timeout;
         let (shard, epoch) = (self.context.shard, self.log.epoch());
         let key = record::segment_key(shard, epoch, self.log.next_segment());
         let seal = serde_json::to_string(&record::Segment::Seal(epoch)).expect("seals serialize");
         let call = store.put(&key, store::Expect::Absent, &seal);
         // The next owner seals the epoch itself if this is lost.
-        append::bounded(limit, call).await.ok();
-        if let Ok(Some((head, version))) = takeover::head(store, shard, limit).await
-            && head.owner == Some(self.context.me)
+        append::with_timeout(limit, call).await.ok();
+        if let Ok(Some((head, version))) = takeover::read_head(store, shard, limit).await
+            && head.owner == Some(self.context.holder)
         {
             let head = record::Head {
                 owner: None,
@@ -416,7 +420,7 @@
             let value = serde_json::to_string(&head).expect("heads serialize");
             let key = record::head_key(shard);
             let call = store.put(&key, store::Expect::Version(version), &value);
-            append::bounded(limit, call).await.ok();
+            append::with_timeout(limit, call).await.ok();
         }
         Ended::Drained
     }
@@ -434,7 +438,7 @@
 }
 
 /// Waits for the append in flight, or for ever without one.
-async fn in_flight(call: &mut Option<Call>) -> append::Appended {
+async fn in_flight(call: &mut Option<Call>) -> append::Outcome {
     match call {
         Some(call) => call.await,
         None => std::future::pending().await,
--- a/laburnumcart_entry/src/claims/undecided.rs
+++ b/laburnumcart_entry/src/claims/release_guard.rs
@@ -24,26 +24,29 @@
 /// The caller may hang up, or its deadline pass, while the append is on its way; or a peer's answer
 /// was lost and the next one is a refusal. The request never runs then, and a claim that stayed
 /// behind would answer each resend with "may have run".
-pub(super) struct Undecided<S: store::Store, P: claims::Peers> {
+pub(super) struct ReleaseGuard<S: store::Store, P: claims::Peers> {
     service: Option<sync::Arc<claims::Service<S, P>>>,
-    ask: claims::Ask,
+    claim: claims::ClaimRequest,
     /// Whether a peer was asked whose answer did not come.
     pub(super) unanswered: bool,
 }
 
-impl<S: store::Store, P: claims::Peers> Undecided<S, P> {
+impl<S: store::Store, P: claims::Peers> ReleaseGuard<S, P> {
     /// Begins to ask.
-    pub(super) fn new(service: sync::Arc<claims::Service<S, P>>, ask: claims::Ask) -> Self {
+    pub(super) fn new(
+        service: sync::Arc<claims::Service<S, P>>,
+        ask: claims::ClaimRequest,
+    ) -> Self {
         Self {
             service: Some(service),
-            ask,
+            claim: ask,
             unanswered: false,
         }
     }
 
     /// Takes note of the decision and gives the claim back if it may be in the log nevertheless;
     /// returns whether it may.
-    pub(super) fn decide(mut self, decision: &entry::Decision) -> bool {
+    pub(super) fn resolve(mut self, decision: &entry::Decision) -> bool {
         let doubtful = *decision != entry::Decision::Granted && self.unanswered;
         if !doubtful {
             self.service = None;
@@ -52,19 +55,19 @@
     }
 }
 
-impl<S: store::Store, P: claims::Peers> Drop for Undecided<S, P> {
+impl<S: store::Store, P: claims::Peers> Drop for ReleaseGuard<S, P> {
     fn drop(&mut self) {
         let Some(service) = self.service.take() else {
             return;
         };
-        let (key, request) = (self.ask.key, self.ask.request);
+        let (key, request) = (self.claim.key, self.claim.request);
         let runtime = service.runtime.clone();
-        runtime.spawn(async move { give_back(&*service, key, request).await });
+        runtime.spawn(async move { release_with_retries(&*service, key, request).await });
     }
 }
 
 /// Gives back a claim that may be in the log, and tries again for a while until it is recorded.
-async fn give_back<S: store::Store, P: claims::Peers>(
+async fn release_with_retries<S: store::Store, P: claims::Peers>(
     service: &claims::Service<S, P>,
     key: id::Fingerprint,
     request: id::RequestId,
--- a/laburnumcart_entry/src/claims/settings.rs
+++ b/laburnumcart_entry/src/claims/settings.rs
@@ -23,13 +23,13 @@
 /// Settings of the service.
 #[derive(Clone, Debug)]
 pub struct Builder {
-    pub(super) me: claim::Holder,
+    pub(super) holder: claim::Holder,
     pub(super) shards: u16,
     pub(super) write_rate: unit::Rate,
     pub(super) limits: log::Limits,
-    pub(super) call_limit: time::Duration,
-    pub(super) serve_limit: time::Duration,
-    pub(super) patience: ownership::Limits,
+    pub(super) store_timeout: time::Duration,
+    pub(super) serve_timeout: time::Duration,
+    pub(super) takeover_limits: ownership::Limits,
     pub(super) metrics: metrics::Metrics,
 }
 
@@ -37,13 +37,13 @@
     /// Creates the settings for the process `me`.
     pub fn new(me: claim::Holder) -> Self {
         Self {
-            me,
+            holder: me,
             shards: 8,
             write_rate: unit::Rate(300.0),
             limits: log::Limits::default(),
-            call_limit: time::Duration::from_secs(2),
-            serve_limit: time::Duration::from_secs(5),
-            patience: ownership::Limits::default(),
+            store_timeout: time::Duration::from_secs(2),
+            serve_timeout: time::Duration::from_secs(5),
+            takeover_limits: ownership::Limits::default(),
             metrics: metrics::Metrics::default(),
         }
     }
@@ -66,29 +66,29 @@
 
     /// Sets the most claims held for one shard; more are refused as not run.
     #[must_use]
-    pub fn limit(mut self, limit: usize) -> Self {
+    pub fn max_claims(mut self, limit: usize) -> Self {
         self.limits.claims = limit;
         self
     }
 
     /// Sets the fewest segments of a shard's log between two snapshots.
     #[must_use]
-    pub fn segments(mut self, segments: u64) -> Self {
+    pub fn snapshot_interval(mut self, segments: u64) -> Self {
         self.limits.segments = segments.max(1);
         self
     }
 
     /// Sets the longest wait for one call of the object service.
     #[must_use]
-    pub fn call_limit(mut self, limit: time::Duration) -> Self {
-        self.call_limit = limit;
+    pub fn store_timeout(mut self, limit: time::Duration) -> Self {
+        self.store_timeout = limit;
         self
     }
 
     /// Sets when an owner that cannot be reached is replaced.
     #[must_use]
-    pub fn patience(mut self, patience: ownership::Limits) -> Self {
-        self.patience = patience;
+    pub fn takeover_limits(mut self, patience: ownership::Limits) -> Self {
+        self.takeover_limits = patience;
         self
     }
 
--- a/laburnumcart_entry/src/claims/takeover.rs
+++ b/laburnumcart_entry/src/claims/takeover.rs
@@ -17,7 +17,7 @@
 
 use crate::claims::{
     append,
-    sweep, //
+    compaction, //
 };
 
 /// Tries of a write whose answer was lost before the takeover is given up.
@@ -30,20 +30,20 @@
 #[derive(Debug)]
 pub(super) enum Outcome {
     /// This process owns the shard.
-    Owner(Box<Taken>),
+    Owner(Box<TakenShard>),
     /// Another process got ahead.
     Foreign(Option<record::Head>),
 }
 
 /// A shard that was taken over.
 #[derive(Debug)]
-pub(super) struct Taken {
+pub(super) struct TakenShard {
     /// State of the new epoch, its snapshot durable.
     pub(super) log: log::Log,
     /// Segments that the snapshot supersedes.
-    pub(super) old: Vec<sweep::Old>,
+    pub(super) superseded: Vec<compaction::Superseded>,
     /// Head to move when they are deleted.
-    pub(super) base: sweep::Base,
+    pub(super) base: compaction::BaseUpdate,
 }
 
 /// Who takes which shard from whom.
@@ -52,13 +52,13 @@
     /// Shard to take.
     pub(super) shard: u16,
     /// This process.
-    pub(super) me: claim::Holder,
+    pub(super) holder: claim::Holder,
     /// Owner to replace; any other owner is left in place.
     pub(super) suspect: Option<claim::Holder>,
     /// Bounds of the shard.
     pub(super) limits: log::Limits,
     /// Longest wait for one call.
-    pub(super) call_limit: time::Duration,
+    pub(super) store_timeout: time::Duration,
 }
 
 impl Plan {
@@ -66,12 +66,15 @@
     fn may_replace(&self, head: &record::Head) -> bool {
         let Some(owner) = head.owner else { return true };
         // At this process's own address another life can only be an earlier one, which is gone.
-        Some(owner) == self.suspect || owner.addr == self.me.addr
+        Some(owner) == self.suspect || owner.addr == self.holder.addr
     }
 }
 
 /// Returns the number of shards, which the first process to ask fixes for good.
-pub(super) async fn shards(store: &impl store::Store, wanted: u16) -> Result<u16, store::Failure> {
+pub(super) async fn fix_shard_count(
+    store: &impl store::Store,
+    wanted: u16,
+) -> Result<u16, store::Failure> {
     let shards = record::Shards { shards: wanted };
     let value = serde_json::to_string(&shards).expect("shards serialize");
     for _ in 0..TRIES {
@@ -92,13 +95,13 @@
 }
 
 /// Reads the head of a shard.
-pub(super) async fn head(
+pub(super) async fn read_head(
     store: &impl store::Store,
     shard: u16,
     limit: time::Duration,
 ) -> Result<Option<(record::Head, store::Version)>, store::Failure> {
     let key = record::head_key(shard);
-    let Some(object) = append::bounded(limit, store.get(&key)).await? else {
+    let Some(object) = append::with_timeout(limit, store.get(&key)).await? else {
         return Ok(None);
     };
     Ok(Some((parse(&object.value)?, object.version)))
@@ -110,46 +113,53 @@
 /// seal does: it occupies the very slot that the owner would append to, so that its create fails
 /// and it steps down before it answers. Nothing is granted before every older epoch is sealed and
 /// replayed, and the snapshot of the new epoch is durable.
-pub(super) async fn take(store: &impl store::Store, plan: Plan) -> Result<Outcome, store::Failure> {
-    let (head, version) = match raise(store, &plan).await? {
+pub(super) async fn take_over(
+    store: &impl store::Store,
+    plan: Plan,
+) -> Result<Outcome, store::Failure> {
+    let (head, version) = match raise_epoch(store, &plan).await? {
         Ok(raised) => raised,
         Err(foreign) => return Ok(Outcome::Foreign(foreign)),
     };
     let mut table = table::Table::default();
     let mut old = Vec::new();
     for epoch in head.base..head.epoch {
-        let objects = seal(store, &plan, epoch, head.epoch).await?;
-        let segments: Vec<_> = objects.iter().map(|(_, segment)| segment.clone()).collect();
-        log::replay(&mut table, &segments, clock::Instant::now());
+        let objects = seal_epoch(store, &plan, epoch, head.epoch).await?;
+        let list_segments: Vec<_> = objects.iter().map(|(_, segment)| segment.clone()).collect();
+        log::replay(&mut table, &list_segments, clock::Instant::now());
         let plain = |(_, segment): &(store::Object, record::Segment)| {
             !matches!(segment, record::Segment::Seal(_))
         };
         let objects = objects.into_iter().filter(plain);
-        old.extend(objects.map(|(object, _)| sweep::Old {
+        old.extend(objects.map(|(object, _)| compaction::Superseded {
             key: object.key,
             version: object.version,
         }));
     }
     let mut log = log::Log::new(head.epoch, table, plan.limits, clock::Instant::now());
-    if !snapshot(store, &plan, &mut log).await? {
+    if !write_snapshot(store, &plan, &mut log).await? {
         return Ok(Outcome::Foreign(None));
     }
-    let base = sweep::Base {
+    let base = compaction::BaseUpdate {
         shard: plan.shard,
         head,
         version,
     };
-    Ok(Outcome::Owner(Box::new(Taken { log, old, base })))
+    Ok(Outcome::Owner(Box::new(TakenShard {
+        log,
+        superseded: old,
+        base,
+    })))
 }
 
 type Raised = Result<(record::Head, store::Version), Option<record::Head>>;
 
 /// Raises the epoch in the head by conditional update.
-async fn raise(store: &impl store::Store, plan: &Plan) -> Result<Raised, store::Failure> {
+async fn raise_epoch(store: &impl store::Store, plan: &Plan) -> Result<Raised, store::Failure> {
     let key = record::head_key(plan.shard);
     let mut wrote = None;
     for _ in 0..TRIES {
-        let found = head(store, plan.shard, plan.call_limit).await?;
+        let found = read_head(store, plan.shard, plan.store_timeout).await?;
         if let Some((head, version)) = found
             && Some(head) == wrote
         {
@@ -161,7 +171,7 @@
             Some((head, version)) => {
                 let next = record::Head {
                     epoch: head.epoch + 1,
-                    owner: Some(plan.me),
+                    owner: Some(plan.holder),
                     base: head.base,
                 };
                 (next, store::Expect::Version(version))
@@ -169,7 +179,7 @@
             None => {
                 let next = record::Head {
                     epoch: 1,
-                    owner: Some(plan.me),
+                    owner: Some(plan.holder),
                     base: 1,
                 };
                 (next, store::Expect::Absent)
@@ -178,7 +188,7 @@
         wrote = Some(next);
         let value = serde_json::to_string(&next).expect("heads serialize");
         let call = store.put(&key, expect, &value);
-        match append::bounded(plan.call_limit, call).await {
+        match append::with_timeout(plan.store_timeout, call).await {
             Ok(version) => return Ok(Ok((next, version))),
             Err(store::Failure::Conflict | store::Failure::Unanswered) => {
                 clock::sleep(PAUSE).await;
@@ -194,7 +204,7 @@
 /// Only a listing whose last segment is a seal is whole, so one is read even after the seal was
 /// created. A listing from before may lack segments: its owner may have appended, taken a snapshot
 /// and deleted the slot that looked free, and would go on behind a seal that is created there.
-async fn seal(
+async fn seal_epoch(
     store: &impl store::Store,
     plan: &Plan,
     epoch: record::Epoch,
@@ -212,7 +222,7 @@
         let number = last.map_or(0, |number| number + 1);
         let key = record::segment_key(plan.shard, epoch, number);
         let call = store.put(&key, store::Expect::Absent, &value);
-        match append::bounded(plan.call_limit, call).await {
+        match append::with_timeout(plan.store_timeout, call).await {
             Ok(_) => {}
             // The owner appended, or another process sealed, or the answer was lost.
             Err(store::Failure::Conflict | store::Failure::Unanswered) => {
@@ -231,7 +241,7 @@
     epoch: record::Epoch,
 ) -> Result<Vec<(store::Object, record::Segment)>, store::Failure> {
     let prefix = record::epoch_prefix(plan.shard, epoch);
-    let listing = append::bounded(plan.call_limit, store.list(&prefix)).await?;
+    let listing = append::with_timeout(plan.store_timeout, store.list(&prefix)).await?;
     let mut segments = Vec::with_capacity(listing.objects.len());
     for object in listing.objects {
         let segment = parse(&object.value)?;
@@ -242,7 +252,7 @@
 }
 
 /// Appends the first snapshot of an epoch; `false` if the epoch was sealed meanwhile.
-async fn snapshot(
+async fn write_snapshot(
     store: &impl store::Store,
     plan: &Plan,
     log: &mut log::Log,
@@ -250,10 +260,10 @@
     let doubt = watch::Sender::new(false);
     for (number, segment) in log.snapshot(clock::Instant::now()) {
         let key = record::segment_key(plan.shard, log.epoch(), number);
-        match append::append(store, &key, &segment, plan.call_limit, &doubt).await {
-            append::Appended::Durable(_) => log.snapshot_part_succeeded(&segment),
-            append::Appended::Sealed => return Ok(false),
-            append::Appended::Refused(retry) => {
+        match append::append_segment(store, &key, &segment, plan.store_timeout, &doubt).await {
+            append::Outcome::Durable(_) => log.snapshot_part_succeeded(&segment),
+            append::Outcome::Sealed => return Ok(false),
+            append::Outcome::Refused(retry) => {
                 return Err(store::Failure::Unavailable { retry });
             }
         }
--- a/laburnumcart_entry/src/control.rs
+++ b/laburnumcart_entry/src/control.rs
@@ -20,7 +20,7 @@
     /// Bundle in force, if any.
     pub rules: Option<Arc<Rules>>,
     /// Whether instances with agents are known and each chosen agent was called once.
-    pub settled: bool,
+    pub agents_known: bool,
     /// Targets by service.
     pub routes: collections::BTreeMap<id::ServiceName, routes::Routes>,
 }
--- a/laburnumcart_entry/src/control/rules.rs
+++ b/laburnumcart_entry/src/control/rules.rs
@@ -23,7 +23,7 @@
 #[derive(Debug)]
 struct Token {
     digest: [u8; 32],
-    team: id::TeamName,
+    authenticate: id::TeamName,
 }
 
 fn decode(text: &str) -> Option<[u8; 32]> {
@@ -51,7 +51,7 @@
             for digest in rules.tokens.iter().filter_map(|text| decode(text)) {
                 let token = Token {
                     digest,
-                    team: team.clone(),
+                    authenticate: team.clone(),
                 };
                 tokens.entry(prefix(&digest)).or_default().push(token);
             }
@@ -71,6 +71,6 @@
         let digest: [u8; 32] = sha2::Sha256::digest(token).into();
         let found = self.tokens.get(&prefix(&digest))?;
         let equal = |t: &&Token| bool::from(t.digest.ct_eq(&digest));
-        found.iter().find(equal).map(|t| &t.team)
+        found.iter().find(equal).map(|t| &t.authenticate)
     }
 }
--- a/laburnumcart_entry/src/control/thread.rs
+++ b/laburnumcart_entry/src/control/thread.rs
@@ -95,7 +95,7 @@
                 Ok(()) = bundles.changed() => self.adopt(),
                 Ok(()) = instances.changed() => self.list(&instances.borrow_and_update()),
             }
-            self.members.refresh();
+            self.members.resize_subsets();
             self.entry.gossip.refresh();
             self.publish();
         }
@@ -107,7 +107,7 @@
             return;
         };
         self.entry.policy.prune(&current.bundle);
-        self.entry.metrics.cost.promise(&current.bundle);
+        self.entry.metrics.cost.set_shares(&current.bundle);
         if let Some(claims) = self.entry.claims() {
             claims.set_shards(current.bundle.claims.shards);
         }
@@ -119,7 +119,7 @@
         self.members.apply(list);
         self.listed = true;
         if let Some(claims) = self.entry.claims() {
-            claims.set_live(self.members.entries());
+            claims.set_live_entries(self.members.entries());
         }
     }
 
@@ -146,7 +146,7 @@
         self.entry.metrics.lanes.set(count as i64);
         self.entry.view.store(Arc::new(views::View {
             rules: self.rules.clone(),
-            settled: self.settled,
+            agents_known: self.settled,
             routes: routes.collect(),
         }));
     }
--- a/laburnumcart_entry/src/driver.rs
+++ b/laburnumcart_entry/src/driver.rs
@@ -21,7 +21,7 @@
 };
 
 use crate::{
-    claimed,
+    at_most_once,
     entry,
     metrics::{
         self,
@@ -114,7 +114,7 @@
         }
         let (entry, head) = (self.entry.clone(), self.request.head.clone());
         let content = self.request.fingerprint;
-        let outcome = claimed::run(&entry, &head, content, self.run()).await;
+        let outcome = at_most_once::execute(&entry, &head, content, self.run()).await;
         if let Ok(body) = &outcome {
             self.replay(body);
         }
@@ -165,14 +165,14 @@
         };
         let took = head.arrived.elapsed();
         let metrics = &self.entry.metrics;
-        metrics.request(&head.team, &head.pipeline, ended, took);
+        metrics.record_request(&head.team, &head.pipeline, ended, took);
         let spent = match ended {
             metrics::Ended::Whole => cost::Spent::Useful,
             _ => cost::Spent::Wasted,
         };
         for account in &self.accounts {
             let cost = &metrics.cost;
-            cost.add(&head.team, &account.name, spent, account.busy);
+            cost.record(&head.team, &account.name, spent, account.busy);
         }
     }
 
--- a/laburnumcart_entry/src/driver/race.rs
+++ b/laburnumcart_entry/src/driver/race.rs
@@ -247,7 +247,7 @@
     ) {
         let service = &tries.stage.service;
         let ended = refusal.map_or(metrics::Ended::Whole, |r| r.verdict.into());
-        self.entry.metrics.attempt(service, ended);
+        self.entry.metrics.record_attempt(service, ended);
         self.entry.policy.ended(&policy::Ended {
             service,
             target,
--- a/laburnumcart_entry/src/driver/stage.rs
+++ b/laburnumcart_entry/src/driver/stage.rs
@@ -177,7 +177,9 @@
         let head = &self.request.head;
         let policy = &self.entry.policy;
         policy.took(head, &tries.stage.name, end.busy.0, won.elapsed);
-        self.entry.metrics.cost(&tries.stage.service, &end);
+        self.entry
+            .metrics
+            .record_stage_time(&tries.stage.service, &end);
         self.accounts.push(account::Account {
             name: tries.stage.name.clone(),
             target: won.target,
--- a/laburnumcart_entry/src/entry.rs
+++ b/laburnumcart_entry/src/entry.rs
@@ -25,7 +25,7 @@
 
 use crate::{
     answers,
-    claimed,
+    at_most_once,
     control,
     gossip,
     metrics,
@@ -64,7 +64,7 @@
     pub gate: stop::Gate,
     /// Runtime of the drivers and lanes.
     pub traffic: runtime::Handle,
-    claims: OnceLock<Arc<dyn claimed::Claims>>,
+    claims: OnceLock<Arc<dyn at_most_once::Claims>>,
     leave: watch::Sender<bool>,
 }
 
@@ -91,13 +91,13 @@
     }
 
     /// Sets the claims service, once.
-    pub fn set_claims(&self, claims: Arc<dyn claimed::Claims>) {
+    pub fn set_claims(&self, claims: Arc<dyn at_most_once::Claims>) {
         // Set once at the start; a second one would split the shards' tasks in two.
         let _ = self.claims.set(claims);
     }
 
     /// Returns the claims service.
-    pub fn claims(&self) -> Option<Arc<dyn claimed::Claims>> {
+    pub fn claims(&self) -> Option<Arc<dyn at_most_once::Claims>> {
         self.claims.get().cloned()
     }
 
@@ -115,7 +115,7 @@
     }
 
     /// Waits until a graceful shutdown was asked for.
-    pub async fn left(&self) {
+    pub async fn wait_leaving(&self) {
         let mut leave = self.leave.subscribe();
         // The sender lives as long as `self`, so that the wait cannot fail.
         let _ = leave.wait_for(|leave| *leave).await;
--- a/laburnumcart_entry/src/lib.rs
+++ b/laburnumcart_entry/src/lib.rs
@@ -1,8 +1,8 @@
 //! Entry daemon: callers' requests, pipelines and routing.
 
 pub mod answers;
+pub mod at_most_once;
 pub mod callers;
-pub mod claimed;
 pub mod claims;
 pub mod control;
 pub mod driver;
--- a/laburnumcart_entry/src/members.rs
+++ b/laburnumcart_entry/src/members.rs
@@ -27,7 +27,7 @@
 
 use crate::links;
 
-pub mod width;
+pub mod subset_size;
 
 /// Prefix of the platform's list.
 pub const PREFIX: &str = "platform/instances/";
@@ -99,7 +99,7 @@
     agents: Vec<Instance>,
     /// Those of them that lanes are kept to.
     chosen: collections::HashSet<net::SocketAddr>,
-    widths: collections::BTreeMap<id::ServiceName, width::Width>,
+    widths: collections::BTreeMap<id::ServiceName, subset_size::SubsetSize>,
 }
 
 /// An agent with its lane.
@@ -146,7 +146,7 @@
     }
 
     /// Widens the subsets whose agents take no work, and narrows them when they do again.
-    pub fn refresh(&mut self) {
+    pub fn resize_subsets(&mut self) {
         if self.measure() {
             self.choose();
         }
@@ -167,8 +167,8 @@
         let mut changed = false;
         for service in counts.into_keys() {
             let (kept, usable) = self.count(&service);
-            let wanted = width::wanted(size, kept, usable);
-            changed |= self.widths.entry(service).or_default().set(wanted, now);
+            let wanted = subset_size::wanted_size(size, kept, usable);
+            changed |= self.widths.entry(service).or_default().update(wanted, now);
         }
         changed
     }
--- a/laburnumcart_entry/src/members/width.rs
+++ b/laburnumcart_entry/src/members/subset_size.rs
@@ -9,19 +9,19 @@
 
 /// Size of a subset, and since when a smaller one would do.
 #[derive(Debug, Default)]
-pub struct Width {
+pub struct SubsetSize {
     size: usize,
     low: Option<time::Instant>,
 }
 
-impl Width {
+impl SubsetSize {
     /// Returns the size.
     pub fn size(&self) -> usize {
         self.size
     }
 
     /// Takes in the size that is wanted; returns whether the size changes.
-    pub fn set(&mut self, wanted: usize, now: time::Instant) -> bool {
+    pub fn update(&mut self, wanted: usize, now: time::Instant) -> bool {
         if wanted >= self.size {
             self.low = None;
             return std::mem::replace(&mut self.size, wanted) != wanted;
@@ -41,7 +41,7 @@
 /// If no agent of a subset takes work, callers are refused although others of the service would
 /// take it. So each that does not is replaced by the next in the subset's order, and kept, as it
 /// comes back first. Without any that works the subset doubles, so that a few rounds reach all.
-pub fn wanted(size: usize, kept: usize, usable: usize) -> usize {
+pub fn wanted_size(size: usize, kept: usize, usable: usize) -> usize {
     if usable == 0 {
         size.max(2 * kept)
     } else {
--- a/laburnumcart_entry/src/metrics.rs
+++ b/laburnumcart_entry/src/metrics.rs
@@ -167,7 +167,7 @@
     }
 
     /// Counts the end of a request of a known team.
-    pub fn request(
+    pub fn record_request(
         &self,
         team: &id::TeamName,
         pipeline: &id::PipelineName,
@@ -193,7 +193,7 @@
     }
 
     /// Counts a refusal to a caller.
-    pub fn refusal(&self, refusal: &verdict::Refusal) {
+    pub fn record_refusal(&self, refusal: &verdict::Refusal) {
         let labels = Refusal {
             reason: metrics::Label(refusal.reason),
             verdict: metrics::Label(refusal.verdict),
@@ -202,7 +202,7 @@
     }
 
     /// Counts the end of an attempt.
-    pub fn attempt(&self, service: &id::ServiceName, ended: Ended) {
+    pub fn record_attempt(&self, service: &id::ServiceName, ended: Ended) {
         let service = self.services.label(service.as_str());
         self.attempts
             .get_or_create(&Attempt { service, ended })
@@ -210,7 +210,7 @@
     }
 
     /// Adds what a whole result took.
-    pub fn cost(&self, service: &id::ServiceName, end: &stage::End) {
+    pub fn record_stage_time(&self, service: &id::ServiceName, end: &stage::End) {
         let labels = Service {
             service: self.services.label(service.as_str()),
         };
--- a/laburnumcart_entry/src/metrics/cost.rs
+++ b/laburnumcart_entry/src/metrics/cost.rs
@@ -90,7 +90,7 @@
     }
 
     /// Shows the shares that a bundle promises; those of teams without a series are added up.
-    pub fn promise(&self, bundle: &bundle::Bundle) {
+    pub fn set_shares(&self, bundle: &bundle::Bundle) {
         let weights = bundle.teams.values().map(|team| f64::from(team.weight));
         let total: f64 = weights.sum();
         self.shares.clear();
@@ -102,7 +102,7 @@
     }
 
     /// Adds what a stage's whole result took.
-    pub fn add(
+    pub fn record(
         &self,
         team: &id::TeamName,
         stage: &id::StageName,
--- a/laburnumcart_entry/src/peers.rs
+++ b/laburnumcart_entry/src/peers.rs
@@ -1,6 +1,6 @@
 //! What the entry offers to other processes of the system.
 
-pub mod calls;
+pub mod pool;
 
 use std::sync::Arc;
 
@@ -29,11 +29,11 @@
 
 /// Server of the peer port.
 #[derive(Clone, Debug)]
-pub struct Peers {
+pub struct Server {
     entry: Arc<shared::Entry>,
 }
 
-impl Peers {
+impl Server {
     /// Creates the server.
     pub fn new(entry: Arc<shared::Entry>) -> Self {
         Self { entry }
@@ -58,7 +58,7 @@
 }
 
 #[async_trait]
-impl EntryServer for Peers {
+impl EntryServer for Server {
     async fn status(&self) -> RpcResult<entry::Status> {
         Ok(self.state())
     }
@@ -71,7 +71,7 @@
     async fn claim(&self, claim: entry::Claim) -> RpcResult<entry::Decision> {
         let refusal = verdict::Refusal::not_run(verdict::Reason::ClaimUnavailable);
         Ok(match self.entry.claims() {
-            Some(claims) => claims.serve(claim).await,
+            Some(claims) => claims.serve_claim(claim).await,
             None => entry::Decision::Refused(refusal),
         })
     }
--- a/laburnumcart_entry/src/peers/calls.rs
+++ b/laburnumcart_entry/src/peers/pool.rs
@@ -42,14 +42,14 @@
 
 /// Connections to other entries, opened when they are needed.
 #[derive(Debug)]
-pub struct Calls {
+pub struct Pool {
     me: claim::Holder,
     secret: secret::Secret,
     answers: Arc<answers::Answers>,
     open: Mutex<collections::HashMap<net::SocketAddr, Arc<peer::Client>>>,
 }
 
-impl Calls {
+impl Pool {
     /// Creates calls of the process `me`, which answers for itself.
     pub fn new(me: claim::Holder, secret: secret::Secret, answers: Arc<answers::Answers>) -> Self {
         Self {
@@ -112,7 +112,7 @@
     }
 }
 
-impl claims::Peers for Calls {
+impl claims::Peers for Pool {
     async fn claim(
         &self,
         addr: net::SocketAddr,
--- a/laburnumcart_entry/src/run.rs
+++ b/laburnumcart_entry/src/run.rs
@@ -30,15 +30,15 @@
 use laburnumcart_wire::entry::EntryServer;
 
 use crate::{
+    at_most_once,
     callers,
-    claimed,
     claims,
     control,
     entry,
     links,
     peers::{
         self,
-        calls, //
+        pool, //
     },
     settings, //
 };
@@ -110,7 +110,7 @@
     usage::register(&metrics);
     entry.metrics.register(&metrics);
     start_control(&settings, &entry, &metrics)?;
-    let methods = peers::Peers::new(entry.clone()).into_rpc();
+    let methods = peers::Server::new(entry.clone()).into_rpc();
     let peers = peer::serve(listener, &settings.fleet, methods, &metrics)?;
     let mut server = callers::serve(entry.clone(), metrics, callers, threads())?;
     let handle = server.handle()?;
@@ -126,7 +126,7 @@
     );
     tokio::select! {
         signal = signals.next() => event!(Info, "stopping", cause = signal),
-        () = entry.left() => event!(Info, "stopping", cause = "drain"),
+        () = entry.wait_leaving() => event!(Info, "stopping", cause = "drain"),
     }
     entry.leave();
     let stopped = running.drain().wait(settings.stop_limit).await;
@@ -161,12 +161,12 @@
     let secret = secret.ok_or(io::ErrorKind::InvalidInput)?;
     let counters = claims::metrics::Metrics::default();
     metrics.register("laburnum_entry", |r| counters.register(r));
-    let calls = calls::Calls::new(entry.holder(), secret.clone(), entry.answers.clone());
-    let peers = Arc::new(calls);
+    let pool = pool::Pool::new(entry.holder(), secret.clone(), entry.answers.clone());
+    let peers = Arc::new(pool);
     let service = claims::Builder::new(entry.holder())
         .metrics(counters)
         .start(Arc::new(store.clone()), peers.clone());
-    entry.set_claims(Arc::new(claimed::Local { service, peers }));
+    entry.set_claims(Arc::new(at_most_once::ClaimService { service, peers }));
     let caller = links::Caller {
         instance: settings.instance.clone(),
         incarnation: entry.identity.incarnation,
--- a/laburnumcart_entry/tests/claims.rs
+++ b/laburnumcart_entry/tests/claims.rs
@@ -60,7 +60,7 @@
     let wait = unit::Period::from_secs(1);
     let body = resend::join(&world.net, holder, request, wait).await;
     assert_eq!(body, Ok(id::RequestId(1).to_string()));
-    let other = claims::Ask {
+    let other = claims::ClaimRequest {
         content: id::Fingerprint(8),
         ..ask(7, 3)
     };
@@ -343,7 +343,7 @@
 async fn retention_across_takeovers() {
     let mut world = World::new();
     let mut entries = vec![world.start(1).0];
-    let short = |request| claims::Ask {
+    let short = |request| claims::ClaimRequest {
         retention: unit::Period::from_secs(100),
         ..ask(7, request)
     };
--- a/laburnumcart_entry/tests/claims/support.rs
+++ b/laburnumcart_entry/tests/claims/support.rs
@@ -134,7 +134,7 @@
     ) -> Result<entry::Decision, claims::Unreachable> {
         // The callee goes on when its caller has hung up.
         let entry = self.reach(addr)?;
-        let serve = tokio::spawn(async move { entry.serve(claim).await });
+        let serve = tokio::spawn(async move { entry.serve_claim(claim).await });
         let decision = serve.await.map_err(|_| claims::Unreachable)?;
         match self.mute.lock().unwrap().contains(&addr) {
             true => Err(claims::Unreachable),
@@ -218,13 +218,13 @@
         let service = claims::Builder::new(holder)
             .shards(shards)
             .write_rate(unit::Rate(1000.0))
-            .limit(self.limit)
-            .segments(self.segments)
+            .max_claims(self.limit)
+            .snapshot_interval(self.segments)
             .start(gate.clone(), sync::Arc::new(self.net.clone()));
         if self.live.is_empty() {
             self.live.push(addr);
         }
-        service.set_live(self.live.clone());
+        service.set_live_entries(self.live.clone());
         let mut entries = self.net.entries.lock().unwrap();
         entries.insert(addr, service.clone());
         (service, gate)
@@ -232,8 +232,8 @@
 }
 
 /// Returns what a request with key and number asks for.
-pub(crate) fn ask(key: u128, request: u128) -> claims::Ask {
-    claims::Ask {
+pub(crate) fn ask(key: u128, request: u128) -> claims::ClaimRequest {
+    claims::ClaimRequest {
         key: id::Fingerprint(key),
         content: id::Fingerprint(key),
         request: id::RequestId(request),
@@ -242,7 +242,7 @@
 }
 
 /// Claims with a deadline of ten seconds.
-pub(crate) async fn claim(entry: &Entry, ask: claims::Ask) -> entry::Decision {
+pub(crate) async fn claim(entry: &Entry, ask: claims::ClaimRequest) -> entry::Decision {
     let deadline = tokio::time::Instant::now() + time::Duration::from_secs(10);
     entry.claim(ask, deadline).await.decision
 }
--- a/laburnumcart_entry/tests/it/bench.rs
+++ b/laburnumcart_entry/tests/it/bench.rs
@@ -17,8 +17,8 @@
     stop, //
 };
 use laburnumcart_entry::{
+    at_most_once,
     callers,
-    claimed,
     claims,
     control,
     driver,
@@ -26,7 +26,7 @@
     links,
     peers::{
         self,
-        calls, //
+        pool, //
     },
     request,
     routes, //
@@ -173,7 +173,7 @@
         let rules = control::Rules::new(id::Generation(1), bundle());
         self.entry.view.store(Arc::new(control::View {
             rules: Some(Arc::new(rules)),
-            settled: true,
+            agents_known: true,
             routes: ways.into_iter().map(table).collect(),
         }));
     }
@@ -181,13 +181,13 @@
     fn serve_peers(&self, listener: net::TcpListener) {
         let secret: secret::Secret = SECRET.parse().unwrap();
         let entry = &self.entry;
-        let calls = calls::Calls::new(entry.holder(), secret.clone(), entry.answers.clone());
-        let peers = Arc::new(calls);
+        let pool = pool::Pool::new(entry.holder(), secret.clone(), entry.answers.clone());
+        let peers = Arc::new(pool);
         let service = claims::Builder::new(entry.holder())
             .shards(2)
             .start(Arc::new(self.store.clone()), peers.clone());
-        entry.set_claims(Arc::new(claimed::Local { service, peers }));
-        let methods = peers::Peers::new(entry.clone()).into_rpc();
+        entry.set_claims(Arc::new(at_most_once::ClaimService { service, peers }));
+        let methods = peers::Server::new(entry.clone()).into_rpc();
         let handle = peer::serve(listener, &[secret], methods, &peer::Limits::default()).unwrap();
         // The server ends with the test's runtime.
         std::mem::forget(handle);
--- a/laburnumcart_entry/tests/it/members.rs
+++ b/laburnumcart_entry/tests/it/members.rs
@@ -8,7 +8,7 @@
     links,
     members::{
         self,
-        width, //
+        subset_size, //
     },
 };
 
@@ -137,27 +137,27 @@
 // so the subset stays wide until its agents have worked for a while.
 #[tokio::test(start_paused = true)]
 async fn narrows_late() {
-    let mut width = width::Width::default();
+    let mut width = subset_size::SubsetSize::default();
     let begun = time::Instant::now();
     let second = time::Duration::from_secs(1);
-    assert!(width.set(width::wanted(8, 0, 0), begun));
-    assert!(width.set(width::wanted(8, 8, 6), begun));
+    assert!(width.update(subset_size::wanted_size(8, 0, 0), begun));
+    assert!(width.update(subset_size::wanted_size(8, 8, 6), begun));
     assert_eq!(width.size(), 10);
-    let full = width::wanted(8, 10, 10);
-    assert!(!width.set(full, begun));
-    assert!(!width.set(full, begun + 9 * second));
-    assert!(!width.set(10, begun + 9 * second), "broken again");
-    assert!(!width.set(full, begun + 10 * second));
-    assert!(width.set(full, begun + 20 * second));
+    let full = subset_size::wanted_size(8, 10, 10);
+    assert!(!width.update(full, begun));
+    assert!(!width.update(full, begun + 9 * second));
+    assert!(!width.update(10, begun + 9 * second), "broken again");
+    assert!(!width.update(full, begun + 10 * second));
+    assert!(width.update(full, begun + 20 * second));
     assert_eq!(width.size(), 8);
 }
 
 #[test]
 fn doubles_while_none_works() {
-    let next = |kept| width::wanted(8, kept, 0);
+    let next = |kept| subset_size::wanted_size(8, kept, 0);
     assert_eq!([next(0), next(8), next(16), next(32)], [8, 16, 32, 64]);
     // One that works is kept at whatever place it was found.
-    assert_eq!(width::wanted(8, 64, 1), 71);
+    assert_eq!(subset_size::wanted_size(8, 64, 1), 71);
 }
 
 // An agent in another region is 20 ms away, each way. Its heartbeats tell, so that work goes there
--- a/laburnumcart_entry/tests/it/requests.rs
+++ b/laburnumcart_entry/tests/it/requests.rs
@@ -261,7 +261,7 @@
     }
     let reply = bench::http(addr, "POST /v1/pipelines/report", &[BEARER], "{}").await;
     assert!(reply.body.contains("deadline-too-short"), "{}", reply.body);
-    bench.entry.metrics.cost.promise(&rules.bundle);
+    bench.entry.metrics.cost.set_shares(&rules.bundle);
     let page = bench::http(addr, "GET /metrics", &[], "").await;
     for line in [
         "laburnum_entry_requests_total{team=\"araya\",pipeline=\"report\",ended=\"NotRun\"} 1",
