--- a/laburnumcart_entry/examples/claims_bench.rs
+++ b/laburnumcart_entry/examples/claims_bench.rs
@@ -1,7 +1,8 @@
-//! Measures claims: object-service writes per claim and latency, by rate and by way.
+//! Benchmark of claims: object-service writes per claim and latency, by rate and method.
 //!
-//! Ways: one object per key, the sharded log as it is, and the log without pacing. All run against
-//! one kind of store, with a latency of some milliseconds and a limit on writes, in alternation.
+//! Methods: one object per key, the sharded log, and the log without a limit on appends. They run
+//! alternately against the same kind of store, with a latency of some milliseconds and a write
+//! limit.
 
 use std::{
     collections,
@@ -38,31 +39,31 @@
 };
 use laburnumcart_wire::entry;
 
-/// Latency of a call of the store: the least, and what is added at most.
+/// Latency of a store call in microseconds: minimum, and maximum of the random addition.
 const STORE_DELAY: (u64, u64) = (3_000, 4_000);
 
-/// Writes that the store takes in a second.
+/// Writes per second that the store accepts.
 const STORE_WRITES: u64 = 400;
 
 /// Delay of a call between two entries.
 const PEER_DELAY: time::Duration = time::Duration::from_micros(500);
 
-/// Claims a second that are offered, unless the arguments name others.
+/// Default offered rates in claims per second.
 const RATES: [u64; 3] = [10, 100, 600];
 
-/// Measured seconds of a run, and unmeasured ones before it.
+/// Duration of a run in seconds, and of the warm-up before it.
 const RUN: (u64, u64) = (5, 4);
 
-/// Runs of each way at each rate.
+/// Runs of each method at each rate.
 const ROUNDS: usize = 2;
 
-/// Segments between two snapshots; few, so that a run sees the deletions of the long run.
+/// Segments between two snapshots; small, so that a short run includes deletions.
 const SEGMENTS: u64 = 32;
 
-/// Claims in the table whose size is measured.
+/// Number of claims in the table whose size is measured.
 const TABLE: u64 = 140_000;
 
-/// Entries, over which the claims are spread.
+/// Number of entries over which the claims are distributed.
 const ENTRIES: u16 = 3;
 
 /// A store with latency, a limit on writes, and counters.
@@ -81,7 +82,7 @@
         clock::sleep(time::Duration::from_micros(STORE_DELAY.0 + extra)).await;
     }
 
-    /// Counts a write, or refuses it past the limit.
+    /// Counts a write, or refuses it above the limit.
     fn admit(&self) -> Result<(), store::Failure> {
         let now = clock::Instant::now();
         let mut window = self.window.lock().expect("lock is not poisoned");
@@ -178,29 +179,29 @@
     }
 }
 
-/// How claims are made durable.
+/// Method of making claims durable.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-enum Way {
+enum Method {
     PerKey,
-    /// The log over this many shards.
+    /// Log with this number of shards.
     Log(u16),
-    /// The same without a limit on the rate of appends.
+    /// Log without a rate limit on appends.
     LogUnpaced(u16),
 }
 
-/// What makes claims in one run.
+/// Client of one run.
 #[derive(Clone)]
-enum Maker {
+enum Client {
     PerKey(sync::Arc<Limited>),
     Log(Vec<Entry>),
 }
 
-impl Maker {
-    fn new(way: Way, store: &sync::Arc<Limited>) -> Self {
-        let (rate, shards) = match way {
-            Way::PerKey => return Self::PerKey(store.clone()),
-            Way::Log(shards) => (unit::Rate(300.0), shards),
-            Way::LogUnpaced(shards) => (unit::Rate(1e6), shards),
+impl Client {
+    fn new(method: Method, store: &sync::Arc<Limited>) -> Self {
+        let (rate, shards) = match method {
+            Method::PerKey => return Self::PerKey(store.clone()),
+            Method::Log(shards) => (unit::Rate(300.0), shards),
+            Method::LogUnpaced(shards) => (unit::Rate(1e6), shards),
         };
         let peers = Peers::default();
         let addr = |number| net::SocketAddr::from(([127, 0, 0, 1], number));
@@ -233,7 +234,7 @@
                     .is_ok()
             }
             Self::Log(entries) => {
-                let ask = claims::ClaimRequest {
+                let params = claims::ClaimRequest {
                     key,
                     content: key,
                     request: id::RequestId(rand::random()),
@@ -241,15 +242,15 @@
                 };
                 let deadline = clock::Instant::now() + time::Duration::from_secs(5);
                 let entry = &entries[number % entries.len()];
-                entry.claim(ask, deadline).await.decision == entry::Decision::Granted
+                entry.claim(params, deadline).await.decision == entry::Decision::Granted
             }
         }
     }
 }
 
-/// Outcome of the runs of one way at one rate.
+/// Measurements of one method at one rate.
 #[derive(Default)]
-struct Outcome {
+struct Measurements {
     offered: usize,
     writes: u64,
     refused_writes: u64,
@@ -257,7 +258,7 @@
     micros: Vec<u128>,
 }
 
-impl Outcome {
+impl Measurements {
     fn quantile(&self, share: f64) -> f64 {
         let last = self.micros.len().saturating_sub(1) as f64;
         let index = (last * share).round() as usize;
@@ -266,11 +267,11 @@
             .map_or(f64::NAN, |m| *m as f64 / 1000.0)
     }
 
-    fn print(&mut self, way: Way, rate: u64) {
+    fn print(&mut self, method: Method, rate: u64) {
         self.micros.sort_unstable();
         let granted = self.micros.len();
         println!(
-            "{way:?} rate={rate}/s offered={} granted={granted} writes={} deletes={} \
+            "{method:?} rate={rate}/s offered={} granted={granted} writes={} deletes={} \
              refused_writes={} writes_per_claim={:.2} p50={:.1}ms p99={:.1}ms",
             self.offered,
             self.writes,
@@ -284,15 +285,15 @@
 }
 
 /// Offers claims at a fixed rate and waits for all of them.
-async fn offer(maker: &Maker, rate: u64, seconds: u64) -> Vec<Option<u128>> {
+async fn offer(client: &Client, rate: u64, seconds: u64) -> Vec<Option<u128>> {
     let mut ticks = clock::interval(time::Duration::from_secs_f64(1.0 / rate as f64));
     let mut running: Vec<task::JoinHandle<Option<u128>>> = Vec::new();
     for number in 0..(rate * seconds) as usize {
         ticks.tick().await;
-        let maker = maker.clone();
+        let client = client.clone();
         running.push(tokio::spawn(async move {
             let start = clock::Instant::now();
-            let granted = maker.claim(number).await;
+            let granted = client.claim(number).await;
             granted.then(|| start.elapsed().as_micros())
         }));
     }
@@ -303,20 +304,20 @@
     done
 }
 
-async fn run(way: Way, rate: u64, outcome: &mut Outcome) {
+async fn run(method: Method, rate: u64, result: &mut Measurements) {
     let store = sync::Arc::new(Limited::default());
-    let maker = Maker::new(way, &store);
-    // Shards find their owners before the measurement.
-    offer(&maker, rate.max(50), RUN.1).await;
+    let client = Client::new(method, &store);
+    // During the warm-up, entries take the shards over.
+    offer(&client, rate.max(50), RUN.1).await;
     let before = store.writes.load(atomic::Ordering::Relaxed);
     let refused = store.refused.load(atomic::Ordering::Relaxed);
     let deletes = store.deletes.load(atomic::Ordering::Relaxed);
-    let done = offer(&maker, rate, RUN.0).await;
-    outcome.offered += done.len();
-    outcome.writes += store.writes.load(atomic::Ordering::Relaxed) - before;
-    outcome.deletes += store.deletes.load(atomic::Ordering::Relaxed) - deletes;
-    outcome.refused_writes += store.refused.load(atomic::Ordering::Relaxed) - refused;
-    outcome.micros.extend(done.into_iter().flatten());
+    let done = offer(&client, rate, RUN.0).await;
+    result.offered += done.len();
+    result.writes += store.writes.load(atomic::Ordering::Relaxed) - before;
+    result.deletes += store.deletes.load(atomic::Ordering::Relaxed) - deletes;
+    result.refused_writes += store.refused.load(atomic::Ordering::Relaxed) - refused;
+    result.micros.extend(done.into_iter().flatten());
 }
 
 /// Returns the resident memory of this process in bytes.
@@ -326,7 +327,7 @@
     pages.unwrap_or(0) * 4096
 }
 
-/// Prints what a claim takes in its owner's memory and in a snapshot.
+/// Prints the size of a claim in its owner's memory and in a snapshot.
 fn print_sizes() {
     let now = clock::Instant::now();
     let before = resident();
@@ -366,7 +367,12 @@
 #[tokio::main]
 async fn main() {
     print_sizes();
-    let ways = [Way::PerKey, Way::Log(16), Way::Log(4), Way::LogUnpaced(16)];
+    let methods = [
+        Method::PerKey,
+        Method::Log(16),
+        Method::Log(4),
+        Method::LogUnpaced(16),
+    ];
     let args: Vec<u64> = std::env::args()
         .skip(1)
         .flat_map(|arg| arg.parse())
@@ -377,14 +383,14 @@
         args
     };
     for rate in rates {
-        let mut outcomes = ways.map(|way| (way, Outcome::default()));
+        let mut results = methods.map(|method| (method, Measurements::default()));
         for _ in 0..ROUNDS {
-            for (way, outcome) in &mut outcomes {
-                run(*way, rate, outcome).await;
+            for (method, result) in &mut results {
+                run(*method, rate, result).await;
             }
         }
-        for (way, outcome) in &mut outcomes {
-            outcome.print(*way, rate);
+        for (method, result) in &mut results {
+            result.print(*method, rate);
         }
     }
 }
--- a/laburnumcart_entry/src/answers.rs
+++ b/laburnumcart_entry/src/answers.rs
@@ -1,4 +1,4 @@
-//! Final answers of claimed requests, kept for a resend.
+//! Cache of the final answers of claimed requests, for resends.
 
 use std::{
     collections,
@@ -13,10 +13,10 @@
 use laburnumcart::id;
 use laburnumcart_wire::entry;
 
-/// Most bytes of answers that are kept.
-const BYTES_MAX: usize = 64 << 20;
+/// Maximum size of the cache in bytes.
+const MAX_BYTES: usize = 64 << 20;
 
-/// Answers by request, bounded in bytes; the oldest goes first.
+/// Answers by request, limited in bytes; the oldest is evicted first.
 #[derive(Debug, Default)]
 pub struct Answers {
     inner: sync::Mutex<Inner>,
@@ -25,11 +25,11 @@
 #[derive(Debug, Default)]
 struct Inner {
     slots: collections::HashMap<id::RequestId, watch::Receiver<Option<entry::Answer>>>,
-    order: collections::VecDeque<(id::RequestId, usize, time::Instant)>,
+    queue: collections::VecDeque<(id::RequestId, usize, time::Instant)>,
     bytes: usize,
 }
 
-/// Place for the answer of a request that runs; given up when dropped without an answer.
+/// Slot for the answer of a running request; removed when dropped without an answer.
 #[derive(Debug)]
 pub struct Slot {
     answers: sync::Arc<Answers>,
@@ -53,7 +53,7 @@
 }
 
 impl Answers {
-    /// Opens the place for a request's answer before the request runs.
+    /// Opens the slot for a request's answer, before the request runs.
     pub fn open(self: &sync::Arc<Self>, request: id::RequestId) -> Slot {
         let (sender, receiver) = watch::channel(None);
         self.lock().slots.insert(request, receiver);
@@ -64,18 +64,18 @@
         }
     }
 
-    /// Keeps the final answer for `period`, as far as the space allows.
+    /// Stores the final answer for `period`, or until it is evicted for lack of space.
     pub fn store(&self, slot: Slot, answer: entry::Answer, period: time::Duration) {
         let mut inner = self.lock();
         let bytes = size(&answer);
         let until = time::Instant::now() + period;
-        inner.order.push_back((slot.request, bytes, until));
+        inner.queue.push_back((slot.request, bytes, until));
         inner.bytes += bytes;
         slot.sender.send_replace(Some(answer));
-        inner.shrink(time::Instant::now());
+        inner.evict(time::Instant::now());
     }
 
-    /// Waits at most `wait` for the answer of a request.
+    /// Waits up to `wait` for the answer of a request.
     pub async fn fetch(&self, request: id::RequestId, wait: time::Duration) -> entry::Answer {
         let Some(mut slot) = self.lock().slots.get(&request).cloned() else {
             return entry::Answer::Unknown;
@@ -95,13 +95,13 @@
 }
 
 impl Inner {
-    /// Drops the oldest answers that are out of date or do not fit.
-    fn shrink(&mut self, now: time::Instant) {
-        while let Some((request, bytes, until)) = self.order.front().copied() {
-            if self.bytes <= BYTES_MAX && until > now {
+    /// Evicts the oldest answers as long as they are expired or the cache is too large.
+    fn evict(&mut self, now: time::Instant) {
+        while let Some((request, bytes, until)) = self.queue.front().copied() {
+            if self.bytes <= MAX_BYTES && until > now {
                 return;
             }
-            self.order.pop_front();
+            self.queue.pop_front();
             self.slots.remove(&request);
             self.bytes -= bytes;
         }
--- a/laburnumcart_entry/src/at_most_once.rs
+++ b/laburnumcart_entry/src/at_most_once.rs
@@ -1,4 +1,4 @@
-//! A request that executes at most once: claimed first, its answer kept for a resend.
+//! At-most-once execution of requests: claims the key first, keeps the answer for resends.
 
 use std::{
     fmt,
@@ -27,19 +27,19 @@
     request, //
 };
 
-/// The claims service, whatever store and peers it works with.
+/// Claim service, independent of the types of its store and peers.
 #[async_trait]
 pub trait Claims: fmt::Debug + Send + Sync {
     /// Claims a key; see [`claims::Service::claim`].
-    async fn claim(&self, ask: claims::ClaimRequest, deadline: time::Instant) -> claims::Outcome;
+    async fn claim(&self, claim: claims::ClaimRequest, deadline: time::Instant) -> claims::Outcome;
 
-    /// Gives a claim back; see [`claims::Service::release`].
+    /// Releases a claim; see [`claims::Service::release`].
     async fn release(&self, key: id::Fingerprint, request: id::RequestId) -> bool;
 
-    /// Answers another entry's claim; see [`claims::Service::serve`].
+    /// Handles a claim of another entry; see [`claims::Service::serve_claim`].
     async fn serve_claim(&self, claim: entry::Claim) -> entry::Decision;
 
-    /// Answers another entry's release; see [`claims::Service::serve_release`].
+    /// Handles a release of another entry; see [`claims::Service::serve_release`].
     async fn serve_release(&self, release: entry::Release) -> bool;
 
     /// Waits for the answer of the request that holds a claim; see [`resend::join`].
@@ -50,22 +50,22 @@
         wait: unit::Period,
     ) -> Result<String, verdict::Refusal>;
 
-    /// Sets the live entries; see [`claims::Service::set_live`].
+    /// Sets the live entries; see [`claims::Service::set_live_entries`].
     fn set_live_entries(&self, live: &[std::net::SocketAddr]);
 
     /// Sets the number of shards; see [`claims::Service::set_shards`].
     fn set_shards(&self, shards: u16);
 
-    /// Hands the shards over; see [`claims::Service::drain`].
+    /// Gives up the owned shards; see [`claims::Service::drain`].
     async fn drain(&self);
 }
 
-/// A claims service with the peers that it asks.
+/// Claim service with the peers that it calls.
 #[derive(Debug)]
 pub struct ClaimService<S, P> {
-    /// The service.
+    /// Service that claims and releases keys.
     pub service: Arc<claims::Service<S, P>>,
-    /// Other entries.
+    /// Calls to other entries.
     pub peers: Arc<P>,
 }
 
@@ -75,8 +75,8 @@
     S: store::Store + fmt::Debug,
     P: claims::Peers + fmt::Debug,
 {
-    async fn claim(&self, ask: claims::ClaimRequest, deadline: time::Instant) -> claims::Outcome {
-        self.service.claim(ask, deadline).await
+    async fn claim(&self, claim: claims::ClaimRequest, deadline: time::Instant) -> claims::Outcome {
+        self.service.claim(claim, deadline).await
     }
 
     async fn release(&self, key: id::Fingerprint, request: id::RequestId) -> bool {
@@ -113,7 +113,7 @@
     }
 }
 
-/// Claims a request, runs it if the claim is granted, and keeps its answer.
+/// Claims the key of a request, executes the request if the claim is granted, and keeps its answer.
 pub async fn execute(
     entry: &Arc<shared::Entry>,
     head: &request::Head,
@@ -126,19 +126,19 @@
         .ok_or(unavailable.retry_after(claims::RETRY_DELAY))?;
     let text = head.key.as_deref();
     let text = text.ok_or(verdict::Refusal::not_run(verdict::Reason::KeyMissing))?;
-    let ask = claims::ClaimRequest {
+    let claim = claims::ClaimRequest {
         key: claim::key(&head.team, text),
         content,
         request: head.id,
         retention: head.rules.bundle.claims.retention,
     };
-    // Opened before the claim exists, so that no resend that sees the claim finds no answer here.
+    // Opened before the claim exists, so that a resend that finds the claim also finds the slot.
     let slot = entry.answers.open(head.id);
-    let claimed = claims.claim(ask, head.deadline).await;
+    let claimed = claims.claim(claim, head.deadline).await;
     match claimed.decision {
         entry::Decision::Granted => {
             let outcome = execute.await;
-            store_answer(entry, &*claims, ask, slot, &outcome).await;
+            store_answer(entry, &*claims, claim, slot, &outcome).await;
             outcome
         }
         entry::Decision::Taken {
@@ -151,10 +151,10 @@
         }
         entry::Decision::Refused(refusal) => {
             if claimed.in_doubt {
-                // A resend that finds the claim before it is given back is refused as this one was.
-                // Without an answer here it would be told "may have run", which is final.
+                // A resend that finds the claim before its release gets the same refusal. Without a
+                // kept answer it would be refused as "may have run", which is final.
                 let answer = entry::Answer::Refused(refusal);
-                entry.answers.store(slot, answer, ask.retention.0);
+                entry.answers.store(slot, answer, claim.retention.0);
             }
             Err(refusal)
         }
@@ -162,11 +162,11 @@
     }
 }
 
-/// Keeps the final answer; gives the claim back when nothing has run.
+/// Keeps the final answer, and releases the claim if the request was not executed.
 async fn store_answer(
     entry: &Arc<shared::Entry>,
     claims: &dyn Claims,
-    ask: claims::ClaimRequest,
+    claim: claims::ClaimRequest,
     slot: crate::answers::Slot,
     outcome: &driver::Outcome,
 ) {
@@ -174,10 +174,11 @@
         Ok(body) => entry::Answer::Whole { body: body.clone() },
         Err(refusal) => entry::Answer::Refused(*refusal),
     };
-    entry.answers.store(slot, answer, ask.retention.0);
-    let unused = |r: &verdict::Refusal| r.verdict == verdict::Verdict::NotRun;
-    if outcome.as_ref().is_err_and(unused) {
-        // Else a caller that sends again, as it was told to, would be refused until the claim ends.
-        claims.release(ask.key, ask.request).await;
+    entry.answers.store(slot, answer, claim.retention.0);
+    let not_run = |r: &verdict::Refusal| r.verdict == verdict::Verdict::NotRun;
+    if outcome.as_ref().is_err_and(not_run) {
+        // Otherwise a caller that resends, as the refusal permits, is refused until the claim
+        // expires.
+        claims.release(claim.key, claim.request).await;
     }
 }
--- a/laburnumcart_entry/src/callers.rs
+++ b/laburnumcart_entry/src/callers.rs
@@ -1,4 +1,4 @@
-//! HTTP for callers.
+//! HTTP server for callers: checks requests, starts their drivers and writes the responses.
 
 mod event_stream;
 mod full;
@@ -52,22 +52,22 @@
     request, //
 };
 
-/// Largest buffer for a request's head in bytes.
+/// Maximum size of a request's head in bytes.
 const HEAD_MAX: usize = 16 << 10;
 
-/// Most headers of a request.
+/// Maximum number of headers of a request.
 const HEADERS_MAX: usize = 64;
 
-/// Longest time for a request's head to arrive.
-const HEAD_LIMIT: time::Duration = time::Duration::from_secs(5);
+/// Timeout for the arrival of a request's head.
+const HEAD_TIMEOUT: time::Duration = time::Duration::from_secs(5);
 
-/// Longest time that a connection stays idle.
-const IDLE_LIMIT: time::Duration = time::Duration::from_secs(60);
+/// Timeout of an idle connection.
+const IDLE_TIMEOUT: time::Duration = time::Duration::from_secs(60);
 
-/// When a caller should come again to another entry.
-const LEAVING: unit::Period = unit::Period::from_secs(1);
+/// Retry delay suggested to callers, whose retry should reach another entry.
+const RETRY_DELAY: unit::Period = unit::Period::from_secs(1);
 
-/// What the handlers share.
+/// State shared by the handlers.
 #[derive(Clone)]
 struct State {
     entry: Arc<entry::Entry>,
@@ -77,7 +77,7 @@
 
 type Context<'a> = WebContext<'a, State>;
 
-/// Starts the HTTP server on threads of its own; the future ends when it has stopped.
+/// Starts the HTTP server on its own threads; the future completes when it has stopped.
 pub fn serve(
     entry: Arc<entry::Entry>,
     metrics: metrics::Metrics,
@@ -85,7 +85,7 @@
     threads: usize,
 ) -> io::Result<xitca_server::ServerFuture> {
     let connections = socket::Connections::default();
-    let gate = socket::ListenerConfig {
+    let listener = socket::ListenerConfig {
         listener,
         connections: connections.clone(),
         runtime: entry.traffic.clone(),
@@ -98,26 +98,29 @@
     };
     let server = App::new()
         .with_state(state)
-        .at("/v1/pipelines/{name}", route::post(handler_service(run)))
-        .at("/metrics", route::get(handler_service(page)))
-        .at("/healthz", route::get(handler_service(page)))
-        .at("/readyz", route::get(handler_service(page)))
-        .at("/{*path}", handler_service(unknown))
+        .at(
+            "/v1/pipelines/{name}",
+            route::post(handler_service(run_pipeline)),
+        )
+        .at("/metrics", route::get(handler_service(operator_page)))
+        .at("/healthz", route::get(handler_service(operator_page)))
+        .at("/readyz", route::get(handler_service(operator_page)))
+        .at("/{*path}", handler_service(unknown_path))
         .serve()
         .disable_signal()
         .worker_threads(threads)
-        .request_head_timeout(HEAD_LIMIT)
-        .keep_alive_timeout(IDLE_LIMIT)
+        .request_head_timeout(HEAD_TIMEOUT)
+        .keep_alive_timeout(IDLE_TIMEOUT)
         .max_read_buf_size::<HEAD_MAX>()
         .max_request_headers::<HEADERS_MAX>()
-        .listen(gate)?;
+        .listen(listener)?;
     Ok(server.run())
 }
 
-/// Creates the operators' pages.
+/// Creates the pages for operators: metrics, health and readiness.
 ///
-/// The entry is not ready while it leaves, has no bundle, knows no agent or has yet to call the
-/// agents, so that the balancer sends no caller into a refusal.
+/// The entry is not ready while it is leaving, has no bundle, knows no agent or has not called its
+/// agents yet. A load balancer then sends no callers, which would all be refused.
 fn pages(entry: &Arc<entry::Entry>, metrics: metrics::Metrics) -> admin::Pages {
     let entry = entry.clone();
     admin::Pages::new(metrics, move || {
@@ -132,14 +135,14 @@
     })
 }
 
-/// Answers a call of a path that does not exist.
-async fn unknown(ctx: &Context<'_>) -> WebResponse {
+/// Refuses a request for an unknown path.
+async fn unknown_path(ctx: &Context<'_>) -> WebResponse {
     let refusal = verdict::Refusal::not_run(verdict::Reason::UnknownPipeline);
     refuse(ctx, refusal, None, None)
 }
 
-/// Answers with an operators' page.
-async fn page(ctx: &Context<'_>) -> WebResponse {
+/// Serves a page for operators.
+async fn operator_page(ctx: &Context<'_>) -> WebResponse {
     let page = ctx.state().pages.answer(ctx.req().uri().path());
     let Some(page) = page else {
         return refuse(
@@ -151,28 +154,28 @@
     };
     let mut response = WebResponse::new(ResponseBody::bytes(page.body));
     *response.status_mut() = StatusCode::from_u16(page.status).unwrap_or_default();
-    typed(response, page.content_type)
+    with_content_type(response, page.content_type)
 }
 
-/// Answers a caller's request.
-async fn run(ctx: &Context<'_>, Body(body): Body<RequestBody>) -> WebResponse {
-    let (head, work) = match admit(ctx) {
+/// Handles a request to run a pipeline.
+async fn run_pipeline(ctx: &Context<'_>, Body(body): Body<RequestBody>) -> WebResponse {
+    let (head, work) = match check_head(ctx) {
         Ok(admitted) => admitted,
         Err(refusal) => return refuse(ctx, refusal, None, None),
     };
     let id = head.id;
-    let request = match read(head, body).await {
+    let request = match read_body(head, body).await {
         Ok(request) => request,
         Err(reason) => return refuse(ctx, verdict::Refusal::not_run(reason), Some(id), None),
     };
     let entry = &ctx.state().entry;
-    match accept(entry, &request) {
+    match admit(entry, &request) {
         Ok(admitted) => {
             let driven = driver::start(entry, request, admitted, work);
-            answer(ctx, id, driven).await
+            respond(ctx, id, driven).await
         }
         Err(refusal) => {
-            // Without these, a team whose requests are all refused at the door would look well.
+            // Counted so that a team whose requests are all refused here shows up in the metrics.
             let head = &request.head;
             let (ended, took) = (refusal.verdict.into(), head.arrived.elapsed());
             let metrics = &entry.metrics;
@@ -182,8 +185,8 @@
     }
 }
 
-/// Refuses content that crashes targets, and what the entry has no room or time for.
-fn accept(
+/// Refuses quarantined content, and requests that cannot be admitted.
+fn admit(
     entry: &entry::Entry,
     request: &request::Request,
 ) -> Result<policy::Admitted, verdict::Refusal> {
@@ -194,7 +197,7 @@
     }
 }
 
-/// Counts a refusal and answers with it.
+/// Counts a refusal and creates its response.
 fn refuse(
     ctx: &Context<'_>,
     refusal: verdict::Refusal,
@@ -204,30 +207,30 @@
     ctx.state().entry.metrics.record_refusal(&refusal);
     let mut response = problem::response(refusal, request, work);
     if refusal.reason == verdict::Reason::Leaving {
-        // The next request of this caller should come over a connection to another entry.
+        // Makes the caller open its next connection, which should reach another entry.
         let close = header::HeaderValue::from_static("close");
         response.headers_mut().insert(header::CONNECTION, close);
     }
     response
 }
 
-/// Checks all but the body.
-fn admit(ctx: &Context<'_>) -> Result<(request::Head, stop::Work), verdict::Refusal> {
+/// Checks a request except for its body, and registers it as in flight.
+fn check_head(ctx: &Context<'_>) -> Result<(request::Head, stop::Work), verdict::Refusal> {
     let entry = &ctx.state().entry;
-    let leaving = verdict::Refusal::not_run(verdict::Reason::Leaving).retry_after(LEAVING);
+    let leaving = verdict::Refusal::not_run(verdict::Reason::Leaving).retry_after(RETRY_DELAY);
     let work = entry.gate.enter().ok_or(leaving)?;
-    let missing = verdict::Refusal::not_run(verdict::Reason::NoBundle).retry_after(LEAVING);
+    let missing = verdict::Refusal::not_run(verdict::Reason::NoBundle).retry_after(RETRY_DELAY);
     let rules = entry.view.load().rules.clone().ok_or(missing)?;
     let now = tokio::time::Instant::now();
-    let head = request::Head::check(asked(ctx.req()), rules, now);
+    let head = request::Head::check(parse_head(ctx.req()), rules, now);
     Ok((head.map_err(verdict::Refusal::not_run)?, work))
 }
 
-/// Picks out what matters of a request's head.
-fn asked(req: &WebRequest<()>) -> request::Asked {
+/// Extracts the relevant parts of a request's head.
+fn parse_head(req: &WebRequest<()>) -> request::Asked {
     let text = |name: &str| {
         let value = req.headers().get(name)?;
-        // A value that is no text is passed on as one that no check accepts.
+        // A value that is not ASCII text is replaced by one that every check rejects.
         Some(value.to_str().unwrap_or("\u{fffd}").to_owned())
     };
     let bearer = text(header::AUTHORIZATION.as_str());
@@ -243,15 +246,18 @@
     }
 }
 
-/// Reads the body, at most as long as the pipeline allows.
-async fn read(head: request::Head, body: RequestBody) -> Result<request::Request, verdict::Reason> {
+/// Reads the body, within the size limit of the pipeline and the deadline.
+async fn read_body(
+    head: request::Head,
+    body: RequestBody,
+) -> Result<request::Request, verdict::Reason> {
     let limit = head.stages().body_limit.0;
-    let bytes = tokio::time::timeout_at(head.deadline, collect(body, limit)).await;
+    let bytes = tokio::time::timeout_at(head.deadline, collect_body(body, limit)).await;
     let bytes = bytes.map_err(|_| verdict::Reason::DeadlineExceeded)??;
     head.with_body(&bytes)
 }
 
-async fn collect(body: RequestBody, limit: u64) -> Result<Vec<u8>, verdict::Reason> {
+async fn collect_body(body: RequestBody, limit: u64) -> Result<Vec<u8>, verdict::Reason> {
     let mut body = std::pin::pin!(body);
     let mut bytes = Vec::new();
     while let Some(data) = body.as_mut().data().await {
@@ -264,24 +270,24 @@
     Ok(bytes)
 }
 
-/// Answers as one JSON text or as an event stream, as the caller asked.
-async fn answer(ctx: &Context<'_>, id: id::RequestId, driven: driver::Driven) -> WebResponse {
+/// Responds with an event stream if the caller accepts one, else with a single JSON body.
+async fn respond(ctx: &Context<'_>, id: id::RequestId, driven: driver::Driven) -> WebResponse {
     let accept = ctx.req().headers().get(header::ACCEPT);
-    let stream = accept
+    let wants_stream = accept
         .and_then(|a| a.to_str().ok())
-        .is_some_and(|a| a.contains(EVENTS));
-    let gone = ctx
+        .is_some_and(|a| a.contains(EVENT_STREAM));
+    let disconnected = ctx
         .state()
         .connections
         .wait_closed(*ctx.req().body().socket_addr());
-    if stream {
-        let events = event_stream::EventStream::new(id, driven, gone);
-        return typed(WebResponse::new(ResponseBody::boxed(events)), EVENTS);
+    if wants_stream {
+        let events = event_stream::EventStream::new(id, driven, disconnected);
+        return with_content_type(WebResponse::new(ResponseBody::boxed(events)), EVENT_STREAM);
     }
     let (outcome, work) = tokio::select! {
-        ended = whole(driven) => ended,
-        // Nobody reads this answer; dropping the events tells the driver.
-        () = gone => {
+        ended = wait_outcome(driven) => ended,
+        // The caller has disconnected. Dropping the event receiver cancels the driver.
+        () = disconnected => {
             let refusal = verdict::Refusal::may_have_run(verdict::Reason::Cancelled);
             return refuse(ctx, refusal, Some(id), None);
         }
@@ -289,29 +295,29 @@
     match outcome {
         Ok(body) => {
             let body = ResponseBody::boxed(full::FullBody::new(body, work));
-            typed(WebResponse::new(body), "application/json")
+            with_content_type(WebResponse::new(body), "application/json")
         }
         Err(refusal) => refuse(ctx, refusal, Some(id), work),
     }
 }
 
 /// Media type of event streams.
-const EVENTS: &str = "text/event-stream";
+const EVENT_STREAM: &str = "text/event-stream";
 
-fn typed(mut response: WebResponse, media: &'static str) -> WebResponse {
+fn with_content_type(mut response: WebResponse, media: &'static str) -> WebResponse {
     let value = header::HeaderValue::from_static(media);
     response.headers_mut().insert(header::CONTENT_TYPE, value);
     response
 }
 
-/// Waits for the final answer.
-async fn whole(mut driven: driver::Driven) -> (driver::Outcome, Option<stop::Work>) {
+/// Waits for the outcome of a request.
+async fn wait_outcome(mut driven: driver::Driven) -> (driver::Outcome, Option<stop::Work>) {
     while let Some(event) = driven.events.recv().await {
         if let driver::Event::End(outcome, work) = event {
             return (outcome, Some(work));
         }
     }
-    // The driver's task ended without an answer, which only a fault of ours can cause.
+    // The driver's task ended without an outcome, which only a bug in this process can cause.
     let refusal = verdict::Refusal::may_have_run(verdict::Reason::Lost);
     (Err(refusal), None)
 }
--- a/laburnumcart_entry/src/callers/event_stream.rs
+++ b/laburnumcart_entry/src/callers/event_stream.rs
@@ -1,4 +1,4 @@
-//! Answers as a stream of server-sent events.
+//! Response bodies that are streams of server-sent events.
 
 use std::{
     convert,
@@ -26,46 +26,46 @@
     driver, //
 };
 
-/// A piece of the last stage's text.
+/// Data of a `chunk` event: a piece of the last stage's text.
 #[derive(Serialize)]
 struct Chunk<'a> {
     text: &'a str,
 }
 
-/// Body of a streamed answer; ends with `event: end` or `event: error`.
+/// Body of a streamed response, which ends with `event: end` or `event: error`.
 ///
-/// Its request is in flight until the last event was written, as with an answer in one piece.
+/// Its request counts as in flight until the last event was written, as with `FullBody`.
 pub(super) struct EventStream {
     request: id::RequestId,
     driven: Option<driver::Driven>,
-    /// Ends when the caller has gone.
-    gone: pin::Pin<Box<dyn Future<Output = ()>>>,
+    /// Completes when the caller has disconnected.
+    disconnected: pin::Pin<Box<dyn Future<Output = ()>>>,
     work: Option<stop::Work>,
-    paused: bool,
+    has_yielded: bool,
 }
 
 impl EventStream {
-    /// Creates the stream of a request that runs.
+    /// Creates the stream of a running request.
     pub(super) fn new(
         request: id::RequestId,
         driven: driver::Driven,
-        gone: impl Future<Output = ()> + 'static,
+        disconnected: impl Future<Output = ()> + 'static,
     ) -> Self {
         Self {
             request,
             driven: Some(driven),
-            gone: Box::pin(gone),
+            disconnected: Box::pin(disconnected),
             work: None,
-            paused: false,
+            has_yielded: false,
         }
     }
 
-    /// Writes one event; the end closes the stream.
-    fn write(&mut self, event: Option<driver::Event>) -> Bytes {
+    /// Encodes one event; the last one closes the stream.
+    fn encode(&mut self, event: Option<driver::Event>) -> Bytes {
         let outcome = match event {
             Some(driver::Event::Piece(text)) => {
                 let chunk = serde_json::to_string(&Chunk { text: &text });
-                return frame("chunk", &chunk.unwrap_or_default());
+                return encode_event("chunk", &chunk.unwrap_or_default());
             }
             Some(driver::Event::End(outcome, work)) => {
                 self.work = Some(work);
@@ -75,20 +75,20 @@
         };
         self.driven = None;
         match outcome {
-            Ok(body) => frame("end", &body),
+            Ok(body) => encode_event("end", &body),
             Err(refusal) => {
                 let problem = problem::Problem::new(refusal, Some(self.request));
-                frame("error", &problem.to_json())
+                encode_event("error", &problem.to_json())
             }
         }
     }
 }
 
-/// Writes an event.
+/// Encodes a server-sent event.
 ///
-/// A line break in JSON text stands between its parts only, as strings escape it; left in place it
-/// would end the event early.
-fn frame(event: &str, data: &str) -> Bytes {
+/// A line break in the data would end the event early. In JSON text it is insignificant whitespace,
+/// as strings escape it, and is replaced by a space.
+fn encode_event(event: &str, data: &str) -> Bytes {
     let data = data.replace(['\n', '\r'], " ");
     format!("event: {event}\ndata: {data}\n\n").into()
 }
@@ -101,20 +101,20 @@
         mut self: pin::Pin<&mut Self>,
         cx: &mut task::Context<'_>,
     ) -> task::Poll<Option<Result<Frame<Bytes>, convert::Infallible>>> {
-        if self.gone.as_mut().poll(cx).is_ready() {
-            // Dropping the events tells the driver.
+        if self.disconnected.as_mut().poll(cx).is_ready() {
+            // Dropping the event receiver cancels the driver.
             self.driven = None;
         }
         let Some(driven) = self.driven.as_mut() else {
-            if self.paused {
+            if self.has_yielded {
                 return task::Poll::Ready(None);
             }
-            self.paused = true;
+            self.has_yielded = true;
             cx.waker().wake_by_ref();
             return task::Poll::Pending;
         };
         let event = task::ready!(driven.events.poll_recv(cx));
-        let bytes = self.write(event);
+        let bytes = self.encode(event);
         task::Poll::Ready(Some(Ok(Frame::Data(bytes))))
     }
 }
--- a/laburnumcart_entry/src/callers/full.rs
+++ b/laburnumcart_entry/src/callers/full.rs
@@ -1,4 +1,4 @@
-//! Answers in one piece.
+//! Response bodies that are sent in one piece.
 
 use std::{
     convert,
@@ -17,26 +17,26 @@
 
 use laburnumcart_daemon::stop;
 
-/// Body of an answer in one piece; its request is in flight until the body was written.
+/// Body that keeps its request in flight until it was written to the connection.
 ///
-/// The server drops a body when it has copied the last frame, before it writes it out. A process
-/// that counted the request as finished by then could exit in between and cut the answer off. The
-/// pause before the end makes the server write first.
+/// The server drops a body once its last frame is buffered, before the buffer is written. If the
+/// request counted as finished then, the process could exit before the write and truncate the
+/// response. The body therefore yields once before its end, which makes the server write first.
 #[derive(Debug)]
 pub(super) struct FullBody {
     len: usize,
     bytes: Option<Bytes>,
-    paused: bool,
+    has_yielded: bool,
     _work: Option<stop::Work>,
 }
 
 impl FullBody {
-    /// Creates the body.
+    /// Creates a body with the request's token of work in flight.
     pub(super) fn new(text: String, work: Option<stop::Work>) -> Self {
         Self {
             len: text.len(),
             bytes: Some(text.into()),
-            paused: false,
+            has_yielded: false,
             _work: work,
         }
     }
@@ -53,10 +53,10 @@
         if let Some(bytes) = self.bytes.take() {
             return task::Poll::Ready(Some(Ok(Frame::Data(bytes))));
         }
-        if self.paused {
+        if self.has_yielded {
             return task::Poll::Ready(None);
         }
-        self.paused = true;
+        self.has_yielded = true;
         cx.waker().wake_by_ref();
         task::Poll::Pending
     }
--- a/laburnumcart_entry/src/callers/problem.rs
+++ b/laburnumcart_entry/src/callers/problem.rs
@@ -1,4 +1,4 @@
-//! Refusals as `application/problem+json`.
+//! Refusals as responses of type `application/problem+json`.
 
 use http::{
     StatusCode,
@@ -18,10 +18,10 @@
 
 use crate::callers::full;
 
-/// Media type of a problem.
-const MEDIA: &str = "application/problem+json";
+/// Media type of problem details.
+const MEDIA_TYPE: &str = "application/problem+json";
 
-/// Body of a refusal.
+/// Problem details of a refusal.
 #[derive(Clone, Debug, Serialize)]
 pub struct Problem {
     #[serde(rename = "type")]
@@ -37,7 +37,7 @@
 }
 
 impl Problem {
-    /// Describes a refusal.
+    /// Creates the problem details of a refusal.
     pub fn new(refusal: verdict::Refusal, request: Option<id::RequestId>) -> Self {
         let status = status(refusal.reason);
         Self {
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Returns the JSON text.
+    /// Serializes the problem as JSON.
     pub fn to_json(&self) -> String {
         serde_json::to_string(self).unwrap_or_default()
     }
@@ -61,7 +61,7 @@
     status.canonical_reason().unwrap_or("Error").to_owned()
 }
 
-/// Returns the HTTP status that fits a reason.
+/// Returns the HTTP status for a reason.
 pub fn status(reason: verdict::Reason) -> StatusCode {
     match reason {
         verdict::Reason::Invalid | verdict::Reason::KeyMissing => StatusCode::BAD_REQUEST,
@@ -89,7 +89,7 @@
     }
 }
 
-/// Builds the response for a refusal.
+/// Creates the response for a refusal.
 pub(super) fn response(
     refusal: verdict::Refusal,
     request: Option<id::RequestId>,
@@ -99,10 +99,10 @@
     let body = full::FullBody::new(problem.to_json(), work);
     let mut response = WebResponse::new(ResponseBody::boxed(body));
     *response.status_mut() = status(refusal.reason);
-    let media = header::HeaderValue::from_static(MEDIA);
+    let media = header::HeaderValue::from_static(MEDIA_TYPE);
     response.headers_mut().insert(header::CONTENT_TYPE, media);
     if let Some(millis) = problem.retry_after_ms {
-        // Zero would ask for the next call at once, over and over.
+        // A value of zero would make callers retry in a tight loop.
         let seconds = header::HeaderValue::from(millis.div_ceil(1000).max(1));
         response.headers_mut().insert(header::RETRY_AFTER, seconds);
     }
--- a/laburnumcart_entry/src/callers/socket.rs
+++ b/laburnumcart_entry/src/callers/socket.rs
@@ -1,7 +1,7 @@
-//! Callers' connections: their number is bounded, and a caller's going away is noticed.
+//! Listener that limits the number of connections and detects disconnected callers.
 //!
-//! The HTTP server reads nothing while a request runs, so that it learns only from a failed write
-//! that the caller has gone. Each connection is therefore watched through a second descriptor.
+//! The HTTP server does not read while a request runs, so it would notice a disconnect only by a
+//! failed write. Each connection is therefore watched through a duplicate file descriptor.
 
 use std::{
     collections,
@@ -24,17 +24,17 @@
     Listen, //
 };
 
-/// Most connections of callers that are open at once; further ones wait to be accepted.
+/// Maximum number of open connections; further ones wait to be accepted.
 const CONNECTIONS_MAX: usize = 4096;
 
-/// Connections that are open, by the caller's address.
+/// Open connections by the caller's address.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Connections(sync::Arc<sync::Mutex<Open>>);
 
 type Open = collections::HashMap<net::SocketAddr, watch::Receiver<()>>;
 
 impl Connections {
-    /// Waits until the caller has closed its side; an address that is not known has done so.
+    /// Waits until the caller has closed its side; an unknown address counts as closed.
     pub(super) fn wait_closed(
         &self,
         addr: net::SocketAddr,
@@ -51,18 +51,23 @@
         self.0.lock().unwrap_or_else(sync::PoisonError::into_inner)
     }
 
-    /// Enters a connection into the table; the sender tells by its end that the caller has gone.
-    fn enter(&self, addr: net::SocketAddr) -> watch::Sender<()> {
+    /// Adds a connection; dropping the sender signals that the caller has disconnected.
+    fn insert(&self, addr: net::SocketAddr) -> watch::Sender<()> {
         let (sender, receiver) = watch::channel(());
         self.lock().insert(addr, receiver);
         sender
     }
 
     /// Removes a connection when its caller closes it.
-    async fn follow(self, stream: TcpStream, addr: net::SocketAddr, sender: watch::Sender<()>) {
-        closed(&stream).await;
+    async fn remove_when_closed(
+        self,
+        stream: TcpStream,
+        addr: net::SocketAddr,
+        sender: watch::Sender<()>,
+    ) {
+        wait_read_closed(&stream).await;
         let mut open = self.lock();
-        // The caller may have opened the next connection from the same port already.
+        // The caller may have reused the port for a new connection.
         let own = sender.subscribe();
         if open
             .get(&addr)
@@ -73,33 +78,33 @@
     }
 }
 
-/// Waits until the other side has closed, without reading.
-async fn closed(stream: &TcpStream) {
+/// Waits until the peer has closed its side, without reading.
+async fn wait_read_closed(stream: &TcpStream) {
     loop {
         match stream.ready(tokio::io::Interest::READABLE).await {
             Ok(ready) if ready.is_read_closed() => return,
             Ok(_) => {}
             Err(_) => return,
         }
-        // The data is the server's to read; forgetting that it is there makes the next wait end
-        // with the next change only. A close is never forgotten.
-        let unread = || Err::<(), _>(io::ErrorKind::WouldBlock.into());
-        let _ = stream.try_io(tokio::io::Interest::READABLE, unread);
+        // The server reads the data. Clearing the readiness makes the next wait block until the
+        // next change; a close stays visible.
+        let clear_ready = || Err::<(), _>(io::ErrorKind::WouldBlock.into());
+        let _ = stream.try_io(tokio::io::Interest::READABLE, clear_ready);
     }
 }
 
-/// A listener that is not yet bound to the server's runtime.
+/// Listener that is not registered with the server's runtime yet.
 #[derive(Debug)]
 pub(super) struct ListenerConfig {
-    /// Socket that listens.
+    /// Listening socket.
     pub(super) listener: net::TcpListener,
-    /// Table that new connections enter.
+    /// Table to which accepted connections are added.
     pub(super) connections: Connections,
-    /// Runtime of the watches.
+    /// Runtime on which connections are watched.
     pub(super) runtime: runtime::Handle,
 }
 
-/// A listener at work.
+/// Listener on the server's runtime.
 #[derive(Debug)]
 pub(super) struct Listener {
     listener: TcpListener,
@@ -129,15 +134,18 @@
         let (stream, addr) = self.listener.accept().await?;
         stream.set_nodelay(true)?;
         let stream = stream.into_std()?;
-        let twin = {
+        let duplicate = {
             let _runtime = self.runtime.enter();
             TcpStream::from_std(stream.try_clone()?)?
         };
-        // Entered before the first request can be read, else its caller would count as gone.
-        let sender = self.connections.enter(addr);
-        let follow = self.connections.clone().follow(twin, addr, sender);
+        // Added before the first request can be read, as an unknown caller counts as disconnected.
+        let sender = self.connections.insert(addr);
+        let removal = self
+            .connections
+            .clone()
+            .remove_when_closed(duplicate, addr, sender);
         self.runtime.spawn(async move {
-            follow.await;
+            removal.await;
             drop(permit);
         });
         Ok(Stream::Tcp(stream, addr))
--- a/laburnumcart_entry/src/claims.rs
+++ b/laburnumcart_entry/src/claims.rs
@@ -1,8 +1,8 @@
-//! Claims of non-idempotent requests, over shards that the entries own among themselves.
+//! Claims on non-idempotent requests, sharded over the entries, so that each runs at most once.
 //!
-//! [`Service::claim`] answers [`entry::Decision::Granted`] only after the claim is durable in the
-//! object service. Nothing may execute before that, and what executes does so once. See
-//! [`laburnumcart::claim`] for the log itself.
+//! [`Service::claim`] returns [`entry::Decision::Granted`] only after the claim is durable in the
+//! object service. A request must not execute before that. See [`laburnumcart::claim`] for the log
+//! itself.
 
 mod actor;
 mod append;
@@ -54,40 +54,40 @@
 
 pub use settings::Builder;
 
-/// Time after which a refused claim is worth a new try, when nothing better is known.
+/// Default retry delay that is suggested with a refused claim.
 pub const RETRY_DELAY: unit::Period = unit::Period::from_secs(1);
 
-/// Commands that wait at one shard; more are refused.
+/// Capacity of a shard's command queue; further commands are refused.
 const COMMAND_QUEUE: usize = 4096;
 
-/// Appends of this process that may start at once after a quiet time.
+/// Burst size of the append rate limiter, over all shards of this process.
 const APPEND_BURST: u32 = 4;
 
-/// Pause before asking again about a shard whose owner is not agreed on.
+/// Pause before the owner is looked up again when a peer names another one.
 const DISAGREEMENT_PAUSE: time::Duration = time::Duration::from_millis(20);
 
-/// A peer did not answer; what was asked of it may have taken effect.
+/// The peer did not respond; the call may still have taken effect.
 #[derive(Clone, Copy, Debug, Display, Error, Eq, PartialEq)]
 #[display("peer did not answer")]
 pub struct Unreachable;
 
-/// Calls of other entries.
+/// Remote calls to other entries.
 pub trait Peers: Send + Sync + 'static {
-    /// Asks the entry at `addr` for a claim.
+    /// Sends a claim to the entry at `addr`.
     fn claim(
         &self,
         addr: net::SocketAddr,
         claim: entry::Claim,
     ) -> impl future::Future<Output = Result<entry::Decision, Unreachable>> + Send;
 
-    /// Gives a claim back to the entry at `addr`.
+    /// Releases a claim at the entry at `addr`.
     fn release(
         &self,
         addr: net::SocketAddr,
         release: entry::Release,
     ) -> impl future::Future<Output = Result<bool, Unreachable>> + Send;
 
-    /// Asks the entry at `addr` for a final answer.
+    /// Fetches the final answer of a request from the entry at `addr`.
     fn fetch(
         &self,
         addr: net::SocketAddr,
@@ -95,36 +95,36 @@
     ) -> impl future::Future<Output = Result<entry::Answer, Unreachable>> + Send;
 }
 
-/// What a request claims.
+/// Parameters of a claim.
 #[derive(Clone, Copy, Debug)]
 pub struct ClaimRequest {
-    /// Team and idempotency key together, from [`claim::key`].
+    /// Fingerprint of team and idempotency key, from [`claim::key`].
     pub key: id::Fingerprint,
-    /// Content of the request.
+    /// Fingerprint of the request's content.
     pub content: id::Fingerprint,
-    /// Request that executes if the claim is granted.
+    /// Request that may execute if the claim is granted.
     pub request: id::RequestId,
-    /// How long the claim is kept.
+    /// Time for which the claim is kept.
     pub retention: unit::Period,
 }
 
-/// What came of a claim.
+/// Result of a claim.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Outcome {
-    /// The decision.
+    /// Whether the claim was granted, is held by another request or was refused.
     pub decision: entry::Decision,
-    /// Whether a refused claim may be in the log until it has been given back.
+    /// Whether a refused claim may be in the log until its release is recorded.
     pub in_doubt: bool,
 }
 
-/// Access to the task of one shard.
+/// Handle of the task of one shard.
 #[derive(Debug)]
 struct Shard {
     commands: mpsc::Sender<actor::Command>,
     detector: sync::Arc<sync::Mutex<ownership::Detector>>,
 }
 
-/// Claims and releases, wherever their shards are owned.
+/// Client and server of claims: forwards each call to the owner of its shard.
 #[derive(Debug)]
 pub struct Service<S, P> {
     config: Builder,
@@ -132,7 +132,7 @@
     peers: sync::Arc<P>,
     runtime: runtime::Handle,
     live_entries: sync::RwLock<Vec<net::SocketAddr>>,
-    /// Number of shards to fix if no process has done so before.
+    /// Number of shards to store if no process has stored one yet.
     initial_shards: atomic::AtomicU16,
     shards: OnceCell<Vec<Shard>>,
 }
@@ -150,34 +150,34 @@
         })
     }
 
-    /// Sets the peer addresses of the live entries, over which ownership spreads.
+    /// Sets the peer addresses of the live entries, among which shards are distributed.
     pub fn set_live_entries(&self, live: Vec<net::SocketAddr>) {
         *self.live_entries.write().expect("lock is not poisoned") = live;
     }
 
-    /// Sets the number of shards, which counts only until a process has fixed it for good.
+    /// Sets the number of shards; ignored once any process has stored one, which is final.
     pub fn set_shards(&self, shards: u16) {
         self.initial_shards
             .store(shards.max(1), atomic::Ordering::Relaxed);
     }
 
-    /// Returns the address and life of this process.
+    /// Returns the address and incarnation of this process.
     pub fn holder(&self) -> claim::Holder {
         self.config.holder
     }
 
-    /// Claims a key for a request that executes in this process, at its owner.
+    /// Claims a key at the owner of its shard, for a request that executes in this process.
     ///
-    /// Never answers `Elsewhere`. A key that was claimed with other content is refused as
-    /// `KeyReused`. At the deadline an undecided claim is refused as not run: only this process
-    /// could have executed the request, and it gives the claim back.
+    /// Never returns `Elsewhere`. A key that is claimed for other content is refused as
+    /// `KeyReused`. A claim that is undecided at the deadline is refused as not run, which is
+    /// correct as only this process could have executed the request, and is released.
     pub async fn claim(
         self: &sync::Arc<Self>,
-        ask: ClaimRequest,
+        claim: ClaimRequest,
         deadline: clock::Instant,
     ) -> Outcome {
-        let mut undecided = release_guard::ReleaseGuard::new(self.clone(), ask);
-        let deciding = self.claim_at_owner(&ask, &mut undecided.unanswered);
+        let mut guard = release_guard::ReleaseGuard::new(self.clone(), claim);
+        let deciding = self.claim_at_owner(&claim, &mut guard.unanswered);
         let decided = clock::timeout_at(deadline, deciding).await;
         let Ok(decision) = decided else {
             return Outcome {
@@ -185,22 +185,19 @@
                 in_doubt: true,
             };
         };
-        let doubtful = undecided.resolve(&decision);
+        let in_doubt = guard.resolve(&decision);
         let decision = match decision {
-            entry::Decision::Taken { content, .. } if content != ask.content => {
+            entry::Decision::Taken { content, .. } if content != claim.content => {
                 refused(verdict::Reason::KeyReused, None)
             }
             decision => decision,
         };
-        Outcome {
-            decision,
-            in_doubt: doubtful,
-        }
+        Outcome { decision, in_doubt }
     }
 
-    /// Answers a claim that another entry asks for.
+    /// Handles a claim that another entry has sent.
     ///
-    /// `Elsewhere` if this process does not own the shard.
+    /// Returns `Elsewhere` if this process does not own the shard.
     pub async fn serve_claim(&self, claim: entry::Claim) -> entry::Decision {
         let Ok(shard) = self.shard_of(claim.key).await else {
             return refused(verdict::Reason::ClaimUnavailable, Some(RETRY_DELAY));
@@ -223,16 +220,17 @@
         if let Ok(Ok(decision)) = clock::timeout(limit, &mut answer).await {
             return decision;
         }
-        // The answer may have come between the timeout and now; closed, it would be given back.
+        // A closed channel makes the owner release a later grant; one that was sent between the
+        // timeout and the close is read here.
         answer.close();
         answer
             .try_recv()
             .unwrap_or_else(|_| refused(verdict::Reason::ClaimUnavailable, Some(RETRY_DELAY)))
     }
 
-    /// Gives back a claim whose request provably never started; returns whether it is recorded.
+    /// Releases a claim whose request is proven not executed; returns whether that is durable.
     ///
-    /// Unless it is recorded the key stays claimed, which is safe.
+    /// If it is not durable, the key may stay claimed, which is safe.
     pub async fn release(&self, key: id::Fingerprint, request: id::RequestId) -> bool {
         let Ok(shard) = self.shard_of(key).await else {
             return false;
@@ -254,7 +252,7 @@
         answer.unwrap_or(false)
     }
 
-    /// Answers a release that another entry asks for.
+    /// Handles a release that another entry has sent.
     pub async fn serve_release(&self, release: entry::Release) -> bool {
         matches!(
             self.release_locally(&release).await,
@@ -262,7 +260,7 @@
         )
     }
 
-    /// Ends the ownership of every shard, so that the next asker takes over without waiting.
+    /// Gives up all owned shards, so that another entry can take them over without a timeout.
     pub async fn drain(&self) {
         let Some(shards) = self.shards.get() else {
             return;
@@ -276,7 +274,7 @@
             }
         }
         for answer in answers {
-            // A shard whose task is gone has nothing to hand over.
+            // A shard whose task has ended owns nothing.
             answer.await.ok();
         }
     }
@@ -297,38 +295,38 @@
         answer.await.unwrap_or(actor::Released::Here(false))
     }
 
-    /// Asks until there is a decision; sets `unanswered` if a peer did not answer on the way.
-    async fn claim_at_owner(&self, ask: &ClaimRequest, unanswered: &mut bool) -> entry::Decision {
-        let shard = match self.shard_of(ask.key).await {
+    /// Retries at successive owners until one decides; sets `unanswered` if a peer did not respond.
+    async fn claim_at_owner(&self, claim: &ClaimRequest, unanswered: &mut bool) -> entry::Decision {
+        let shard = match self.shard_of(claim.key).await {
             Ok(shard) => shard,
             Err(_) => return refused(verdict::Reason::ClaimUnavailable, Some(RETRY_DELAY)),
         };
         let mut mode = actor::Mode::Cached;
         loop {
-            let owner = match self.claim_locally(shard, ask, mode).await {
+            let owner = match self.claim_locally(shard, claim, mode).await {
                 entry::Decision::Elsewhere { owner } => owner,
                 decision => return decision,
             };
-            mode = match self.claim_remotely(shard, ask, owner, unanswered).await {
+            mode = match self.claim_remotely(shard, claim, owner, unanswered).await {
                 Ok(decision) => return decision,
                 Err(mode) => mode,
             };
         }
     }
 
-    /// Asks the task of the shard in this process.
+    /// Sends the claim to the shard's task in this process.
     async fn claim_locally(
         &self,
         shard: u16,
-        ask: &ClaimRequest,
+        claim: &ClaimRequest,
         mode: actor::Mode,
     ) -> entry::Decision {
         let grant = record::Grant {
-            key: ask.key,
-            content: ask.content,
-            request: ask.request,
+            key: claim.key,
+            content: claim.content,
+            request: claim.request,
             holder: self.config.holder,
-            keep: ask.retention,
+            keep: claim.retention,
             age: unit::Period::default(),
         };
         let (reply, answer) = oneshot::channel();
@@ -340,40 +338,42 @@
         answer.await.unwrap_or_else(lost)
     }
 
-    /// Asks the owner, or who should become it; otherwise returns how to ask here next.
+    /// Sends the claim to the owner, or else to the preferred owner.
+    ///
+    /// Without a decision, returns the mode for the next local attempt.
     async fn claim_remotely(
         &self,
         shard: u16,
-        ask: &ClaimRequest,
+        claim: &ClaimRequest,
         owner: Option<claim::Holder>,
         unanswered: &mut bool,
     ) -> Result<entry::Decision, actor::Mode> {
-        let me = self.config.holder.addr;
+        let own_addr = self.config.holder.addr;
         let addr = owner.map_or_else(|| self.preferred_owner(shard), |owner| owner.addr);
-        if addr == me {
-            // Nobody owns it, or an earlier life at this address did.
+        if addr == own_addr {
+            // The shard has no owner, or its owner is an earlier incarnation at this address.
             return Err(actor::Mode::TakeOver(owner));
         }
-        let claim = entry::Claim {
+        let message = entry::Claim {
             shard,
-            key: ask.key,
-            content: ask.content,
-            request: ask.request,
+            key: claim.key,
+            content: claim.content,
+            request: claim.request,
             holder: self.config.holder,
-            retention: ask.retention,
+            retention: claim.retention,
         };
-        match self.peers.claim(addr, claim).await {
-            // Who should own it does not want it: it stops, or knows of others than this process.
+        match self.peers.claim(addr, message).await {
+            // The preferred owner declines: it shuts down, or its list of live entries differs.
             Ok(entry::Decision::Elsewhere { owner: None }) if owner.is_none() => {
                 Err(actor::Mode::TakeOver(None))
             }
             Ok(entry::Decision::Elsewhere { .. }) => {
-                self.suspicion(shard, ownership::Detector::record_success);
+                self.with_detector(shard, ownership::Detector::record_success);
                 clock::sleep(DISAGREEMENT_PAUSE).await;
                 Err(actor::Mode::Refresh)
             }
             Ok(decision) => {
-                self.suspicion(shard, ownership::Detector::record_success);
+                self.with_detector(shard, ownership::Detector::record_success);
                 Ok(decision)
             }
             Err(Unreachable) => {
@@ -383,14 +383,15 @@
         }
     }
 
-    /// Follows the advice about an owner that did not answer.
+    /// Retries, takes over or refuses, as the failure detector decides, when an owner is
+    /// unreachable.
     async fn handle_unreachable(
         &self,
         shard: u16,
         owner: Option<claim::Holder>,
     ) -> Result<entry::Decision, actor::Mode> {
         let now = clock::Instant::now();
-        match self.suspicion(shard, |suspicion| suspicion.record_failure(now)) {
+        match self.with_detector(shard, |detector| detector.record_failure(now)) {
             ownership::Action::Retry(wait) => {
                 clock::sleep(wait).await;
                 Err(actor::Mode::Refresh)
@@ -403,7 +404,7 @@
         }
     }
 
-    fn suspicion<T>(&self, shard: u16, act: impl FnOnce(&mut ownership::Detector) -> T) -> T {
+    fn with_detector<T>(&self, shard: u16, act: impl FnOnce(&mut ownership::Detector) -> T) -> T {
         let shards = self.shards.get().expect("shards are known");
         let shard = &shards[usize::from(shard)];
         act(&mut shard.detector.lock().expect("lock is not poisoned"))
@@ -425,7 +426,7 @@
         Ok(claim::shard(key, shards.len() as u16))
     }
 
-    /// Learns the number of shards and starts a task for each.
+    /// Reads the number of shards and starts a task for each.
     async fn start_shards(&self) -> Result<Vec<Shard>, store::Failure> {
         let wanted = self.initial_shards.load(atomic::Ordering::Relaxed);
         let count = takeover::fix_shard_count(&*self.store, wanted).await?;
@@ -437,12 +438,12 @@
                 configured = wanted
             );
         }
-        // In the long run each append costs a deletion. With a limit of their own, deletions do
-        // not delay claims.
+        // Each append leads to one deletion later. Deletions have a limiter of their own, so that
+        // they do not delay claims.
         let half = unit::Rate(self.config.write_rate.0 / 2.0);
-        let pace =
+        let new_limiter =
             |burst| sync::Arc::new(sync::Mutex::new(limiter::Limiter::new(half, count, burst)));
-        let (appends, deletions) = (pace(APPEND_BURST), pace(1));
+        let (appends, deletions) = (new_limiter(APPEND_BURST), new_limiter(1));
         let spawn_shard = |shard| self.spawn(shard, appends.clone(), deletions.clone());
         Ok((0..count).map(spawn_shard).collect())
     }
@@ -453,9 +454,9 @@
         appends: actor::SharedLimiter,
         deletions: actor::SharedLimiter,
     ) -> Shard {
-        let (inbox, commands) = mpsc::channel(COMMAND_QUEUE);
-        let suspicion = ownership::Detector::new(self.config.takeover_limits);
-        let suspicion = sync::Arc::new(sync::Mutex::new(suspicion));
+        let (commands, receiver) = mpsc::channel(COMMAND_QUEUE);
+        let detector = ownership::Detector::new(self.config.takeover_limits);
+        let detector = sync::Arc::new(sync::Mutex::new(detector));
         let context = actor::Context {
             shard,
             holder: self.config.holder,
@@ -465,18 +466,15 @@
             appends,
             deletions,
             store_timeout: self.config.store_timeout,
-            detector: suspicion.clone(),
+            detector: detector.clone(),
             metrics: self.config.metrics.clone(),
         };
-        self.runtime.spawn(actor::run(context, commands));
-        Shard {
-            commands: inbox,
-            detector: suspicion,
-        }
+        self.runtime.spawn(actor::run(context, receiver));
+        Shard { commands, detector }
     }
 }
 
-/// Creates a refusal that proves that the request did not run.
+/// Creates a refusal with the verdict that the request was not executed.
 fn refused(reason: verdict::Reason, retry: Option<unit::Period>) -> entry::Decision {
     let refusal = verdict::Refusal::not_run(reason);
     entry::Decision::Refused(verdict::Refusal { retry, ..refusal })
--- a/laburnumcart_entry/src/claims/actor.rs
+++ b/laburnumcart_entry/src/claims/actor.rs
@@ -1,4 +1,4 @@
-//! The task of one shard: follows its owner, or is it.
+//! Task of one shard, which follows the owner or is the owner itself.
 
 use std::{
     sync,
@@ -37,66 +37,65 @@
     takeover, //
 };
 
-/// Time for which a head that was read is good enough to route by.
+/// Greatest age of a head that claims are routed by.
 const HEAD_AGE_MAX: time::Duration = time::Duration::from_secs(5);
 
-/// How long to refuse at once after the object service could not be used.
+/// Time for which claims are refused immediately after a call of the object service has failed.
 pub(super) const UNAVAILABLE_TIME: time::Duration = time::Duration::from_millis(250);
 
-/// How a claim is to be treated when this process does not own the shard.
+/// Handling of a claim whose shard this process does not own.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(super) enum Mode {
-    /// Say whose it is, as last seen.
+    /// Return the owner from the cached head.
     Cached,
-    /// Read the head first.
+    /// Read the head and return the owner.
     Refresh,
-    /// Take the shard if nobody owns it; a peer asks.
+    /// Take the shard over if it has no owner; the claim came from a peer.
     Serve,
-    /// Take the shard if nobody owns it, or this owner does.
+    /// Take the shard over if it has no owner or this one.
     TakeOver(Option<claim::Holder>),
 }
 
 /// Outcome of a release.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(super) enum Released {
-    /// This process owns the shard; whether the release is in the log.
+    /// This process owns the shard; the flag tells whether the release is in the log.
     Here(bool),
     /// Another process owns the shard.
     Elsewhere(Option<claim::Holder>),
 }
 
-/// What the task is asked to do.
+/// Command to the task of a shard.
 #[derive(Debug)]
 pub(super) enum Command {
-    /// Claim a key.
+    /// Claims a key.
     Claim {
-        /// The claim.
+        /// Record to append.
         grant: record::Grant,
-        /// What to do if the shard is not owned here.
+        /// Handling if this process does not own the shard.
         mode: Mode,
-        /// Where the decision goes; a closed one withdraws the claim.
+        /// Receives the decision; if closed, the claim is withdrawn.
         reply: oneshot::Sender<entry::Decision>,
     },
-    /// Give a claim back.
+    /// Releases a claim.
     Release {
-        /// Key of the claim.
         key: id::Fingerprint,
         /// Request that held it.
         request: id::RequestId,
-        /// Where the outcome goes.
+        /// Receives the outcome.
         reply: oneshot::Sender<Released>,
     },
-    /// Give the shard up.
+    /// Gives up the shard for a graceful shutdown.
     Drain {
-        /// Told at the end.
+        /// Signalled on completion.
         reply: oneshot::Sender<()>,
     },
 }
 
-/// A rate limit that the shards of a process share.
+/// Rate limiter that the shards of a process share.
 pub(super) type SharedLimiter = sync::Arc<sync::Mutex<claim::limiter::Limiter>>;
 
-/// What the task works with.
+/// Configuration and shared resources of a shard's task.
 pub(super) struct Context<S> {
     pub(super) shard: u16,
     pub(super) holder: claim::Holder,
@@ -111,10 +110,10 @@
 }
 
 impl<S> Context<S> {
-    /// Changes both rate limits of this process.
+    /// Applies a change to both rate limiters of this process.
     fn update_limiters(&self, change: impl Fn(&mut claim::limiter::Limiter)) {
-        for pace in [&self.appends, &self.deletions] {
-            change(&mut pace.lock().expect("lock is not poisoned"));
+        for limiter in [&self.appends, &self.deletions] {
+            change(&mut limiter.lock().expect("lock is not poisoned"));
         }
     }
 
@@ -126,41 +125,45 @@
         retry: unit::Period,
     ) {
         self.metrics.refused.inc();
-        // A receiver that is gone has no use for a refusal.
+        // A caller that no longer waits needs no refusal.
         reply.send(claims::refused(reason, Some(retry))).ok();
     }
 }
 
-/// What is known of a shard that is owned elsewhere.
+/// State of a shard that this process does not own.
 #[derive(Debug, Default)]
 struct Follower {
     head: Option<record::Head>,
-    read: Option<clock::Instant>,
-    down: Option<(clock::Instant, unit::Period)>,
-    stopped: bool,
+    read_at: Option<clock::Instant>,
+    /// End of the time in which claims are refused, and the retry delay to suggest.
+    unavailable: Option<(clock::Instant, unit::Period)>,
+    drained: bool,
 }
 
-/// Runs until the service is dropped.
-pub(super) async fn run<S: store::Store>(context: Context<S>, mut inbox: mpsc::Receiver<Command>) {
+/// Runs the task until the service is dropped.
+pub(super) async fn run<S: store::Store>(
+    context: Context<S>,
+    mut commands: mpsc::Receiver<Command>,
+) {
     let mut follower = Follower::default();
-    while let Some(command) = inbox.recv().await {
+    while let Some(command) = commands.recv().await {
         let Some(taken) = follower.handle(&context, command).await else {
             continue;
         };
         context.update_limiters(claim::limiter::Limiter::add_shard);
-        let ended = owned::run(&context, &mut inbox, taken).await;
+        let ended = owned::run(&context, &mut commands, taken).await;
         context.update_limiters(claim::limiter::Limiter::remove_shard);
         follower.record_loss(&context);
         match ended {
             owned::Ended::Sealed => {}
-            owned::Ended::Drained => follower.stopped = true,
+            owned::Ended::Drained => follower.drained = true,
             owned::Ended::Closed => return,
         }
     }
 }
 
 impl Follower {
-    /// Handles a command; returns the state of the shard if it was taken over for a claim.
+    /// Handles a command; returns the start state of an owner if the shard was taken over.
     async fn handle<S: store::Store>(
         &mut self,
         context: &Context<S>,
@@ -169,14 +172,14 @@
         match command {
             Command::Claim { grant, mode, reply } => self.claim(context, grant, mode, reply).await,
             Command::Release { reply, .. } => {
-                // Without the owner's answer the key stays claimed, which is safe.
-                self.read = None;
+                // If the owner does not confirm the release, the key stays claimed, which is safe.
+                self.read_at = None;
                 let owner = self.owner(context).await.unwrap_or(None);
                 reply.send(Released::Elsewhere(owner)).ok();
                 None
             }
             Command::Drain { reply } => {
-                self.stopped = true;
+                self.drained = true;
                 reply.send(()).ok();
                 None
             }
@@ -194,20 +197,20 @@
             return None;
         }
         let now = clock::Instant::now();
-        if let Some((until, retry)) = self.down
+        if let Some((until, retry)) = self.unavailable
             && now < until
         {
             context.refuse(reply, verdict::Reason::ClaimUnavailable, retry);
             return None;
         }
-        if self.stopped && matches!(mode, Mode::TakeOver(_)) {
+        if self.drained && matches!(mode, Mode::TakeOver(_)) {
             context.refuse(reply, verdict::Reason::Leaving, claims::RETRY_DELAY);
             return None;
         }
         if mode != Mode::Cached {
-            self.read = None;
+            self.read_at = None;
         }
-        match self.decide(context, mode).await {
+        match self.locate_or_take_over(context, mode).await {
             Ok(Ownership::Taken(taken)) => Some(owned::Start {
                 log: taken,
                 grant,
@@ -219,32 +222,33 @@
             }
             Err(failure) => {
                 let retry = append::retry_after(&failure).unwrap_or(claims::RETRY_DELAY);
-                self.down = Some((clock::Instant::now() + UNAVAILABLE_TIME.min(retry.0), retry));
+                self.unavailable =
+                    Some((clock::Instant::now() + UNAVAILABLE_TIME.min(retry.0), retry));
                 context.refuse(reply, verdict::Reason::ClaimUnavailable, retry);
                 None
             }
         }
     }
 
-    async fn decide<S: store::Store>(
+    async fn locate_or_take_over<S: store::Store>(
         &mut self,
         context: &Context<S>,
         mode: Mode,
     ) -> Result<Ownership, store::Failure> {
         let owner = self.owner(context).await?;
         let here = owner.is_none_or(|owner| owner.addr == context.holder.addr);
-        let take = match mode {
+        let can_take_over = match mode {
             Mode::Cached | Mode::Refresh => false,
             Mode::Serve => here,
             Mode::TakeOver(suspect) => here || owner == suspect,
         };
-        if self.stopped || !take {
+        if self.drained || !can_take_over {
             return Ok(Ownership::Elsewhere(owner));
         }
-        self.take(context, owner).await
+        self.take_over(context, owner).await
     }
 
-    async fn take<S: store::Store>(
+    async fn take_over<S: store::Store>(
         &mut self,
         context: &Context<S>,
         suspect: Option<claim::Holder>,
@@ -256,7 +260,7 @@
             limits: context.limits,
             store_timeout: context.store_timeout,
         };
-        self.read = None;
+        self.read_at = None;
         match takeover::take_over(&*context.store, plan).await? {
             takeover::Outcome::Owner(taken) => {
                 context.metrics.takeovers.inc();
@@ -268,14 +272,14 @@
                     claims = taken.log.table().len()
                 );
                 self.record_head(context, Some(taken.base.head));
-                let sweep = compaction::delete_superseded(
+                let deletions = compaction::delete_superseded(
                     context.store.clone(),
                     taken.superseded,
                     Some(taken.base),
                     context.deletions.clone(),
                     context.store_timeout,
                 );
-                context.runtime.spawn(sweep);
+                context.runtime.spawn(deletions);
                 Ok(Ownership::Taken(Box::new(taken.log)))
             }
             takeover::Outcome::Foreign(head) => {
@@ -285,45 +289,45 @@
         }
     }
 
-    /// Returns the owner, reading the head if it was read long ago.
+    /// Returns the owner, and reads the head if the cached one is older than [`HEAD_AGE_MAX`].
     async fn owner<S: store::Store>(
         &mut self,
         context: &Context<S>,
     ) -> Result<Option<claim::Holder>, store::Failure> {
         let now = clock::Instant::now();
-        let fresh = self.read.is_some_and(|read| now < read + HEAD_AGE_MAX);
+        let fresh = self.read_at.is_some_and(|read| now < read + HEAD_AGE_MAX);
         if !fresh {
             let found =
                 takeover::read_head(&*context.store, context.shard, context.store_timeout).await?;
             self.record_head(context, found.map(|(head, _)| head));
-            self.read = Some(clock::Instant::now());
+            self.read_at = Some(clock::Instant::now());
         }
         Ok(self.head.and_then(|head| head.owner))
     }
 
-    /// Remembers a head, and when the shard changed hands.
+    /// Caches a head and reports a change of owner to the failure detector.
     fn record_head<S>(&mut self, context: &Context<S>, head: Option<record::Head>) {
         let known = self.head.map(|head| head.epoch);
         let epoch = head.map(|head| head.epoch);
         if known.is_some() && epoch > known {
-            let mut suspicion = context.detector.lock().expect("lock is not poisoned");
-            suspicion.record_owner_change(clock::Instant::now());
+            let mut detector = context.detector.lock().expect("lock is not poisoned");
+            detector.record_owner_change(clock::Instant::now());
         }
         self.head = head.or(self.head);
     }
 
-    /// Forgets whose the shard is, as it is no longer this process's.
+    /// Records that this process no longer owns the shard, and invalidates the cached head.
     fn record_loss<S>(&mut self, context: &Context<S>) {
-        self.read = None;
+        self.read_at = None;
         context.metrics.lost.inc();
         event!(Info, "claim-shard-lost", shard = context.shard);
     }
 }
 
-/// What follows a claim in a shard that was not owned here.
+/// Owner of a shard after the takeover or lookup for a claim.
 enum Ownership {
-    /// The shard was taken over.
+    /// This process has taken the shard over.
     Taken(Box<claim::log::Log>),
-    /// It is owned elsewhere.
+    /// Another process owns the shard, or none does.
     Elsewhere(Option<claim::Holder>),
 }
--- a/laburnumcart_entry/src/claims/compaction.rs
+++ b/laburnumcart_entry/src/claims/compaction.rs
@@ -1,4 +1,4 @@
-//! Deletion of segments that a complete snapshot supersedes.
+//! Deletion of log segments that a complete snapshot supersedes.
 
 use std::{
     sync,
@@ -15,44 +15,46 @@
     append, //
 };
 
-/// An object to delete.
+/// A segment that a snapshot supersedes.
 #[derive(Clone, Debug)]
 pub(super) struct Superseded {
-    /// Its key.
+    /// Key of its object.
     pub(super) key: String,
-    /// Its version.
+    /// Version of its object, which the deletion is conditional on.
     pub(super) version: store::Version,
 }
 
-/// Head to move once the old epochs are empty but for their seals.
+/// Update of a head's base epoch, due when the older epochs hold only their seals.
 #[derive(Clone, Debug)]
 pub(super) struct BaseUpdate {
-    /// Shard of the head.
     pub(super) shard: u16,
-    /// Head as this owner wrote it.
+    /// Head as written by this owner.
     pub(super) head: record::Head,
-    /// Its version.
+    /// Version of the head, which the update is conditional on.
     pub(super) version: store::Version,
 }
 
-/// Deletes what is old, then moves the base of the head.
+/// Deletes superseded segments, then raises the base epoch of the head.
 ///
-/// A deletion is a write as an append is, so it has a rate limit too.
-///
-/// Stops at the first failure: what is left lies within the base and is found by the next owner.
+/// Deletions are rate limited, as the object service counts them as writes. The first failure ends
+/// the work: the segments that are left lie at or above the base epoch, where the next owner finds
+/// them.
 pub(super) async fn delete_superseded<S: store::Store>(
     store: sync::Arc<S>,
-    old: Vec<Superseded>,
+    superseded: Vec<Superseded>,
     base: Option<BaseUpdate>,
-    pace: actor::SharedLimiter,
-    limit: time::Duration,
+    limiter: actor::SharedLimiter,
+    timeout: time::Duration,
 ) {
-    for object in old {
+    for object in superseded {
         let now = clock::Instant::now();
-        let slot = pace.lock().expect("lock is not poisoned").reserve_slot(now);
+        let slot = limiter
+            .lock()
+            .expect("lock is not poisoned")
+            .reserve_slot(now);
         clock::sleep_until(slot).await;
         let call = store.delete(&object.key, object.version);
-        if append::with_timeout(limit, call).await.is_err() {
+        if append::with_timeout(timeout, call).await.is_err() {
             return;
         }
     }
@@ -64,6 +66,6 @@
     let key = record::head_key(base.shard);
     let value = serde_json::to_string(&head).expect("heads serialize");
     let call = store.put(&key, store::Expect::Version(base.version), &value);
-    // Without it the next owner reads more epochs than it needs.
-    append::with_timeout(limit, call).await.ok();
+    // If the update is lost, the next owner only reads more epochs than it needs.
+    append::with_timeout(timeout, call).await.ok();
 }
--- a/laburnumcart_entry/src/claims/metrics.rs
+++ b/laburnumcart_entry/src/claims/metrics.rs
@@ -8,17 +8,17 @@
 /// Counters of the claim service of one process.
 #[derive(Clone, Debug, Default)]
 pub struct Metrics {
-    /// Claims granted here.
+    /// Claims granted by this process.
     pub granted: counter::Counter,
     /// Claims of a key that another request holds.
     pub taken: counter::Counter,
     /// Claims refused as not run.
     pub refused: counter::Counter,
-    /// Claims given back.
+    /// Claims released.
     pub released: counter::Counter,
-    /// Appends to the log that are durable.
+    /// Appends to the log that became durable.
     pub appends: counter::Counter,
-    /// Appends whose answer was lost.
+    /// Appends without a response, which had to be settled by reading back.
     pub unanswered: counter::Counter,
     /// Shards taken over.
     pub takeovers: counter::Counter,
@@ -34,11 +34,15 @@
             registry.register(name, help, counter.clone());
         };
         add("granted", "Claims granted", &self.granted);
-        add("taken", "Claims of a key held already", &self.taken);
+        add(
+            "taken",
+            "Claims of a key that another request holds",
+            &self.taken,
+        );
         add("refused", "Claims refused as not run", &self.refused);
-        add("released", "Claims given back", &self.released);
+        add("released", "Claims released", &self.released);
         add("appends", "Durable appends", &self.appends);
-        add("unanswered", "Appends without an answer", &self.unanswered);
+        add("unanswered", "Appends without a response", &self.unanswered);
         add("takeovers", "Shards taken over", &self.takeovers);
         add("lost", "Shards lost to another entry", &self.lost);
     }
--- a/laburnumcart_entry/src/claims/owned.rs
+++ b/laburnumcart_entry/src/claims/owned.rs
@@ -1,4 +1,4 @@
-//! The task of a shard while this process owns it.
+//! Owner of a shard: batches grants and releases into appends to the log.
 
 use std::{
     collections,
@@ -37,68 +37,70 @@
 };
 
 type Reply = oneshot::Sender<entry::Decision>;
-type Asked = (record::Grant, Reply);
-type Call = pin::Pin<Box<dyn Future<Output = append::Outcome> + Send>>;
+type DeferredClaim = (record::Grant, Reply);
+type AppendFuture = pin::Pin<Box<dyn Future<Output = append::Outcome> + Send>>;
 
-/// A shard just taken over, and the claim that it was taken for.
+/// A shard that was just taken over, and the claim that caused the takeover.
 pub(super) struct Start {
     pub(super) log: Box<log::Log>,
     pub(super) grant: record::Grant,
     pub(super) reply: Reply,
 }
 
-/// Why the ownership ended.
+/// Reason for the end of an ownership.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(super) enum Ended {
-    /// Another process has sealed the epoch.
+    /// Another process sealed the epoch.
     Sealed,
-    /// This process has sealed it on its way out.
+    /// This process sealed the epoch in a graceful shutdown.
     Drained,
     /// The service was dropped.
     Closed,
 }
 
-/// State of the owner beside its log.
+/// Owner of one shard.
 struct Owner<'a, S> {
     context: &'a actor::Context<S>,
     log: Box<log::Log>,
-    /// Replies by claim, sent when its batch is durable.
+    /// Replies by claim, sent when the batch of the claim is durable.
     waiting: collections::HashMap<(id::Fingerprint, id::RequestId), Vec<Reply>>,
-    /// Claims of keys that a batch changes, asked again when it is settled.
-    parked: Vec<Asked>,
-    /// Decisions that hold if this process still is the owner when the batch is durable.
+    /// Claims on keys that the batch in flight changes, evaluated again when it is settled.
+    deferred: Vec<DeferredClaim>,
+    /// Decisions that are valid once the batch is durable, which proves that the ownership held.
     unconfirmed: collections::BTreeMap<log::Batch, Vec<(entry::Decision, Reply)>>,
     releases: collections::BTreeMap<log::Batch, Vec<oneshot::Sender<actor::Released>>>,
-    flight: Vec<record::Record>,
+    /// Records of the append in flight.
+    in_flight: Vec<record::Record>,
     segments: Vec<compaction::Superseded>,
-    /// Whether an append has had no answer and is being settled.
-    doubt: sync::Arc<watch::Sender<bool>>,
-    down: Option<(clock::Instant, unit::Period)>,
-    /// Time reserved for the next append.
-    slot: Option<clock::Instant>,
+    /// Whether the append in flight got no response and is being retried.
+    in_doubt: sync::Arc<watch::Sender<bool>>,
+    /// End of the time in which claims are refused, and the retry delay to suggest.
+    unavailable: Option<(clock::Instant, unit::Period)>,
+    /// Time that the rate limiter reserved for the next append.
+    next_append: Option<clock::Instant>,
 }
 
 /// Serves the shard until it is lost or given up.
 pub(super) async fn run<S: store::Store>(
     context: &actor::Context<S>,
-    inbox: &mut mpsc::Receiver<actor::Command>,
+    commands: &mut mpsc::Receiver<actor::Command>,
     start: Start,
 ) -> Ended {
     let mut owner = Owner {
         context,
         log: start.log,
         waiting: collections::HashMap::new(),
-        parked: Vec::new(),
+        deferred: Vec::new(),
         unconfirmed: collections::BTreeMap::new(),
         releases: collections::BTreeMap::new(),
-        flight: Vec::new(),
+        in_flight: Vec::new(),
         segments: Vec::new(),
-        doubt: sync::Arc::new(watch::Sender::new(false)),
-        down: None,
-        slot: None,
+        in_doubt: sync::Arc::new(watch::Sender::new(false)),
+        unavailable: None,
+        next_append: None,
     };
     owner.claim(start.grant, start.reply);
-    let ended = owner.serve(inbox).await;
+    let ended = owner.run(commands).await;
     if ended != Ended::Closed {
         owner.step_down();
     }
@@ -106,33 +108,33 @@
 }
 
 impl<S: store::Store> Owner<'_, S> {
-    async fn serve(&mut self, inbox: &mut mpsc::Receiver<actor::Command>) -> Ended {
-        let mut call: Option<Call> = None;
-        let mut doubt = self.doubt.subscribe();
+    async fn run(&mut self, commands: &mut mpsc::Receiver<actor::Command>) -> Ended {
+        let mut call: Option<AppendFuture> = None;
+        let mut in_doubt = self.in_doubt.subscribe();
         loop {
-            if call.is_none() && self.log.wants_snapshot() && !self.snapshot().await {
+            if call.is_none() && self.log.wants_snapshot() && !self.write_snapshot().await {
                 return Ended::Sealed;
             }
             let now = clock::Instant::now();
-            if call.is_none() && self.slot(now).is_some_and(|slot| slot <= now) {
-                self.slot = None;
-                call = self.begin();
+            if call.is_none() && self.next_append_time(now).is_some_and(|slot| slot <= now) {
+                self.next_append = None;
+                call = self.start_append();
             }
-            let slot = self.slot.filter(|_| call.is_none());
+            let slot = self.next_append.filter(|_| call.is_none());
             tokio::select! {
-                appended = in_flight(&mut call) => {
+                appended = append_outcome(&mut call) => {
                     call = None;
-                    if !self.settle(appended) {
+                    if !self.handle_append(appended) {
                         return Ended::Sealed;
                     }
                 }
-                Ok(()) = doubt.changed() => {
-                    if *doubt.borrow_and_update() {
-                        self.refuse_gathered();
+                Ok(()) = in_doubt.changed() => {
+                    if *in_doubt.borrow_and_update() {
+                        self.refuse_queued();
                     }
                 }
                 () = clock::sleep_until(slot.unwrap_or(now)), if slot.is_some() => {}
-                command = inbox.recv() => match command {
+                command = commands.recv() => match command {
                     None => return Ended::Closed,
                     Some(actor::Command::Claim { grant, reply, .. }) => self.claim(grant, reply),
                     Some(actor::Command::Release { key, request, reply }) => {
@@ -148,19 +150,20 @@
         }
     }
 
-    /// Returns the time reserved for the next append, if anything waits for one.
-    fn slot(&mut self, now: clock::Instant) -> Option<clock::Instant> {
-        if self.slot.is_none() && self.log.wants_append() {
-            let mut pace = self.context.appends.lock().expect("lock is not poisoned");
-            let slot = pace.reserve_slot(now);
-            // Releases wait through an outage; they are not worth a call of their own each time.
-            self.slot = Some(self.down.map_or(slot, |(until, _)| slot.max(until)));
+    /// Returns the time reserved for the next append, if any records are queued.
+    fn next_append_time(&mut self, now: clock::Instant) -> Option<clock::Instant> {
+        if self.next_append.is_none() && self.log.wants_append() {
+            let mut limiter = self.context.appends.lock().expect("lock is not poisoned");
+            let slot = limiter.reserve_slot(now);
+            // While the object service is unavailable, releases wait: claims are refused then, and
+            // each attempt would otherwise be a call for the releases alone.
+            self.next_append = Some(self.unavailable.map_or(slot, |(until, _)| slot.max(until)));
         }
-        self.slot
+        self.next_append
     }
 
-    /// Starts the next append with what has gathered, without those who no longer wait.
-    fn begin(&mut self) -> Option<Call> {
+    /// Starts the next append with the queued records, except for claims whose caller has gone.
+    fn start_append(&mut self) -> Option<AppendFuture> {
         let waiting = &mut self.waiting;
         self.log.retain_pending(|key, request| {
             let waits = waiting
@@ -174,14 +177,14 @@
         let now = clock::Instant::now();
         let append = self.log.begin_append(now)?;
         if let record::Segment::Batch { records, .. } = &append.segment {
-            self.flight = records.clone();
+            self.in_flight = records.clone();
         }
         let store = self.context.store.clone();
-        let limit = self.context.store_timeout;
-        let doubt = self.doubt.clone();
+        let timeout = self.context.store_timeout;
+        let in_doubt = self.in_doubt.clone();
         let key = record::segment_key(self.context.shard, self.log.epoch(), append.number);
         Some(Box::pin(async move {
-            append::append_segment(&*store, &key, &append.segment, limit, &doubt).await
+            append::append_segment(&*store, &key, &append.segment, timeout, &in_doubt).await
         }))
     }
 
@@ -190,23 +193,23 @@
             return;
         }
         let now = clock::Instant::now();
-        let down = self.down.filter(|(until, _)| now < *until);
-        if let Some((_, retry)) = down {
+        let unavailable = self.unavailable.filter(|(until, _)| now < *until);
+        if let Some((_, retry)) = unavailable {
             let reason = verdict::Reason::ClaimUnavailable;
             return self.context.refuse(reply, reason, retry);
         }
-        // Behind an append without an answer there is no telling how long a claim would wait.
-        if *self.doubt.borrow() {
+        // The wait for an append without a response is not bounded.
+        if *self.in_doubt.borrow() {
             let reason = verdict::Reason::ClaimUnavailable;
             return self.context.refuse(reply, reason, claims::RETRY_DELAY);
         }
         match self.log.claim(grant.clone(), now) {
-            log::Outcome::Granted => self.confirm(entry::Decision::Granted, reply),
+            log::Outcome::Granted => self.reply_when_confirmed(entry::Decision::Granted, reply),
             log::Outcome::Queued(_) => {
                 let waiting = self.waiting.entry((grant.key, grant.request));
                 waiting.or_default().push(reply);
             }
-            log::Outcome::Wait(_) => self.parked.push((grant, reply)),
+            log::Outcome::Wait(_) => self.deferred.push((grant, reply)),
             log::Outcome::Taken(old) => {
                 self.context.metrics.taken.inc();
                 let taken = entry::Decision::Taken {
@@ -214,7 +217,7 @@
                     content: old.content,
                     holder: old.holder,
                 };
-                self.confirm(taken, reply);
+                self.reply_when_confirmed(taken, reply);
             }
             log::Outcome::Full => {
                 let reason = verdict::Reason::Overloaded;
@@ -223,11 +226,12 @@
         }
     }
 
-    /// Answers from the table once an append has proved that the table is still in force.
+    /// Sends a decision taken from the table once an append proves that the ownership still holds.
     ///
-    /// From a paused owner's table, a resend would be sent to a request that gave the key back,
-    /// and be told "not run" although another request has run under the key since.
-    fn confirm(&mut self, decision: entry::Decision, reply: Reply) {
+    /// The table of an owner that was replaced while paused is stale. A resend could be directed to
+    /// a request that released the key, and be refused as "not run" although another request has
+    /// executed under the key since.
+    fn reply_when_confirmed(&mut self, decision: entry::Decision, reply: Reply) {
         let batch = self.log.confirm_ownership();
         let waiting = self.unconfirmed.entry(batch).or_default();
         waiting.push((decision, reply));
@@ -239,7 +243,7 @@
         request: id::RequestId,
         reply: oneshot::Sender<actor::Released>,
     ) {
-        // Without a reply the grant is withdrawn, or given back once it is durable.
+        // Without a reply to send, a queued grant is withdrawn and a durable one released.
         self.waiting.remove(&(key, request));
         match self.log.release(key, request) {
             Some(batch) => self.releases.entry(batch).or_default().push(reply),
@@ -249,31 +253,33 @@
         }
     }
 
-    /// Takes the outcome of the append in flight; `false` when the shard is lost.
-    fn settle(&mut self, appended: append::Outcome) -> bool {
-        if self.doubt.send_replace(false) {
+    /// Handles the outcome of the append in flight; returns `false` if the shard is lost.
+    fn handle_append(&mut self, appended: append::Outcome) -> bool {
+        if self.in_doubt.send_replace(false) {
             self.context.metrics.unanswered.inc();
         }
         match appended {
-            append::Outcome::Durable(version) => self.durable(version),
-            append::Outcome::Refused(retry) => self.refused(retry.unwrap_or(claims::RETRY_DELAY)),
+            append::Outcome::Durable(version) => self.append_succeeded(version),
+            append::Outcome::Refused(retry) => {
+                self.append_refused(retry.unwrap_or(claims::RETRY_DELAY))
+            }
             append::Outcome::Sealed => return false,
         }
-        for (grant, reply) in mem::take(&mut self.parked) {
+        for (grant, reply) in mem::take(&mut self.deferred) {
             self.claim(grant, reply);
         }
         true
     }
 
-    fn durable(&mut self, version: store::Version) {
+    fn append_succeeded(&mut self, version: store::Version) {
         self.context.metrics.appends.inc();
         let (shard, epoch) = (self.context.shard, self.log.epoch());
         let key = record::segment_key(shard, epoch, self.log.next_segment());
         self.segments.push(compaction::Superseded { key, version });
         self.log.append_succeeded(clock::Instant::now());
-        for record in mem::take(&mut self.flight) {
+        for record in mem::take(&mut self.in_flight) {
             match record {
-                record::Record::Grant(grant) => self.granted(&grant),
+                record::Record::Grant(grant) => self.reply_granted(&grant),
                 record::Record::Release { .. } => {
                     self.context.metrics.released.inc();
                 }
@@ -291,36 +297,36 @@
         done.into_values().flatten().collect()
     }
 
-    /// Takes everyone who waits for a decision.
+    /// Takes the replies of all undecided claims.
     fn take_waiting(&mut self) -> Vec<Reply> {
         let waiting = mem::take(&mut self.waiting).into_values().flatten();
-        let parked = mem::take(&mut self.parked).into_iter();
+        let deferred = mem::take(&mut self.deferred).into_iter();
         let unconfirmed = mem::take(&mut self.unconfirmed).into_values().flatten();
-        let parked = parked.map(|(_, reply)| reply);
+        let deferred = deferred.map(|(_, reply)| reply);
         let unconfirmed = unconfirmed.map(|(_, reply)| reply);
-        waiting.chain(parked).chain(unconfirmed).collect()
+        waiting.chain(deferred).chain(unconfirmed).collect()
     }
 
-    /// Answers a grant, or gives it back if nobody is there to execute under it.
-    fn granted(&mut self, grant: &record::Grant) {
+    /// Replies to a durable grant, or releases it if no caller is left to execute the request.
+    fn reply_granted(&mut self, grant: &record::Grant) {
         let replies = self.waiting.remove(&(grant.key, grant.request));
-        let mut heard = false;
+        let mut is_delivered = false;
         for reply in replies.into_iter().flatten() {
-            heard |= reply.send(entry::Decision::Granted).is_ok();
+            is_delivered |= reply.send(entry::Decision::Granted).is_ok();
         }
-        if heard {
+        if is_delivered {
             self.context.metrics.granted.inc();
         } else {
             self.log.release(grant.key, grant.request);
         }
     }
 
-    /// Refuses everything that waits: the object service takes no writes.
-    fn refused(&mut self, retry: unit::Period) {
+    /// Refuses all undecided claims, as the object service refuses writes.
+    fn append_refused(&mut self, retry: unit::Period) {
         self.log.append_rejected();
         self.log.retain_pending(|_, _| false);
-        self.flight.clear();
-        self.down = Some((
+        self.in_flight.clear();
+        self.unavailable = Some((
             clock::Instant::now() + actor::UNAVAILABLE_TIME.min(retry.0),
             retry,
         ));
@@ -331,21 +337,21 @@
         self.answer_releases(false);
     }
 
-    /// Refuses what is in no append, as one before it has had no answer.
-    fn refuse_gathered(&mut self) {
+    /// Refuses the claims queued behind an append that got no response.
+    fn refuse_queued(&mut self) {
         self.log.retain_pending(|_, _| false);
         let sent = |record: &record::Record| (record.key(), record.request());
-        let sent: collections::HashSet<_> = self.flight.iter().map(sent).collect();
-        let gathered = self.waiting.extract_if(|claim, _| !sent.contains(claim));
-        let gathered: Vec<_> = gathered.flat_map(|(_, replies)| replies).collect();
-        let parked = mem::take(&mut self.parked);
-        let parked = parked.into_iter().map(|(_, reply)| reply);
+        let sent: collections::HashSet<_> = self.in_flight.iter().map(sent).collect();
+        let queued = self.waiting.extract_if(|claim, _| !sent.contains(claim));
+        let queued: Vec<_> = queued.flat_map(|(_, replies)| replies).collect();
+        let deferred = mem::take(&mut self.deferred);
+        let deferred = deferred.into_iter().map(|(_, reply)| reply);
         let unconfirmed = self
             .unconfirmed
             .split_off(&(self.log.first_unsettled() + 1));
         let unconfirmed = unconfirmed.into_values().flatten();
         let unconfirmed = unconfirmed.map(|(_, reply)| reply);
-        for reply in gathered.into_iter().chain(parked).chain(unconfirmed) {
+        for reply in queued.into_iter().chain(deferred).chain(unconfirmed) {
             let reason = verdict::Reason::ClaimUnavailable;
             self.context.refuse(reply, reason, claims::RETRY_DELAY);
         }
@@ -360,57 +366,59 @@
         }
     }
 
-    /// Appends a snapshot and has the segments before it deleted; `false` when the shard is lost.
-    async fn snapshot(&mut self) -> bool {
+    /// Appends a snapshot and starts the deletion of the segments that it supersedes.
+    ///
+    /// Returns `false` if the shard is lost.
+    async fn write_snapshot(&mut self) -> bool {
         let now = clock::Instant::now();
         let mut parts = Vec::new();
         for (number, segment) in self.log.snapshot(now) {
             let key = record::segment_key(self.context.shard, self.log.epoch(), number);
-            let (store, limit) = (&*self.context.store, self.context.store_timeout);
-            match append::append_segment(store, &key, &segment, limit, &self.doubt).await {
+            let (store, timeout) = (&*self.context.store, self.context.store_timeout);
+            match append::append_segment(store, &key, &segment, timeout, &self.in_doubt).await {
                 append::Outcome::Durable(version) => {
                     self.log.snapshot_part_succeeded(&segment);
                     parts.push(compaction::Superseded { key, version });
                 }
                 append::Outcome::Sealed => return false,
                 append::Outcome::Refused(_) => {
-                    // What is there of it is ignored and deleted with the next one.
+                    // An incomplete snapshot is ignored by replay and deleted with the next one.
                     self.segments.append(&mut parts);
                     self.log.postpone_snapshot();
                     break;
                 }
             }
-            self.doubt.send_replace(false);
+            self.in_doubt.send_replace(false);
         }
         if parts.is_empty() {
             return true;
         }
         let old = mem::replace(&mut self.segments, parts);
         let store = self.context.store.clone();
-        let pace = self.context.deletions.clone();
-        let sweep =
-            compaction::delete_superseded(store, old, None, pace, self.context.store_timeout);
-        self.context.runtime.spawn(sweep);
+        let limiter = self.context.deletions.clone();
+        let deletions =
+            compaction::delete_superseded(store, old, None, limiter, self.context.store_timeout);
+        self.context.runtime.spawn(deletions);
         true
     }
 
-    /// Finishes the append in flight, seals the epoch and leaves the shard without an owner.
-    async fn drain(&mut self, mut call: Option<Call>) -> Ended {
+    /// Waits for the append in flight, seals the epoch and removes the owner from the head.
+    async fn drain(&mut self, mut call: Option<AppendFuture>) -> Ended {
         if call.is_some() {
-            let appended = in_flight(&mut call).await;
-            if !self.settle(appended) {
+            let appended = append_outcome(&mut call).await;
+            if !self.handle_append(appended) {
                 return Ended::Sealed;
             }
         }
         let store = &*self.context.store;
-        let limit = self.context.store_timeout;
+        let timeout = self.context.store_timeout;
         let (shard, epoch) = (self.context.shard, self.log.epoch());
         let key = record::segment_key(shard, epoch, self.log.next_segment());
         let seal = serde_json::to_string(&record::Segment::Seal(epoch)).expect("seals serialize");
         let call = store.put(&key, store::Expect::Absent, &seal);
-        // The next owner seals the epoch itself if this is lost.
-        append::with_timeout(limit, call).await.ok();
-        if let Ok(Some((head, version))) = takeover::read_head(store, shard, limit).await
+        // If the seal is lost, the next owner writes it.
+        append::with_timeout(timeout, call).await.ok();
+        if let Ok(Some((head, version))) = takeover::read_head(store, shard, timeout).await
             && head.owner == Some(self.context.holder)
         {
             let head = record::Head {
@@ -420,12 +428,12 @@
             let value = serde_json::to_string(&head).expect("heads serialize");
             let key = record::head_key(shard);
             let call = store.put(&key, store::Expect::Version(version), &value);
-            append::with_timeout(limit, call).await.ok();
+            append::with_timeout(timeout, call).await.ok();
         }
         Ended::Drained
     }
 
-    /// Sends everyone who waits to the new owner; nothing of theirs is in the log.
+    /// Redirects all undecided claims and releases to the new owner; none of them is in the log.
     fn step_down(&mut self) {
         for reply in self.take_waiting() {
             reply.send(entry::Decision::Elsewhere { owner: None }).ok();
@@ -437,8 +445,8 @@
     }
 }
 
-/// Waits for the append in flight, or for ever without one.
-async fn in_flight(call: &mut Option<Call>) -> append::Outcome {
+/// Waits for the append in flight; never completes if there is none.
+async fn append_outcome(call: &mut Option<AppendFuture>) -> append::Outcome {
     match call {
         Some(call) => call.await,
         None => std::future::pending().await,
--- a/laburnumcart_entry/src/claims/release_guard.rs
+++ b/laburnumcart_entry/src/claims/release_guard.rs
@@ -1,4 +1,4 @@
-//! Claims that nobody runs under, because their decision came too late or not at all.
+//! Release of claims whose request will not execute, as their decision came too late or not at all.
 
 use std::{
     sync,
@@ -13,45 +13,46 @@
 
 use crate::claims;
 
-/// Tries to give back a claim that nobody runs under.
-const RELEASE_TRIES: u32 = 6;
+/// Attempts to release a claim.
+const RELEASE_ATTEMPTS: u32 = 6;
 
-/// Pause after the first of them, doubled after each.
+/// Pause after the first attempt, doubled after each further one.
 const RELEASE_PAUSE: time::Duration = time::Duration::from_millis(100);
 
-/// A claim whose asker has not heard the decision; gives the claim back when it is dropped.
+/// Guard of an undecided claim; releases the claim when dropped.
 ///
-/// The caller may hang up, or its deadline pass, while the append is on its way; or a peer's answer
-/// was lost and the next one is a refusal. The request never runs then, and a claim that stayed
-/// behind would answer each resend with "may have run".
+/// The caller may disconnect or its deadline pass during the append, or a peer's response is lost
+/// and the next one is a refusal. The request then never executes, and a claim that stayed in the
+/// log would cause each resend to be refused as "may have run".
 pub(super) struct ReleaseGuard<S: store::Store, P: claims::Peers> {
     service: Option<sync::Arc<claims::Service<S, P>>>,
     claim: claims::ClaimRequest,
-    /// Whether a peer was asked whose answer did not come.
+    /// Whether a call to a peer got no response.
     pub(super) unanswered: bool,
 }
 
 impl<S: store::Store, P: claims::Peers> ReleaseGuard<S, P> {
-    /// Begins to ask.
+    /// Creates the guard before the claim is sent.
     pub(super) fn new(
         service: sync::Arc<claims::Service<S, P>>,
-        ask: claims::ClaimRequest,
+        claim: claims::ClaimRequest,
     ) -> Self {
         Self {
             service: Some(service),
-            claim: ask,
+            claim,
             unanswered: false,
         }
     }
 
-    /// Takes note of the decision and gives the claim back if it may be in the log nevertheless;
-    /// returns whether it may.
+    /// Disarms the guard by a decision, unless the claim may be in the log without a grant.
+    ///
+    /// Returns whether it may be; it is then released.
     pub(super) fn resolve(mut self, decision: &entry::Decision) -> bool {
-        let doubtful = *decision != entry::Decision::Granted && self.unanswered;
-        if !doubtful {
+        let in_doubt = *decision != entry::Decision::Granted && self.unanswered;
+        if !in_doubt {
             self.service = None;
         }
-        doubtful
+        in_doubt
     }
 }
 
@@ -66,14 +67,14 @@
     }
 }
 
-/// Gives back a claim that may be in the log, and tries again for a while until it is recorded.
+/// Releases a claim that may be in the log, with a bounded number of retries.
 async fn release_with_retries<S: store::Store, P: claims::Peers>(
     service: &claims::Service<S, P>,
     key: id::Fingerprint,
     request: id::RequestId,
 ) {
     let mut pause = RELEASE_PAUSE;
-    for _ in 0..RELEASE_TRIES {
+    for _ in 0..RELEASE_ATTEMPTS {
         if service.release(key, request).await {
             return;
         }
--- a/laburnumcart_entry/src/claims/resend.rs
+++ b/laburnumcart_entry/src/claims/resend.rs
@@ -1,4 +1,4 @@
-//! What a request gets whose key is claimed already.
+//! Answers for resent requests, whose key another request has claimed.
 
 use laburnumcart::{
     claim,
@@ -10,10 +10,10 @@
 
 use crate::claims;
 
-/// Joins the request that holds a claim: waits for its answer at its holder.
+/// Waits at the holder of a claim for the answer of the request that claimed the key.
 ///
-/// When the holder's life is over the answer is gone with it, and the request may have run; that
-/// is said at once, as no wait can change it.
+/// If the holder's process has ended, the answer is lost and the request may have executed. This is
+/// returned without a wait, as it is final.
 pub async fn join(
     peers: &impl claims::Peers,
     holder: claim::Holder,
--- a/laburnumcart_entry/src/claims/settings.rs
+++ b/laburnumcart_entry/src/claims/settings.rs
@@ -20,7 +20,7 @@
     metrics, //
 };
 
-/// Settings of the service.
+/// Builder of the claim service.
 #[derive(Clone, Debug)]
 pub struct Builder {
     pub(super) holder: claim::Holder,
@@ -34,10 +34,10 @@
 }
 
 impl Builder {
-    /// Creates the settings for the process `me`.
-    pub fn new(me: claim::Holder) -> Self {
+    /// Creates the default settings for the process `holder`.
+    pub fn new(holder: claim::Holder) -> Self {
         Self {
-            holder: me,
+            holder,
             shards: 8,
             write_rate: unit::Rate(300.0),
             limits: log::Limits::default(),
@@ -48,51 +48,51 @@
         }
     }
 
-    /// Sets the number of shards, which counts only if no process has fixed it before.
+    /// Sets the number of shards; ignored if any process has stored one before.
     #[must_use]
     pub fn shards(mut self, shards: u16) -> Self {
         self.shards = shards.max(1);
         self
     }
 
-    /// Sets the writes a second that all shards together may make.
+    /// Sets the limit of writes per second over all shards.
     ///
-    /// Half is for appends, for which batches gather, and half for the deletions that follow.
+    /// Half of it is for appends, which are group commits, and half for the deletions that follow.
     #[must_use]
     pub fn write_rate(mut self, rate: unit::Rate) -> Self {
         self.write_rate = rate;
         self
     }
 
-    /// Sets the most claims held for one shard; more are refused as not run.
+    /// Sets the maximum number of claims in one shard; further claims are refused as not run.
     #[must_use]
     pub fn max_claims(mut self, limit: usize) -> Self {
         self.limits.claims = limit;
         self
     }
 
-    /// Sets the fewest segments of a shard's log between two snapshots.
+    /// Sets the minimum number of segments between two snapshots of a shard.
     #[must_use]
     pub fn snapshot_interval(mut self, segments: u64) -> Self {
         self.limits.segments = segments.max(1);
         self
     }
 
-    /// Sets the longest wait for one call of the object service.
+    /// Sets the timeout of one call of the object service.
     #[must_use]
     pub fn store_timeout(mut self, limit: time::Duration) -> Self {
         self.store_timeout = limit;
         self
     }
 
-    /// Sets when an owner that cannot be reached is replaced.
+    /// Sets the thresholds for the takeover from an unreachable owner.
     #[must_use]
     pub fn takeover_limits(mut self, patience: ownership::Limits) -> Self {
         self.takeover_limits = patience;
         self
     }
 
-    /// Sets the counters to count on.
+    /// Sets the counters.
     #[must_use]
     pub fn metrics(mut self, metrics: metrics::Metrics) -> Self {
         self.metrics = metrics;
--- a/laburnumcart_entry/src/claims/takeover.rs
+++ b/laburnumcart_entry/src/claims/takeover.rs
@@ -1,4 +1,4 @@
-//! Taking a shard over, without a lease and without a clock.
+//! Takeover of a shard by epochs and seals, without leases or synchronized clocks.
 
 use std::time;
 
@@ -20,64 +20,62 @@
     compaction, //
 };
 
-/// Tries of a write whose answer was lost before the takeover is given up.
-const TRIES: u32 = 8;
+/// Attempts at a write that conflicts or gets no response, before the takeover fails.
+const MAX_ATTEMPTS: u32 = 8;
 
-/// Pause before such a try, in which a lagging read may catch up.
-const PAUSE: time::Duration = time::Duration::from_millis(20);
+/// Pause between these attempts, so that a stale read can catch up.
+const RETRY_PAUSE: time::Duration = time::Duration::from_millis(20);
 
-/// How a takeover ended.
 #[derive(Debug)]
 pub(super) enum Outcome {
     /// This process owns the shard.
     Owner(Box<TakenShard>),
-    /// Another process got ahead.
+    /// Another process owns the shard; its head, if it was read.
     Foreign(Option<record::Head>),
 }
 
 /// A shard that was taken over.
 #[derive(Debug)]
 pub(super) struct TakenShard {
-    /// State of the new epoch, its snapshot durable.
+    /// State of the new epoch, whose snapshot is durable.
     pub(super) log: log::Log,
     /// Segments that the snapshot supersedes.
     pub(super) superseded: Vec<compaction::Superseded>,
-    /// Head to move when they are deleted.
+    /// Update of the head when they are deleted.
     pub(super) base: compaction::BaseUpdate,
 }
 
-/// Who takes which shard from whom.
+/// Parameters of a takeover.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Plan {
-    /// Shard to take.
     pub(super) shard: u16,
     /// This process.
     pub(super) holder: claim::Holder,
-    /// Owner to replace; any other owner is left in place.
+    /// Owner to replace; any other owner keeps the shard.
     pub(super) suspect: Option<claim::Holder>,
-    /// Bounds of the shard.
+    /// Limits of the shard's log.
     pub(super) limits: log::Limits,
-    /// Longest wait for one call.
+    /// Timeout of one call of the object service.
     pub(super) store_timeout: time::Duration,
 }
 
 impl Plan {
-    /// Reports whether a head may be replaced.
+    /// Returns whether the owner that a head names may be replaced.
     fn may_replace(&self, head: &record::Head) -> bool {
         let Some(owner) = head.owner else { return true };
-        // At this process's own address another life can only be an earlier one, which is gone.
+        // Another incarnation at the own address can only be an earlier one, which has ended.
         Some(owner) == self.suspect || owner.addr == self.holder.addr
     }
 }
 
-/// Returns the number of shards, which the first process to ask fixes for good.
+/// Returns the stored number of shards, or stores `wanted` if there is none; it never changes.
 pub(super) async fn fix_shard_count(
     store: &impl store::Store,
     wanted: u16,
 ) -> Result<u16, store::Failure> {
     let shards = record::Shards { shards: wanted };
     let value = serde_json::to_string(&shards).expect("shards serialize");
-    for _ in 0..TRIES {
+    for _ in 0..MAX_ATTEMPTS {
         if let Some(object) = store.get(record::SHARDS_KEY).await? {
             let found: record::Shards = parse(&object.value)?;
             return Ok(found.shards.max(1));
@@ -86,7 +84,7 @@
         match call.await {
             Ok(_) => return Ok(wanted),
             Err(store::Failure::Conflict | store::Failure::Unanswered) => {
-                clock::sleep(PAUSE).await;
+                clock::sleep(RETRY_PAUSE).await;
             }
             Err(failure) => return Err(failure),
         }
@@ -98,10 +96,10 @@
 pub(super) async fn read_head(
     store: &impl store::Store,
     shard: u16,
-    limit: time::Duration,
+    timeout: time::Duration,
 ) -> Result<Option<(record::Head, store::Version)>, store::Failure> {
     let key = record::head_key(shard);
-    let Some(object) = append::with_timeout(limit, store.get(&key)).await? else {
+    let Some(object) = append::with_timeout(timeout, store.get(&key)).await? else {
         return Ok(None);
     };
     Ok(Some((parse(&object.value)?, object.version)))
@@ -109,10 +107,10 @@
 
 /// Takes a shard over from the suspect.
 ///
-/// The raised epoch alone does not stop a paused owner, which may append at any later time. The
-/// seal does: it occupies the very slot that the owner would append to, so that its create fails
-/// and it steps down before it answers. Nothing is granted before every older epoch is sealed and
-/// replayed, and the snapshot of the new epoch is durable.
+/// Raising the epoch does not stop a paused owner, which may append at any later time. The seal
+/// does: it occupies the segment number that the owner would use next, so that the owner's create
+/// fails and it steps down before it replies. Nothing is granted before all older epochs are sealed
+/// and replayed and the snapshot of the new epoch is durable.
 pub(super) async fn take_over(
     store: &impl store::Store,
     plan: Plan,
@@ -127,10 +125,10 @@
         let objects = seal_epoch(store, &plan, epoch, head.epoch).await?;
         let list_segments: Vec<_> = objects.iter().map(|(_, segment)| segment.clone()).collect();
         log::replay(&mut table, &list_segments, clock::Instant::now());
-        let plain = |(_, segment): &(store::Object, record::Segment)| {
+        let is_unsealed = |(_, segment): &(store::Object, record::Segment)| {
             !matches!(segment, record::Segment::Seal(_))
         };
-        let objects = objects.into_iter().filter(plain);
+        let objects = objects.into_iter().filter(is_unsealed);
         old.extend(objects.map(|(object, _)| compaction::Superseded {
             key: object.key,
             version: object.version,
@@ -154,16 +152,16 @@
 
 type Raised = Result<(record::Head, store::Version), Option<record::Head>>;
 
-/// Raises the epoch in the head by conditional update.
+/// Raises the epoch in the head by a conditional update.
 async fn raise_epoch(store: &impl store::Store, plan: &Plan) -> Result<Raised, store::Failure> {
     let key = record::head_key(plan.shard);
-    let mut wrote = None;
-    for _ in 0..TRIES {
+    let mut written = None;
+    for _ in 0..MAX_ATTEMPTS {
         let found = read_head(store, plan.shard, plan.store_timeout).await?;
         if let Some((head, version)) = found
-            && Some(head) == wrote
+            && Some(head) == written
         {
-            // The answer was lost after the write had taken effect.
+            // An earlier write had taken effect although its response was lost.
             return Ok(Ok((head, version)));
         }
         let (next, expect) = match found {
@@ -185,13 +183,13 @@
                 (next, store::Expect::Absent)
             }
         };
-        wrote = Some(next);
+        written = Some(next);
         let value = serde_json::to_string(&next).expect("heads serialize");
         let call = store.put(&key, expect, &value);
         match append::with_timeout(plan.store_timeout, call).await {
             Ok(version) => return Ok(Ok((next, version))),
             Err(store::Failure::Conflict | store::Failure::Unanswered) => {
-                clock::sleep(PAUSE).await;
+                clock::sleep(RETRY_PAUSE).await;
             }
             Err(failure) => return Err(failure),
         }
@@ -199,11 +197,11 @@
     Err(store::Failure::Unanswered)
 }
 
-/// Seals an older epoch at its next free number and returns its segments in order.
+/// Seals an older epoch at its next free segment number and returns its segments in order.
 ///
-/// Only a listing whose last segment is a seal is whole, so one is read even after the seal was
-/// created. A listing from before may lack segments: its owner may have appended, taken a snapshot
-/// and deleted the slot that looked free, and would go on behind a seal that is created there.
+/// Only a listing that ends in a seal is complete, so the epoch is listed again after the seal was
+/// created. Since an earlier listing, the owner may have appended, taken a snapshot and deleted the
+/// segment whose number looked free; it would then continue behind a seal under that number.
 async fn seal_epoch(
     store: &impl store::Store,
     plan: &Plan,
@@ -212,7 +210,7 @@
 ) -> Result<Vec<(store::Object, record::Segment)>, store::Failure> {
     let seal = record::Segment::Seal(by);
     let value = serde_json::to_string(&seal).expect("segments serialize");
-    for _ in 0..TRIES {
+    for _ in 0..MAX_ATTEMPTS {
         let segments = segments(store, plan, epoch).await?;
         if let Some((_, record::Segment::Seal(_))) = segments.last() {
             return Ok(segments);
@@ -224,9 +222,9 @@
         let call = store.put(&key, store::Expect::Absent, &value);
         match append::with_timeout(plan.store_timeout, call).await {
             Ok(_) => {}
-            // The owner appended, or another process sealed, or the answer was lost.
+            // The owner has appended, another process has sealed, or the response was lost.
             Err(store::Failure::Conflict | store::Failure::Unanswered) => {
-                clock::sleep(PAUSE).await;
+                clock::sleep(RETRY_PAUSE).await;
             }
             Err(failure) => return Err(failure),
         }
@@ -234,7 +232,7 @@
     Err(store::Failure::Unanswered)
 }
 
-/// Lists the segments of an epoch in the order of their numbers.
+/// Lists the segments of an epoch by ascending number.
 async fn segments(
     store: &impl store::Store,
     plan: &Plan,
@@ -251,16 +249,16 @@
     Ok(segments)
 }
 
-/// Appends the first snapshot of an epoch; `false` if the epoch was sealed meanwhile.
+/// Appends the first snapshot of an epoch; returns `false` if the epoch was sealed meanwhile.
 async fn write_snapshot(
     store: &impl store::Store,
     plan: &Plan,
     log: &mut log::Log,
 ) -> Result<bool, store::Failure> {
-    let doubt = watch::Sender::new(false);
+    let in_doubt = watch::Sender::new(false);
     for (number, segment) in log.snapshot(clock::Instant::now()) {
         let key = record::segment_key(plan.shard, log.epoch(), number);
-        match append::append_segment(store, &key, &segment, plan.store_timeout, &doubt).await {
+        match append::append_segment(store, &key, &segment, plan.store_timeout, &in_doubt).await {
             append::Outcome::Durable(_) => log.snapshot_part_succeeded(&segment),
             append::Outcome::Sealed => return Ok(false),
             append::Outcome::Refused(retry) => {
--- a/laburnumcart_entry/src/control.rs
+++ b/laburnumcart_entry/src/control.rs
@@ -1,4 +1,4 @@
-//! Control state, which one thread owns, and the immutable views that traffic threads read.
+//! Control state of one thread, published as immutable views for the traffic threads.
 
 pub mod rules;
 pub mod thread;
@@ -14,12 +14,12 @@
 
 pub use rules::Rules;
 
-/// Control state at one moment.
+/// Immutable view of the control state.
 #[derive(Clone, Debug, Default)]
 pub struct View {
     /// Bundle in force, if any.
     pub rules: Option<Arc<Rules>>,
-    /// Whether instances with agents are known and each chosen agent was called once.
+    /// Whether agents are listed and each one in the subsets was called once.
     pub agents_known: bool,
     /// Targets by service.
     pub routes: collections::BTreeMap<id::ServiceName, routes::Routes>,
--- a/laburnumcart_entry/src/control/rules.rs
+++ b/laburnumcart_entry/src/control/rules.rs
@@ -1,4 +1,4 @@
-//! A bundle in force, with what is derived from it.
+//! Bundle in force, with an index of the teams' bearer tokens.
 
 use std::collections;
 
@@ -10,12 +10,12 @@
     id, //
 };
 
-/// A bundle with what is derived from it.
+/// Bundle in force with its token index.
 #[derive(Debug)]
 pub struct Rules {
-    /// Generation under which it is in force.
+    /// Generation of the bundle.
     pub generation: id::Generation,
-    /// The bundle.
+    /// Contents of the bundle.
     pub bundle: bundle::Bundle,
     tokens: collections::HashMap<[u8; 8], Vec<Token>>,
 }
@@ -26,7 +26,7 @@
     authenticate: id::TeamName,
 }
 
-fn decode(text: &str) -> Option<[u8; 32]> {
+fn parse_digest(text: &str) -> Option<[u8; 32]> {
     let mut digest = [0; 32];
     if text.len() != 64 || !text.is_ascii() {
         return None;
@@ -37,23 +37,26 @@
     Some(digest)
 }
 
-fn prefix(digest: &[u8; 32]) -> [u8; 8] {
+fn digest_prefix(digest: &[u8; 32]) -> [u8; 8] {
     let mut prefix = [0; 8];
     prefix.copy_from_slice(&digest[..8]);
     prefix
 }
 
 impl Rules {
-    /// Derives the table of tokens; a malformed digest matches nothing.
+    /// Builds the token index; a malformed digest matches no token.
     pub fn new(generation: id::Generation, bundle: bundle::Bundle) -> Self {
         let mut tokens: collections::HashMap<_, Vec<_>> = collections::HashMap::new();
         for (team, rules) in &bundle.teams {
-            for digest in rules.tokens.iter().filter_map(|text| decode(text)) {
+            for digest in rules.tokens.iter().filter_map(|text| parse_digest(text)) {
                 let token = Token {
                     digest,
                     authenticate: team.clone(),
                 };
-                tokens.entry(prefix(&digest)).or_default().push(token);
+                tokens
+                    .entry(digest_prefix(&digest))
+                    .or_default()
+                    .push(token);
             }
         }
         Self {
@@ -65,11 +68,12 @@
 
     /// Returns the team of a bearer token.
     ///
-    /// What is looked up is a digest, of which a caller cannot choose the first bytes; the rest is
-    /// compared in constant time, so that the time of a refusal tells nothing about a valid token.
+    /// The lookup uses the first bytes of a digest, which a caller cannot choose. The whole digest
+    /// is compared in constant time, so that the duration of a refusal leaks nothing about valid
+    /// tokens.
     pub fn team(&self, token: &[u8]) -> Option<&id::TeamName> {
         let digest: [u8; 32] = sha2::Sha256::digest(token).into();
-        let found = self.tokens.get(&prefix(&digest))?;
+        let found = self.tokens.get(&digest_prefix(&digest))?;
         let equal = |t: &&Token| bool::from(t.digest.ct_eq(&digest));
         found.iter().find(equal).map(|t| &t.authenticate)
     }
--- a/laburnumcart_entry/src/control/thread.rs
+++ b/laburnumcart_entry/src/control/thread.rs
@@ -1,4 +1,4 @@
-//! The control thread: follows the bundle and the instances, and publishes views.
+//! Control thread, which follows the bundle and the list of instances and publishes views.
 
 use std::{
     collections,
@@ -31,21 +31,21 @@
     routes, //
 };
 
-/// Time between two views; a load report is older than that anyway.
-const TICK: time::Duration = time::Duration::from_millis(100);
+/// Period of publication; load reports are older than that anyway.
+const PUBLISH_PERIOD: time::Duration = time::Duration::from_millis(100);
 
-/// What the control thread starts from.
+/// Parameters of the control thread.
 #[derive(Debug)]
 pub struct Start<S> {
-    /// Shared state.
+    /// State shared with the traffic threads.
     pub entry: Arc<entry::Entry>,
-    /// The object service.
+    /// Object service.
     pub store: S,
-    /// What lanes need.
+    /// Identity and resources for lanes to agents.
     pub caller: links::Caller,
-    /// Secret that is shown to peers.
+    /// Secret for connections to peers.
     pub secret: secret::Secret,
-    /// How the bundle is followed.
+    /// Options for following the bundle.
     pub options: bundle::Options,
 }
 
@@ -68,8 +68,8 @@
         ),
         entry: start.entry,
         rules: None,
-        listed: false,
-        settled: false,
+        has_list: false,
+        agents_known: false,
     };
     control.run(instances).await;
 }
@@ -80,20 +80,20 @@
     entry: Arc<entry::Entry>,
     members: members::Members,
     rules: Option<Arc<views::Rules>>,
-    listed: bool,
-    settled: bool,
+    has_list: bool,
+    agents_known: bool,
 }
 
 impl Control {
     async fn run(mut self, mut instances: watch::Receiver<Vec<members::Instance>>) {
         let mut bundles = self.entry.gossip.feed().changes();
-        let mut ticks = time::interval(TICK);
+        let mut ticks = time::interval(PUBLISH_PERIOD);
         ticks.set_missed_tick_behavior(time::MissedTickBehavior::Delay);
         loop {
             tokio::select! {
                 _ = ticks.tick() => {}
-                Ok(()) = bundles.changed() => self.adopt(),
-                Ok(()) = instances.changed() => self.list(&instances.borrow_and_update()),
+                Ok(()) = bundles.changed() => self.apply_bundle(),
+                Ok(()) = instances.changed() => self.apply_list(&instances.borrow_and_update()),
             }
             self.members.resize_subsets();
             self.entry.gossip.refresh();
@@ -101,8 +101,8 @@
         }
     }
 
-    /// Puts the bundle in force.
-    fn adopt(&mut self) {
+    /// Puts the current bundle in force.
+    fn apply_bundle(&mut self) {
         let Some(current) = self.entry.gossip.feed().current() else {
             return;
         };
@@ -115,9 +115,9 @@
         self.rules = Some(Arc::new(rules));
     }
 
-    fn list(&mut self, list: &[members::Instance]) {
+    fn apply_list(&mut self, list: &[members::Instance]) {
         self.members.apply(list);
-        self.listed = true;
+        self.has_list = true;
         if let Some(claims) = self.entry.claims() {
             claims.set_live_entries(self.members.entries());
         }
@@ -125,15 +125,15 @@
 
     fn publish(&mut self) {
         let opening = self.members.agents().any(|member| member.lane.is_opening());
-        // An empty list is also what a store tells that has just been set up. An entry that was
-        // ready with it would draw callers from entries that know targets, and refuse them all.
-        let any = self.members.agents().next().is_some();
-        self.settled |= self.listed && any && !opening;
+        // A newly set up object service returns an empty list. An entry that counted as ready with
+        // it would attract callers from entries that know targets, and refuse them all.
+        let has_agents = self.members.agents().next().is_some();
+        self.agents_known |= self.has_list && has_agents && !opening;
         let mut ways: collections::BTreeMap<id::ServiceName, Vec<routes::Way>> =
             collections::BTreeMap::new();
-        let crossings = self.crossings();
+        let latencies = self.latencies();
         for member in self.members.agents() {
-            let way = self.way(member, &crossings);
+            let way = self.way(member, &latencies);
             ways.entry(member.service.clone()).or_default().push(way);
         }
         let routes = ways.into_iter().map(|(service, ways)| {
@@ -146,23 +146,24 @@
         self.entry.metrics.lanes.set(count as i64);
         self.entry.view.store(Arc::new(views::View {
             rules: self.rules.clone(),
-            agents_known: self.settled,
+            agents_known: self.agents_known,
             routes: routes.collect(),
         }));
     }
 
-    /// Returns the least round trip to each data centre.
-    fn crossings(&self) -> latency::ExtraLatency {
-        let mut crossings = latency::ExtraLatency::new(self.entry.identity.data_centre.clone());
+    /// Returns the extra latency to each data centre, from the minimum round-trip times of the
+    /// lanes.
+    fn latencies(&self) -> latency::ExtraLatency {
+        let mut latencies = latency::ExtraLatency::new(self.entry.identity.data_centre.clone());
         for member in self.members.agents() {
             if let Some(trip) = member.lane.report().and_then(|seen| seen.trip) {
-                crossings.record(&member.data_centre, trip);
+                latencies.record(&member.data_centre, trip);
             }
         }
-        crossings
+        latencies
     }
 
-    fn way(&self, member: &members::Member, crossings: &latency::ExtraLatency) -> routes::Way {
+    fn way(&self, member: &members::Member, latencies: &latency::ExtraLatency) -> routes::Way {
         let report = member.lane.report();
         let leaving = |seen: &links::Seen| self.entry.gossip.is_leaving(seen.report.incarnation);
         let ejected = |seen: &links::Seen| {
@@ -172,7 +173,7 @@
         routes::Way {
             lane: member.lane.clone(),
             local: member.data_centre == self.entry.identity.data_centre,
-            crossing: crossings.to(&member.data_centre),
+            crossing: latencies.to(&member.data_centre),
             leaving: report.as_deref().is_some_and(leaving),
             ejected: report.as_deref().is_some_and(ejected),
         }
--- a/laburnumcart_entry/src/entry.rs
+++ b/laburnumcart_entry/src/entry.rs
@@ -1,4 +1,4 @@
-//! What the threads of one entry share.
+//! State shared by the threads of an entry.
 
 use std::{
     net,
@@ -32,7 +32,7 @@
     policy, //
 };
 
-/// Who this process is.
+/// Identity of this process.
 #[derive(Clone, Debug)]
 pub struct Identity {
     /// Name from the settings.
@@ -41,35 +41,35 @@
     pub data_centre: id::DataCentre,
     /// Address of the peer port.
     pub peer: net::SocketAddr,
-    /// Life of this process.
+    /// Random number of this run of the process.
     pub incarnation: id::Incarnation,
 }
 
-/// State that is shared between the threads of an entry.
+/// State shared by the threads of an entry.
 #[derive(Debug)]
 pub struct Entry {
-    /// Who this process is.
+    /// Identity of this process.
     pub identity: Identity,
-    /// Control state as last published; traffic threads only read it.
+    /// View last published by the control thread; traffic threads only read it.
     pub view: ArcSwap<control::View>,
     /// Final answers of claimed requests.
     pub answers: Arc<answers::Answers>,
-    /// Facts that travel on heartbeats.
+    /// Facts replicated by gossip on heartbeats.
     pub gossip: Arc<gossip::Gossip>,
-    /// Decisions on requests and attempts.
+    /// Admission, routing and retry decisions.
     pub policy: Arc<policy::Policy>,
-    /// Counters.
+    /// Metrics of this entry.
     pub metrics: metrics::Metrics,
-    /// Where requests enter.
+    /// Counts requests in flight, and admits none after it was closed.
     pub gate: stop::Gate,
-    /// Runtime of the drivers and lanes.
+    /// Runtime of drivers and lanes.
     pub traffic: runtime::Handle,
     claims: OnceLock<Arc<dyn at_most_once::Claims>>,
     leave: watch::Sender<bool>,
 }
 
 impl Entry {
-    /// Creates the state of an entry that has no bundle yet.
+    /// Creates the state of an entry without a bundle.
     pub fn new(
         identity: Identity,
         feed: bundle::Feed,
@@ -90,13 +90,13 @@
         })
     }
 
-    /// Sets the claims service, once.
+    /// Sets the claim service; has an effect only the first time.
     pub fn set_claims(&self, claims: Arc<dyn at_most_once::Claims>) {
-        // Set once at the start; a second one would split the shards' tasks in two.
+        // A second service would run a second task for each shard.
         let _ = self.claims.set(claims);
     }
 
-    /// Returns the claims service.
+    /// Returns the claim service, if set.
     pub fn claims(&self) -> Option<Arc<dyn at_most_once::Claims>> {
         self.claims.get().cloned()
     }
@@ -109,19 +109,19 @@
         }
     }
 
-    /// Asks for a graceful shutdown.
+    /// Requests a graceful shutdown.
     pub fn leave(&self) {
         self.leave.send_replace(true);
     }
 
-    /// Waits until a graceful shutdown was asked for.
+    /// Waits until a graceful shutdown is requested.
     pub async fn wait_leaving(&self) {
         let mut leave = self.leave.subscribe();
-        // The sender lives as long as `self`, so that the wait cannot fail.
+        // The sender lives as long as `self`, so the wait cannot fail.
         let _ = leave.wait_for(|leave| *leave).await;
     }
 
-    /// Reports whether new requests are refused, now or at once.
+    /// Returns whether the entry refuses new requests or is about to.
     pub fn is_leaving(&self) -> bool {
         *self.leave.borrow() || self.gate.is_closed()
     }
--- a/laburnumcart_entry/src/gossip.rs
+++ b/laburnumcart_entry/src/gossip.rs
@@ -1,4 +1,4 @@
-//! Rare facts that travel on heartbeats, and the bundle they speak of.
+//! Facts replicated by gossip on heartbeats, and the bundle generation among them.
 
 use std::{
     net,
@@ -19,7 +19,7 @@
 };
 use laburnumcart_daemon::bundle;
 
-/// Facts of this process; shared by its lanes.
+/// Table of facts of this process, shared by its lanes.
 #[derive(Debug)]
 pub struct Gossip {
     state: Mutex<State>,
@@ -29,13 +29,14 @@
 #[derive(Debug, Default)]
 struct State {
     table: facts::Table,
-    /// Suspects, and the state of the table that they were derived from.
+    /// Suspects derived from the table.
     suspects: Arc<suspects::Suspects>,
+    /// Version of the table from which the suspects were derived.
     derived: facts::Version,
 }
 
 impl Gossip {
-    /// Creates an empty table beside a feed of bundles.
+    /// Creates an empty table that uses a feed of bundles.
     pub fn new(feed: bundle::Feed) -> Self {
         Self {
             state: Mutex::default(),
@@ -48,7 +49,7 @@
         &self.feed
     }
 
-    /// Returns what changed since a version, and the version it brings a peer to.
+    /// Returns the changes since a version, and the version of a peer that has merged them.
     pub fn changes(&self, since: facts::Version) -> (Option<facts::Facts>, facts::Version) {
         let table = &self.lock().table;
         (table.changes(since, time::Instant::now()), table.version())
@@ -61,12 +62,12 @@
             .unwrap_or_default()
     }
 
-    /// Takes in the facts of the process whose bundle is shown at `peer`.
+    /// Merges the facts of a process, which serves its bundle at `peer`.
     pub fn merge(&self, facts: &facts::Facts, peer: net::SocketAddr) {
         if facts.generation > self.feed.generation() {
             self.feed.hear(facts.generation, peer);
         }
-        // The own generation is told as the own fact only once its bundle is in force here.
+        // The own generation is advertised only once its bundle is in force here.
         let others = facts::Facts {
             generation: id::Generation::default(),
             ..facts.clone()
@@ -74,7 +75,7 @@
         self.lock().table.merge(&others, time::Instant::now());
     }
 
-    /// Tells the generation that is in force here, and forgets what has expired.
+    /// Advertises the generation in force here, and drops expired facts.
     pub fn refresh(&self) -> facts::Version {
         let table = &mut self.lock().table;
         table.set_generation(self.feed.generation());
@@ -82,7 +83,7 @@
         table.version()
     }
 
-    /// Returns the suspects that follow from all that was heard up to now.
+    /// Returns the suspects that follow from all facts known now.
     pub fn suspects(&self) -> Arc<suspects::Suspects> {
         let mut state = self.lock();
         let version = state.table.version();
@@ -94,9 +95,11 @@
         state.suspects.clone()
     }
 
-    /// Reports whether a life accepts no new work.
-    pub fn is_leaving(&self, life: id::Incarnation) -> bool {
-        self.lock().table.is_leaving(life, time::Instant::now())
+    /// Returns whether an incarnation accepts no new work.
+    pub fn is_leaving(&self, incarnation: id::Incarnation) -> bool {
+        self.lock()
+            .table
+            .is_leaving(incarnation, time::Instant::now())
     }
 
     fn lock(&self) -> MutexGuard<'_, State> {
--- a/laburnumcart_entry/src/lib.rs
+++ b/laburnumcart_entry/src/lib.rs
@@ -1,4 +1,4 @@
-//! Entry daemon: callers' requests, pipelines and routing.
+//! Entry daemon: accepts callers' requests, runs their pipelines and routes stages to agents.
 
 pub mod answers;
 pub mod at_most_once;
--- a/laburnumcart_entry/src/listing.rs
+++ b/laburnumcart_entry/src/listing.rs
@@ -1,4 +1,4 @@
-//! Follows the platform's list of instances.
+//! Watch on the platform's list of instances.
 
 use tokio::sync::watch;
 
@@ -10,19 +10,19 @@
 
 use crate::members;
 
-/// Longest wait of one watch, which counts as a call of the object service.
+/// Maximum duration of one watch, each of which counts as a call to the object service.
 ///
-/// A connection to the object service that has gone silent hides changes for so long. The list lags
-/// anyway, and whether a listed agent takes work is read from its own reports.
-const WAIT: unit::Period = unit::Period::from_secs(30);
+/// A dead connection to the object service hides changes for this time. That is acceptable as the
+/// list may be stale anyway, and agents report themselves whether they accept work.
+const WATCH_TIMEOUT: unit::Period = unit::Period::from_secs(30);
 
 /// Keeps `list` up to date; never returns.
 ///
-/// The list is read once and changes are applied to it. Reading it whole for each change or each
-/// watch would cost the fleet bytes that grow with the square of its size.
+/// Reads the list once and then applies changes. If each process read the whole list for each
+/// change or watch, the traffic of the fleet would grow with the square of its size.
 pub async fn follow<S: store::Store>(store: S, list: watch::Sender<Vec<members::Instance>>) {
     let settings = follow::Settings {
-        wait: WAIT,
+        wait: WATCH_TIMEOUT,
         ..follow::Settings::default()
     };
     let (follower, mut snapshots) = follow::follower(store, members::PREFIX, settings);
--- a/laburnumcart_entry/src/members.rs
+++ b/laburnumcart_entry/src/members.rs
@@ -1,8 +1,8 @@
-//! Instances of the system: the platform's list says whom to ask, their own reports what holds.
+//! Instances from the platform's list, and the lanes to those that are agents.
 //!
-//! The list lags behind reality, in both directions. An agent is therefore only looked up in it: a
-//! lane is opened to each that is listed, and whether its target takes work is read from the agent's
-//! reports. An agent that is no longer listed keeps its lane while the lane works.
+//! The list may be stale: it can lack running agents and name stopped ones. It is therefore used
+//! only for discovery; whether a target accepts work is known from its agent's reports. The lane of
+//! an agent that is no longer listed is kept as long as it is connected.
 
 use std::{
     collections,
@@ -29,65 +29,66 @@
 
 pub mod subset_size;
 
-/// Prefix of the platform's list.
+/// Key prefix of the platform's list in the object service.
 pub const PREFIX: &str = "platform/instances/";
 
-/// Bytes a second, both ways, for idle heartbeats; the rest of a process's share is for others.
-const BEAT_BYTES: u64 = 15_000;
+/// Bandwidth for idle heartbeats of one process, in bytes per second and both directions.
+const HEARTBEAT_BANDWIDTH: u64 = 15_000;
 
-/// Longest time between two heartbeats on a lane without attempts in flight; a peer closes a
-/// connection that is silent for 30 s.
-const IDLE_MAX: time::Duration = time::Duration::from_secs(20);
+/// Maximum heartbeat period of a lane without attempts in flight.
+///
+/// A peer closes a connection that is silent for 30 s.
+const MAX_IDLE_PERIOD: time::Duration = time::Duration::from_secs(20);
 
-/// Fewest agents of a service to keep lanes to.
-const SUBSET_MIN: usize = 8;
+/// Minimum number of agents per service to keep lanes to.
+const MIN_SUBSET: usize = 8;
 
-/// Kind of a process.
+/// Role of a process.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Role {
     /// Agent beside a target.
     Agent,
-    /// Entry.
+    /// Entry, which serves callers.
     Entry,
 }
 
-/// What the platform thinks of an instance.
+/// State of an instance as listed by the platform.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum State {
-    /// Runs.
+    /// The instance runs.
     Live,
-    /// Is about to stop.
+    /// The instance is about to stop.
     Leaving,
 }
 
-/// One instance in the platform's list.
+/// Entry of the platform's list.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Instance {
-    /// Name.
+    /// Name of the instance.
     pub name: id::InstanceName,
-    /// Data centre.
+    /// Data centre of the instance.
     pub data_centre: id::DataCentre,
-    /// Kind.
+    /// Role of the instance.
     pub role: Role,
-    /// Service of an agent's target.
+    /// Service of the agent's target; none for other roles.
     #[serde(default)]
     pub service: Option<id::ServiceName>,
-    /// Peer address.
+    /// Address for other processes of the system.
     pub addr: net::SocketAddr,
-    /// State.
+    /// State as listed.
     pub state: State,
 }
 
-/// Reads the platform's list; what cannot be read is left out, lest one value hide all others.
+/// Parses the platform's list; skips malformed values, so that one cannot hide all others.
 pub fn parse(snapshot: &follow::Snapshot) -> Vec<Instance> {
     let values = snapshot.objects.values();
     let parsed = values.filter_map(|object| serde_json::from_str(&object.value).ok());
     parsed.collect()
 }
 
-/// Lanes to the agents that are or were listed.
+/// Lanes to agents that are or were listed.
 #[derive(Debug)]
 pub struct Members {
     caller: links::Caller,
@@ -95,21 +96,21 @@
     runtime: runtime::Handle,
     lanes: collections::BTreeMap<net::SocketAddr, Member>,
     entries: Vec<net::SocketAddr>,
-    /// Agents that the list names.
+    /// Agents on the current list.
     agents: Vec<Instance>,
-    /// Those of them that lanes are kept to.
+    /// Addresses of the listed agents that lanes are kept to.
     chosen: collections::HashSet<net::SocketAddr>,
-    widths: collections::BTreeMap<id::ServiceName, subset_size::SubsetSize>,
+    subset_sizes: collections::BTreeMap<id::ServiceName, subset_size::SubsetSize>,
 }
 
 /// An agent with its lane.
 #[derive(Clone, Debug)]
 pub struct Member {
-    /// Service that the list names.
+    /// Service of the agent's target, as listed.
     pub service: id::ServiceName,
-    /// Data centre that the list names.
+    /// Data centre of the agent, as listed.
     pub data_centre: id::DataCentre,
-    /// The lane.
+    /// Lane to the agent.
     pub lane: Arc<links::Lane>,
 }
 
@@ -128,11 +129,11 @@
             entries: Vec::new(),
             agents: Vec::new(),
             chosen: collections::HashSet::new(),
-            widths: collections::BTreeMap::new(),
+            subset_sizes: collections::BTreeMap::new(),
         }
     }
 
-    /// Takes in a whole list.
+    /// Replaces the list, and opens and closes lanes accordingly.
     pub fn apply(&mut self, list: &[Instance]) {
         let is_entry = |i: &&Instance| i.role == Role::Entry && i.state == State::Live;
         self.entries = list.iter().filter(is_entry).map(|i| i.addr).collect();
@@ -141,68 +142,72 @@
             .filter(|i| i.role == Role::Agent)
             .cloned()
             .collect();
-        self.measure();
-        self.choose();
+        self.update_sizes();
+        self.update_lanes();
     }
 
-    /// Widens the subsets whose agents take no work, and narrows them when they do again.
+    /// Grows the subsets whose agents accept no work, and shrinks them when the agents recover.
     pub fn resize_subsets(&mut self) {
-        if self.measure() {
-            self.choose();
+        if self.update_sizes() {
+            self.update_lanes();
         }
     }
 
-    /// Works out the sizes of the subsets; returns whether any has changed.
-    fn measure(&mut self) -> bool {
+    /// Computes the subset size of each service; returns whether any has changed.
+    fn update_sizes(&mut self) -> bool {
         let mut counts: collections::BTreeMap<_, usize> = collections::BTreeMap::new();
         for service in self.agents.iter().filter_map(|i| i.service.as_ref()) {
             *counts.entry(service.clone()).or_default() += 1;
         }
         let idle = self.caller.timing.idle;
-        let size = subset::size(BEAT_BYTES, idle, counts.values().copied());
-        let size = size.max(SUBSET_MIN);
-        self.widths
+        let size = subset::size(HEARTBEAT_BANDWIDTH, idle, counts.values().copied());
+        let size = size.max(MIN_SUBSET);
+        self.subset_sizes
             .retain(|service, _| counts.contains_key(service));
         let now = time::Instant::now();
         let mut changed = false;
         for service in counts.into_keys() {
-            let (kept, usable) = self.count(&service);
+            let (kept, usable) = self.count_agents(&service);
             let wanted = subset_size::wanted_size(size, kept, usable);
-            changed |= self.widths.entry(service).or_default().update(wanted, now);
+            changed |= self
+                .subset_sizes
+                .entry(service)
+                .or_default()
+                .update(wanted, now);
         }
         changed
     }
 
-    /// Returns the size of a service's subset, and how many of it take work or may do so soon.
-    fn count(&self, service: &id::ServiceName) -> (usize, usize) {
+    /// Counts the agents in a service's subset, and those that accept work or are being connected.
+    fn count_agents(&self, service: &id::ServiceName) -> (usize, usize) {
         let kept = self.lanes.values();
         let kept = kept.filter(|m| m.service == *service && self.chosen.contains(&m.lane.addr));
         let usable = |m: &&Member| m.lane.is_opening() || m.lane.takes(service);
         (kept.clone().count(), kept.filter(usable).count())
     }
 
-    /// Opens the lanes to the chosen agents, and gives up those to others.
-    fn choose(&mut self) {
-        let chosen: Vec<_> = self.subset().into_iter().cloned().collect();
+    /// Opens lanes to the agents in the subsets and closes those to other listed agents.
+    fn update_lanes(&mut self) {
+        let chosen: Vec<_> = self.choose_agents().into_iter().cloned().collect();
         for instance in &chosen {
             if let Some(service) = &instance.service {
                 let is_same = |i: &&Instance| i.service.as_ref() == Some(service);
                 let kept = chosen.iter().filter(is_same).count();
                 let all = self.agents.iter().filter(is_same).count();
-                let idle = self.idle(chosen.len(), kept, all);
-                self.open(instance, service, idle);
+                let period = self.idle_period(chosen.len(), kept, all);
+                self.open_lane(instance, service, period);
             }
         }
         let listed: collections::HashSet<_> = self.agents.iter().map(|i| i.addr).collect();
         self.chosen = chosen.iter().map(|i| i.addr).collect();
-        let works = |member: &Member| member.lane.connection().is_some();
+        let is_connected = |member: &Member| member.lane.connection().is_some();
         self.lanes.retain(|addr, member| {
-            self.chosen.contains(addr) || !listed.contains(addr) && works(member)
+            self.chosen.contains(addr) || !listed.contains(addr) && is_connected(member)
         });
     }
 
-    /// Chooses the agents to keep lanes to, so many of each service that heartbeats stay cheap.
-    fn subset(&self) -> Vec<&Instance> {
+    /// Selects the agents to keep lanes to, as many per service as its subset size.
+    fn choose_agents(&self) -> Vec<&Instance> {
         let mut services: collections::BTreeMap<_, Vec<(id::TargetName, &Instance)>> =
             collections::BTreeMap::new();
         for instance in &self.agents {
@@ -216,7 +221,7 @@
                 name,
                 data_centre: &instance.data_centre,
             });
-            let size = self.widths[*service].size();
+            let size = self.subset_sizes[*service].size();
             let names = subset::choose(&self.caller.instance, &self.data_centre, members, size);
             let names: collections::HashSet<_> = names.iter().map(|member| member.name).collect();
             let agents = agents.iter().filter(|(name, _)| names.contains(name));
@@ -225,19 +230,24 @@
         chosen
     }
 
-    /// Returns the time between two idle heartbeats on each of `lanes`, where `kept` of `all` agents
-    /// of a service are in the subset.
+    /// Returns the idle heartbeat period for `lanes` lanes, if the subset has `kept` of `all`
+    /// agents of a service.
     ///
-    /// A service of few targets is whole in the subset of every entry: at a fixed period of 2 s the
-    /// heartbeats of 350 entries take over 100 KB/s of each of its agents. Either end gets
-    /// [`BEAT_BYTES`], as far as the list tells how many entries share the agents.
-    fn idle(&self, lanes: usize, kept: usize, all: usize) -> time::Duration {
-        let there = (self.entries.len() * kept).div_ceil(all.max(1));
-        let period = subset::heartbeat_period(BEAT_BYTES, lanes.max(there));
-        period.min(IDLE_MAX).max(self.caller.timing.idle)
+    /// The agents of a service with few targets are in the subset of every entry. With a fixed
+    /// period of 2 s, the heartbeats of 350 entries would cost each of them over 100 KB/s. The
+    /// period keeps both ends within [`HEARTBEAT_BANDWIDTH`], by the number of listed entries.
+    fn idle_period(&self, lanes: usize, kept: usize, all: usize) -> time::Duration {
+        let lanes_per_agent = (self.entries.len() * kept).div_ceil(all.max(1));
+        let period = subset::heartbeat_period(HEARTBEAT_BANDWIDTH, lanes.max(lanes_per_agent));
+        period.min(MAX_IDLE_PERIOD).max(self.caller.timing.idle)
     }
 
-    fn open(&mut self, instance: &Instance, service: &id::ServiceName, idle: time::Duration) {
+    fn open_lane(
+        &mut self,
+        instance: &Instance,
+        service: &id::ServiceName,
+        period: time::Duration,
+    ) {
         let (caller, runtime) = (&self.caller, &self.runtime);
         let member = self.lanes.entry(instance.addr).or_insert_with(|| Member {
             service: service.clone(),
@@ -246,7 +256,7 @@
         });
         member.service = service.clone();
         member.data_centre = instance.data_centre.clone();
-        member.lane.set_idle(idle);
+        member.lane.set_idle(period);
     }
 
     /// Iterates over the agents.
--- a/laburnumcart_entry/src/metrics.rs
+++ b/laburnumcart_entry/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters of an entry.
+//! Metrics of an entry.
 
 use std::sync::Arc;
 
@@ -25,26 +25,26 @@
 
 pub mod cost;
 
-/// Most teams, pipelines and services that have series of their own.
+/// Maximum number of teams, pipelines and services with series of their own.
 const TEAMS_MAX: usize = 256;
 const PIPELINES_MAX: usize = 64;
 const SERVICES_MAX: usize = 64;
 
-/// Upper bounds of the durations in seconds.
+/// Upper bounds of the duration buckets in seconds.
 const BOUNDS: [f64; 14] = [
     0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1.0, 1.6, 2.0, 5.0, 10.0, 20.0, 60.0,
 ];
 
-/// End of a request or an attempt.
+/// Outcome of a request or an attempt.
 #[derive(Clone, Copy, Debug, EncodeLabelValue, Eq, Hash, PartialEq)]
 pub enum Ended {
-    /// Whole and within the deadline.
+    /// Complete and within the deadline.
     Whole,
-    /// Whole, but after the deadline.
+    /// Complete, but after the deadline.
     Late,
-    /// Refused, proven not to have run.
+    /// Refused, proven not executed.
     NotRun,
-    /// Given up on; may have run.
+    /// Failed; may have executed.
     MayHaveRun,
 }
 
@@ -86,7 +86,7 @@
     ended: Ended,
 }
 
-/// Counters of an entry; clones share them.
+/// Metrics of an entry; clones share their values.
 #[derive(Clone, Debug)]
 pub struct Metrics {
     teams: Arc<metrics::Names>,
@@ -98,15 +98,15 @@
     attempts: Family<Attempt, Counter>,
     busy: Family<Service, Counter<f64, std::sync::atomic::AtomicU64>>,
     queued: Family<Service, Counter<f64, std::sync::atomic::AtomicU64>>,
-    /// Seconds of targets by team and stage.
+    /// Execution time at targets by team and stage.
     pub cost: cost::Cost,
-    /// Second attempts beside slow ones.
+    /// Hedged attempts.
     pub hedges: Counter,
-    /// Connections to agents that were given up.
+    /// Connections to agents that were closed as broken.
     pub breaks: Counter,
-    /// Questions over a new connection about attempts in doubt.
+    /// Queries on a new connection about attempts whose outcome is unknown.
     pub doubts: Counter,
-    /// Connections to agents that work.
+    /// Working connections to agents.
     pub lanes: Gauge,
     /// Requests in flight.
     pub running: Gauge,
@@ -136,37 +136,45 @@
 }
 
 impl Metrics {
-    /// Registers all counters.
+    /// Registers all metrics.
     pub fn register(&self, all: &metrics::Metrics) {
         all.register("laburnum_entry", |r| {
-            r.register("requests", "Requests that ended", self.requests.clone());
+            r.register("requests", "Requests by outcome", self.requests.clone());
             r.register(
                 "request_duration_seconds",
-                "Time from arrival to the whole answer",
+                "Time from arrival to the complete response",
                 self.durations.clone(),
             );
             r.register("refusals", "Refusals to callers", self.refusals.clone());
-            r.register("attempts", "Attempts that ended", self.attempts.clone());
+            r.register("attempts", "Attempts by outcome", self.attempts.clone());
             r.register(
                 "stage_busy_seconds",
-                "Time that targets spent on whole results",
+                "Execution time at targets of complete results",
                 self.busy.clone(),
             );
             r.register(
                 "stage_queued_seconds",
-                "Time that whole results waited at agents",
+                "Queueing time at agents of complete results",
                 self.queued.clone(),
             );
             self.cost.register(r);
-            r.register("hedges", "Second attempts", self.hedges.clone());
-            r.register("lane_breaks", "Connections given up", self.breaks.clone());
-            r.register("doubts", "Questions about attempts", self.doubts.clone());
-            r.register("lanes", "Connections to agents", self.lanes.clone());
+            r.register("hedges", "Hedged attempts", self.hedges.clone());
+            r.register(
+                "lane_breaks",
+                "Connections to agents closed as broken",
+                self.breaks.clone(),
+            );
+            r.register(
+                "doubts",
+                "Queries about attempts with unknown outcome",
+                self.doubts.clone(),
+            );
+            r.register("lanes", "Working connections to agents", self.lanes.clone());
             r.register("running", "Requests in flight", self.running.clone());
         });
     }
 
-    /// Counts the end of a request of a known team.
+    /// Records the outcome and duration of a request of a known team.
     pub fn record_request(
         &self,
         team: &id::TeamName,
@@ -201,7 +209,7 @@
         self.refusals.get_or_create(&labels).inc();
     }
 
-    /// Counts the end of an attempt.
+    /// Counts the outcome of an attempt.
     pub fn record_attempt(&self, service: &id::ServiceName, ended: Ended) {
         let service = self.services.label(service.as_str());
         self.attempts
@@ -209,7 +217,7 @@
             .inc();
     }
 
-    /// Adds what a whole result took.
+    /// Adds the execution and queueing time of a complete result.
     pub fn record_stage_time(&self, service: &id::ServiceName, end: &stage::End) {
         let labels = Service {
             service: self.services.label(service.as_str()),
--- a/laburnumcart_entry/src/metrics/cost.rs
+++ b/laburnumcart_entry/src/metrics/cost.rs
@@ -1,4 +1,4 @@
-//! What targets spent, by team against its promised share and by stage.
+//! Execution time at targets by team, beside its guaranteed share, and by stage.
 
 use std::sync::{
     Arc,
@@ -25,15 +25,15 @@
 };
 use laburnumcart_daemon::metrics;
 
-/// Most stages that have series of their own.
+/// Maximum number of stages with series of their own.
 const STAGES_MAX: usize = 64;
 
-/// What became of the time that a target spent.
+/// Use of the time that a target spent.
 #[derive(Clone, Copy, Debug, EncodeLabelValue, Eq, Hash, PartialEq)]
 pub enum Spent {
-    /// The request was answered whole and in time.
+    /// The request was answered completely and on time.
     Useful,
-    /// It was not.
+    /// The request failed or was late.
     Wasted,
 }
 
@@ -48,7 +48,7 @@
     spent: Spent,
 }
 
-/// Seconds of targets by team and by stage; clones share them.
+/// Execution time at targets by team and by stage; clones share the values.
 #[derive(Clone, Debug)]
 pub struct Cost {
     teams: Arc<metrics::Names>,
@@ -59,7 +59,7 @@
 }
 
 impl Cost {
-    /// Creates counters whose names of teams are capped together with those of others.
+    /// Creates the counters; `teams` limits the team labels together with other metrics.
     pub fn new(teams: Arc<metrics::Names>) -> Self {
         Self {
             teams,
@@ -74,22 +74,22 @@
     pub fn register(&self, registry: &mut Registry) {
         registry.register(
             "team_share",
-            "Share of contended targets that a team was promised",
+            "Guaranteed share of a team in contended targets",
             self.shares.clone(),
         );
         registry.register(
             "team_busy_seconds",
-            "Time that targets spent on a team's results",
+            "Execution time at targets of a team's results",
             self.by_team.clone(),
         );
         registry.register(
             "request_busy_seconds",
-            "Time that targets spent on results, by what became of the request",
+            "Execution time at targets of results, by the outcome of the request",
             self.by_stage.clone(),
         );
     }
 
-    /// Shows the shares that a bundle promises; those of teams without a series are added up.
+    /// Sets the shares that a bundle guarantees; teams without a series of their own are summed up.
     pub fn set_shares(&self, bundle: &bundle::Bundle) {
         let weights = bundle.teams.values().map(|team| f64::from(team.weight));
         let total: f64 = weights.sum();
@@ -101,7 +101,7 @@
         }
     }
 
-    /// Adds what a stage's whole result took.
+    /// Adds the execution time of a stage's complete result.
     pub fn record(
         &self,
         team: &id::TeamName,
--- a/laburnumcart_entry/src/peers.rs
+++ b/laburnumcart_entry/src/peers.rs
@@ -1,4 +1,4 @@
-//! What the entry offers to other processes of the system.
+//! RPC server of the peer port, for other processes of the system.
 
 pub mod pool;
 
@@ -24,10 +24,10 @@
 
 use crate::entry as shared;
 
-/// Longest wait for a kept answer in one call.
+/// Maximum time that one call waits for an answer.
 const WAIT_MAX: unit::Period = unit::Period::from_secs(10);
 
-/// Server of the peer port.
+/// RPC server of the peer port.
 #[derive(Clone, Debug)]
 pub struct Server {
     entry: Arc<shared::Entry>,
@@ -39,7 +39,7 @@
         Self { entry }
     }
 
-    fn state(&self) -> entry::Status {
+    fn current_status(&self) -> entry::Status {
         let view = self.entry.view.load();
         let lanes = view.routes.values().flat_map(|routes| routes.lanes());
         let open = lanes.filter(|lane| lane.connection().is_some()).count();
@@ -60,12 +60,12 @@
 #[async_trait]
 impl EntryServer for Server {
     async fn status(&self) -> RpcResult<entry::Status> {
-        Ok(self.state())
+        Ok(self.current_status())
     }
 
     async fn drain(&self) -> RpcResult<entry::Status> {
         self.entry.leave();
-        Ok(self.state())
+        Ok(self.current_status())
     }
 
     async fn claim(&self, claim: entry::Claim) -> RpcResult<entry::Decision> {
--- a/laburnumcart_entry/src/peers/pool.rs
+++ b/laburnumcart_entry/src/peers/pool.rs
@@ -1,4 +1,4 @@
-//! Calls of other entries.
+//! Connection pool for calls to other entries.
 
 use std::{
     collections, net,
@@ -29,31 +29,36 @@
     claims, //
 };
 
-/// Longest wait for an answer that does not depend on a running request.
-const CALL_LIMIT: time::Duration = time::Duration::from_secs(2);
+/// Timeout of a call, in addition to the wait for a running request.
+const CALL_TIMEOUT: time::Duration = time::Duration::from_secs(2);
 
-/// Longest wait for a running request in one call.
+/// Maximum time that one call waits for a running request.
 ///
-/// A connection can go silent for good; short calls find out soon, and the next goes over a new one.
-const SLICE: time::Duration = time::Duration::from_secs(1);
+/// A connection may be dead without an error. Short calls detect that early, and the next call uses
+/// a new connection.
+const MAX_WAIT: time::Duration = time::Duration::from_secs(1);
 
-/// Failed calls in a row after which an entry counts as gone.
-const FAILURES_MAX: u32 = 3;
+/// Consecutive failed calls that are tolerated before an entry counts as unreachable.
+const MAX_FAILURES: u32 = 3;
 
-/// Connections to other entries, opened when they are needed.
+/// Connections to other entries, opened on demand.
 #[derive(Debug)]
 pub struct Pool {
-    me: claim::Holder,
+    holder: claim::Holder,
     secret: secret::Secret,
     answers: Arc<answers::Answers>,
     open: Mutex<collections::HashMap<net::SocketAddr, Arc<peer::Client>>>,
 }
 
 impl Pool {
-    /// Creates calls of the process `me`, which answers for itself.
-    pub fn new(me: claim::Holder, secret: secret::Secret, answers: Arc<answers::Answers>) -> Self {
+    /// Creates the pool of the process `holder`, whose own answers are read from `answers`.
+    pub fn new(
+        holder: claim::Holder,
+        secret: secret::Secret,
+        answers: Arc<answers::Answers>,
+    ) -> Self {
         Self {
-            me,
+            holder,
             secret,
             answers,
             open: Mutex::default(),
@@ -75,27 +80,27 @@
         Ok(client)
     }
 
-    /// Makes one call; a connection on which it fails is not used again.
+    /// Makes one call; discards the connection if the call fails.
     async fn call<T, F>(
         &self,
         addr: net::SocketAddr,
-        limit: time::Duration,
+        timeout: time::Duration,
         make: impl FnOnce(Arc<peer::Client>) -> F,
     ) -> Result<T, claims::Unreachable>
     where
         F: Future<Output = Result<T, jsonrpsee::core::ClientError>>,
     {
         let client = self.client(addr).await?;
-        match time::timeout(limit, make(client.clone())).await {
+        match time::timeout(timeout, make(client.clone())).await {
             Ok(Ok(answer)) => Ok(answer),
             _ => {
-                self.forget(addr, &client);
+                self.discard(addr, &client);
                 Err(claims::Unreachable)
             }
         }
     }
 
-    fn forget(&self, addr: net::SocketAddr, client: &Arc<peer::Client>) {
+    fn discard(&self, addr: net::SocketAddr, client: &Arc<peer::Client>) {
         let mut open = self.lock();
         if open
             .get(&addr)
@@ -118,7 +123,7 @@
         addr: net::SocketAddr,
         claim: entry::Claim,
     ) -> Result<entry::Decision, claims::Unreachable> {
-        self.call(addr, CALL_LIMIT, |c| async move { c.claim(claim).await })
+        self.call(addr, CALL_TIMEOUT, |c| async move { c.claim(claim).await })
             .await
     }
 
@@ -129,7 +134,7 @@
     ) -> Result<bool, claims::Unreachable> {
         self.call(
             addr,
-            CALL_LIMIT,
+            CALL_TIMEOUT,
             |c| async move { c.release(release).await },
         )
         .await
@@ -140,7 +145,7 @@
         addr: net::SocketAddr,
         fetch: entry::Fetch,
     ) -> Result<entry::Answer, claims::Unreachable> {
-        if fetch.incarnation == self.me.incarnation {
+        if fetch.incarnation == self.holder.incarnation {
             return Ok(self.answers.fetch(fetch.request, fetch.wait.0).await);
         }
         let until = time::Instant::now() + fetch.wait.0;
@@ -148,16 +153,16 @@
         loop {
             let wait = until
                 .saturating_duration_since(time::Instant::now())
-                .min(SLICE);
-            let slice = entry::Fetch {
+                .min(MAX_WAIT);
+            let part = entry::Fetch {
                 wait: unit::Period(wait),
                 ..fetch.clone()
             };
-            let call = |c: Arc<peer::Client>| async move { c.fetch(slice).await };
-            match self.call(addr, wait + CALL_LIMIT, call).await {
+            let call = |c: Arc<peer::Client>| async move { c.fetch(part).await };
+            match self.call(addr, wait + CALL_TIMEOUT, call).await {
                 Ok(entry::Answer::Running) if time::Instant::now() < until => failures = 0,
                 Ok(answer) => return Ok(answer),
-                Err(claims::Unreachable) if failures < FAILURES_MAX => failures += 1,
+                Err(claims::Unreachable) if failures < MAX_FAILURES => failures += 1,
                 Err(claims::Unreachable) => return Err(claims::Unreachable),
             }
         }
--- a/laburnumcart_entry/src/run.rs
+++ b/laburnumcart_entry/src/run.rs
@@ -1,4 +1,4 @@
-//! From settings to a running entry, and its stop.
+//! Start of an entry from its settings, and its graceful shutdown.
 
 use std::{
     io,
@@ -43,21 +43,21 @@
     settings, //
 };
 
-/// Longest wait for the last bytes of answers after the requests have ended.
-const FLUSH: std::time::Duration = std::time::Duration::from_secs(1);
+/// Timeout of each step of the shutdown after the requests in flight have ended.
+const SHUTDOWN_TIMEOUT: std::time::Duration = std::time::Duration::from_secs(1);
 
-/// Calls a second of the object service unless the settings say otherwise.
+/// Default rate limits of calls to the object service, per second.
 ///
-/// Claims take most: the log of one shard costs up to two writes a batch.
+/// Most calls are for claims: the log of a shard takes up to two writes per batch.
 const STORE_RATES: budget::Rates = budget::Rates {
     reads: unit::Rate(100.0),
     writes: unit::Rate(150.0),
 };
 
-/// Longest wait of a call for this process's share of the object service's rates.
-const STORE_PATIENCE: unit::Period = unit::Period::from_millis(500);
+/// Maximum time that a call waits for this process's rate limit.
+const STORE_BUDGET_WAIT: unit::Period = unit::Period::from_millis(500);
 
-/// Runs an entry until it is told to stop.
+/// Runs an entry until it receives a signal or a drain command.
 pub fn run(settings: settings::Settings) -> process::ExitCode {
     match serve(settings) {
         Ok(code) => code,
@@ -68,15 +68,15 @@
     }
 }
 
-/// Returns the number of threads for traffic on this machine.
-fn threads() -> usize {
+/// Returns the number of traffic threads for this machine: half the cores, from 1 to 4.
+fn traffic_threads() -> usize {
     let cores = thread::available_parallelism().map_or(2, usize::from);
     (cores / 2).clamp(1, 4)
 }
 
 fn serve(settings: settings::Settings) -> io::Result<process::ExitCode> {
     let traffic = runtime::Builder::new_multi_thread()
-        .worker_threads(threads())
+        .worker_threads(traffic_threads())
         .thread_name("traffic")
         .enable_all()
         .build()?;
@@ -92,12 +92,14 @@
         incarnation: id::Incarnation::random(),
     };
     let entry = entry::Entry::new(identity, feed, running.gate(), traffic.handle().clone());
-    let code = traffic.block_on(main(settings, entry, metrics, running, callers, peer))?;
+    let code = traffic.block_on(run_until_stopped(
+        settings, entry, metrics, running, callers, peer,
+    ))?;
     traffic.shutdown_background();
     Ok(code)
 }
 
-async fn main(
+async fn run_until_stopped(
     settings: settings::Settings,
     entry: Arc<entry::Entry>,
     metrics: metrics::Metrics,
@@ -112,7 +114,7 @@
     start_control(&settings, &entry, &metrics)?;
     let methods = peers::Server::new(entry.clone()).into_rpc();
     let peers = peer::serve(listener, &settings.fleet, methods, &metrics)?;
-    let mut server = callers::serve(entry.clone(), metrics, callers, threads())?;
+    let mut server = callers::serve(entry.clone(), metrics, callers, traffic_threads())?;
     let handle = server.handle()?;
     let server = tokio::spawn(server);
     let identity = &entry.identity;
@@ -132,12 +134,12 @@
     let stopped = running.drain().wait(settings.stop_limit).await;
     event!(Info, "stopped", left = stopped.left);
     if let Some(claims) = entry.claims() {
-        // The shards' next owners need not wait for this one then.
-        let _ = tokio::time::timeout(FLUSH, claims.drain()).await;
+        // Lets other entries take the shards over without a timeout.
+        let _ = tokio::time::timeout(SHUTDOWN_TIMEOUT, claims.drain()).await;
     }
     handle.stop(true);
-    // Idle connections are kept open by their callers; they are not waited for.
-    let _ = tokio::time::timeout(FLUSH, server).await;
+    // Callers may keep idle connections open, so the wait is bounded.
+    let _ = tokio::time::timeout(SHUTDOWN_TIMEOUT, server).await;
     peers.stop();
     Ok(match stopped.left {
         0 => process::ExitCode::SUCCESS,
@@ -145,7 +147,7 @@
     })
 }
 
-/// Starts the claims service and the control thread.
+/// Starts the claim service and the control thread.
 fn start_control(
     settings: &settings::Settings,
     entry: &Arc<entry::Entry>,
@@ -153,7 +155,7 @@
 ) -> io::Result<()> {
     let store = client::Client::builder([settings.platform.address])
         .rates(settings.platform.rates(STORE_RATES))
-        .budget_wait(STORE_PATIENCE)
+        .budget_wait(STORE_BUDGET_WAIT)
         .build();
     let store = store.map_err(io::Error::other)?;
     metrics.register("laburnum_entry", |r| store.register(r));
--- a/laburnumcart_entry/src/settings.rs
+++ b/laburnumcart_entry/src/settings.rs
@@ -10,13 +10,13 @@
 };
 use laburnumcart_daemon::settings;
 
-/// Settings of one entry.
+/// Settings of an entry.
 #[derive(Clone, Debug, Deserialize, schemars::JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
     /// Name of this process.
     pub instance: id::InstanceName,
-    /// Its data centre.
+    /// Data centre of this process.
     pub data_centre: id::DataCentre,
     /// Address for callers.
     #[schemars(with = "settings::Address")]
@@ -24,19 +24,19 @@
     /// Address for other processes of the system.
     #[schemars(with = "settings::Address")]
     pub peer: net::SocketAddr,
-    /// What all processes have in common.
+    /// Settings that all processes share.
     pub fleet: settings::Fleet,
     /// The object service.
     pub platform: settings::Platform,
     /// Logs and traces.
     #[serde(default)]
     pub telemetry: settings::Telemetry,
-    /// Longest time that a stop waits for requests in flight.
-    #[serde(default = "default_stop")]
+    /// Maximum time that a graceful shutdown waits for requests in flight.
+    #[serde(default = "default_stop_limit")]
     pub stop_limit: unit::Period,
 }
 
-fn default_stop() -> unit::Period {
+fn default_stop_limit() -> unit::Period {
     unit::Period::from_secs(30)
 }
 
