--- a/laburnumcart_entry/tests/claims.rs
+++ b/laburnumcart_entry/tests/claims.rs
@@ -1,4 +1,4 @@
-//! Claims under failures: at most one request runs under a key.
+//! Claims under failures: at most one request executes per key.
 
 #[path = "claims/interleaved.rs"]
 mod interleaved;
@@ -25,9 +25,9 @@
 use tokio::time as clock;
 
 use support::{
-    World,
-    ask,
+    Cluster,
     claim,
+    params,
     taken_by, //
 };
 
@@ -40,161 +40,156 @@
     }
 }
 
-/// The caller times out and sends its request again, and the balancer gives it to another entry.
-/// That entry asks the owner, learns who holds the key and fetches the answer there. It must not
-/// run the request, nor may a request with other content slip in under the key.
+/// A resend reaches another entry, which must fetch the answer from the holder of the key instead
+/// of executing the request. A request with other content under the same key is refused.
 #[tokio::test(start_paused = true)]
 async fn resend_through_other_entry_gets_the_answer() {
-    let mut world = World::new();
-    let (a, _) = world.start(1);
-    let (b, _) = world.start(2);
-    assert_eq!(claim(&b, ask(7, 1)).await, Decision::Granted);
-    let again = claim(&a, ask(7, 2)).await;
+    let mut cluster = Cluster::new();
+    let (a, _) = cluster.start(1);
+    let (b, _) = cluster.start(2);
+    assert_eq!(claim(&b, params(7, 1)).await, Decision::Granted);
+    let resend = claim(&a, params(7, 2)).await;
     let Decision::Taken {
         holder, request, ..
-    } = again
+    } = resend
     else {
-        panic!("not taken: {again:?}");
+        panic!("not taken: {resend:?}");
     };
     assert_eq!((holder, request), (b.holder(), id::RequestId(1)));
     let wait = unit::Period::from_secs(1);
-    let body = resend::join(&world.net, holder, request, wait).await;
+    let body = resend::join(&cluster.net, holder, request, wait).await;
     assert_eq!(body, Ok(id::RequestId(1).to_string()));
     let other = claims::ClaimRequest {
         content: id::Fingerprint(8),
-        ..ask(7, 3)
+        ..params(7, 3)
     };
     let reused = verdict::Refusal::not_run(verdict::Reason::KeyReused);
     assert_eq!(refusal(&claim(&a, other).await), reused);
 }
 
-/// The owner's process is paused with an append on its way. Another entry cannot reach it, takes
-/// the shard over and grants the key. Resumed, the owner sends its append, which must fail at the
-/// seal, and the caller of its request must be told whose the key is.
+/// The owner is paused during an append while another entry takes the shard over and grants the
+/// key. When the owner resumes, its append must fail at the seal.
 #[tokio::test(start_paused = true)]
 async fn owner_paused_across_takeover() {
-    let mut world = World::new();
-    let (a, gate) = world.start(1);
-    let (b, _) = world.start(2);
-    assert_eq!(claim(&a, ask(1, 1)).await, Decision::Granted);
-    gate.hold(Some("claims/"));
-    world.net.set_cut(&a, true);
+    let mut cluster = Cluster::new();
+    let (a, store) = cluster.start(1);
+    let (b, _) = cluster.start(2);
+    assert_eq!(claim(&a, params(1, 1)).await, Decision::Granted);
+    store.hold(Some("claims/"));
+    cluster.net.set_cut(&a, true);
     let late = tokio::spawn({
         let a = a.clone();
-        async move { claim(&a, ask(7, 2)).await }
+        async move { claim(&a, params(7, 2)).await }
     });
     clock::sleep(SECOND / 10).await;
-    assert_eq!(claim(&b, ask(7, 3)).await, Decision::Granted);
+    assert_eq!(claim(&b, params(7, 3)).await, Decision::Granted);
     assert_eq!(
-        taken_by(&claim(&b, ask(1, 4)).await),
+        taken_by(&claim(&b, params(1, 4)).await),
         Some(id::RequestId(1))
     );
-    // By now the segments before the seal are deleted.
+    // The segments before the seal are deleted by now.
     clock::sleep(SECOND).await;
-    world.net.set_cut(&a, false);
-    gate.hold(None);
+    cluster.net.set_cut(&a, false);
+    store.hold(None);
     assert_eq!(taken_by(&late.await.unwrap()), Some(id::RequestId(3)));
 }
 
-/// The answer to an append is lost at a moment that is no whole millisecond, as every moment outside of
-/// tests. The owner reads its own append back and must know it, although written periods are rounded;
-/// taken for a seal, it would cost the owner its shard and leave claims behind.
+/// The response to an append is lost at a time that is not a whole millisecond. The owner must
+/// recognise its own segment, whose periods are rounded, and not take it for a seal.
 #[tokio::test(start_paused = true)]
-async fn an_owner_knows_its_own_append() {
-    let mut world = World::new();
-    let (a, _) = world.start(1);
-    assert_eq!(claim(&a, ask(1, 1)).await, Decision::Granted);
+async fn owner_recognises_its_own_append() {
+    let mut cluster = Cluster::new();
+    let (a, _) = cluster.start(1);
+    assert_eq!(claim(&a, params(1, 1)).await, Decision::Granted);
     clock::advance(time::Duration::from_nanos(3_456_789)).await;
-    world.memory.set_faults(memory::Faults {
+    cluster.memory.set_faults(memory::Faults {
         lose_answers: 1,
         ..memory::Faults::default()
     });
-    assert_eq!(claim(&a, ask(7, 2)).await, Decision::Granted);
-    let head = world.memory.get("claims/0/head").await.unwrap().unwrap();
+    assert_eq!(claim(&a, params(7, 2)).await, Decision::Granted);
+    let head = cluster.memory.get("claims/0/head").await.unwrap().unwrap();
     assert!(head.value.contains("\"epoch\":1,"), "{}", head.value);
 }
 
-/// The owner grants a claim and its answer is lost; then it is out of reach, and the asker, which cannot
-/// read whose the shard is, refuses its caller as not run. The claim must not stay behind: the caller
-/// comes again, as it was told to, and its request runs.
+/// The response to a granted claim is lost, and the claim is then refused as not run since the
+/// store is down. The claim must be released, so that the caller's retry is granted.
 #[tokio::test(start_paused = true)]
-async fn a_refusal_after_a_lost_answer_gives_the_claim_back() {
-    let mut world = World::new();
-    let (a, _) = world.start(1);
-    let (b, _) = world.start(2);
-    assert_eq!(claim(&a, ask(1, 1)).await, Decision::Granted);
-    world.net.set_mute(&a, true);
+async fn refusal_after_a_lost_response_releases_the_claim() {
+    let mut cluster = Cluster::new();
+    let (a, _) = cluster.start(1);
+    let (b, _) = cluster.start(2);
+    assert_eq!(claim(&a, params(1, 1)).await, Decision::Granted);
+    cluster.net.set_mute(&a, true);
     let refused = tokio::spawn({
         let b = b.clone();
-        async move { claim(&b, ask(7, 2)).await }
+        async move { claim(&b, params(7, 2)).await }
     });
     clock::sleep(SECOND / 10).await;
-    world.memory.set_faults(memory::Faults {
+    cluster.memory.set_faults(memory::Faults {
         down: true,
         ..memory::Faults::default()
     });
     let refusal = refusal(&refused.await.unwrap());
     assert_eq!(refusal.verdict, verdict::Verdict::NotRun);
-    world.memory.set_faults(memory::Faults::default());
-    world.net.set_mute(&a, false);
+    cluster.memory.set_faults(memory::Faults::default());
+    cluster.net.set_mute(&a, false);
     clock::sleep(SECOND).await;
-    assert_eq!(claim(&b, ask(7, 3)).await, Decision::Granted);
+    assert_eq!(claim(&b, params(7, 3)).await, Decision::Granted);
 }
 
-/// An owner does not know that it was replaced. Meanwhile a claim in its table was given back and
-/// its key granted to another request, which has run. A resend that reaches the old owner must
-/// learn of that request; sent to the earlier one it would be told "not run".
+/// The table of a replaced owner is stale: its claim was released and the key granted to another
+/// request. A resend through the old owner must be directed to the new holder.
 #[tokio::test(start_paused = true)]
-async fn replaced_owner_answers_no_resend_from_its_table() {
-    let mut world = World::new();
-    let (a, _) = world.start(1);
-    let (b, _) = world.start(2);
-    assert_eq!(claim(&a, ask(7, 1)).await, Decision::Granted);
-    world.net.set_cut(&a, true);
-    assert!(taken_by(&claim(&b, ask(7, 2)).await).is_some());
+async fn replaced_owner_does_not_answer_from_its_stale_table() {
+    let mut cluster = Cluster::new();
+    let (a, _) = cluster.start(1);
+    let (b, _) = cluster.start(2);
+    assert_eq!(claim(&a, params(7, 1)).await, Decision::Granted);
+    cluster.net.set_cut(&a, true);
+    assert!(taken_by(&claim(&b, params(7, 2)).await).is_some());
     assert!(b.release(id::Fingerprint(7), id::RequestId(1)).await);
-    assert_eq!(claim(&b, ask(7, 3)).await, Decision::Granted);
-    let resend = claim(&a, ask(7, 4)).await;
+    assert_eq!(claim(&b, params(7, 3)).await, Decision::Granted);
+    let resend = claim(&a, params(7, 4)).await;
     assert_eq!(taken_by(&resend), Some(id::RequestId(3)));
 }
 
-/// The object service performs the append and its answer is lost, or the call is lost before it.
-/// The caller sees one grant; a resend sees the key taken, and the batch is in the log once.
+/// The call or the response of an append is lost. The caller must get one grant, a resend must find
+/// the key taken, and the log must hold the batch once.
 #[rstest]
 #[case::answer(1, 0)]
 #[case::call(0, 1)]
 #[case::both(2, 2)]
 #[tokio::test(start_paused = true)]
 async fn append_without_answer_is_settled(#[case] answers: u32, #[case] calls: u32) {
-    let mut world = World::new();
-    let (a, _) = world.start(1);
-    assert_eq!(claim(&a, ask(1, 1)).await, Decision::Granted);
-    world.memory.set_faults(memory::Faults {
+    let mut cluster = Cluster::new();
+    let (a, _) = cluster.start(1);
+    assert_eq!(claim(&a, params(1, 1)).await, Decision::Granted);
+    cluster.memory.set_faults(memory::Faults {
         lose_answers: answers,
         lose_calls: calls,
         ..memory::Faults::default()
     });
-    assert_eq!(claim(&a, ask(7, 2)).await, Decision::Granted);
+    assert_eq!(claim(&a, params(7, 2)).await, Decision::Granted);
     assert_eq!(
-        taken_by(&claim(&a, ask(7, 3)).await),
+        taken_by(&claim(&a, params(7, 3)).await),
         Some(id::RequestId(2))
     );
-    let log = world.memory.list("claims/0/1/").await.unwrap();
-    // The first snapshot, two grants, and the proof that the owner could answer the resend.
+    let log = cluster.memory.list("claims/0/1/").await.unwrap();
+    // The first snapshot, two grants, and the append that confirms the ownership for the resend.
     assert_eq!(log.objects.len(), 4);
 }
 
-/// The owner dies. Two entries notice at the same time, each with a request under the same key.
-/// Both raise the epoch; one of them loses the conditional update and asks the other.
+/// Two entries detect the loss of the owner at the same time, each with a request under the same
+/// key. One of them must lose the conditional update of the epoch and use the other as the owner.
 #[tokio::test(start_paused = true)]
 async fn two_takers_at_once() {
-    let mut world = World::new();
-    let (a, _) = world.start(1);
-    let (b, _) = world.start(2);
-    let (c, _) = world.start(3);
-    assert_eq!(claim(&a, ask(1, 1)).await, Decision::Granted);
-    world.net.set_cut(&a, true);
-    let (left, right) = tokio::join!(claim(&b, ask(7, 2)), claim(&c, ask(7, 3)));
+    let mut cluster = Cluster::new();
+    let (a, _) = cluster.start(1);
+    let (b, _) = cluster.start(2);
+    let (c, _) = cluster.start(3);
+    assert_eq!(claim(&a, params(1, 1)).await, Decision::Granted);
+    cluster.net.set_cut(&a, true);
+    let (left, right) = tokio::join!(claim(&b, params(7, 2)), claim(&c, params(7, 3)));
     let granted = [&left, &right].map(|decision| *decision == Decision::Granted);
     assert_eq!(
         granted.iter().filter(|granted| **granted).count(),
@@ -204,157 +199,156 @@
     assert!(taken_by(&left).or(taken_by(&right)).is_some());
 }
 
-/// An entry claims a key and dies before it runs the request, or after; nobody can tell. The
-/// resend gets "may have run" without waiting for its deadline, and again each time.
+/// The holder of a claim dies before or after it executed the request. Each resend must be refused
+/// as "may have run" without waiting for its deadline.
 #[tokio::test(start_paused = true)]
 async fn holder_dead_after_the_claim() {
-    let mut world = World::new();
-    let (a, _) = world.start(1);
-    let (b, _) = world.start(2);
-    assert_eq!(claim(&a, ask(7, 1)).await, Decision::Granted);
-    world.net.set_cut(&a, true);
+    let mut cluster = Cluster::new();
+    let (a, _) = cluster.start(1);
+    let (b, _) = cluster.start(2);
+    assert_eq!(claim(&a, params(7, 1)).await, Decision::Granted);
+    cluster.net.set_cut(&a, true);
     for request in 2..4 {
         let start = clock::Instant::now();
         let Decision::Taken {
             holder, request, ..
-        } = claim(&b, ask(7, request)).await
+        } = claim(&b, params(7, request)).await
         else {
             panic!("not taken");
         };
         let wait = unit::Period::from_secs(9);
-        let answer = resend::join(&world.net, holder, request, wait).await;
+        let answer = resend::join(&cluster.net, holder, request, wait).await;
         let gone = verdict::Refusal::may_have_run(verdict::Reason::AlreadyClaimed);
         assert_eq!(answer, Err(gone));
         assert!(start.elapsed() < SECOND);
     }
 }
 
-/// The object service is down. Callers are told "not run" and when to come back at once; when it
-/// is up again the same key is granted.
+/// While the object service is down, claims must be refused immediately as not run, with a retry
+/// delay. Afterwards the same key is granted.
 #[tokio::test(start_paused = true)]
 async fn store_down_refuses_at_once() {
-    let mut world = World::new();
-    let (a, _) = world.start(1);
-    let (b, _) = world.start(2);
-    assert_eq!(claim(&a, ask(1, 1)).await, Decision::Granted);
-    world.memory.set_faults(memory::Faults {
+    let mut cluster = Cluster::new();
+    let (a, _) = cluster.start(1);
+    let (b, _) = cluster.start(2);
+    assert_eq!(claim(&a, params(1, 1)).await, Decision::Granted);
+    cluster.memory.set_faults(memory::Faults {
         down: true,
         ..memory::Faults::default()
     });
     for entry in [&a, &b, &a] {
         let start = clock::Instant::now();
-        let refusal = refusal(&claim(entry, ask(7, 2)).await);
+        let refusal = refusal(&claim(entry, params(7, 2)).await);
         assert_eq!(refusal.verdict, verdict::Verdict::NotRun);
         assert_eq!(refusal.reason, verdict::Reason::ClaimUnavailable);
         assert!(refusal.retry.is_some());
         assert!(start.elapsed() < SECOND / 20);
     }
-    world.memory.set_faults(memory::Faults::default());
+    cluster.memory.set_faults(memory::Faults::default());
     clock::sleep(SECOND).await;
-    assert_eq!(claim(&b, ask(7, 3)).await, Decision::Granted);
+    assert_eq!(claim(&b, params(7, 3)).await, Decision::Granted);
 }
 
-/// The object service answers later than the caller's deadline. The caller is told "not run", and
-/// as nothing ran, the claim that became durable afterwards is given back: a resend is granted.
+/// The object service responds after the caller's deadline, and the claim is refused as not run.
+/// When it becomes durable later, it must be released, so that a resend is granted.
 #[tokio::test(start_paused = true)]
 async fn store_slow_past_the_deadline() {
-    let mut world = World::new();
-    let (a, _) = world.start(1);
-    assert_eq!(claim(&a, ask(1, 1)).await, Decision::Granted);
-    world.memory.set_faults(memory::Faults {
+    let mut cluster = Cluster::new();
+    let (a, _) = cluster.start(1);
+    assert_eq!(claim(&a, params(1, 1)).await, Decision::Granted);
+    cluster.memory.set_faults(memory::Faults {
         slow: unit::Period::from_millis(1500),
         ..memory::Faults::default()
     });
     let deadline = clock::Instant::now() + SECOND;
-    let refusal = refusal(&a.claim(ask(7, 2), deadline).await.decision);
+    let refusal = refusal(&a.claim(params(7, 2), deadline).await.decision);
     assert_eq!(refusal.verdict, verdict::Verdict::NotRun);
     assert_eq!(clock::Instant::now(), deadline);
-    world.memory.set_faults(memory::Faults::default());
+    cluster.memory.set_faults(memory::Faults::default());
     clock::sleep(5 * SECOND).await;
-    assert_eq!(claim(&a, ask(7, 3)).await, Decision::Granted);
+    assert_eq!(claim(&a, params(7, 3)).await, Decision::Granted);
 }
 
-/// The object service stops answering without refusing. The claim that is on its way stays open,
-/// but those that gather behind it are told "not run" once it is in doubt, long before their
-/// deadlines, and later ones at once.
+/// The object service stops responding during an append. Claims queued behind it must be refused as
+/// not run long before their deadlines, and later ones immediately.
 #[tokio::test(start_paused = true)]
 async fn claims_behind_a_silent_append_are_refused() {
-    let mut world = World::new();
-    let (a, gate) = world.start(1);
-    assert_eq!(claim(&a, ask(1, 1)).await, Decision::Granted);
-    gate.hold(Some("claims/"));
+    let mut cluster = Cluster::new();
+    let (a, store) = cluster.start(1);
+    assert_eq!(claim(&a, params(1, 1)).await, Decision::Granted);
+    store.hold(Some("claims/"));
     let first = tokio::spawn({
         let a = a.clone();
-        async move { claim(&a, ask(2, 2)).await }
+        async move { claim(&a, params(2, 2)).await }
     });
     clock::sleep(SECOND / 10).await;
     let start = clock::Instant::now();
     let unavailable = verdict::Reason::ClaimUnavailable;
-    assert_eq!(refusal(&claim(&a, ask(3, 3)).await).reason, unavailable);
+    assert_eq!(refusal(&claim(&a, params(3, 3)).await).reason, unavailable);
     assert!(start.elapsed() < 3 * SECOND);
     let start = clock::Instant::now();
-    assert_eq!(refusal(&claim(&a, ask(4, 4)).await).reason, unavailable);
+    assert_eq!(refusal(&claim(&a, params(4, 4)).await).reason, unavailable);
     assert!(start.elapsed() < SECOND / 20);
-    gate.hold(None);
+    store.hold(None);
     assert_eq!(first.await.unwrap(), Decision::Granted);
-    assert_eq!(claim(&a, ask(3, 5)).await, Decision::Granted);
+    assert_eq!(claim(&a, params(3, 5)).await, Decision::Granted);
 }
 
-/// The caller hangs up while its claim is on its way to the log. The claim must not stay behind:
-/// nothing will run under it, and a resend would be told for an hour that it may have run.
+/// The caller disconnects during the append of its claim. The claim must be released, or each
+/// resend within the retention time would be refused as "may have run".
 #[rstest]
 #[case::at_the_owner(1)]
 #[case::elsewhere(2)]
 #[tokio::test(start_paused = true)]
-async fn claim_of_a_caller_that_hung_up_is_given_back(#[case] number: u16) {
-    let mut world = World::new();
-    let (a, _) = world.start(1);
-    let (b, _) = world.start(2);
+async fn claim_of_a_disconnected_caller_is_released(#[case] number: u16) {
+    let mut cluster = Cluster::new();
+    let (a, _) = cluster.start(1);
+    let (b, _) = cluster.start(2);
     let asker = if number == 1 { &a } else { &b };
-    assert_eq!(claim(asker, ask(1, 1)).await, Decision::Granted);
-    world.memory.set_faults(memory::Faults {
+    assert_eq!(claim(asker, params(1, 1)).await, Decision::Granted);
+    cluster.memory.set_faults(memory::Faults {
         slow: unit::Period::from_millis(500),
         ..memory::Faults::default()
     });
-    let hung_up = clock::timeout(SECOND / 5, claim(asker, ask(7, 2))).await;
-    assert!(hung_up.is_err());
-    world.memory.set_faults(memory::Faults::default());
+    let disconnected = clock::timeout(SECOND / 5, claim(asker, params(7, 2))).await;
+    assert!(disconnected.is_err());
+    cluster.memory.set_faults(memory::Faults::default());
     clock::sleep(3 * SECOND).await;
-    assert_eq!(claim(&a, ask(7, 3)).await, Decision::Granted);
+    assert_eq!(claim(&a, params(7, 3)).await, Decision::Granted);
 }
 
-/// A request that found no target gives its claim back, and the caller's next try is granted. A
-/// release by any other request changes nothing.
+/// A release by the holder must free the key for the next request; a release by any other request
+/// must have no effect.
 #[tokio::test(start_paused = true)]
 async fn release_frees_the_key_for_its_holder_only() {
-    let mut world = World::new();
-    let (a, _) = world.start(1);
-    let (b, _) = world.start(2);
-    assert_eq!(claim(&b, ask(7, 1)).await, Decision::Granted);
+    let mut cluster = Cluster::new();
+    let (a, _) = cluster.start(1);
+    let (b, _) = cluster.start(2);
+    assert_eq!(claim(&b, params(7, 1)).await, Decision::Granted);
     assert!(!b.release(id::Fingerprint(7), id::RequestId(2)).await);
-    assert!(taken_by(&claim(&a, ask(7, 2)).await).is_some());
+    assert!(taken_by(&claim(&a, params(7, 2)).await).is_some());
     assert!(b.release(id::Fingerprint(7), id::RequestId(1)).await);
-    assert_eq!(claim(&a, ask(7, 3)).await, Decision::Granted);
+    assert_eq!(claim(&a, params(7, 3)).await, Decision::Granted);
 }
 
-/// A claim outlives takeovers for at least its retention. It does not start anew with each, as the
-/// log carries how long its owners have held it; else it would never be forgotten.
+/// A claim must survive takeovers for its retention time and then expire. The log carries its age,
+/// so that a takeover does not restart the time.
 #[tokio::test(start_paused = true)]
 async fn retention_across_takeovers() {
-    let mut world = World::new();
-    let mut entries = vec![world.start(1).0];
+    let mut cluster = Cluster::new();
+    let mut entries = vec![cluster.start(1).0];
     let short = |request| claims::ClaimRequest {
         retention: unit::Period::from_secs(100),
-        ..ask(7, request)
+        ..params(7, request)
     };
     assert_eq!(claim(&entries[0], short(1)).await, Decision::Granted);
     for number in 2..5 {
         clock::sleep(30 * SECOND).await;
         let last = entries.last().unwrap();
         let mark = u128::from(number) + 100;
-        assert_eq!(claim(last, ask(mark, mark)).await, Decision::Granted);
-        world.net.set_cut(last, true);
-        let (next, _) = world.start(number);
+        assert_eq!(claim(last, params(mark, mark)).await, Decision::Granted);
+        cluster.net.set_cut(last, true);
+        let (next, _) = cluster.start(number);
         let decision = claim(&next, short(u128::from(number))).await;
         assert_eq!(
             taken_by(&decision),
@@ -370,104 +364,102 @@
     assert_eq!(claim(last, short(9)).await, Decision::Granted);
 }
 
-/// Memory for claims is full. A caller is told "not run" and when to come back; a key that is
-/// claimed already is still recognised.
+/// When the table of claims is full, new keys must be refused as not run with a retry delay, and
+/// claimed keys still recognised.
 #[tokio::test(start_paused = true)]
 async fn full_table_refuses() {
-    let mut world = World::with_limit(2);
-    let (a, _) = world.start(1);
-    assert_eq!(claim(&a, ask(1, 1)).await, Decision::Granted);
-    assert_eq!(claim(&a, ask(2, 2)).await, Decision::Granted);
-    let full = refusal(&claim(&a, ask(3, 3)).await);
+    let mut cluster = Cluster::with_limit(2);
+    let (a, _) = cluster.start(1);
+    assert_eq!(claim(&a, params(1, 1)).await, Decision::Granted);
+    assert_eq!(claim(&a, params(2, 2)).await, Decision::Granted);
+    let full = refusal(&claim(&a, params(3, 3)).await);
     assert_eq!(full.verdict, verdict::Verdict::NotRun);
     assert_eq!(full.reason, verdict::Reason::Overloaded);
     assert!(full.retry.is_some());
-    assert!(taken_by(&claim(&a, ask(1, 4)).await).is_some());
+    assert!(taken_by(&claim(&a, params(1, 4)).await).is_some());
 }
 
-/// A taker is paused between its listing and its seal. Meanwhile the owner takes a snapshot and
-/// deletes the very slot that the taker is about to seal, and goes on behind it. The taker must
-/// not mistake its seal there for the end of the epoch, and lose what the owner granted since.
+/// A taker is paused between its listing and its seal, while the owner takes a snapshot, deletes
+/// the segment under the number to be sealed and continues behind it. The taker must not lose the
+/// grants behind its seal.
 #[tokio::test(start_paused = true)]
 async fn taker_paused_before_its_seal() {
-    let mut world = World::with_segments(8);
-    let (a, _) = world.start(1);
-    let (b, gate) = world.start(2);
-    assert_eq!(claim(&a, ask(1000, 1000)).await, Decision::Granted);
-    world.net.set_cut(&a, true);
-    gate.hold(Some("claims/0/1/"));
+    let mut cluster = Cluster::with_segments(8);
+    let (a, _) = cluster.start(1);
+    let (b, store) = cluster.start(2);
+    assert_eq!(claim(&a, params(1000, 1000)).await, Decision::Granted);
+    cluster.net.set_cut(&a, true);
+    store.hold(Some("claims/0/1/"));
     let taker = tokio::spawn({
         let b = b.clone();
         let deadline = clock::Instant::now() + 60 * SECOND;
-        async move { b.claim(ask(7, 1), deadline).await.decision }
+        async move { b.claim(params(7, 1), deadline).await.decision }
     });
     clock::sleep(SECOND / 2).await;
     for number in 0..20 {
-        let decision = claim(&a, ask(2000 + number, 2000 + number)).await;
+        let decision = claim(&a, params(2000 + number, 2000 + number)).await;
         assert_eq!(decision, Decision::Granted);
     }
-    assert_eq!(claim(&a, ask(7, 2)).await, Decision::Granted);
+    assert_eq!(claim(&a, params(7, 2)).await, Decision::Granted);
     clock::sleep(SECOND / 2).await;
-    gate.hold(None);
+    store.hold(None);
     assert_eq!(taken_by(&taker.await.unwrap()), Some(id::RequestId(2)));
 }
 
-/// A bundle changes the number of shards. Keys must not move to shards that do not know their
-/// claims, so the first number stays in force.
+/// A changed number of shards must not move keys to shards that lack their claims.
 #[tokio::test(start_paused = true)]
-async fn number_of_shards_is_kept() {
-    let mut world = World::new();
-    let (a, _) = world.start_with(1, 3);
-    assert_eq!(claim(&a, ask(7, 1)).await, Decision::Granted);
-    let (b, _) = world.start_with(2, 16);
-    world.net.set_cut(&a, true);
+async fn stored_number_of_shards_wins_over_settings() {
+    let mut cluster = Cluster::new();
+    let (a, _) = cluster.start_with(1, 3);
+    assert_eq!(claim(&a, params(7, 1)).await, Decision::Granted);
+    let (b, _) = cluster.start_with(2, 16);
+    cluster.net.set_cut(&a, true);
     assert_eq!(
-        taken_by(&claim(&b, ask(7, 2)).await),
+        taken_by(&claim(&b, params(7, 2)).await),
         Some(id::RequestId(1))
     );
 }
 
-/// An entry stops in order. The next claim is granted by another one without the wait that an
-/// owner out of reach costs, although the list of live entries still shows the one that stops.
-/// A claim that reaches that one after all is refused as not run.
+/// After a graceful shutdown of the owner, another entry must take over without the wait for an
+/// unreachable owner, and the old one must refuse claims as not run.
 #[tokio::test(start_paused = true)]
-async fn drained_shard_is_taken_without_waiting() {
-    let mut world = World::new();
-    let (a, _) = world.start(1);
-    let (b, _) = world.start(2);
-    assert_eq!(claim(&a, ask(1, 1)).await, Decision::Granted);
+async fn drained_shard_is_taken_over_without_waiting() {
+    let mut cluster = Cluster::new();
+    let (a, _) = cluster.start(1);
+    let (b, _) = cluster.start(2);
+    assert_eq!(claim(&a, params(1, 1)).await, Decision::Granted);
     a.drain().await;
-    let leaving = refusal(&claim(&a, ask(7, 1)).await);
+    let leaving = refusal(&claim(&a, params(7, 1)).await);
     assert_eq!(leaving.verdict, verdict::Verdict::NotRun);
     assert_eq!(leaving.reason, verdict::Reason::Leaving);
     let start = clock::Instant::now();
-    assert_eq!(claim(&b, ask(7, 2)).await, Decision::Granted);
+    assert_eq!(claim(&b, params(7, 2)).await, Decision::Granted);
     assert!(start.elapsed() < SECOND / 10);
     assert_eq!(
-        taken_by(&claim(&b, ask(1, 3)).await),
+        taken_by(&claim(&b, params(1, 3)).await),
         Some(id::RequestId(1))
     );
 }
 
-/// Two entries reach the object service but not each other, and both have claims all the time.
-/// The shard must not change hands with every claim: each change costs a replay.
+/// Two entries with constant claims reach the object service but not each other. The shard must not
+/// change its owner with every claim, as each takeover costs a replay.
 #[tokio::test(start_paused = true)]
-async fn cut_off_entries_do_not_steal_to_and_fro() {
-    let mut world = World::new();
-    let (a, _) = world.start(1);
-    let (b, _) = world.start(2);
-    world.net.set_cut(&a, true);
-    world.net.set_cut(&b, true);
+async fn partitioned_entries_do_not_alternate_ownership() {
+    let mut cluster = Cluster::new();
+    let (a, _) = cluster.start(1);
+    let (b, _) = cluster.start(2);
+    cluster.net.set_cut(&a, true);
+    cluster.net.set_cut(&b, true);
     for number in 0..1200 {
         let deadline = clock::Instant::now() + SECOND;
         let (left, right) = (
-            ask(number * 2, number * 2),
-            ask(number * 2 + 1, number * 2 + 1),
+            params(number * 2, number * 2),
+            params(number * 2 + 1, number * 2 + 1),
         );
         tokio::join!(a.claim(left, deadline), b.claim(right, deadline));
         clock::sleep(SECOND / 10).await;
     }
-    let head = world.memory.get("claims/0/head").await.unwrap().unwrap();
+    let head = cluster.memory.get("claims/0/head").await.unwrap().unwrap();
     let head: laburnumcart::claim::record::Head = serde_json::from_str(&head.value).unwrap();
     assert!(head.epoch < 20, "{head:?}");
 }
--- a/laburnumcart_entry/tests/claims/interleaved.rs
+++ b/laburnumcart_entry/tests/claims/interleaved.rs
@@ -1,4 +1,4 @@
-//! Operations of two owners in any order, with pauses, lost answers and takeovers.
+//! Random interleavings of claims through two entries with pauses, lost responses and takeovers.
 
 use std::{
     collections,
@@ -19,28 +19,28 @@
 
 use crate::support::{
     self,
-    World,
-    ask, //
+    Cluster,
+    params, //
 };
 
-/// Keys in use; few, so that requests meet.
+/// Number of keys; small, so that requests collide.
 const KEYS: u128 = 3;
 
 #[derive(Clone, Copy, Debug)]
 enum Step {
-    /// A request claims a key through an entry.
+    /// Claims a key through an entry.
     Claim { entry: usize, key: u128 },
-    /// Writes of an entry are held, or go on.
+    /// Holds back or releases the writes of an entry.
     Pause { entry: usize, held: bool },
-    /// An entry is out of reach for the other, or in reach.
+    /// Makes an entry unreachable or reachable for the other.
     Cut { entry: usize, cut: bool },
-    /// Answers of the next writes are lost, or the calls.
+    /// Loses the responses or the calls of the next writes.
     Lose { answers: u32, calls: u32 },
-    /// Calls of the store take a while, so that those of the entries overlap.
+    /// Delays calls of the store, so that those of both entries overlap.
     Slow { millis: u64 },
-    /// All calls of the store are refused, or not.
+    /// Makes the store refuse or accept all calls.
     Down { down: bool },
-    /// Time passes.
+    /// Advances the time.
     Wait { millis: u64 },
 }
 
@@ -59,9 +59,9 @@
 
 type Claims = Vec<(u128, u128, task::JoinHandle<Decision>)>;
 
-async fn play(steps: Vec<Step>) -> Result<(), TestCaseError> {
-    let mut world = World::with_segments(3);
-    let entries = [world.start(1), world.start(2)];
+async fn run_steps(steps: Vec<Step>) -> Result<(), TestCaseError> {
+    let mut cluster = Cluster::with_segments(3);
+    let entries = [cluster.start(1), cluster.start(2)];
     let mut claims: Claims = Vec::new();
     for (number, step) in steps.into_iter().enumerate() {
         let request = number as u128 + 1;
@@ -70,39 +70,39 @@
                 let service = entries[entry].0.clone();
                 let deadline = clock::Instant::now() + time::Duration::from_secs(4);
                 let claim =
-                    async move { service.claim(ask(key, request), deadline).await.decision };
+                    async move { service.claim(params(key, request), deadline).await.decision };
                 claims.push((key, request, tokio::spawn(claim)));
             }
             Step::Pause { entry, held } => entries[entry].1.hold(held.then_some("claims/")),
-            Step::Cut { entry, cut } => world.net.set_cut(&entries[entry].0, cut),
+            Step::Cut { entry, cut } => cluster.net.set_cut(&entries[entry].0, cut),
             Step::Lose { answers, calls } => {
-                let faults = world.memory.faults();
-                world.memory.set_faults(memory::Faults {
+                let faults = cluster.memory.faults();
+                cluster.memory.set_faults(memory::Faults {
                     lose_answers: answers,
                     lose_calls: calls,
                     ..faults
                 });
             }
             Step::Slow { millis } => {
-                let faults = world.memory.faults();
-                world.memory.set_faults(memory::Faults {
+                let faults = cluster.memory.faults();
+                cluster.memory.set_faults(memory::Faults {
                     slow: unit::Period::from_millis(millis),
                     ..faults
                 });
             }
             Step::Down { down } => {
-                let faults = world.memory.faults();
-                world.memory.set_faults(memory::Faults { down, ..faults });
+                let faults = cluster.memory.faults();
+                cluster.memory.set_faults(memory::Faults { down, ..faults });
             }
             Step::Wait { millis } => clock::sleep(time::Duration::from_millis(millis)).await,
         }
     }
-    world.memory.set_faults(memory::Faults::default());
-    for (service, gate) in &entries {
-        gate.hold(None);
-        world.net.set_cut(service, false);
+    cluster.memory.set_faults(memory::Faults::default());
+    for (service, store) in &entries {
+        store.hold(None);
+        cluster.net.set_cut(service, false);
     }
-    // Late appends and releases come to rest.
+    // Lets late appends and releases complete.
     clock::sleep(time::Duration::from_secs(60)).await;
     let mut granted = collections::HashMap::new();
     for (key, request, claim) in claims {
@@ -111,13 +111,16 @@
             prop_assert!(other.is_none(), "key {key}: {other:?} and {request}");
         }
     }
-    // A new request finds every key taken that was granted, through either entry.
+    // Through either entry, a new request must find each granted key taken.
     for (key, request) in granted {
         for (service, _) in &entries {
             let deadline = clock::Instant::now() + time::Duration::from_secs(10);
-            let decision = service.claim(ask(key, 1 << 100), deadline).await.decision;
+            let decision = service
+                .claim(params(key, 1 << 100), deadline)
+                .await
+                .decision;
             let taken = support::taken_by(&decision).map(|id| id.0);
-            let heads = world.memory.list("claims/0/head").await;
+            let heads = cluster.memory.list("claims/0/head").await;
             prop_assert_eq!(taken, Some(request), "{:?} {:?}", decision, heads);
         }
     }
@@ -125,9 +128,8 @@
 }
 
 proptest! {
-    /// Two entries serve requests under few keys while their processes pause, their connections
-    /// break and the store loses answers. However these interleave, a key is granted to one
-    /// request at most, and every later request finds it taken.
+    /// Two entries claim few keys while processes pause, connections break and the store loses
+    /// responses. A key must be granted to at most one request, and be taken for all later ones.
     #[test]
     fn at_most_one_grant_a_key(steps in proptest::collection::vec(step(), 1..40)) {
         let runtime = tokio::runtime::Builder::new_current_thread()
@@ -135,6 +137,6 @@
             .start_paused(true)
             .build()
             .unwrap();
-        runtime.block_on(play(steps))?;
+        runtime.block_on(run_steps(steps))?;
     }
 }
--- a/laburnumcart_entry/tests/claims/support.rs
+++ b/laburnumcart_entry/tests/claims/support.rs
@@ -1,4 +1,4 @@
-//! Entries of one fleet in one process, with a store and connections that fail on demand.
+//! Fixture: several entries in one process, with a store and a network that fail on demand.
 
 use std::{
     collections,
@@ -27,31 +27,31 @@
 };
 use laburnumcart_wire::entry;
 
-/// Number of shards in tests; one, so that all keys meet.
+/// Number of shards; one, so that all keys share an owner.
 pub(crate) const SHARDS: u16 = 1;
 
-/// The store as one entry reaches it; a gate holds its writes, as a pause of its process does.
+/// Store of one entry, whose writes can be held back as by a pause of the process.
 #[derive(Debug)]
-pub(crate) struct Gate {
+pub(crate) struct HeldStore {
     memory: memory::Memory,
     held: watch::Sender<Option<&'static str>>,
     pub(crate) writes: atomic::AtomicU64,
 }
 
-impl Gate {
-    /// Holds the writes of keys under a prefix, or lets all go.
+impl HeldStore {
+    /// Holds back writes to keys under a prefix, or releases all.
     pub(crate) fn hold(&self, prefix: Option<&'static str>) {
         self.held.send_replace(prefix);
     }
 
-    async fn pass(&self, key: &str) {
+    async fn wait_released(&self, key: &str) {
         let mut held = self.held.subscribe();
         let open = |held: &Option<&str>| held.is_none_or(|prefix| !key.starts_with(prefix));
-        held.wait_for(open).await.expect("gate lives");
+        held.wait_for(open).await.expect("sender is not dropped");
     }
 }
 
-impl Store for Gate {
+impl Store for HeldStore {
     async fn get(&self, key: &str) -> Result<Option<store::Object>, store::Failure> {
         self.memory.get(key).await
     }
@@ -62,13 +62,13 @@
         expect: store::Expect,
         value: &str,
     ) -> Result<store::Version, store::Failure> {
-        self.pass(key).await;
+        self.wait_released(key).await;
         self.writes.fetch_add(1, atomic::Ordering::Relaxed);
         self.memory.put(key, expect, value).await
     }
 
     async fn delete(&self, key: &str, version: store::Version) -> Result<(), store::Failure> {
-        self.pass(key).await;
+        self.wait_released(key).await;
         self.memory.delete(key, version).await
     }
 
@@ -86,18 +86,18 @@
     }
 }
 
-type Entry = sync::Arc<claims::Service<Gate, Net>>;
+type Entry = sync::Arc<claims::Service<HeldStore, Network>>;
 
-/// Connections between entries.
+/// Network between entries.
 #[derive(Clone, Default)]
-pub(crate) struct Net {
+pub(crate) struct Network {
     entries: sync::Arc<sync::Mutex<collections::HashMap<net::SocketAddr, Entry>>>,
     cut: sync::Arc<sync::Mutex<collections::HashSet<net::SocketAddr>>>,
     mute: sync::Arc<sync::Mutex<collections::HashSet<net::SocketAddr>>>,
 }
 
-impl Net {
-    /// Makes an entry unreachable for others, or reachable again.
+impl Network {
+    /// Makes an entry unreachable or reachable for the others.
     pub(crate) fn set_cut(&self, entry: &Entry, cut: bool) {
         let addr = entry.holder().addr;
         let mut cuts = self.cut.lock().unwrap();
@@ -107,7 +107,7 @@
         };
     }
 
-    /// Loses the answers of an entry to claims, which still take effect, or lets them through.
+    /// Drops or delivers an entry's responses to claims, which take effect in both cases.
     pub(crate) fn set_mute(&self, entry: &Entry, mute: bool) {
         let addr = entry.holder().addr;
         let mut mutes = self.mute.lock().unwrap();
@@ -126,13 +126,13 @@
     }
 }
 
-impl claims::Peers for Net {
+impl claims::Peers for Network {
     async fn claim(
         &self,
         addr: net::SocketAddr,
         claim: entry::Claim,
     ) -> Result<entry::Decision, claims::Unreachable> {
-        // The callee goes on when its caller has hung up.
+        // The callee continues if its caller drops the call.
         let entry = self.reach(addr)?;
         let serve = tokio::spawn(async move { entry.serve_claim(claim).await });
         let decision = serve.await.map_err(|_| claims::Unreachable)?;
@@ -164,20 +164,20 @@
     }
 }
 
-/// A store, and the entries over it.
-pub(crate) struct World {
+/// Entries that share a store and a network.
+pub(crate) struct Cluster {
     pub(crate) memory: memory::Memory,
-    pub(crate) net: Net,
+    pub(crate) net: Network,
     live: Vec<net::SocketAddr>,
     limit: usize,
     segments: u64,
 }
 
-impl World {
+impl Cluster {
     pub(crate) fn new() -> Self {
         Self {
             memory: memory::Memory::new(),
-            net: Net::default(),
+            net: Network::default(),
             live: Vec::new(),
             limit: 20_000,
             segments: 256,
@@ -191,7 +191,7 @@
         }
     }
 
-    /// Creates a world whose owners take a snapshot after a few segments.
+    /// Creates a cluster with a limit of segments between two snapshots.
     pub(crate) fn with_segments(segments: u64) -> Self {
         Self {
             segments,
@@ -199,18 +199,18 @@
         }
     }
 
-    /// Starts an entry with its own way to the store; the first one is preferred by all.
-    pub(crate) fn start(&mut self, number: u16) -> (Entry, sync::Arc<Gate>) {
+    /// Starts an entry; the first one is the preferred owner of all shards.
+    pub(crate) fn start(&mut self, number: u16) -> (Entry, sync::Arc<HeldStore>) {
         self.start_with(number, SHARDS)
     }
 
-    pub(crate) fn start_with(&mut self, number: u16, shards: u16) -> (Entry, sync::Arc<Gate>) {
+    pub(crate) fn start_with(&mut self, number: u16, shards: u16) -> (Entry, sync::Arc<HeldStore>) {
         let addr = net::SocketAddr::from(([127, 0, 0, 1], number));
         let holder = claim::Holder {
             addr,
             incarnation: id::Incarnation::random(),
         };
-        let gate = sync::Arc::new(Gate {
+        let store = sync::Arc::new(HeldStore {
             memory: self.memory.clone(),
             held: watch::Sender::new(None),
             writes: atomic::AtomicU64::new(0),
@@ -220,19 +220,19 @@
             .write_rate(unit::Rate(1000.0))
             .max_claims(self.limit)
             .snapshot_interval(self.segments)
-            .start(gate.clone(), sync::Arc::new(self.net.clone()));
+            .start(store.clone(), sync::Arc::new(self.net.clone()));
         if self.live.is_empty() {
             self.live.push(addr);
         }
         service.set_live_entries(self.live.clone());
         let mut entries = self.net.entries.lock().unwrap();
         entries.insert(addr, service.clone());
-        (service, gate)
+        (service, store)
     }
 }
 
-/// Returns what a request with key and number asks for.
-pub(crate) fn ask(key: u128, request: u128) -> claims::ClaimRequest {
+/// Returns the parameters of a claim on a key by a request.
+pub(crate) fn params(key: u128, request: u128) -> claims::ClaimRequest {
     claims::ClaimRequest {
         key: id::Fingerprint(key),
         content: id::Fingerprint(key),
@@ -241,13 +241,13 @@
     }
 }
 
-/// Claims with a deadline of ten seconds.
-pub(crate) async fn claim(entry: &Entry, ask: claims::ClaimRequest) -> entry::Decision {
+/// Claims a key with a deadline of 10 s.
+pub(crate) async fn claim(entry: &Entry, params: claims::ClaimRequest) -> entry::Decision {
     let deadline = tokio::time::Instant::now() + time::Duration::from_secs(10);
-    entry.claim(ask, deadline).await.decision
+    entry.claim(params, deadline).await.decision
 }
 
-/// Returns the request that holds a key, from a decision.
+/// Returns the request that holds the key according to a decision.
 pub(crate) fn taken_by(decision: &entry::Decision) -> Option<id::RequestId> {
     match decision {
         entry::Decision::Taken { request, .. } => Some(*request),
--- a/laburnumcart_entry/tests/listing.rs
+++ b/laburnumcart_entry/tests/listing.rs
@@ -1,4 +1,4 @@
-//! Following the platform's list of instances.
+//! Watching the platform's list of instances.
 
 use std::{
     sync::{
@@ -24,7 +24,7 @@
 };
 use tokio::sync::watch;
 
-/// Object service that counts listings.
+/// Store that counts listings.
 #[derive(Clone, Default)]
 struct Counting {
     inner: memory::Memory,
@@ -79,43 +79,43 @@
     }
 }
 
-async fn names(list: &mut watch::Receiver<Vec<members::Instance>>, count: usize) {
+async fn wait_count(list: &mut watch::Receiver<Vec<members::Instance>>, count: usize) {
     let found = list.wait_for(|list| list.len() == count);
     let limit = time::Duration::from_secs(60);
     let found = tokio::time::timeout(limit, found).await;
     drop(found.expect("the list was followed").unwrap());
 }
 
-// Callers see nothing at first, but each entry lists all instances every half a minute though none
-// has come or gone. Its bytes grow with the fleet, and those of the whole fleet with its square,
-// until the lists take up the rates of the object service and of each node.
+// If each entry lists all instances at every watch, the traffic of the fleet grows with the square
+// of its size, until it exhausts the rate limits of the object service and the bandwidth of the
+// nodes.
 #[tokio::test(start_paused = true)]
-async fn unchanged_list_is_read_once() {
+async fn list_is_read_once_and_then_watched() {
     let store = Counting::default();
     let version = store.add("entry-1").await;
     let (sender, mut list) = watch::channel(Vec::new());
     let task = tokio::spawn(listing::follow(store.clone(), sender));
-    names(&mut list, 1).await;
+    wait_count(&mut list, 1).await;
     tokio::time::sleep(time::Duration::from_secs(600)).await;
     store.add("entry-2").await;
-    names(&mut list, 2).await;
+    wait_count(&mut list, 2).await;
     let key = format!("{}entry-1", members::PREFIX);
     store.delete(&key, version).await.unwrap();
-    names(&mut list, 1).await;
+    wait_count(&mut list, 1).await;
     assert_eq!(list.borrow()[0].name.as_str(), "entry-2");
     assert_eq!(store.lists.load(Ordering::Relaxed), 1);
     task.abort();
 }
 
-// The object service forgets its history (410), so that changes can no longer be had one by one.
-// An entry that only applied changes would route to instances of the past for ever.
+// The object service compacts its history (410), so changes can no longer be fetched one by one. An
+// entry that only applied changes would route to stopped instances.
 #[tokio::test(start_paused = true)]
-async fn lost_history_leads_to_a_new_list() {
+async fn compacted_history_causes_a_new_listing() {
     let store = Counting::default();
     store.add("entry-1").await;
     let (sender, mut list) = watch::channel(Vec::new());
     let task = tokio::spawn(listing::follow(store.clone(), sender));
-    names(&mut list, 1).await;
+    wait_count(&mut list, 1).await;
     store.inner.set_faults(memory::Faults {
         down: true,
         ..memory::Faults::default()
@@ -124,7 +124,7 @@
     store.inner.set_faults(memory::Faults::default());
     store.add("entry-2").await;
     store.inner.compact();
-    names(&mut list, 2).await;
+    wait_count(&mut list, 2).await;
     assert!(store.lists.load(Ordering::Relaxed) > 1);
     task.abort();
 }
--- a/laburnumcart_entry/tests/members.rs
+++ b/laburnumcart_entry/tests/members.rs
@@ -1,4 +1,4 @@
-//! Lanes to the agents that the platform lists.
+//! Heartbeat periods of the lanes to listed agents.
 
 use std::{
     sync::Arc,
@@ -37,7 +37,7 @@
         data_centre: "dc-1".parse().unwrap(),
         role,
         service: service.map(|name| name.parse().unwrap()),
-        // Nothing listens there.
+        // No process listens on these ports.
         addr: ([127, 0, 0, 1], number).into(),
         state: members::State::Live,
     }
@@ -52,9 +52,8 @@
     entries.chain(agents).collect()
 }
 
-// Every entry keeps lanes to all agents of a service with few targets. Nothing is lost, but the
-// heartbeats of a large fleet fill the network of those targets' instances. The period therefore
-// grows with the lanes at the busier end, and is that of before in a small fleet.
+// All entries keep lanes to all agents of a service with few targets, so with a fixed period the
+// heartbeats of a large fleet would saturate those agents' network.
 #[rstest]
 #[case::small_fleet(5, 5, 4, 2_000)]
 #[case::many_entries_few_targets(350, 2, 5, 14_186)]
@@ -62,7 +61,7 @@
 #[case::many_services(1, 12, 8, 3_891)]
 #[case::bounded(2_000, 1, 3, 20_000)]
 #[tokio::test]
-async fn idle_period_follows_the_lanes(
+async fn idle_period_grows_with_the_lanes(
     #[case] entries: u16,
     #[case] services: u16,
     #[case] targets: u16,
--- a/laburnumcart_entry/tests/process.rs
+++ b/laburnumcart_entry/tests/process.rs
@@ -1,4 +1,4 @@
-//! The entry as a process: start without anything else, stop, and wrong settings.
+//! The entry as a process: start without the object service, shutdown, and invalid settings.
 
 use std::{
     fs,
@@ -17,7 +17,7 @@
 
 const LIMIT: time::Duration = time::Duration::from_secs(30);
 
-/// A public key; nothing is signed with it here.
+/// Public key that no signature is checked with.
 const KEY: &str = "11qYAYKxCrfVS/7TyWQHOg7hcvPapiMlrwIaaPcHURo=";
 
 struct Entry {
@@ -28,7 +28,7 @@
 
 impl Drop for Entry {
     fn drop(&mut self) {
-        // It has ended already unless the test failed.
+        // The process has ended unless the test failed.
         let _ = self.child.kill();
         let _ = self.child.wait();
         let _ = fs::remove_dir_all(&self.dir);
@@ -67,7 +67,7 @@
     }
 }
 
-fn ask(addr: net::SocketAddr, line: &str) -> Option<String> {
+fn send_request(addr: net::SocketAddr, line: &str) -> Option<String> {
     let mut stream = net::TcpStream::connect(addr).ok()?;
     stream.set_read_timeout(Some(LIMIT)).unwrap();
     let head = format!(
@@ -81,29 +81,28 @@
 }
 
 fn wait<T>(mut check: impl FnMut() -> Option<T>) -> T {
-    let begun = time::Instant::now();
+    let start_time = time::Instant::now();
     loop {
         if let Some(found) = check() {
             return found;
         }
-        assert!(begun.elapsed() < LIMIT, "not within the limit");
+        assert!(start_time.elapsed() < LIMIT, "not within the limit");
         thread::sleep(time::Duration::from_millis(20));
     }
 }
 
-// The entry starts while the object service is down, so it has no bundle. It lives but is not ready,
-// and a caller who reaches it all the same is told that nothing ran and when to come again. SIGTERM
-// ends it with exit code 0.
+// Without the object service the entry has no bundle. It must be alive but not ready, refuse
+// callers as not run with a retry delay, and exit with code 0 on SIGTERM.
 #[test]
-fn starts_and_stops_alone() {
+fn starts_and_stops_without_object_service() {
     let mut entry = start("secret-of-the-fleet");
-    let health = wait(|| ask(entry.callers, "GET /healthz"));
+    let health = wait(|| send_request(entry.callers, "GET /healthz"));
     assert!(health.starts_with("HTTP/1.1 200"), "{health}");
-    let ready = ask(entry.callers, "GET /readyz").unwrap();
+    let ready = send_request(entry.callers, "GET /readyz").unwrap();
     assert!(ready.starts_with("HTTP/1.1 503"), "{ready}");
-    let metrics = ask(entry.callers, "GET /metrics").unwrap();
+    let metrics = send_request(entry.callers, "GET /metrics").unwrap();
     assert!(metrics.contains("laburnum_entry_lanes 0"), "{metrics}");
-    let refused = ask(entry.callers, "POST /v1/pipelines/echo").unwrap();
+    let refused = send_request(entry.callers, "POST /v1/pipelines/echo").unwrap();
     assert!(refused.starts_with("HTTP/1.1 503"), "{refused}");
     assert!(
         refused.to_lowercase().contains("retry-after: 1"),
@@ -121,7 +120,7 @@
 }
 
 #[test]
-fn wrong_settings_exit_2() {
+fn invalid_settings_exit_2() {
     let mut entry = start("short");
     let status = wait(|| entry.child.try_wait().unwrap());
     assert_eq!(status.code(), Some(2));
