--- a/laburnumcart_entry/src/claims/append.rs
+++ b/laburnumcart_entry/src/claims/append.rs
@@ -89,8 +89,7 @@
     let object = with_timeout(timeout, store.get(key)).await.ok()??;
     let found: record::Segment = serde_json::from_str(&object.value).ok()?;
     // Serialization rounds periods, so both sides are compared as text. Otherwise the own segment
-    // would be taken for a seal, and the shard given up with claims in its log that count as
-    // refused.
+    // would be taken for a seal, and the shard given up as if its claims were not in the log.
     let found = serde_json::to_string(&found).ok()?;
     match found == value {
         true => Some(Outcome::Durable(object.version)),
--- a/laburnumcart_entry/src/peers/pool.rs
+++ b/laburnumcart_entry/src/peers/pool.rs
@@ -154,11 +154,11 @@
             let wait = until
                 .saturating_duration_since(time::Instant::now())
                 .min(MAX_WAIT);
-            let part = entry::Fetch {
+            let request = entry::Fetch {
                 wait: unit::Period(wait),
                 ..fetch.clone()
             };
-            let call = |c: Arc<peer::Client>| async move { c.fetch(part).await };
+            let call = |c: Arc<peer::Client>| async move { c.fetch(request).await };
             match self.call(addr, wait + CALL_TIMEOUT, call).await {
                 Ok(entry::Answer::Running) if time::Instant::now() < until => failures = 0,
                 Ok(answer) => return Ok(answer),
