--- a/laburnumcart_entry/src/callers.rs
+++ b/laburnumcart_entry/src/callers.rs
@@ -224,7 +224,7 @@
 }
 
 /// Picks out what matters of a request's head.
-fn asked(req: &WebRequest<()>) -> request::Asked {
+fn asked(req: &WebRequest<()>) -> request::Unchecked {
     let text = |name: &str| {
         let value = req.headers().get(name)?;
         // A value that is no text is passed on as one that no check accepts.
@@ -233,7 +233,7 @@
     let bearer = text(header::AUTHORIZATION.as_str());
     let token = bearer.as_deref().and_then(|b| b.strip_prefix("Bearer "));
     let path = req.uri().path();
-    request::Asked {
+    request::Unchecked {
         pipeline: path.rsplit('/').next().unwrap_or_default().to_owned(),
         token: token.map(str::to_owned),
         key: text("idempotency-key"),
@@ -245,7 +245,7 @@
 
 /// Reads the body, at most as long as the pipeline allows.
 async fn read(head: request::Head, body: RequestBody) -> Result<request::Request, verdict::Reason> {
-    let limit = head.stages().body_limit.0;
+    let limit = head.definition().body_limit.0;
     let bytes = tokio::time::timeout_at(head.deadline, collect(body, limit)).await;
     let bytes = bytes.map_err(|_| verdict::Reason::DeadlineExceeded)??;
     head.with_body(&bytes)
@@ -265,7 +265,7 @@
 }
 
 /// Answers as one JSON text or as an event stream, as the caller asked.
-async fn answer(ctx: &Context<'_>, id: id::RequestId, driven: driver::Driven) -> WebResponse {
+async fn answer(ctx: &Context<'_>, id: id::RequestId, driven: driver::Execution) -> WebResponse {
     let accept = ctx.req().headers().get(header::ACCEPT);
     let stream = accept
         .and_then(|a| a.to_str().ok())
@@ -305,7 +305,7 @@
 }
 
 /// Waits for the final answer.
-async fn whole(mut driven: driver::Driven) -> (driver::Outcome, Option<stop::Work>) {
+async fn whole(mut driven: driver::Execution) -> (driver::Outcome, Option<stop::Work>) {
     while let Some(event) = driven.events.recv().await {
         if let driver::Event::End(outcome, work) = event {
             return (outcome, Some(work));
--- a/laburnumcart_entry/src/callers/events.rs
+++ b/laburnumcart_entry/src/callers/events.rs
@@ -37,7 +37,7 @@
 /// Its request is in flight until the last event was written, as with an answer in one piece.
 pub(super) struct Events {
     request: id::RequestId,
-    driven: Option<driver::Driven>,
+    driven: Option<driver::Execution>,
     /// Ends when the caller has gone.
     gone: pin::Pin<Box<dyn Future<Output = ()>>>,
     work: Option<stop::Work>,
@@ -48,7 +48,7 @@
     /// Creates the stream of a request that runs.
     pub(super) fn new(
         request: id::RequestId,
-        driven: driver::Driven,
+        driven: driver::Execution,
         gone: impl Future<Output = ()> + 'static,
     ) -> Self {
         Self {
--- a/laburnumcart_entry/src/control/thread.rs
+++ b/laburnumcart_entry/src/control/thread.rs
@@ -42,7 +42,7 @@
     /// The object service.
     pub store: S,
     /// What lanes need.
-    pub caller: links::Caller,
+    pub caller: links::Config,
     /// Secret that is shown to peers.
     pub secret: secret::Secret,
     /// How the bundle is followed.
@@ -124,12 +124,15 @@
     }
 
     fn publish(&mut self) {
-        let opening = self.members.agents().any(|member| member.lane.is_opening());
+        let opening = self
+            .members
+            .agents()
+            .any(|member| member.lane.is_connecting());
         // An empty list is also what a store tells that has just been set up. An entry that was
         // ready with it would draw callers from entries that know targets, and refuse them all.
         let any = self.members.agents().next().is_some();
         self.settled |= self.listed && any && !opening;
-        let mut ways: collections::BTreeMap<id::ServiceName, Vec<routes::Way>> =
+        let mut ways: collections::BTreeMap<id::ServiceName, Vec<routes::Route>> =
             collections::BTreeMap::new();
         let crossings = self.crossings();
         for member in self.members.agents() {
@@ -138,7 +141,9 @@
         }
         let routes = ways.into_iter().map(|(service, ways)| {
             let routes = routes::Routes::new(service.clone(), ways);
-            self.entry.policy.keep(&service, &routes.targets());
+            self.entry
+                .policy
+                .retain_targets(&service, &routes.target_names());
             (service, routes)
         });
         let open = |m: &&members::Member| m.lane.connection().is_some();
@@ -155,24 +160,25 @@
     fn crossings(&self) -> latency::ExtraLatency {
         let mut crossings = latency::ExtraLatency::new(self.entry.identity.data_centre.clone());
         for member in self.members.agents() {
-            if let Some(trip) = member.lane.report().and_then(|seen| seen.trip) {
+            if let Some(trip) = member.lane.report().and_then(|seen| seen.min_rtt) {
                 crossings.record(&member.data_centre, trip);
             }
         }
         crossings
     }
 
-    fn way(&self, member: &members::Member, crossings: &latency::ExtraLatency) -> routes::Way {
+    fn way(&self, member: &members::Member, crossings: &latency::ExtraLatency) -> routes::Route {
         let report = member.lane.report();
-        let leaving = |seen: &links::Seen| self.entry.gossip.is_leaving(seen.report.incarnation);
-        let ejected = |seen: &links::Seen| {
+        let leaving =
+            |seen: &links::ReceivedReport| self.entry.gossip.is_leaving(seen.report.incarnation);
+        let ejected = |seen: &links::ReceivedReport| {
             let target = &seen.report.target;
             self.entry.policy.is_ejected(&member.service, target)
         };
-        routes::Way {
+        routes::Route {
             lane: member.lane.clone(),
             local: member.data_centre == self.entry.identity.data_centre,
-            crossing: crossings.to(&member.data_centre),
+            extra_latency: crossings.to(&member.data_centre),
             leaving: report.as_deref().is_some_and(leaving),
             ejected: report.as_deref().is_some_and(ejected),
         }
--- a/laburnumcart_entry/src/driver.rs
+++ b/laburnumcart_entry/src/driver.rs
@@ -1,10 +1,10 @@
-//! Runs the stages of one request, each on a target of its service.
+//! Execution of a request: runs its stages in order, each on a target of its service.
 
-pub mod account;
-mod place;
+pub mod answer;
+mod placement;
+mod progress;
 mod race;
 mod stage;
-mod tries;
 
 use std::sync::Arc;
 
@@ -31,35 +31,36 @@
     request, //
 };
 
-/// What a caller is told while its request runs.
+/// Events of a request in flight, for its caller.
 #[derive(Debug)]
 pub enum Event {
-    /// A piece of the last stage's text.
+    /// Part of the last stage's text.
     Piece(String),
-    /// The final answer; nothing follows. The request is in flight until it was written.
+    /// The final answer; no event follows. The request stays in flight until `Work` is dropped,
+    /// which the receiver does after writing the answer.
     End(Outcome, stop::Work),
 }
 
-/// Final answer of a request: the JSON text of its body, or a refusal.
+/// Outcome of a request: the JSON body of its answer, or a refusal.
 pub type Outcome = Result<String, verdict::Refusal>;
 
-/// A request that runs in a task of its own.
+/// Handle of a request that runs in its own task.
 ///
-/// The channel is not bounded: it holds at most one result, which the driver holds anyway, and a
-/// caller that reads slowly must not keep others' work waiting at the agent.
+/// The channel is unbounded: it holds at most one result, which the driver keeps anyway, and a slow
+/// caller must not block an agent that others use.
 #[derive(Debug)]
-pub struct Driven {
-    /// Pieces and the end.
+pub struct Execution {
+    /// Events in order, ending with [`Event::End`].
     pub events: mpsc::UnboundedReceiver<Event>,
 }
 
-/// Starts a request on the traffic runtime.
+/// Starts a request in a task on the traffic runtime.
 pub fn start(
     entry: &Arc<entry::Entry>,
     request: request::Request,
     mut admitted: policy::Admitted,
     work: stop::Work,
-) -> Driven {
+) -> Execution {
     let head = &request.head;
     let span = tracing::info_span!(
         "request",
@@ -74,58 +75,58 @@
         entry: entry.clone(),
         request,
         events: sender,
-        accounts: Vec::new(),
+        reports: Vec::new(),
         verdict: verdict::Verdict::NotRun,
         streamed: false,
         span,
     };
     entry.traffic.spawn(async move {
         driver.entry.metrics.running.inc();
-        let outcome = driver.answer().await;
+        let outcome = driver.execute().await;
         driver.entry.metrics.running.dec();
-        driver.count(&outcome);
-        admitted.end(outcome.as_ref().err());
+        driver.record_metrics(&outcome);
+        admitted.set_outcome(outcome.as_ref().err());
         drop(admitted);
-        // Nobody listens if the caller has gone.
+        // The receiver is closed if the caller has disconnected.
         let _ = driver.events.send(Event::End(outcome, work));
     });
-    Driven { events }
+    Execution { events }
 }
 
-/// State of a request that runs.
+/// State of a request in flight.
 #[derive(Debug)]
 struct Driver {
     entry: Arc<entry::Entry>,
     request: request::Request,
     events: mpsc::UnboundedSender<Event>,
-    accounts: Vec<account::Account>,
-    /// Whether anything of the request may have executed so far.
+    reports: Vec<answer::StageReport>,
+    /// Whether any part of the request may have executed so far.
     verdict: verdict::Verdict,
-    /// Whether pieces of the answer went to the caller.
+    /// Whether any piece was sent to the caller.
     streamed: bool,
     span: tracing::Span,
 }
 
 impl Driver {
-    /// Runs the request, under a claim if it must execute at most once.
-    async fn answer(&mut self) -> Outcome {
+    /// Executes the request, under a claim if it must run at most once.
+    async fn execute(&mut self) -> Outcome {
         if self.request.head.idempotent {
-            return self.run().await;
+            return self.run_stages().await;
         }
         let (entry, head) = (self.entry.clone(), self.request.head.clone());
         let content = self.request.fingerprint;
-        let outcome = claimed::run(&entry, &head, content, self.run()).await;
+        let outcome = claimed::run(&entry, &head, content, self.run_stages()).await;
         if let Ok(body) = &outcome {
-            self.replay(body);
+            self.send_stored_text(body);
         }
         outcome
     }
 
-    /// Sends the text of a kept answer as one piece.
+    /// Sends the text of a stored answer as one piece.
     ///
-    /// The pieces went to whoever sent the request first. A caller that sends it again and shows
-    /// the pieces would show nothing of the answer.
-    fn replay(&self, body: &str) {
+    /// The pieces went to the caller of the original request. A caller that resends it and displays
+    /// only pieces would otherwise display nothing.
+    fn send_stored_text(&self, body: &str) {
         let head = &self.request.head;
         let bundle = &head.rules.bundle;
         let last = bundle.pipelines[&head.pipeline].stages.last();
@@ -133,30 +134,30 @@
         let is_text = service.is_some_and(|service| service.kind == bundle::Kind::Engine);
         if !self.streamed
             && is_text
-            && let Some(text) = account::generated(body)
+            && let Some(text) = answer::generated_text(body)
         {
-            // Nobody listens if the caller has gone.
+            // The receiver is closed if the caller has disconnected.
             let _ = self.events.send(Event::Piece(text));
         }
     }
 
-    async fn run(&mut self) -> Outcome {
+    async fn run_stages(&mut self) -> Outcome {
         let rules = self.request.head.rules.clone();
         let stages = &rules.bundle.pipelines[&self.request.head.pipeline].stages;
         let mut previous: Option<Box<value::RawValue>> = None;
         for (index, stage) in stages.iter().enumerate() {
-            let place = stage::Place {
+            let position = stage::Position {
                 index,
                 stage,
-                last: index + 1 == stages.len(),
+                is_last: index + 1 == stages.len(),
             };
-            let output = self.stage(place, previous.as_deref()).await;
-            previous = Some(output.map_err(|refusal| self.judge(refusal))?);
+            let output = self.run_stage(position, previous.as_deref()).await;
+            previous = Some(output.map_err(|refusal| self.complete_refusal(refusal))?);
         }
-        account::Answer::text(&self.request.head, previous, &self.accounts)
+        answer::Answer::to_json(&self.request.head, previous, &self.reports)
     }
 
-    fn count(&self, outcome: &Outcome) {
+    fn record_metrics(&self, outcome: &Outcome) {
         let head = &self.request.head;
         let ended = match outcome {
             Ok(_) if head.remaining().is_zero() => metrics::Ended::Late,
@@ -170,24 +171,24 @@
             metrics::Ended::Whole => cost::Spent::Useful,
             _ => cost::Spent::Wasted,
         };
-        for account in &self.accounts {
+        for report in &self.reports {
             let cost = &metrics.cost;
-            cost.add(&head.team, &account.name, spent, account.busy);
+            cost.add(&head.team, &report.name, spent, report.busy);
         }
     }
 
-    /// Widens the verdict on one stage to the whole request and says when to come again.
-    fn judge(&self, mut refusal: verdict::Refusal) -> verdict::Refusal {
+    /// Extends the verdict on one stage to the whole request and sets a retry delay if it has none.
+    fn complete_refusal(&self, mut refusal: verdict::Refusal) -> verdict::Refusal {
         refusal.verdict = refusal.verdict.combine(self.verdict);
-        refusal.retry = refusal.retry.or(Some(RETRY));
+        refusal.retry = refusal.retry.or(Some(DEFAULT_RETRY));
         refusal
     }
 
-    /// Remembers what an attempt's end proves.
-    fn note(&mut self, verdict: verdict::Verdict) {
+    /// Combines the verdict on an attempt into that on the request.
+    fn combine_verdict(&mut self, verdict: verdict::Verdict) {
         self.verdict = self.verdict.combine(verdict);
     }
 }
 
-/// When a caller should come again if nothing better is known.
-const RETRY: laburnumcart::unit::Period = laburnumcart::unit::Period::from_secs(1);
+/// Retry delay for callers if the refusal has none.
+const DEFAULT_RETRY: laburnumcart::unit::Period = laburnumcart::unit::Period::from_secs(1);
--- a/laburnumcart_entry/src/driver/account.rs
+++ b/laburnumcart_entry/src/driver/answer.rs
@@ -1,4 +1,4 @@
-//! What a request took, and the body of its answer.
+//! JSON body of an answer, with a report on each stage.
 
 use serde::{
     Deserialize,
@@ -14,36 +14,36 @@
 
 use crate::request;
 
-/// What one stage took.
+/// Resources that one stage used.
 #[derive(Clone, Debug, Serialize)]
-pub struct Account {
+pub struct StageReport {
     /// Name of the stage.
     pub name: id::StageName,
-    /// Target that executed it.
+    /// Target that executed the stage.
     pub target: id::TargetName,
     /// Number of attempts.
     pub attempts: u32,
-    /// Time that the target spent on it.
+    /// Processing time at the target.
     pub busy: unit::Period,
-    /// Time that it waited at the agent.
+    /// Queueing time at the agent.
     pub queued: unit::Period,
 }
 
-/// Body of a whole answer.
+/// Body of a complete answer.
 #[derive(Debug, Serialize)]
 pub struct Answer<'a> {
     request: id::RequestId,
     generation: id::Generation,
     output: Option<Box<value::RawValue>>,
-    stages: &'a [Account],
+    stages: &'a [StageReport],
 }
 
 impl Answer<'_> {
-    /// Writes the body of a whole answer as JSON text.
-    pub fn text(
+    /// Serializes the body of a complete answer.
+    pub fn to_json(
         head: &request::Head,
         output: Option<Box<value::RawValue>>,
-        stages: &[Account],
+        stages: &[StageReport],
     ) -> Result<String, verdict::Refusal> {
         let answer = Answer {
             request: head.id,
@@ -56,19 +56,19 @@
     }
 }
 
-/// Output of a stage that generates text.
+/// Output of an engine stage.
 #[derive(Deserialize)]
-struct Generated {
+struct TextOutput {
     text: String,
 }
 
 #[derive(Deserialize)]
-struct Kept {
-    output: Generated,
+struct StoredAnswer {
+    output: TextOutput,
 }
 
-/// Returns the text of a whole answer; `None` if its last stage has not generated any.
-pub fn generated(body: &str) -> Option<String> {
-    let kept: Kept = serde_json::from_str(body).ok()?;
-    Some(kept.output.text)
+/// Returns the text output of a stored answer; `None` if its last stage is not an engine stage.
+pub fn generated_text(body: &str) -> Option<String> {
+    let stored: StoredAnswer = serde_json::from_str(body).ok()?;
+    Some(stored.output.text)
 }
--- a/laburnumcart_entry/src/driver/tries.rs
+++ b/laburnumcart_entry/src/driver/progress.rs
@@ -1,4 +1,4 @@
-//! Progress of one stage over its attempts.
+//! State of a stage that lasts across its attempts.
 
 use std::net;
 
@@ -10,19 +10,19 @@
     retry, //
 };
 
-/// Progress of one stage over its attempts.
-pub(super) struct Tries<'a> {
+/// State of a stage that lasts across its attempts.
+pub(super) struct Progress<'a> {
     pub(super) stage: &'a bundle::Stage,
     pub(super) kind: bundle::Kind,
     pub(super) idempotent: bool,
-    /// Whether the text goes to the caller as it comes.
+    /// Whether the text is streamed to the caller.
     pub(super) streams: bool,
     pub(super) body: Box<value::RawValue>,
-    /// Text that earlier attempts have received; engines only.
+    /// Text received so far from all attempts; engines only.
     pub(super) received: String,
-    /// Agents that attempts went to, the last one last.
+    /// Addresses of the agents that attempts were sent to, in order.
     pub(super) tried: Vec<net::SocketAddr>,
-    /// Least time that this stage and those after it need.
+    /// Expected time of this stage and those after it.
     pub(super) needed: time::Duration,
     pub(super) attempts: retry::Attempts,
 }
--- a/laburnumcart_entry/src/driver/race.rs
+++ b/laburnumcart_entry/src/driver/race.rs
@@ -1,7 +1,7 @@
-//! An attempt, raced by a second one when it is a straggler.
+//! Hedged attempts: a straggler is raced against a second attempt.
 //!
-//! The first of the two that yields text has won; the other is cancelled. So the text that a caller
-//! has seen always comes from one attempt, or from one that goes on after it.
+//! The first attempt that yields text wins and the other is cancelled. The caller therefore never
+//! sees text of two attempts mixed, only that of one or of one that resumes after it.
 
 use std::pin;
 
@@ -21,8 +21,8 @@
     driver::{
         Driver,
         Event,
-        place,
-        tries::Tries, //
+        placement,
+        progress::Progress, //
     },
     links::pull,
     metrics,
@@ -30,225 +30,237 @@
     routes, //
 };
 
-/// How a race ended.
-pub(super) enum Ended {
-    /// One attempt is whole.
-    Whole(Box<Won>),
-    /// All attempts failed; the verdict covers them all.
+/// Outcome of a race.
+pub(super) enum Outcome {
+    /// One attempt has a complete result.
+    Complete(Box<Winner>),
+    /// All attempts failed; the verdict combines theirs.
     Refused(verdict::Refusal),
-    /// No attempt was made, and none can be.
+    /// No attempt was sent, and the stage is not retried.
     Unplaced(verdict::Refusal),
 }
 
-/// The attempt that is whole.
-pub(super) struct Won {
-    pub(super) whole: pull::Whole,
+/// Attempt that won the race.
+pub(super) struct Winner {
+    pub(super) result: pull::Completed,
     pub(super) target: id::TargetName,
-    /// Time since it was sent.
+    /// Time from dispatch to the complete result.
     pub(super) elapsed: time::Duration,
 }
 
-type Stepping = pin::Pin<Box<dyn Future<Output = pull::Step> + Send>>;
+type StepFuture = pin::Pin<Box<dyn Future<Output = pull::Step> + Send>>;
 
 /// An attempt in flight.
-struct Runner {
-    stepping: Stepping,
+struct InFlight {
+    next_step: StepFuture,
     canceller: pull::Canceller,
     target: id::TargetName,
-    begun: time::Instant,
+    sent_at: time::Instant,
     span: tracing::Span,
 }
 
-/// Attempts in flight, two at most.
+/// Attempts in flight, at most two.
 struct Race {
-    runners: Vec<Runner>,
-    /// Time that the first was expected to take when it was sent.
+    attempts: Vec<InFlight>,
+    /// Duration of the first attempt as estimated at its dispatch.
     expected: time::Duration,
-    /// Verdict on the attempts that have failed.
+    /// Combined verdict on the failed attempts.
     verdict: verdict::Verdict,
+    /// Whether no (further) hedge is to be sent.
     hedged: bool,
-    /// When to think about a second attempt.
-    check: Option<time::Instant>,
+    /// When to consider a hedge again.
+    next_check: Option<time::Instant>,
 }
 
-/// What happens next in a race.
-enum Next {
+/// Next event of a race.
+enum RaceEvent {
     Step(usize, pull::Step),
-    Check,
-    GivenUp(verdict::Reason),
+    CheckHedge,
+    Abandoned(verdict::Reason),
 }
 
 impl Driver {
-    /// Makes an attempt, and a second one if the first is slow.
-    pub(super) async fn race(&mut self, tries: &mut Tries<'_>) -> Ended {
-        let place::Placed {
-            ready,
+    /// Sends an attempt, and a hedge if it is a straggler; returns the outcome of both.
+    pub(super) async fn race_attempts(&mut self, progress: &mut Progress<'_>) -> Outcome {
+        let placement::Placement {
+            prepared,
             chosen,
             suspect,
-        } = match self.place(tries).await {
-            Ok(placed) => placed,
-            Err(refusal) => return Ended::Unplaced(refusal),
+        } = match self.place_attempt(progress).await {
+            Ok(placement) => placement,
+            Err(refusal) => return Outcome::Unplaced(refusal),
         };
-        let runner = match self.launch(tries, ready) {
-            Ok(runner) => runner,
-            Err(refusal) => return Ended::Refused(refusal),
+        let attempt = match self.send_attempt(progress, prepared) {
+            Ok(attempt) => attempt,
+            Err(refusal) => return Outcome::Refused(refusal),
         };
         let mut race = Race {
-            runners: vec![runner],
+            attempts: vec![attempt],
             expected: chosen.expected,
             verdict: verdict::Verdict::NotRun,
-            // A suspect that is slow to crash its target would crash a second one.
-            hedged: !tries.idempotent || suspect,
-            check: None,
+            // A hedge of suspect content could crash a second target.
+            hedged: !progress.idempotent || suspect,
+            next_check: None,
         };
         loop {
             if !race.hedged {
-                self.consider(tries, &mut race);
+                self.hedge_if_slow(progress, &mut race);
             }
-            match self.next(tries, &mut race).await {
-                Next::Step(index, step) => {
-                    if let Some(ended) = self.advance(tries, &mut race, index, step) {
+            match self.next_event(progress, &mut race).await {
+                RaceEvent::Step(index, step) => {
+                    if let Some(ended) = self.handle_step(progress, &mut race, index, step) {
                         return ended;
                     }
                 }
-                Next::Check => {}
-                Next::GivenUp(reason) => {
-                    race.cancel();
-                    return Ended::Refused(verdict::Refusal::may_have_run(reason));
+                RaceEvent::CheckHedge => {}
+                RaceEvent::Abandoned(reason) => {
+                    race.cancel_all();
+                    return Outcome::Refused(verdict::Refusal::may_have_run(reason));
                 }
             }
         }
     }
 
-    /// Sends an attempt.
-    fn launch(
+    /// Starts an attempt and records it as sent.
+    fn send_attempt(
         &self,
-        tries: &mut Tries<'_>,
-        ready: pull::Ready,
-    ) -> Result<Runner, verdict::Refusal> {
+        progress: &mut Progress<'_>,
+        prepared: pull::Prepared,
+    ) -> Result<InFlight, verdict::Refusal> {
         let missing = verdict::Refusal::not_run(verdict::Reason::Lost);
-        let target = ready.target().ok_or(missing)?;
+        let target = prepared.target().ok_or(missing)?;
         let span = tracing::info_span!(
             parent: &self.span,
             "attempt",
             otel.kind = "client",
-            stage = tries.stage.name.as_str(),
+            stage = progress.stage.name.as_str(),
             target = target.as_str(),
-            attempt = %ready.attempt(),
+            attempt = %prepared.attempt(),
         );
-        let call = self.call(tries, &ready, &span);
-        tries.tried.push(ready.addr());
-        self.entry.policy.started(&tries.stage.service, &target);
-        let pull = ready.send(call).map_err(refusal)?;
-        Ok(Runner {
+        let call = self.build_call(progress, &prepared, &span);
+        progress.tried.push(prepared.addr());
+        self.entry
+            .policy
+            .record_sent(&progress.stage.service, &target);
+        let pull = prepared.send(call).map_err(refusal)?;
+        Ok(InFlight {
             canceller: pull.canceller(),
-            stepping: Box::pin(pull.step().instrument(span.clone())),
+            next_step: Box::pin(pull.step().instrument(span.clone())),
             target,
-            begun: time::Instant::now(),
+            sent_at: time::Instant::now(),
             span,
         })
     }
 
-    /// Sends a second attempt if it is time for one.
-    fn consider(&self, tries: &mut Tries<'_>, race: &mut Race) {
+    /// Sends a hedge if the policy allows one now.
+    fn hedge_if_slow(&self, progress: &mut Progress<'_>, race: &mut Race) {
         let now = time::Instant::now();
-        if race.check.is_some_and(|check| now < check) {
+        if race.next_check.is_some_and(|check| now < check) {
             return;
         }
-        let elapsed = race.runners[0].begun.elapsed();
+        let elapsed = race.attempts[0].sent_at.elapsed();
         let head = &self.request.head;
         match self
             .entry
             .policy
-            .hedge(head, tries.stage, elapsed, race.expected)
+            .decide_hedge(head, progress.stage, elapsed, race.expected)
         {
-            hedge::Decision::Wait(wait) => race.check = Some(now + wait),
+            hedge::Decision::Wait(wait) => race.next_check = Some(now + wait),
             hedge::Decision::Never => race.hedged = true,
             hedge::Decision::Hedge => {
                 race.hedged = true;
-                // A second attempt that waits, or waits behind the first, would not win.
-                let fits = |c: &routes::Chosen| c.is_free && !tries.tried.contains(&c.lane.addr);
-                let other = self.choose(tries).filter(fits);
-                let ready = other.and_then(|chosen| pull::Ready::new(&chosen.lane));
-                let runner = ready.and_then(|ready| self.launch(tries, ready).ok());
-                self.entry.metrics.hedges.inc_by(runner.is_some().into());
-                race.runners.extend(runner);
+                // A hedge that has to queue, or goes to the same target, would not win.
+                let fits = |c: &routes::Chosen| c.is_free && !progress.tried.contains(&c.lane.addr);
+                let other = self.choose_target(progress).filter(fits);
+                let prepared = other.and_then(|chosen| pull::Prepared::new(&chosen.lane));
+                let attempt =
+                    prepared.and_then(|prepared| self.send_attempt(progress, prepared).ok());
+                self.entry.metrics.hedges.inc_by(attempt.is_some().into());
+                race.attempts.extend(attempt);
             }
         }
     }
 
-    async fn next(&self, tries: &Tries<'_>, race: &mut Race) -> Next {
-        let check = race.check.filter(|_| !race.hedged);
+    async fn next_event(&self, progress: &Progress<'_>, race: &mut Race) -> RaceEvent {
+        let check = race.next_check.filter(|_| !race.hedged);
         let checked = async {
             match check {
                 Some(check) => time::sleep_until(check).await,
                 None => std::future::pending().await,
             }
         };
-        let steps = race.runners.iter_mut().map(|runner| &mut runner.stepping);
+        let steps = race
+            .attempts
+            .iter_mut()
+            .map(|attempt| &mut attempt.next_step);
         tokio::select! {
             biased;
-            (step, index, _) = future::select_all(steps) => Next::Step(index, step),
-            reason = self.given_up(tries) => Next::GivenUp(reason),
-            () = checked => Next::Check,
+            (step, index, _) = future::select_all(steps) => RaceEvent::Step(index, step),
+            reason = self.abandoned(progress) => RaceEvent::Abandoned(reason),
+            () = checked => RaceEvent::CheckHedge,
         }
     }
 
-    /// Takes in a step; returns how the race ended, if it did.
-    fn advance(
+    /// Applies a step of an attempt; returns the outcome if the race has ended.
+    fn handle_step(
         &mut self,
-        tries: &mut Tries<'_>,
+        progress: &mut Progress<'_>,
         race: &mut Race,
         index: usize,
         step: pull::Step,
-    ) -> Option<Ended> {
+    ) -> Option<Outcome> {
         match step {
             pull::Step::More(rest, text) => {
-                let span = race.runners[index].span.clone();
-                race.runners[index].stepping = Box::pin(rest.step().instrument(span));
+                let span = race.attempts[index].span.clone();
+                race.attempts[index].next_step = Box::pin(rest.step().instrument(span));
                 if !text.is_empty() {
-                    race.win(index);
-                    self.forward(tries, &text);
+                    race.cancel_losers(index);
+                    self.forward_text(progress, &text);
                 }
                 None
             }
-            pull::Step::Whole(whole) => {
-                let runner = race.win(index);
-                // The agent keeps the result until it hears that it was received.
-                tokio::spawn(runner.canceller.clone().cancel());
-                let (target, elapsed) = (runner.target.clone(), runner.begun.elapsed());
-                self.forward(tries, &whole.tail);
-                self.measure(tries, &target, elapsed, None);
-                Some(Ended::Whole(Box::new(Won {
-                    whole,
+            pull::Step::Complete(whole) => {
+                let attempt = race.cancel_losers(index);
+                // Acknowledges the result, which the agent keeps until then.
+                tokio::spawn(attempt.canceller.clone().cancel());
+                let (target, elapsed) = (attempt.target.clone(), attempt.sent_at.elapsed());
+                self.forward_text(progress, &whole.tail);
+                self.record_attempt(progress, &target, elapsed, None);
+                Some(Outcome::Complete(Box::new(Winner {
+                    result: whole,
                     target,
                     elapsed,
                 })))
             }
             pull::Step::Refused(settled) => {
                 let refusal = refusal(settled);
-                let runner = race.runners.swap_remove(index);
-                self.measure(tries, &runner.target, runner.begun.elapsed(), Some(refusal));
+                let attempt = race.attempts.swap_remove(index);
+                self.record_attempt(
+                    progress,
+                    &attempt.target,
+                    attempt.sent_at.elapsed(),
+                    Some(refusal),
+                );
                 race.verdict = race.verdict.combine(refusal.verdict);
                 let verdict = race.verdict;
-                race.runners
+                race.attempts
                     .is_empty()
-                    .then_some(Ended::Refused(verdict::Refusal { verdict, ..refusal }))
+                    .then_some(Outcome::Refused(verdict::Refusal { verdict, ..refusal }))
             }
         }
     }
 
-    fn measure(
+    fn record_attempt(
         &self,
-        tries: &Tries<'_>,
+        progress: &Progress<'_>,
         target: &id::TargetName,
         elapsed: time::Duration,
         refusal: Option<verdict::Refusal>,
     ) {
-        let service = &tries.stage.service;
+        let service = &progress.stage.service;
         let ended = refusal.map_or(metrics::Ended::Whole, |r| r.verdict.into());
         self.entry.metrics.attempt(service, ended);
-        self.entry.policy.ended(&policy::Ended {
+        self.entry.policy.record_end(&policy::AttemptEnd {
             service,
             target,
             elapsed,
@@ -256,11 +268,11 @@
         });
     }
 
-    /// Waits until the stage has lost its purpose.
-    async fn given_up(&self, tries: &Tries<'_>) -> verdict::Reason {
+    /// Waits for the deadline or, if the request may be cancelled, for the caller to disconnect.
+    async fn abandoned(&self, progress: &Progress<'_>) -> verdict::Reason {
         let deadline = time::sleep_until(self.request.head.deadline);
-        if !self.request.head.idempotent || !tries.idempotent {
-            // A caller that went away sends again and must find the answer of the one execution.
+        if !self.request.head.idempotent || !progress.idempotent {
+            // A caller that disconnected may resend, and must get the answer of the one execution.
             deadline.await;
             return verdict::Reason::DeadlineExceeded;
         }
@@ -270,36 +282,36 @@
         }
     }
 
-    /// Keeps new text of an engine for a resumption and passes it to the caller.
-    fn forward(&mut self, tries: &mut Tries<'_>, text: &str) {
-        if tries.kind != bundle::Kind::Engine || text.is_empty() {
+    /// Stores new text of an engine, to resume after it, and streams it to the caller.
+    fn forward_text(&mut self, progress: &mut Progress<'_>, text: &str) {
+        if progress.kind != bundle::Kind::Engine || text.is_empty() {
             return;
         }
-        tries.received.push_str(text);
-        if tries.streams {
+        progress.received.push_str(text);
+        if progress.streams {
             self.streamed = true;
-            // Nobody listens if the caller has gone.
+            // The receiver is closed if the caller has disconnected.
             let _ = self.events.send(Event::Piece(text.to_owned()));
         }
     }
 }
 
 impl Race {
-    /// Cancels all attempts but one.
-    fn win(&mut self, index: usize) -> &Runner {
+    /// Cancels all attempts but that at `index` and returns it.
+    fn cancel_losers(&mut self, index: usize) -> &InFlight {
         self.hedged = true;
-        if self.runners.len() > 1 {
-            self.runners.swap(0, index);
-            for loser in self.runners.drain(1..) {
+        if self.attempts.len() > 1 {
+            self.attempts.swap(0, index);
+            for loser in self.attempts.drain(1..) {
                 tokio::spawn(loser.canceller.cancel());
             }
         }
-        &self.runners[0]
+        &self.attempts[0]
     }
 
-    fn cancel(self) {
-        for runner in self.runners {
-            tokio::spawn(runner.canceller.cancel());
+    fn cancel_all(self) {
+        for attempt in self.attempts {
+            tokio::spawn(attempt.canceller.cancel());
         }
     }
 }
--- a/laburnumcart_entry/src/driver/stage.rs
+++ b/laburnumcart_entry/src/driver/stage.rs
@@ -1,4 +1,4 @@
-//! One stage of a request: its attempts until one is whole or no further is allowed.
+//! Execution of one stage: attempts until one completes or no retry is allowed.
 
 use serde::Serialize;
 use serde_json::value;
@@ -17,17 +17,17 @@
 use crate::{
     driver::{
         Driver,
-        account,
+        answer,
+        progress::Progress, //
         race,
-        tries::Tries, //
     },
     links::pull, //
 };
 
-/// Pause before a try after every target was tried; doubles with each further one.
-const PAUSE: time::Duration = time::Duration::from_millis(10);
+/// Pause before a retry once every target was tried; doubles with each further retry.
+const RETRY_PAUSE: time::Duration = time::Duration::from_millis(10);
 
-/// Body of a call as targets expect it.
+/// Body of a call to a target.
 #[derive(Serialize)]
 struct Body<'a> {
     stage: &'a id::StageName,
@@ -35,52 +35,52 @@
     previous: Option<&'a value::RawValue>,
 }
 
-/// A stage within its pipeline.
+/// Position of a stage in its pipeline.
 #[derive(Clone, Copy)]
-pub(super) struct Place<'a> {
+pub(super) struct Position<'a> {
     pub(super) index: usize,
     pub(super) stage: &'a bundle::Stage,
-    pub(super) last: bool,
+    pub(super) is_last: bool,
 }
 
 impl Driver {
-    /// Runs one stage and returns its output.
-    pub(super) async fn stage(
+    /// Executes one stage, with retries, and returns its output.
+    pub(super) async fn run_stage(
         &mut self,
-        place: Place<'_>,
+        position: Position<'_>,
         previous: Option<&value::RawValue>,
     ) -> Result<Box<value::RawValue>, verdict::Refusal> {
-        let mut tries = self.tries(place, previous)?;
+        let mut progress = self.new_progress(position, previous)?;
         loop {
-            let before = tries.received.len();
-            let refusal = match self.race(&mut tries).await {
-                race::Ended::Whole(whole) => {
-                    self.note(verdict::Verdict::MayHaveRun);
-                    return self.finish(tries, *whole);
+            let before = progress.received.len();
+            let refusal = match self.race_attempts(&mut progress).await {
+                race::Outcome::Complete(whole) => {
+                    self.combine_verdict(verdict::Verdict::MayHaveRun);
+                    return self.stage_output(progress, *whole);
                 }
-                race::Ended::Refused(refusal) => refusal,
-                race::Ended::Unplaced(refusal) => return Err(refusal),
+                race::Outcome::Refused(refusal) => refusal,
+                race::Outcome::Unplaced(refusal) => return Err(refusal),
             };
-            self.learn(&tries, &refusal).await;
+            self.exchange_crash_facts(&progress, &refusal).await;
             let failure = retry::Failure {
                 refusal,
-                // Agents refuse before their target gets anything.
+                // A "not run" refusal comes from the agent, before its target received the call.
                 reached: refusal.verdict == verdict::Verdict::MayHaveRun,
-                resumable: tries.received.len() > before,
+                resumable: progress.received.len() > before,
             };
-            self.note(refusal.verdict);
-            self.again(&mut tries, &failure).await?;
+            self.combine_verdict(refusal.verdict);
+            self.await_retry(&mut progress, &failure).await?;
         }
     }
 
-    fn tries<'a>(
+    fn new_progress<'a>(
         &self,
-        place: Place<'a>,
+        position: Position<'a>,
         previous: Option<&value::RawValue>,
-    ) -> Result<Tries<'a>, verdict::Refusal> {
+    ) -> Result<Progress<'a>, verdict::Refusal> {
         let head = &self.request.head;
         let invalid = verdict::Refusal::not_run(verdict::Reason::Invalid);
-        let stage = place.stage;
+        let stage = position.stage;
         let service = head
             .rules
             .bundle
@@ -92,105 +92,109 @@
             input: &self.request.input,
             previous,
         };
-        let idempotent = head.stage_idempotent(stage);
-        Ok(Tries {
+        let idempotent = head.is_stage_idempotent(stage);
+        Ok(Progress {
             stage,
             kind: service.kind,
             idempotent,
-            streams: place.last && service.kind == bundle::Kind::Engine,
+            streams: position.is_last && service.kind == bundle::Kind::Engine,
             body: value::to_raw_value(&body).map_err(|_| invalid)?,
             received: String::new(),
             tried: Vec::new(),
-            needed: self.entry.policy.rest(head, place.index),
+            needed: self.entry.policy.expected_rest(head, position.index),
             attempts: retry::Attempts::new(idempotent, self.verdict),
         })
     }
 
-    /// Decides on another attempt and waits for its time.
-    async fn again(
+    /// Waits until the next attempt may be sent; fails if no retry is allowed.
+    async fn await_retry(
         &self,
-        tries: &mut Tries<'_>,
+        progress: &mut Progress<'_>,
         failure: &retry::Failure,
     ) -> Result<(), verdict::Refusal> {
         let head = &self.request.head;
-        let service = &tries.stage.service;
-        let attempts = &mut tries.attempts;
+        let service = &progress.stage.service;
+        let attempts = &mut progress.attempts;
         let policy = &self.entry.policy;
-        let decision = policy.retry(head, service, attempts, failure, tries.needed);
+        let decision = policy.decide_retry(head, service, attempts, failure, progress.needed);
         if let retry::Decision::GiveUp(refusal) = decision {
             let retry = refusal.retry.or(failure.refusal.retry);
             return Err(verdict::Refusal { retry, ..refusal });
         }
-        // Text of an attempt whose result was found broken cannot be gone on after.
-        if failure.refusal.reason == verdict::Reason::Corrupt && !tries.received.is_empty() {
+        // A stream cannot be resumed after text that failed its integrity check.
+        if failure.refusal.reason == verdict::Reason::Corrupt && !progress.received.is_empty() {
             return Err(failure.refusal);
         }
-        let again = tries.tried.len().saturating_sub(self.width(tries)).min(5) as u32;
-        if again > 0 {
-            time::sleep((PAUSE * 2u32.pow(again)).min(head.remaining())).await;
+        let repeats = progress
+            .tried
+            .len()
+            .saturating_sub(self.target_count(progress))
+            .min(5) as u32;
+        if repeats > 0 {
+            time::sleep((RETRY_PAUSE * 2u32.pow(repeats)).min(head.remaining())).await;
         }
         Ok(())
     }
 
-    /// Returns the number of targets there are.
-    fn width(&self, tries: &Tries<'_>) -> usize {
+    /// Returns the number of targets of the stage's service.
+    fn target_count(&self, progress: &Progress<'_>) -> usize {
         let view = self.entry.view.load();
-        let routes = view.routes.get(&tries.stage.service);
+        let routes = view.routes.get(&progress.stage.service);
         routes.map_or(0, |routes| routes.lanes().len())
     }
 
-    /// Writes the call of an attempt.
-    pub(super) fn call(
+    /// Builds the call of an attempt.
+    pub(super) fn build_call(
         &self,
-        tries: &Tries<'_>,
-        ready: &pull::Ready,
+        progress: &Progress<'_>,
+        prepared: &pull::Prepared,
         span: &tracing::Span,
     ) -> stage::Call {
         let head = &self.request.head;
         let parent = traces::parent(span, head.traceparent.as_ref());
         stage::Call {
-            session: ready.session(),
-            incarnation: ready.incarnation(),
+            session: prepared.session(),
+            incarnation: prepared.incarnation(),
             request: head.id,
-            attempt: ready.attempt(),
+            attempt: prepared.attempt(),
             team: head.team.clone(),
             pipeline: head.pipeline.clone(),
-            stage: tries.stage.name.clone(),
+            stage: progress.stage.name.clone(),
             generation: head.rules.generation,
             fingerprint: self.request.fingerprint,
             priority: head.priority,
-            idempotent: tries.idempotent,
+            idempotent: progress.idempotent,
             remaining: unit::Period(head.remaining()),
             traceparent: parent.map(|parent| parent.to_string()),
-            received: (!tries.received.is_empty()).then(|| tries.received.clone()),
-            body: tries.body.clone(),
+            received: (!progress.received.is_empty()).then(|| progress.received.clone()),
+            body: progress.body.clone(),
         }
     }
 
-    /// Turns a whole result into the stage's output.
-    fn finish(
+    /// Records a complete result and returns the output of the stage.
+    fn stage_output(
         &mut self,
-        tries: Tries<'_>,
-        won: race::Won,
+        progress: Progress<'_>,
+        winner: race::Winner,
     ) -> Result<Box<value::RawValue>, verdict::Refusal> {
-        let end = won.whole.end;
+        let end = winner.result.end;
         let head = &self.request.head;
         let policy = &self.entry.policy;
-        policy.took(head, &tries.stage.name, end.busy.0, won.elapsed);
-        self.entry.metrics.cost(&tries.stage.service, &end);
-        self.accounts.push(account::Account {
-            name: tries.stage.name.clone(),
-            target: won.target,
-            attempts: tries.tried.len().try_into().unwrap_or(u32::MAX),
+        policy.record_duration(head, &progress.stage.name, end.busy.0, winner.elapsed);
+        self.entry.metrics.cost(&progress.stage.service, &end);
+        self.reports.push(answer::StageReport {
+            name: progress.stage.name.clone(),
+            target: winner.target,
+            attempts: progress.tried.len().try_into().unwrap_or(u32::MAX),
             busy: end.busy,
             queued: end.queued,
         });
-        let output = match tries.kind {
+        let output = match progress.kind {
             bundle::Kind::Engine => {
-                let text = tries.received;
+                let text = progress.received;
                 value::to_raw_value(&serde_json::json!({ "text": text }))
             }
-            bundle::Kind::Pool => value::RawValue::from_string(won.whole.text),
+            bundle::Kind::Pool => value::RawValue::from_string(winner.result.text),
         };
         output.map_err(|_| verdict::Refusal::may_have_run(verdict::Reason::Corrupt))
     }
--- a/laburnumcart_entry/src/links.rs
+++ b/laburnumcart_entry/src/links.rs
@@ -1,6 +1,6 @@
-//! Lanes to agents: one connection at a time, watched by heartbeats and replaced when it fails.
+//! Lanes to agents: one connection at a time, monitored by heartbeats and replaced on failure.
 
-mod ear;
+mod heartbeat;
 pub mod pull;
 
 use std::{
@@ -42,172 +42,172 @@
 
 use crate::gossip;
 
-/// Periods of the lanes.
+/// Intervals and timeouts of a lane.
 #[derive(Clone, Copy, Debug)]
 pub struct Timing {
-    /// Time between two heartbeats while attempts are in flight.
-    pub beat: time::Duration,
-    /// Time between two heartbeats otherwise.
-    pub idle: time::Duration,
-    /// Time after which a heartbeat counts as missed.
-    pub answer: time::Duration,
-    /// Number of missed heartbeats in a row that end a connection.
-    pub missed: u32,
-    /// Longest time to open a connection.
-    pub connect: time::Duration,
-    /// Time between two tries to open a connection, and between two questions for readiness.
-    pub pause: time::Duration,
+    /// Heartbeat interval while attempts are in flight.
+    pub active_period: time::Duration,
+    /// Heartbeat interval otherwise.
+    pub idle_period: time::Duration,
+    /// Time after which an unanswered heartbeat counts as missed.
+    pub heartbeat_timeout: time::Duration,
+    /// Number of consecutive missed heartbeats that end a connection.
+    pub max_missed: u32,
+    /// Maximum time to open a connection.
+    pub connect_timeout: time::Duration,
+    /// Pause between connection attempts, and heartbeat interval until the target is ready.
+    pub retry_pause: time::Duration,
 }
 
 impl Default for Timing {
     fn default() -> Self {
         Self {
-            beat: time::Duration::from_secs(1),
-            idle: time::Duration::from_secs(2),
-            answer: time::Duration::from_millis(750),
-            missed: 2,
-            connect: time::Duration::from_millis(500),
-            pause: time::Duration::from_millis(200),
+            active_period: time::Duration::from_secs(1),
+            idle_period: time::Duration::from_secs(2),
+            heartbeat_timeout: time::Duration::from_millis(750),
+            max_missed: 2,
+            connect_timeout: time::Duration::from_millis(500),
+            retry_pause: time::Duration::from_millis(200),
         }
     }
 }
 
-/// What a lane needs to open connections.
+/// Configuration of a lane, and the state it shares with the process.
 #[derive(Clone, Debug)]
-pub struct Caller {
+pub struct Config {
     /// Name of this process.
     pub instance: id::InstanceName,
-    /// Life of this process.
+    /// Incarnation of this process.
     pub incarnation: id::Incarnation,
     /// Address of this process's peer port.
     pub peer: net::SocketAddr,
-    /// Facts that heartbeats carry.
+    /// Facts that are exchanged on heartbeats.
     pub gossip: Arc<gossip::Gossip>,
-    /// Counter of connections that were given up.
+    /// Counter of connections that ended.
     pub breaks: Counter,
-    /// Counter of questions about attempts in doubt.
+    /// Counter of queries about attempts whose state is unknown.
     pub doubts: Counter,
-    /// Secret that is sent to agents.
+    /// Secret that authenticates this process to agents.
     pub secret: secret::Secret,
-    /// Periods.
+    /// Intervals and timeouts.
     pub timing: Timing,
 }
 
-/// Where a lane stands.
+/// State of a lane.
 #[derive(Clone, Debug)]
 pub enum Link {
     /// The first connection is being opened.
-    Opening,
-    /// No connection.
+    Connecting,
+    /// There is no connection.
     Down {
-        /// Whether the address refused the last connection, so that no process listens there.
-        gone: bool,
+        /// Whether the address refused the last connection: no process listens there.
+        refused: bool,
     },
-    /// A connection that answers its heartbeats.
+    /// The connection is open and its heartbeats are answered.
     Up(Arc<Connection>),
 }
 
 /// One connection of a lane.
 #[derive(Debug)]
 pub struct Connection {
-    /// Place in the lane.
+    /// Session of the lane.
     pub session: lane::Session,
-    /// Life of the agent that answered.
+    /// Incarnation of the agent.
     pub incarnation: id::Incarnation,
     client: peer::Client,
     closed: watch::Sender<bool>,
-    trip: Mutex<latency::MinRtt>,
+    min_rtt: Mutex<latency::MinRtt>,
 }
 
 impl Connection {
-    /// Returns the client; calls must be raced against [`Connection::closed`].
+    /// Returns the client; calls must be aborted when [`Connection::closed`] resolves.
     pub fn client(&self) -> &peer::Client {
         &self.client
     }
 
-    /// Takes in a round trip and returns the least one lately.
-    fn record(&self, elapsed: time::Duration) -> Option<time::Duration> {
-        let mut trip = self.trip.lock().unwrap_or_else(PoisonError::into_inner);
-        trip.record(elapsed, time::Instant::now());
-        trip.get()
+    /// Records a round-trip time and returns the recent minimum.
+    fn record_rtt(&self, elapsed: time::Duration) -> Option<time::Duration> {
+        let mut min_rtt = self.min_rtt.lock().unwrap_or_else(PoisonError::into_inner);
+        min_rtt.record(elapsed, time::Instant::now());
+        min_rtt.get()
     }
 
-    /// Returns whether the connection was given up.
+    /// Returns whether the connection has ended.
     pub fn is_closed(&self) -> bool {
         *self.closed.borrow() || !self.client.is_connected()
     }
 
-    /// Waits until the connection is given up.
+    /// Waits until the lane gives up the connection.
     pub async fn closed(&self) {
         let mut closed = self.closed.subscribe();
-        // The sender lives as long as `self`, so that the wait cannot fail.
+        // Cannot fail: the sender lives as long as `self`.
         let _ = closed.wait_for(|closed| *closed).await;
     }
 }
 
-/// A report with what this process knew when it came.
+/// A report of an agent, with the state of this process when it was received.
 #[derive(Clone, Debug)]
-pub struct Seen {
+pub struct ReceivedReport {
     /// The report.
     pub report: agent::Report,
-    /// When it came.
-    pub at: time::Instant,
-    /// Attempts that this process had in flight there.
+    /// Time of receipt.
+    pub received_at: time::Instant,
+    /// Number of attempts that this process had in flight there.
     pub own: u32,
-    /// Least round trip of a heartbeat lately, once one was answered on the connection.
-    pub trip: Option<time::Duration>,
+    /// Recent minimum round-trip time; `None` until a heartbeat was answered on the connection.
+    pub min_rtt: Option<time::Duration>,
 }
 
-/// The way to one agent.
+/// Lane to one agent.
 #[derive(Debug)]
 pub struct Lane {
     /// Address of the agent.
     pub addr: net::SocketAddr,
-    /// Attempts that this process has in flight there.
-    pub running: Arc<AtomicU32>,
-    /// Counter of questions about attempts in doubt.
+    /// Number of attempts that this process has in flight there.
+    pub in_flight: Arc<AtomicU32>,
+    /// Counter of queries about attempts whose state is unknown.
     pub doubts: Counter,
-    ear: Arc<ear::Ear>,
-    /// Milliseconds between two heartbeats without attempts in flight.
-    idle: Arc<AtomicU64>,
+    monitor: Arc<heartbeat::Monitor>,
+    /// Heartbeat interval without attempts in flight, in milliseconds.
+    idle_millis: Arc<AtomicU64>,
     link: watch::Sender<Link>,
     task: task::AbortHandle,
 }
 
 impl Lane {
-    /// Opens a lane on a runtime and keeps it open until the value is dropped.
-    pub fn open(runtime: &runtime::Handle, addr: net::SocketAddr, caller: Caller) -> Arc<Self> {
-        let (link, _) = watch::channel(Link::Opening);
-        let ear = Arc::new(ear::Ear {
+    /// Opens a lane on a runtime; it reconnects until it is dropped.
+    pub fn open(runtime: &runtime::Handle, addr: net::SocketAddr, config: Config) -> Arc<Self> {
+        let (link, _) = watch::channel(Link::Connecting);
+        let monitor = Arc::new(heartbeat::Monitor {
             addr,
-            peer: caller.peer,
-            answer: caller.timing.answer,
-            gossip: caller.gossip.clone(),
-            seen: ArcSwapOption::empty(),
-            running: Arc::default(),
+            peer: config.peer,
+            timeout: config.timing.heartbeat_timeout,
+            gossip: config.gossip.clone(),
+            last_report: ArcSwapOption::empty(),
+            in_flight: Arc::default(),
         });
-        let doubts = caller.doubts.clone();
+        let doubts = config.doubts.clone();
         let keeper = Keeper {
             addr,
-            idle: Arc::new(AtomicU64::new(millis(caller.timing.idle))),
-            caller,
+            idle_millis: Arc::new(AtomicU64::new(millis(config.timing.idle_period))),
+            config,
             link: link.clone(),
-            ear: ear.clone(),
+            monitor: monitor.clone(),
         };
-        let idle = keeper.idle.clone();
+        let idle = keeper.idle_millis.clone();
         let task = runtime.spawn(keeper.run());
         Arc::new(Self {
             addr,
-            running: ear.running.clone(),
+            in_flight: monitor.in_flight.clone(),
             doubts,
-            ear,
-            idle,
+            monitor,
+            idle_millis: idle,
             link,
             task: task.abort_handle(),
         })
     }
 
-    /// Returns the connection, if there is one.
+    /// Returns the connection, if it is open.
     pub fn connection(&self) -> Option<Arc<Connection>> {
         match &*self.link.borrow() {
             Link::Up(connection) if !connection.is_closed() => Some(connection.clone()),
@@ -215,61 +215,64 @@
         }
     }
 
-    /// Exchanges all facts of crashes with the agent now, and waits for at most a heartbeat's time.
+    /// Exchanges all facts with the agent at once; waits at most [`Timing::heartbeat_timeout`].
     ///
-    /// With the next heartbeat they would come up to two seconds later, in which content that
-    /// crashes targets can be sent to several more.
-    pub async fn exchange(&self) {
+    /// The next regular heartbeat may be two seconds away, and until then content that crashes
+    /// targets can be sent to several more.
+    pub async fn exchange_facts(&self) {
         let Some(connection) = self.connection() else {
             return;
         };
         let beat = agent::Heartbeat {
             session: connection.session,
-            peer: Some(self.ear.peer),
-            facts: Some(self.ear.gossip.all()),
+            peer: Some(self.monitor.peer),
+            facts: Some(self.monitor.gossip.all()),
         };
-        self.ear.beat(&connection, beat).await;
+        self.monitor.send(&connection, beat).await;
     }
 
-    /// Returns the last report of the agent, if it ever reported.
-    pub fn report(&self) -> Option<Arc<Seen>> {
-        self.ear.seen.load_full()
+    /// Returns the latest report of the agent, if there is one.
+    pub fn report(&self) -> Option<Arc<ReceivedReport>> {
+        self.monitor.last_report.load_full()
     }
 
-    /// Reports whether the agent takes work for a service now, as far as is known.
-    pub fn takes(&self, service: &id::ServiceName) -> bool {
+    /// Returns whether the agent accepts work for a service, by its latest report.
+    pub fn accepts_work(&self, service: &id::ServiceName) -> bool {
         let ready =
             |report: &agent::Report| report.ready && !report.leaving && report.service == *service;
-        self.connection().is_some() && self.report().is_some_and(|seen| ready(&seen.report))
+        self.connection().is_some()
+            && self
+                .report()
+                .is_some_and(|received| ready(&received.report))
     }
 
-    /// Reports whether the first connection is still being opened.
-    pub fn is_opening(&self) -> bool {
-        matches!(*self.link.borrow(), Link::Opening)
+    /// Returns whether the first connection is still being opened.
+    pub fn is_connecting(&self) -> bool {
+        matches!(*self.link.borrow(), Link::Connecting)
     }
 
-    /// Follows the state of the lane.
-    pub fn link(&self) -> watch::Receiver<Link> {
+    /// Returns a receiver of the lane's state.
+    pub fn subscribe(&self) -> watch::Receiver<Link> {
         self.link.subscribe()
     }
 
-    /// Returns the time between two heartbeats without attempts in flight.
-    pub fn idle(&self) -> time::Duration {
-        time::Duration::from_millis(self.idle.load(Ordering::Relaxed))
+    /// Returns the heartbeat interval without attempts in flight.
+    pub fn idle_period(&self) -> time::Duration {
+        time::Duration::from_millis(self.idle_millis.load(Ordering::Relaxed))
     }
 
-    /// Sets the time between two heartbeats without attempts in flight, from the next one on.
+    /// Sets the heartbeat interval without attempts in flight.
     ///
-    /// With an attempt in flight heartbeats are sent at [`Timing::beat`] whatever this is, so that a
-    /// silent connection is found as soon as work depends on it.
-    pub fn set_idle(&self, period: time::Duration) {
-        self.idle.store(millis(period), Ordering::Relaxed);
+    /// With attempts in flight the interval is always [`Timing::active_period`], so that a silent
+    /// connection is detected quickly when work depends on it.
+    pub fn set_idle_period(&self, period: time::Duration) {
+        self.idle_millis.store(millis(period), Ordering::Relaxed);
     }
 
-    /// Counts an attempt in until the value is dropped.
-    pub fn hold(self: &Arc<Self>) -> Held {
-        self.running.fetch_add(1, Ordering::Relaxed);
-        Held(self.clone())
+    /// Counts an attempt as in flight until the returned guard is dropped.
+    pub fn count_attempt(self: &Arc<Self>) -> CountedAttempt {
+        self.in_flight.fetch_add(1, Ordering::Relaxed);
+        CountedAttempt(self.clone())
     }
 }
 
@@ -283,157 +286,165 @@
     }
 }
 
-/// An attempt in flight on a lane.
+/// Guard that counts an attempt as in flight on a lane.
 #[derive(Debug)]
-pub struct Held(Arc<Lane>);
+pub struct CountedAttempt(Arc<Lane>);
 
-impl Drop for Held {
+impl Drop for CountedAttempt {
     fn drop(&mut self) {
-        self.0.running.fetch_sub(1, Ordering::Relaxed);
+        self.0.in_flight.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
-/// Keeps a lane open.
+/// Task that keeps a lane connected.
 #[derive(Debug)]
 struct Keeper {
     addr: net::SocketAddr,
-    caller: Caller,
+    config: Config,
     link: watch::Sender<Link>,
-    ear: Arc<ear::Ear>,
-    idle: Arc<AtomicU64>,
+    monitor: Arc<heartbeat::Monitor>,
+    idle_millis: Arc<AtomicU64>,
 }
 
 impl Keeper {
     async fn run(self) {
         for number in 1.. {
             let session = lane::Session {
-                lane: self.caller.incarnation,
+                lane: self.config.incarnation,
                 number,
             };
-            match connect(self.addr, &self.caller, session).await {
-                Ok((connection, report)) => self.hold(connection, report).await,
-                Err(gone) => {
-                    self.link.send_replace(Link::Down { gone });
-                    time::sleep(self.caller.timing.pause).await;
+            match connect(self.addr, &self.config, session).await {
+                Ok((connection, report)) => self.serve_connection(connection, report).await,
+                Err(refused) => {
+                    self.link.send_replace(Link::Down { refused });
+                    time::sleep(self.config.timing.retry_pause).await;
                 }
             }
         }
     }
 
-    /// Holds a connection until it ends or goes silent.
-    async fn hold(&self, connection: Connection, report: agent::Report) {
-        self.ear.note(report, None);
+    /// Publishes a connection and sends heartbeats on it until it ends or is silent.
+    async fn serve_connection(&self, connection: Connection, report: agent::Report) {
+        self.monitor.record_report(report, None);
         let connection = Arc::new(connection);
         self.link.send_replace(Link::Up(connection.clone()));
-        self.watch(&connection).await;
-        self.caller.breaks.inc();
-        self.link.send_replace(Link::Down { gone: false });
+        self.send_heartbeats(&connection).await;
+        self.config.breaks.inc();
+        self.link.send_replace(Link::Down { refused: false });
         connection.closed.send_replace(true);
     }
 
-    /// Sends heartbeats until the connection ends or misses too many of them.
-    async fn watch(&self, connection: &Arc<Connection>) {
-        let timing = &self.caller.timing;
+    /// Sends heartbeats until the connection ends or too many in a row are missed.
+    async fn send_heartbeats(&self, connection: &Arc<Connection>) {
+        let timing = &self.config.timing;
         let mut sent = facts::Version::default();
         let mut missed = 0;
-        while missed < timing.missed {
-            // A missed heartbeat is followed by the next at once, to know soon.
-            if missed == 0 && self.rest(connection).await {
+        while missed < timing.max_missed {
+            // After a missed heartbeat the next one is sent at once, for quick failure detection.
+            if missed == 0 && self.wait_for_heartbeat(connection).await {
                 return;
             }
-            let (facts, version) = self.caller.gossip.changes(sent);
+            let (facts, version) = self.config.gossip.changes(sent);
             let beat = agent::Heartbeat {
                 session: connection.session,
-                peer: facts.is_some().then_some(self.caller.peer),
+                peer: facts.is_some().then_some(self.config.peer),
                 facts,
             };
-            match self.ear.beat(connection, beat).await {
-                ear::Heard::Live => {
+            match self.monitor.send(connection, beat).await {
+                heartbeat::Outcome::Answered => {
                     sent = version;
                     missed = 0;
                 }
-                ear::Heard::Missed => missed += 1,
-                ear::Heard::Ended => return,
+                heartbeat::Outcome::Missed => missed += 1,
+                heartbeat::Outcome::Ended => return,
             }
         }
     }
 
-    /// Waits until the next heartbeat is due; returns true when the connection ends first.
-    async fn rest(&self, connection: &Connection) -> bool {
-        let timing = &self.caller.timing;
-        let begun = time::Instant::now();
+    /// Waits until the next heartbeat is due; returns true if the connection ends first.
+    async fn wait_for_heartbeat(&self, connection: &Connection) -> bool {
+        let timing = &self.config.timing;
+        let started_at = time::Instant::now();
         loop {
-            // Until its target is ready an agent is asked often: each wait delays its first work.
-            let seen = self.ear.seen.load();
-            let ready = seen.as_ref().is_none_or(|seen| seen.report.ready);
-            if !ready && begun.elapsed() >= timing.pause {
+            // Until its target is ready, an agent is polled often: it gets no work before that.
+            let received = self.monitor.last_report.load();
+            let ready = received
+                .as_ref()
+                .is_none_or(|received| received.report.ready);
+            if !ready && started_at.elapsed() >= timing.retry_pause {
                 return false;
             }
-            let wait = if ready { timing.beat } else { timing.pause };
+            let wait = if ready {
+                timing.active_period
+            } else {
+                timing.retry_pause
+            };
             let ended = time::timeout(wait, connection.client.on_disconnect());
             if ended.await.is_ok() {
                 return true;
             }
-            let active = self.ear.running.load(Ordering::Relaxed) > 0;
-            let idle = time::Duration::from_millis(self.idle.load(Ordering::Relaxed));
-            if active || begun.elapsed() >= idle {
+            let active = self.monitor.in_flight.load(Ordering::Relaxed) > 0;
+            let idle = time::Duration::from_millis(self.idle_millis.load(Ordering::Relaxed));
+            if active || started_at.elapsed() >= idle {
                 return false;
             }
         }
     }
 }
 
-/// Opens one connection; `Err(true)` when the address refuses it.
+/// Opens one connection; returns `Err(true)` if the address refuses it.
 async fn connect(
     addr: net::SocketAddr,
-    caller: &Caller,
+    config: &Config,
     session: lane::Session,
 ) -> Result<(Connection, agent::Report), bool> {
     let limits = peer::Limits::default()
-        .connect(unit::Period(caller.timing.connect))
-        .request(CALL_LIMIT)
-        .concurrent(CALLS_MAX);
-    match peer::connect(addr, &caller.secret, &limits).await {
-        Ok(client) => greet(client, caller, session).await.ok_or(false),
-        Err(peer::ConnectError::Failed(_)) => Err(refuses(addr, caller.timing.connect).await),
+        .connect(unit::Period(config.timing.connect_timeout))
+        .request(CALL_TIMEOUT)
+        .concurrent(MAX_CONCURRENT_CALLS);
+    match peer::connect(addr, &config.secret, &limits).await {
+        Ok(client) => open_session(client, config, session).await.ok_or(false),
+        Err(peer::ConnectError::Failed(_)) => {
+            Err(is_refused(addr, config.timing.connect_timeout).await)
+        }
         Err(_) => Err(false),
     }
 }
 
-/// Returns whether no process listens at the address.
-async fn refuses(addr: net::SocketAddr, limit: time::Duration) -> bool {
+/// Returns whether the address refuses connections, so that no process listens there.
+async fn is_refused(addr: net::SocketAddr, limit: time::Duration) -> bool {
     match time::timeout(limit, tokio::net::TcpStream::connect(addr)).await {
         Ok(Err(e)) => e.kind() == std::io::ErrorKind::ConnectionRefused,
         _ => false,
     }
 }
 
-/// Opens the session; nothing else goes over the connection before this was answered.
-async fn greet(
+/// Opens the session; no other call is made on the connection before the agent has answered.
+async fn open_session(
     client: peer::Client,
-    caller: &Caller,
+    config: &Config,
     session: lane::Session,
 ) -> Option<(Connection, agent::Report)> {
     let hello = agent::Hello {
-        instance: caller.instance.clone(),
+        instance: config.instance.clone(),
         session,
-        peer: Some(caller.peer),
-        facts: caller.gossip.all(),
+        peer: Some(config.peer),
+        facts: config.gossip.all(),
     };
-    let answer = time::timeout(caller.timing.connect, client.hello(hello)).await;
+    let answer = time::timeout(config.timing.connect_timeout, client.hello(hello)).await;
     let report = answer.ok()?.ok()?;
     let connection = Connection {
         session,
         incarnation: report.incarnation,
         client,
         closed: watch::channel(false).0,
-        trip: Mutex::new(latency::MinRtt::new(time::Instant::now())),
+        min_rtt: Mutex::new(latency::MinRtt::new(time::Instant::now())),
     };
     Some((connection, report))
 }
 
-/// Most calls that wait on one connection.
-const CALLS_MAX: u32 = 4096;
+/// Maximum number of concurrent calls on one connection.
+const MAX_CONCURRENT_CALLS: u32 = 4096;
 
-/// Longest wait for an answer; above every deadline, as silence is found by heartbeats.
-const CALL_LIMIT: unit::Period = unit::Period::from_secs(600);
+/// Timeout of a call; longer than any deadline, as silent connections are found by heartbeats.
+const CALL_TIMEOUT: unit::Period = unit::Period::from_secs(600);
--- a/laburnumcart_entry/src/links/pull.rs
+++ b/laburnumcart_entry/src/links/pull.rs
@@ -1,8 +1,8 @@
-//! Pulling the result of one attempt, across breaks of its connection.
+//! Pulls the result of one attempt from its agent, across reconnects.
 //!
-//! Whatever happens to a connection, the agent is asked over the next one what became of the
-//! attempt. The new connection's session fences the older ones, so that its answer is final: an
-//! attempt that the agent does not know then can never start.
+//! After a connection failure the agent is queried for the attempt's state over the next
+//! connection. The session of that connection fences all older ones, which makes the answer final:
+//! an attempt that the agent does not know by then can never start.
 
 use std::{
     net,
@@ -30,22 +30,22 @@
 
 use crate::links;
 
-/// Longest wait of one call for more of a result.
-const WAIT: unit::Period = unit::Period::from_secs(1);
+/// Maximum time that an agent holds a long poll for more of a result.
+const LONG_POLL_WAIT: unit::Period = unit::Period::from_secs(1);
 
-/// Longest wait for a new connection when the attempt may be made elsewhere instead.
-const PATIENCE: time::Duration = time::Duration::from_millis(1500);
+/// Maximum wait for a new connection if the attempt may be repeated at another target.
+const RECONNECT_TIMEOUT: time::Duration = time::Duration::from_millis(1500);
 
-/// An attempt that can still be given up without a trace.
+/// An attempt that is not sent yet.
 #[derive(Debug)]
-pub struct Ready {
+pub struct Prepared {
     lane: Arc<links::Lane>,
     connection: Arc<links::Connection>,
     prepared: attempt::Prepared,
 }
 
-impl Ready {
-    /// Prepares an attempt on the lane's connection; `None` without one.
+impl Prepared {
+    /// Prepares an attempt on the lane's connection; returns `None` if there is none.
     pub fn new(lane: &Arc<links::Lane>) -> Option<Self> {
         let connection = lane.connection()?;
         Some(Self {
@@ -55,17 +55,17 @@
         })
     }
 
-    /// Returns the identity of the attempt.
+    /// Returns the ID of the attempt.
     pub fn attempt(&self) -> id::AttemptId {
         self.prepared.id
     }
 
-    /// Returns the life of the agent that the attempt is addressed to.
+    /// Returns the incarnation of the agent that the attempt is addressed to.
     pub fn incarnation(&self) -> id::Incarnation {
         self.prepared.incarnation
     }
 
-    /// Returns the target of the agent.
+    /// Returns the name of the agent's target.
     pub fn target(&self) -> Option<id::TargetName> {
         self.lane.report().map(|seen| seen.report.target.clone())
     }
@@ -75,80 +75,81 @@
         self.lane.addr
     }
 
-    /// Returns the connection that will carry the call.
+    /// Returns the session that the call will be sent on.
     pub fn session(&self) -> lane::Session {
         self.connection.session
     }
 
-    /// Marks the attempt as sent; the first step of the pull sends it.
+    /// Marks the attempt as sent; the call itself is sent by the first [`Pull::step`].
     pub fn send(self, call: stage::Call) -> Result<Pull, attempt::Settled> {
         if self.connection.is_closed() {
             return Err(self.prepared.abandon(verdict::Reason::NoTarget));
         }
         Ok(Pull {
-            _held: self.lane.hold(),
+            _counted: self.lane.count_attempt(),
             session: self.connection.session.number,
             lane: self.lane,
             connection: self.connection,
             request: call.request,
             sent: self.prepared.send(),
-            joiner: stage::Assembler::default(),
-            patient: !call.idempotent,
+            assembler: stage::Assembler::default(),
+            waits_to_deadline: !call.idempotent,
             call: Some(Box::new(call)),
         })
     }
 }
 
-/// An attempt that was sent, with what has come of its result.
+/// An attempt that was sent, with the part of its result received so far.
 #[derive(Debug)]
 pub struct Pull {
     lane: Arc<links::Lane>,
     connection: Arc<links::Connection>,
     request: id::RequestId,
     sent: attempt::Sent,
-    /// Number of the session that carries the attempt.
+    /// Number of the session that the attempt was sent on.
     session: u64,
-    joiner: stage::Assembler,
-    /// Whether certainty is waited for until the deadline, as there can be no second attempt.
-    patient: bool,
+    assembler: stage::Assembler,
+    /// Whether to wait for a new connection without [`RECONNECT_TIMEOUT`], because the attempt must
+    /// not be repeated.
+    waits_to_deadline: bool,
     call: Option<Box<stage::Call>>,
-    _held: links::Held,
+    _counted: links::CountedAttempt,
 }
 
-/// What one step of a pull yields.
+/// Result of one step of a pull.
 #[derive(Debug)]
 pub enum Step {
-    /// More text, possibly none, and the rest of the pull.
+    /// New text, possibly empty; the pull continues.
     More(Pull, String),
-    /// The whole result.
-    Whole(Whole),
-    /// A final refusal.
+    /// The complete result.
+    Complete(Completed),
+    /// The final refusal.
     Refused(attempt::Settled),
 }
 
-/// Whole result of an attempt.
+/// Complete result of an attempt.
 #[derive(Debug)]
-pub struct Whole {
-    /// Text that came with the last step.
+pub struct Completed {
+    /// Text received in the last step.
     pub tail: String,
-    /// Whole text of this attempt.
+    /// Complete text of this attempt.
     pub text: String,
-    /// Accounts of the agent.
+    /// Checksum and resource usage, as sent by the agent.
     pub end: stage::End,
 }
 
-/// Why a call got no answer that can be used.
+/// Reason why a call has no usable answer.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-enum Failure {
-    /// The connection ended before the answer came.
+enum CallError {
+    /// The connection ended before the answer.
     Broken,
     /// The call is too large and was not sent.
     Oversized,
-    /// The agent answered with an error of the protocol, which proves nothing.
+    /// The agent answered with a protocol error, which does not prove that the call had no effect.
     Rejected,
 }
 
-/// Where to cancel an attempt.
+/// Handle that cancels an attempt.
 #[derive(Clone, Debug)]
 pub struct Canceller {
     lane: Arc<links::Lane>,
@@ -156,7 +157,7 @@
 }
 
 impl Canceller {
-    /// Cancels the attempt at its agent; the deadline ends it if this is lost.
+    /// Cancels the attempt at its agent; if the message is lost, the deadline ends the attempt.
     pub async fn cancel(self) {
         let Some(connection) = self.lane.connection() else {
             return;
@@ -164,29 +165,29 @@
         let cancel = stage::Cancel {
             attempt: self.attempt,
         };
-        let _ = ask(&connection, connection.client().cancel(cancel)).await;
+        let _ = call_until_closed(&connection, connection.client().cancel(cancel)).await;
     }
 }
 
-/// Makes a call that ends with its connection at the latest.
-async fn ask<T>(
+/// Awaits a call, or fails it when the connection closes.
+async fn call_until_closed<T>(
     connection: &links::Connection,
     call: impl Future<Output = Result<T, client::Error>>,
-) -> Result<T, Failure> {
+) -> Result<T, CallError> {
     tokio::select! {
-        answer = call => answer.map_err(|error| sort(connection, &error)),
-        () = connection.closed() => Err(Failure::Broken),
+        answer = call => answer.map_err(|error| classify_error(connection, &error)),
+        () = connection.closed() => Err(CallError::Broken),
     }
 }
 
-fn sort(connection: &links::Connection, error: &client::Error) -> Failure {
+fn classify_error(connection: &links::Connection, error: &client::Error) -> CallError {
     let oversized = types::ErrorCode::OversizedRequest.code();
     match error {
-        client::Error::Call(object) if object.code() == oversized => Failure::Oversized,
-        // An agent refuses calls of a session that a newer one has fenced.
-        client::Error::Call(_) if connection.is_closed() => Failure::Broken,
-        client::Error::Call(_) | client::Error::ParseError(_) => Failure::Rejected,
-        _ => Failure::Broken,
+        client::Error::Call(object) if object.code() == oversized => CallError::Oversized,
+        // An agent rejects calls of a session that a newer one has fenced.
+        client::Error::Call(_) if connection.is_closed() => CallError::Broken,
+        client::Error::Call(_) | client::Error::ParseError(_) => CallError::Rejected,
+        _ => CallError::Broken,
     }
 }
 
@@ -199,70 +200,74 @@
         }
     }
 
-    /// Returns the text so far.
+    /// Returns the text received so far.
     pub fn text(&self) -> &str {
-        self.joiner.text()
+        self.assembler.text()
     }
 
-    /// Sends the call or asks for more; resolves doubt if the connection breaks meanwhile.
+    /// Sends the call or fetches more of the result; queries the attempt's state if the connection
+    /// fails.
     pub async fn step(mut self) -> Step {
         let (answer, first) = match self.call.take() {
-            Some(call) => (self.start(*call).await, true),
-            None => (self.next().await, false),
+            Some(call) => (self.send_call(*call).await, true),
+            None => (self.fetch_more().await, false),
         };
         let progress = match answer {
             Ok(progress) => Ok(progress),
-            Err(Failure::Broken) => self.resolve().await,
-            Err(Failure::Oversized) if first => {
+            Err(CallError::Broken) => self.resolve_outcome().await,
+            Err(CallError::Oversized) if first => {
                 let refusal = verdict::Refusal::not_run(verdict::Reason::TooLarge);
                 return Step::Refused(self.sent.refused(refusal));
             }
-            Err(Failure::Oversized | Failure::Rejected) => Err(verdict::Reason::Corrupt),
+            Err(CallError::Oversized | CallError::Rejected) => Err(verdict::Reason::Corrupt),
         };
         match progress {
-            Ok(progress) => self.take(progress),
+            Ok(progress) => self.apply_progress(progress),
             Err(reason) => Step::Refused(self.sent.lost(reason)),
         }
     }
 
-    async fn start(&self, call: stage::Call) -> Result<stage::Progress, Failure> {
-        ask(&self.connection, self.connection.client().start(call)).await
+    async fn send_call(&self, call: stage::Call) -> Result<stage::Progress, CallError> {
+        call_until_closed(&self.connection, self.connection.client().start(call)).await
     }
 
-    async fn next(&self) -> Result<stage::Progress, Failure> {
+    async fn fetch_more(&self) -> Result<stage::Progress, CallError> {
         let next = stage::Next {
             attempt: self.sent.id,
-            from: self.joiner.next_number(),
-            wait: WAIT,
+            from: self.assembler.next_number(),
+            wait: LONG_POLL_WAIT,
         };
-        ask(&self.connection, self.connection.client().next(next)).await
+        call_until_closed(&self.connection, self.connection.client().next(next)).await
     }
 
-    /// Asks over newer connections, until one answers, what became of the attempt.
-    async fn resolve(&mut self) -> Result<stage::Progress, verdict::Reason> {
+    /// Queries the attempt's state over newer connections until one answers.
+    async fn resolve_outcome(&mut self) -> Result<stage::Progress, verdict::Reason> {
         loop {
-            let renewed = self.renew(self.connection.session.number + 1);
-            self.connection = if self.patient {
+            let renewed = self.wait_for_session(self.connection.session.number + 1);
+            self.connection = if self.waits_to_deadline {
                 renewed.await?
             } else {
-                let limited = time::timeout(PATIENCE, renewed).await;
+                let limited = time::timeout(RECONNECT_TIMEOUT, renewed).await;
                 limited.map_err(|_| verdict::Reason::Lost)??
             };
-            match self.query().await {
+            match self.query_attempt().await {
                 Ok(progress) => return Ok(progress),
-                Err(Failure::Broken) => {}
+                Err(CallError::Broken) => {}
                 Err(_) => return Err(verdict::Reason::Corrupt),
             }
         }
     }
 
-    /// Waits for a connection of the same agent's life, with at least the session number.
-    async fn renew(&self, least: u64) -> Result<Arc<links::Connection>, verdict::Reason> {
-        let mut link = self.lane.link();
+    /// Waits for a connection to the same incarnation with at least the session number `least`.
+    async fn wait_for_session(
+        &self,
+        least: u64,
+    ) -> Result<Arc<links::Connection>, verdict::Reason> {
+        let mut link = self.lane.subscribe();
         loop {
             match &*link.borrow_and_update() {
                 links::Link::Up(c) if c.session.number >= least => {
-                    // Another life knows nothing of the attempt; the one that did is gone.
+                    // A new incarnation does not know the attempt, and the old one has ended.
                     let same = c.incarnation == self.sent.incarnation;
                     return if same {
                         Ok(c.clone())
@@ -270,7 +275,7 @@
                         Err(verdict::Reason::Lost)
                     };
                 }
-                links::Link::Down { gone: true } => return Err(verdict::Reason::Lost),
+                links::Link::Down { refused: true } => return Err(verdict::Reason::Lost),
                 _ => {}
             }
             if link.changed().await.is_err() {
@@ -279,44 +284,44 @@
         }
     }
 
-    async fn query(&self) -> Result<stage::Progress, Failure> {
+    async fn query_attempt(&self) -> Result<stage::Progress, CallError> {
         let query = stage::Query {
             session: self.connection.session,
             incarnation: self.sent.incarnation,
             sent: self.session,
             attempt: self.sent.id,
-            from: self.joiner.next_number(),
+            from: self.assembler.next_number(),
         };
         self.lane.doubts.inc();
         let client = self.connection.client();
-        let progress = ask(&self.connection, client.query(query)).await?;
-        // A question that comes late, over a connection that was replaced meanwhile, is itself
-        // refused as fenced. Taken for the attempt's own state this would be a false "not run".
+        let progress = call_until_closed(&self.connection, client.query(query)).await?;
+        // If this connection was replaced meanwhile, the agent refuses the query itself as fenced.
+        // Read as the state of the attempt, that would be a false "not run".
         if is_fenced(&progress) && self.connection.is_closed() {
-            return Err(Failure::Broken);
+            return Err(CallError::Broken);
         }
         Ok(progress)
     }
 
-    /// Checks the echo of the identities.
+    /// Returns whether an answer carries the IDs of this request and attempt.
     ///
-    /// An answer to another call, taken for ours, would hand one caller's result to another. An
-    /// agent that does not know the attempt cannot name its request, so that a refusal, which
-    /// carries nothing, need only name the attempt.
-    fn is_ours(&self, progress: &stage::Progress) -> bool {
+    /// Without this check a misdirected answer would give one caller's result to another. An agent
+    /// that does not know the attempt cannot know its request, so that for a refusal without
+    /// chunks the attempt ID suffices.
+    fn matches_attempt(&self, progress: &stage::Progress) -> bool {
         let refused = matches!(progress.state, stage::State::Refused(_));
         let same = progress.request == self.request || refused && progress.chunks.is_empty();
         same && progress.attempt == self.sent.id
     }
 
-    /// Checks an answer and adds its chunks.
-    fn take(mut self, progress: stage::Progress) -> Step {
-        if !self.is_ours(&progress) {
+    /// Verifies an answer and adds its chunks to the result.
+    fn apply_progress(mut self, progress: stage::Progress) -> Step {
+        if !self.matches_attempt(&progress) {
             return Step::Refused(self.sent.lost(verdict::Reason::Corrupt));
         }
         let mut tail = String::new();
         for chunk in &progress.chunks {
-            match self.joiner.push(chunk) {
+            match self.assembler.push(chunk) {
                 Ok(true) => tail.push_str(&chunk.text),
                 Ok(false) => {}
                 Err(_) => return Step::Refused(self.sent.lost(verdict::Reason::Corrupt)),
@@ -325,16 +330,16 @@
         match progress.state {
             stage::State::Queued | stage::State::Running => Step::More(self, tail),
             stage::State::Refused(refusal) => {
-                // The agent keeps the verdict until it hears that it was received, and a stop of
-                // the agent would wait for that until its limit.
+                // Acknowledges the refusal. The agent keeps it until then, which would delay a
+                // graceful shutdown of the agent up to its limit.
                 tokio::spawn(self.canceller().cancel());
                 Step::Refused(self.sent.refused(refusal))
             }
-            stage::State::Done(end) if self.joiner.next_number() < end.count => {
+            stage::State::Done(end) if self.assembler.next_number() < end.count => {
                 Step::More(self, tail)
             }
-            stage::State::Done(end) => match self.joiner.finish(&end) {
-                Ok(text) => Step::Whole(Whole { tail, text, end }),
+            stage::State::Done(end) => match self.assembler.finish(&end) {
+                Ok(text) => Step::Complete(Completed { tail, text, end }),
                 Err(_) => Step::Refused(self.sent.lost(verdict::Reason::Corrupt)),
             },
         }
--- a/laburnumcart_entry/src/members.rs
+++ b/laburnumcart_entry/src/members.rs
@@ -90,7 +90,7 @@
 /// Lanes to the agents that are or were listed.
 #[derive(Debug)]
 pub struct Members {
-    caller: links::Caller,
+    caller: links::Config,
     data_centre: id::DataCentre,
     runtime: runtime::Handle,
     lanes: collections::BTreeMap<net::SocketAddr, Member>,
@@ -116,7 +116,7 @@
 impl Members {
     /// Creates an empty set whose lanes run on `runtime`.
     pub fn new(
-        caller: links::Caller,
+        caller: links::Config,
         data_centre: id::DataCentre,
         runtime: runtime::Handle,
     ) -> Self {
@@ -158,7 +158,7 @@
         for service in self.agents.iter().filter_map(|i| i.service.as_ref()) {
             *counts.entry(service.clone()).or_default() += 1;
         }
-        let idle = self.caller.timing.idle;
+        let idle = self.caller.timing.idle_period;
         let size = subset::size(BEAT_BYTES, idle, counts.values().copied());
         let size = size.max(SUBSET_MIN);
         self.widths
@@ -177,7 +177,7 @@
     fn count(&self, service: &id::ServiceName) -> (usize, usize) {
         let kept = self.lanes.values();
         let kept = kept.filter(|m| m.service == *service && self.chosen.contains(&m.lane.addr));
-        let usable = |m: &&Member| m.lane.is_opening() || m.lane.takes(service);
+        let usable = |m: &&Member| m.lane.is_connecting() || m.lane.accepts_work(service);
         (kept.clone().count(), kept.filter(usable).count())
     }
 
@@ -234,7 +234,7 @@
     fn idle(&self, lanes: usize, kept: usize, all: usize) -> time::Duration {
         let there = (self.entries.len() * kept).div_ceil(all.max(1));
         let period = subset::heartbeat_period(BEAT_BYTES, lanes.max(there));
-        period.min(IDLE_MAX).max(self.caller.timing.idle)
+        period.min(IDLE_MAX).max(self.caller.timing.idle_period)
     }
 
     fn open(&mut self, instance: &Instance, service: &id::ServiceName, idle: time::Duration) {
@@ -246,7 +246,7 @@
         });
         member.service = service.clone();
         member.data_centre = instance.data_centre.clone();
-        member.lane.set_idle(idle);
+        member.lane.set_idle_period(idle);
     }
 
     /// Iterates over the agents.
--- a/laburnumcart_entry/src/policy.rs
+++ b/laburnumcart_entry/src/policy.rs
@@ -1,6 +1,6 @@
-//! Decisions on requests and attempts, with what they are learnt from.
+//! Admission, retry, hedging and outlier decisions, and the statistics they are based on.
 //!
-//! The state is small and each decision short, so that one lock serves all traffic threads.
+//! All traffic threads share one lock: the state is small and it is held only briefly.
 
 use std::{
     collections,
@@ -29,22 +29,21 @@
 
 use crate::request;
 
-/// Most of a service's targets that are excluded at a time.
-const EJECTED_MAX: unit::Share = unit::Share(0.34);
+/// Largest share of a service's targets that is ejected at a time.
+const MAX_EJECTED: unit::Share = unit::Share(0.34);
 
-/// Quantile of a stage's time after which an attempt is a straggler.
-const STRAGGLER: f64 = 0.95;
+/// Quantile of a stage's duration above which an attempt is a straggler.
+const STRAGGLER_QUANTILE: f64 = 0.95;
 
-/// Time for which a stage is measured before an attempt of it can be a straggler.
-const WARM: time::Duration = time::Duration::from_secs(10);
+/// Time from the first result of a stage until its attempts can be stragglers.
+const WARMUP_TIME: time::Duration = time::Duration::from_secs(10);
 
-/// Multiple of the time expected at its dispatch after which an attempt is a straggler.
-const SLOWER: u32 = 3;
+/// Smallest multiple of the duration expected at dispatch that makes an attempt a straggler.
+const STRAGGLER_FACTOR: u32 = 3;
 
-/// A stage of a pipeline.
 type Key = (id::PipelineName, id::StageName);
 
-/// Decisions of one entry.
+/// Decides on the requests and attempts of one entry.
 #[derive(Debug)]
 pub struct Policy {
     state: Mutex<State>,
@@ -55,33 +54,33 @@
     admission: admission::Controller,
     teams: collections::HashMap<id::TeamName, admission::TeamKey>,
     services: collections::HashMap<id::ServiceName, Service>,
-    /// Time that targets spent; tells what can still finish.
+    /// Processing time at the target, to estimate whether a request can meet its deadline.
     busy: estimate::Estimates<Key>,
-    /// Time from dispatch to the whole result; tells what is slow.
+    /// Time from dispatch to the complete result, to detect stragglers.
     elapsed: estimate::Estimates<Key>,
-    /// When the first result of a stage came.
-    since: collections::HashMap<Key, time::Instant>,
-    drain: estimate::Throughput,
+    /// Arrival time of each stage's first result.
+    first_results: collections::HashMap<Key, time::Instant>,
+    throughput: estimate::Throughput,
 }
 
 #[derive(Debug)]
 struct Service {
     retries: budget::Budget,
     hedges: budget::Budget,
-    ejector: outlier::Detector,
+    outliers: outlier::Detector,
     targets: collections::HashMap<id::TargetName, outlier::TargetKey>,
 }
 
-/// An attempt that has ended.
+/// Outcome of an attempt.
 #[derive(Clone, Copy, Debug)]
-pub struct Ended<'a> {
+pub struct AttemptEnd<'a> {
     /// Service of the target.
     pub service: &'a id::ServiceName,
-    /// The target.
+    /// Target of the attempt.
     pub target: &'a id::TargetName,
     /// Time since the attempt was sent.
     pub elapsed: time::Duration,
-    /// `None` when the result is whole.
+    /// Refusal; `None` if the result is complete.
     pub refusal: Option<verdict::Refusal>,
 }
 
@@ -95,21 +94,21 @@
                 services: collections::HashMap::new(),
                 busy: estimate::Estimates::default(),
                 elapsed: estimate::Estimates::default(),
-                since: collections::HashMap::new(),
-                drain: estimate::Throughput::new(now),
+                first_results: collections::HashMap::new(),
+                throughput: estimate::Throughput::new(now),
             }),
         }
     }
 }
 
 impl Policy {
-    /// Admits a request or refuses it as not run.
+    /// Admits a request, or refuses it before any of it has executed.
     pub fn admit(self: &Arc<Self>, head: &request::Head) -> Result<Admitted, verdict::Refusal> {
         let now = time::Instant::now();
         let mut state = self.lock();
-        state.check(head, now)?;
+        state.check_deadline(head, now)?;
         let weight = head.rules.bundle.teams[&head.team].weight;
-        let key = state.team(&head.team, weight);
+        let key = state.team_key(&head.team, weight);
         state
             .admission
             .admit(key, head.priority, now, &mut rand::rng())?;
@@ -121,10 +120,10 @@
         })
     }
 
-    /// Forgets the teams, stages and services that a new bundle has no more.
+    /// Drops the state of teams, stages and services that are not in a new bundle.
     ///
-    /// A stage's samples take tens of kilobytes. A request of an older generation may bring a few
-    /// back, which the next bundle's turn takes away.
+    /// The samples of one stage take tens of kilobytes. A request of an older generation may add an
+    /// entry again; it is dropped when the next bundle is applied.
     pub fn prune(&self, bundle: &bundle::Bundle) {
         let mut state = self.lock();
         let State {
@@ -133,7 +132,7 @@
             services,
             busy,
             elapsed,
-            since,
+            first_results: since,
             ..
         } = &mut *state;
         let is_known = |(pipeline, stage): &Key| {
@@ -153,36 +152,36 @@
         });
     }
 
-    /// Returns the least time that a request needs from a stage on.
-    pub fn rest(&self, head: &request::Head, from: usize) -> time::Duration {
-        self.lock().rest(head, from, time::Instant::now())
+    /// Returns the expected time of the stages from index `from` on.
+    pub fn expected_rest(&self, head: &request::Head, from: usize) -> time::Duration {
+        self.lock().expected_rest(head, from, time::Instant::now())
     }
 
-    /// Takes note that an attempt is sent.
-    pub fn started(&self, service: &id::ServiceName, target: &id::TargetName) {
+    /// Records that an attempt was sent.
+    pub fn record_sent(&self, service: &id::ServiceName, target: &id::TargetName) {
         let now = time::Instant::now();
         let mut state = self.lock();
         let service = state.service(service, now);
-        let key = service.key(target);
-        service.ejector.record_send(key, now);
+        let key = service.target_key(target);
+        service.outliers.record_send(key, now);
         service.hedges.deposit(now);
     }
 
-    /// Takes in how an attempt ended.
-    pub fn ended(&self, ended: &Ended<'_>) {
+    /// Records the outcome of an attempt.
+    pub fn record_end(&self, ended: &AttemptEnd<'_>) {
         let now = time::Instant::now();
         let mut state = self.lock();
         let service = state.service(ended.service, now);
-        let key = service.key(ended.target);
+        let key = service.target_key(ended.target);
         let Some(refusal) = ended.refusal else {
             let outcome = outlier::Outcome::Success(ended.elapsed);
-            service.ejector.record_outcome(key, outcome, now);
+            service.outliers.record_outcome(key, outcome, now);
             service.retries.deposit(now);
             return;
         };
-        if is_fault(refusal.reason) {
+        if is_target_fault(refusal.reason) {
             service
-                .ejector
+                .outliers
                 .record_outcome(key, outlier::Outcome::Failure, now);
         }
         if retry::is_overload(refusal.reason) {
@@ -190,8 +189,8 @@
         }
     }
 
-    /// Takes in what a whole result took.
-    pub fn took(
+    /// Records the processing time and the total time of an attempt with a complete result.
+    pub fn record_duration(
         &self,
         head: &request::Head,
         stage: &id::StageName,
@@ -202,12 +201,13 @@
         let key = (head.pipeline.clone(), stage.clone());
         let mut state = self.lock();
         state.busy.record(key.clone(), busy, now);
-        state.since.entry(key.clone()).or_insert(now);
+        state.first_results.entry(key.clone()).or_insert(now);
         state.elapsed.record(key, elapsed, now);
     }
 
-    /// Decides what follows a failed attempt.
-    pub fn retry(
+    /// Decides whether a failed attempt is retried; `needed` is the expected time of this
+    /// stage and those after it.
+    pub fn decide_retry(
         &self,
         head: &request::Head,
         service: &id::ServiceName,
@@ -227,9 +227,9 @@
         attempts.decide(failure, time, retries)
     }
 
-    /// Decides whether an attempt that runs is raced by a second one; `expected` is the time that
-    /// it was expected to take when it was sent.
-    pub fn hedge(
+    /// Decides whether to hedge an attempt in flight; `expected` is its duration as estimated at
+    /// dispatch.
+    pub fn decide_hedge(
         &self,
         head: &request::Head,
         stage: &bundle::Stage,
@@ -243,23 +243,23 @@
         let now = time::Instant::now();
         let key = (head.pipeline.clone(), stage.name.clone());
         let mut state = self.lock();
-        // In a burst all attempts take longer than those before it, as they wait. That was expected
-        // when they were sent, and seconds of them would only lengthen the burst.
-        let quantile = state.slow(&key, now);
+        // In a burst, attempts queue and exceed the usual quantile. Their estimate at dispatch
+        // includes that wait, and hedging them would only prolong the burst.
+        let quantile = state.straggler_threshold(&key, now);
         let attempt = hedge::Attempt {
-            idempotent: head.stage_idempotent(stage),
+            idempotent: head.is_stage_idempotent(stage),
             hedged: false,
             elapsed,
             remaining: head.remaining(),
             median: state.elapsed.quantile(&key, 0.5, now),
-            quantile: quantile.map(|quantile| quantile.max(expected * SLOWER)),
+            quantile: quantile.map(|quantile| quantile.max(expected * STRAGGLER_FACTOR)),
         };
         let hedges = &mut state.service(&stage.service, now).hedges;
         hedges.set_ratio(ratio);
         hedge::decide(&attempt, hedges, now)
     }
 
-    /// Reports whether a target is excluded as an outlier.
+    /// Returns whether a target is ejected as an outlier.
     pub fn is_ejected(&self, service: &id::ServiceName, target: &id::TargetName) -> bool {
         let now = time::Instant::now();
         let state = self.lock();
@@ -267,17 +267,19 @@
             return false;
         };
         let key = service.targets.get(target);
-        key.is_some_and(|key| !service.ejector.can_send(*key, now))
+        key.is_some_and(|key| !service.outliers.can_send(*key, now))
     }
 
-    /// Forgets the targets of a service that are not in `known`.
-    pub fn keep(&self, service: &id::ServiceName, known: &[id::TargetName]) {
+    /// Drops the state of a service's targets that are not in `known`.
+    pub fn retain_targets(&self, service: &id::ServiceName, known: &[id::TargetName]) {
         let mut state = self.lock();
         let Some(service) = state.services.get_mut(service) else {
             return;
         };
         let Service {
-            targets, ejector, ..
+            targets,
+            outliers: ejector,
+            ..
         } = service;
         targets.retain(|target, key| {
             let kept = known.contains(target);
@@ -294,32 +296,41 @@
 }
 
 impl State {
-    fn check(&mut self, head: &request::Head, now: time::Instant) -> Result<(), verdict::Refusal> {
-        let outlook = estimate::Remaining {
+    fn check_deadline(
+        &mut self,
+        head: &request::Head,
+        now: time::Instant,
+    ) -> Result<(), verdict::Refusal> {
+        let estimate = estimate::Remaining {
             remaining: head.remaining(),
             ahead: 0,
-            rest: self.rest(head, 0, now),
+            rest: self.expected_rest(head, 0, now),
         };
-        estimate::check(&outlook, &mut self.drain, now, &mut rand::rng())
+        estimate::check(&estimate, &mut self.throughput, now, &mut rand::rng())
     }
 
-    fn rest(&self, head: &request::Head, from: usize, now: time::Instant) -> time::Duration {
-        let stages = head.stages().stages.iter().skip(from);
+    fn expected_rest(
+        &self,
+        head: &request::Head,
+        from: usize,
+        now: time::Instant,
+    ) -> time::Duration {
+        let stages = head.definition().stages.iter().skip(from);
         let keys = stages.map(|stage| (head.pipeline.clone(), stage.name.clone()));
         self.busy.expected_rest(keys, head.priority, now)
     }
 
-    /// Returns the time after which an attempt is slow, once that is known.
+    /// Returns the duration above which an attempt is a straggler; `None` during warm-up.
     ///
-    /// The first results after a start come from idle targets and cold caches. Measured by them, all
-    /// that follows in the first burst would be a straggler.
-    fn slow(&self, key: &Key, now: time::Instant) -> Option<time::Duration> {
-        let since = self.since.get(key)?;
-        let known = now.saturating_duration_since(*since) >= WARM;
-        known.then(|| self.elapsed.quantile(key, STRAGGLER, now))?
+    /// The first results come from idle targets and cold caches, and would make every attempt of
+    /// the first burst a straggler.
+    fn straggler_threshold(&self, key: &Key, now: time::Instant) -> Option<time::Duration> {
+        let first = self.first_results.get(key)?;
+        let is_warm = now.saturating_duration_since(*first) >= WARMUP_TIME;
+        is_warm.then(|| self.elapsed.quantile(key, STRAGGLER_QUANTILE, now))?
     }
 
-    fn team(&mut self, team: &id::TeamName, weight: u32) -> admission::TeamKey {
+    fn team_key(&mut self, team: &id::TeamName, weight: u32) -> admission::TeamKey {
         if let Some(key) = self.teams.get(team) {
             self.admission.set_weight(*key, weight);
             return *key;
@@ -335,7 +346,7 @@
             Service {
                 retries: budget::Budget::new(limits.retry_ratio, now),
                 hedges: budget::Budget::new(limits.hedge_ratio, now),
-                ejector: outlier::Detector::new(EJECTED_MAX, now),
+                outliers: outlier::Detector::new(MAX_EJECTED, now),
                 targets: collections::HashMap::new(),
             }
         })
@@ -343,25 +354,25 @@
 }
 
 impl Service {
-    fn key(&mut self, target: &id::TargetName) -> outlier::TargetKey {
+    fn target_key(&mut self, target: &id::TargetName) -> outlier::TargetKey {
         if let Some(key) = self.targets.get(target) {
             return *key;
         }
-        let key = self.ejector.add();
+        let key = self.outliers.add();
         self.targets.insert(target.clone(), key);
         key
     }
 }
 
-/// Reports whether a refusal speaks against the target.
-fn is_fault(reason: verdict::Reason) -> bool {
+/// Returns whether a refusal counts as a failure of the target in outlier detection.
+fn is_target_fault(reason: verdict::Reason) -> bool {
     matches!(
         reason,
         verdict::Reason::TargetFailed | verdict::Reason::Lost | verdict::Reason::Corrupt
     )
 }
 
-/// A request that counts against its team's share until it is dropped.
+/// An admitted request; counts against its team's share until dropped.
 #[derive(Debug)]
 pub struct Admitted {
     policy: Arc<Policy>,
@@ -370,8 +381,8 @@
 }
 
 impl Admitted {
-    /// Sets how the request ended.
-    pub fn end(&mut self, refusal: Option<&verdict::Refusal>) {
+    /// Sets the outcome that is recorded on drop; `None` means success.
+    pub fn set_outcome(&mut self, refusal: Option<&verdict::Refusal>) {
         self.outcome = refusal.map_or(admission::Outcome::Done, |refusal| {
             admission::Outcome::Refused(refusal.reason)
         });
--- a/laburnumcart_entry/src/request.rs
+++ b/laburnumcart_entry/src/request.rs
@@ -1,4 +1,4 @@
-//! Admission of a caller's request.
+//! Validation of a caller's request: credentials, idempotency, deadline and body.
 
 use std::sync::Arc;
 
@@ -17,100 +17,100 @@
 
 use crate::control;
 
-/// Longest idempotency key in bytes.
-pub const KEY_MAX: usize = 256;
+/// Maximum length of an idempotency key in bytes.
+pub const MAX_KEY_BYTES: usize = 256;
 
-/// What a caller sent, before any check but the limits of HTTP.
+/// Headers and path of a request as received; only the HTTP size limits were checked.
 #[derive(Clone, Debug, Default)]
-pub struct Asked {
+pub struct Unchecked {
     /// Name of the pipeline.
     pub pipeline: String,
     /// Bearer token.
     pub token: Option<String>,
     /// Idempotency key.
     pub key: Option<String>,
-    /// Whether the caller allows that the request executes more than once.
+    /// Value of the header that permits or forbids repeated execution.
     pub idempotent: Option<String>,
-    /// Deadline that the caller wants.
+    /// Requested deadline, as a duration.
     pub deadline: Option<String>,
     /// W3C trace context.
     pub traceparent: Option<String>,
 }
 
-/// A request that passed the checks of its head.
+/// Validated head of a request.
 #[derive(Clone, Debug)]
 pub struct Head {
-    /// Identity.
+    /// Request ID.
     pub id: id::RequestId,
-    /// Rules that hold for the request to its end.
+    /// Configuration that applies to the request until it ends.
     pub rules: Arc<control::Rules>,
-    /// Team that is charged.
+    /// Team that the request is charged to.
     pub team: id::TeamName,
     /// Name of the pipeline.
     pub pipeline: id::PipelineName,
-    /// Priority under contention.
+    /// Scheduling priority.
     pub priority: bundle::Priority,
-    /// Moment of arrival.
+    /// Time of arrival.
     pub arrived: time::Instant,
-    /// Moment at which the whole answer is due.
+    /// Time by which the complete answer must be available.
     pub deadline: time::Instant,
-    /// Whether the whole request may execute more than once.
+    /// Whether the whole request may execute more than at_most_once.
     pub idempotent: bool,
-    /// Whether the caller forbade that it executes more than once.
-    once: bool,
+    /// Whether the caller requires execution at most at_most_once.
+    at_most_once: bool,
     /// Idempotency key.
     pub key: Option<String>,
     /// W3C trace context of the caller.
     pub traceparent: Option<traces::Traceparent>,
 }
 
-/// A request as it runs.
+/// A validated request with its body.
 #[derive(Clone, Debug)]
 pub struct Request {
-    /// What the checks of its head yielded.
+    /// Validated head.
     pub head: Head,
     /// Body as JSON text.
     pub input: Box<value::RawValue>,
-    /// Digest of team, pipeline and body.
+    /// Hash of team, pipeline and body.
     pub fingerprint: id::Fingerprint,
-    /// Key of the prompt's prefix, if the pipeline has an engine.
+    /// Prefix-cache key of the prompt, if the pipeline has an engine stage.
     pub prefix: Option<u64>,
 }
 
 impl Head {
-    /// Checks all but the body; whatever is refused here has not run.
+    /// Validates everything but the body; nothing of a refused request has executed.
     pub fn check(
-        asked: Asked,
+        unchecked: Unchecked,
         rules: Arc<control::Rules>,
         now: time::Instant,
     ) -> Result<Self, verdict::Reason> {
-        let token = asked.token.ok_or(verdict::Reason::Unauthorized)?;
+        let token = unchecked.token.ok_or(verdict::Reason::Unauthorized)?;
         let team = rules
             .team(token.as_bytes())
             .ok_or(verdict::Reason::Unauthorized)?
             .clone();
         let unknown = verdict::Reason::UnknownPipeline;
-        let name: id::PipelineName = asked.pipeline.parse().map_err(|_| unknown)?;
+        let name: id::PipelineName = unchecked.pipeline.parse().map_err(|_| unknown)?;
         let promise = rules.bundle.teams[&team].pipelines.get(&name);
         let promise = promise.ok_or(unknown)?.clone();
         let pipeline = rules.bundle.pipelines.get(&name).ok_or(unknown)?;
-        let once = is_once(asked.idempotent.as_deref())?;
-        let idempotent = !once
+        let at_most_once = parse_at_most_once(unchecked.idempotent.as_deref())?;
+        let idempotent = !at_most_once
             && pipeline
                 .stages
                 .iter()
-                .all(|s| may_repeat(pipeline, s, once));
-        if !idempotent && asked.key.is_none() {
+                .all(|s| is_idempotent(pipeline, s, at_most_once));
+        if !idempotent && unchecked.key.is_none() {
             return Err(verdict::Reason::KeyMissing);
         }
-        if asked
+        if unchecked
             .key
             .as_ref()
-            .is_some_and(|k| k.is_empty() || k.len() > KEY_MAX)
+            .is_some_and(|k| k.is_empty() || k.len() > MAX_KEY_BYTES)
         {
             return Err(verdict::Reason::TooLarge);
         }
-        let period = deadline(asked.deadline.as_deref(), promise.deadline)?;
+        let period = parse_deadline(unchecked.deadline.as_deref(), promise.deadline)?;
         Ok(Self {
             id: id::RequestId::random(),
             team,
@@ -119,25 +119,25 @@
             arrived: now,
             deadline: now + period.0,
             idempotent,
-            once,
-            key: asked.key,
-            // A malformed context is ignored, as the W3C wants it.
-            traceparent: asked.traceparent.and_then(|text| text.parse().ok()),
+            at_most_once,
+            key: unchecked.key,
+            // W3C Trace Context requires that a malformed header is ignored.
+            traceparent: unchecked.traceparent.and_then(|text| text.parse().ok()),
             rules,
         })
     }
 
-    /// Returns the pipeline's definition.
-    pub fn stages(&self) -> &bundle::Pipeline {
+    /// Returns the definition of the pipeline.
+    pub fn definition(&self) -> &bundle::Pipeline {
         &self.rules.bundle.pipelines[&self.pipeline]
     }
 
-    /// Returns whether a stage may execute more than once.
-    pub fn stage_idempotent(&self, stage: &bundle::Stage) -> bool {
-        may_repeat(self.stages(), stage, self.once)
+    /// Returns whether a stage may execute more than at_most_once.
+    pub fn is_stage_idempotent(&self, stage: &bundle::Stage) -> bool {
+        is_idempotent(self.definition(), stage, self.at_most_once)
     }
 
-    /// Returns the time that is left.
+    /// Returns the time until the deadline.
     pub fn remaining(&self) -> time::Duration {
         self.deadline
             .saturating_duration_since(time::Instant::now())
@@ -146,11 +146,11 @@
     fn has_engine(&self) -> bool {
         let services = &self.rules.bundle.services;
         let kind = |stage: &bundle::Stage| services.get(&stage.service).map(|s| s.kind);
-        let mut stages = self.stages().stages.iter();
+        let mut stages = self.definition().stages.iter();
         stages.any(|stage| kind(stage) == Some(bundle::Kind::Engine))
     }
 
-    /// Adds the body.
+    /// Parses the body and adds it to the head.
     pub fn with_body(self, body: &[u8]) -> Result<Request, verdict::Reason> {
         let input: Box<value::RawValue> =
             serde_json::from_slice(body).map_err(|_| verdict::Reason::Invalid)?;
@@ -167,22 +167,28 @@
     }
 }
 
-/// Reads what the caller says about repetition.
-fn is_once(asked: Option<&str>) -> Result<bool, verdict::Reason> {
-    match asked {
+/// Parses the caller's header; returns true if it forbids repeated execution.
+fn parse_at_most_once(unchecked: Option<&str>) -> Result<bool, verdict::Reason> {
+    match unchecked {
         None | Some("true") => Ok(false),
         Some("false") => Ok(true),
         Some(_) => Err(verdict::Reason::Invalid),
     }
 }
 
-/// A stage's own word goes before its caller's, which goes before its pipeline's.
-fn may_repeat(pipeline: &bundle::Pipeline, stage: &bundle::Stage, once: bool) -> bool {
-    stage.idempotent.unwrap_or(pipeline.idempotent && !once)
+/// Returns whether a stage may execute more than at_most_once. The stage's own setting takes precedence
+/// over the caller's header, which takes precedence over the pipeline's default.
+fn is_idempotent(pipeline: &bundle::Pipeline, stage: &bundle::Stage, at_most_once: bool) -> bool {
+    stage
+        .idempotent
+        .unwrap_or(pipeline.idempotent && !at_most_once)
 }
 
-fn deadline(asked: Option<&str>, promised: unit::Period) -> Result<unit::Period, verdict::Reason> {
-    let Some(text) = asked else {
+fn parse_deadline(
+    unchecked: Option<&str>,
+    promised: unit::Period,
+) -> Result<unit::Period, verdict::Reason> {
+    let Some(text) = unchecked else {
         return Ok(promised);
     };
     let period: unit::Period = text.parse().map_err(|_| verdict::Reason::Invalid)?;
--- a/laburnumcart_entry/src/routes.rs
+++ b/laburnumcart_entry/src/routes.rs
@@ -1,4 +1,4 @@
-//! Targets of one service with the lanes to them.
+//! Routing table of one service: its targets and the lanes to their agents.
 
 use std::{
     sync::{
@@ -17,7 +17,7 @@
 
 use crate::links;
 
-/// Immutable table of one service's targets; positions are those of the lanes.
+/// Immutable routing table of one service; lanes and targets share their indices.
 #[derive(Clone, Debug)]
 pub struct Routes {
     service: id::ServiceName,
@@ -25,53 +25,57 @@
     lanes: Vec<Arc<links::Lane>>,
 }
 
-/// Lane with the data centre it leads to.
+/// A lane with the attributes that its routing depends on.
 #[derive(Clone, Debug)]
-pub struct Way {
+pub struct Route {
     /// The lane.
     pub lane: Arc<links::Lane>,
-    /// Whether it leads to the own data centre.
+    /// Whether its agent is in this process's data centre.
     pub local: bool,
-    /// Time that a call takes longer than one in the own data centre.
-    pub crossing: time::Duration,
-    /// Whether its agent is known to accept no new work.
+    /// Latency in excess of a call within the own data centre.
+    pub extra_latency: time::Duration,
+    /// Whether its agent is known to refuse new work because it is shutting down.
     pub leaving: bool,
-    /// Whether its target is excluded as an outlier.
+    /// Whether its target is ejected as an outlier.
     pub ejected: bool,
 }
 
 impl Routes {
-    /// Creates the table from the last reports; agents that never reported are left out.
-    pub fn new(service: id::ServiceName, mut ways: Vec<Way>) -> Self {
-        ways.retain(|way| way.lane.report().is_some());
-        // The table puts local targets first and keeps the order otherwise; so does this.
-        ways.sort_by_key(|way| !way.local);
-        let targets = ways
+    /// Creates the table from the latest reports; agents without a report are omitted.
+    pub fn new(service: id::ServiceName, mut routes: Vec<Route>) -> Self {
+        routes.retain(|route| route.lane.report().is_some());
+        // Same stable order as that of `balancer::Table`: local targets first.
+        routes.sort_by_key(|route| !route.local);
+        let targets = routes
             .iter()
-            .filter_map(|way| target(&service, way))
+            .filter_map(|route| balancer_target(&service, route))
             .collect();
         Self {
             service,
             table: balancer::Table::new(targets),
-            lanes: ways.into_iter().map(|way| way.lane).collect(),
+            lanes: routes.into_iter().map(|route| route.lane).collect(),
         }
     }
 
-    /// Chooses a lane that works now; what is in `tried` comes last.
+    /// Chooses a lane whose agent accepts work; agents in `tried` are used only if no other does.
     pub fn choose(&self, tried: &[std::net::SocketAddr], prefix: Option<u64>) -> Option<Chosen> {
         let is_tried = |i: &usize| tried.contains(&self.lanes[*i].addr);
-        let mut out: Vec<usize> = (0..self.lanes.len()).filter(is_tried).collect();
-        // When all were tried the last refusal was a moment ago, but it proved that nothing ran.
-        self.search(&mut out, prefix)
-            .or_else(|| self.search(&mut Vec::new(), prefix))
+        let mut excluded: Vec<usize> = (0..self.lanes.len()).filter(is_tried).collect();
+        // A retry at the same target is safe: its refusal proved that nothing was executed.
+        self.choose_excluding(&mut excluded, prefix)
+            .or_else(|| self.choose_excluding(&mut Vec::new(), prefix))
     }
 
-    /// Chooses the lane at which all entries' attempts of a suspect meet.
+    /// Chooses the target for suspect content by its fingerprint, the same one in all entries.
     ///
-    /// The agent lets one suspect run at a time. On different targets, two attempts of the same
-    /// content would crash both before either is a fact.
-    pub fn home(&self, print: id::Fingerprint, tried: &[std::net::SocketAddr]) -> Option<Chosen> {
-        let takes = |i: usize| self.lanes[i].takes(&self.service);
+    /// The agent runs one suspect at a time. On different targets, two attempts with the same
+    /// content could crash both before either crash is known elsewhere.
+    pub fn choose_by_content(
+        &self,
+        print: id::Fingerprint,
+        tried: &[std::net::SocketAddr],
+    ) -> Option<Chosen> {
+        let takes = |i: usize| self.lanes[i].accepts_work(&self.service);
         let fresh = |i: usize| takes(i) && !tried.contains(&self.lanes[i].addr);
         let key = print.0 as u64;
         let home = self.table.find_by_key(key, fresh);
@@ -83,67 +87,69 @@
         })
     }
 
-    fn search(&self, out: &mut Vec<usize>, prefix: Option<u64>) -> Option<Chosen> {
-        let own = |i: usize| self.lanes[i].running.load(Ordering::Relaxed);
+    fn choose_excluding(&self, excluded: &mut Vec<usize>, prefix: Option<u64>) -> Option<Chosen> {
+        let own = |i: usize| self.lanes[i].in_flight.load(Ordering::Relaxed);
         loop {
-            let ask = balancer::Request {
-                tried: out,
+            let request = balancer::Request {
+                tried: excluded,
                 prefix,
                 own: &own,
                 now: Instant::now(),
             };
-            let chosen = self.table.choose(&ask, &mut rand::rng())?;
-            // The table is a moment old: the agent may have left since, or its connection broken.
-            if self.lanes[chosen].takes(&self.service) {
+            let chosen = self.table.choose(&request, &mut rand::rng())?;
+            // The table is a snapshot: the agent may have started to leave since, or its connection
+            // may have failed.
+            if self.lanes[chosen].accepts_work(&self.service) {
                 return Some(Chosen {
                     lane: self.lanes[chosen].clone(),
-                    expected: self.table.expected_time(chosen, &ask),
+                    expected: self.table.expected_time(chosen, &request),
                     is_free: self.is_free(chosen),
                 });
             }
-            out.push(chosen);
+            excluded.push(chosen);
         }
     }
 
-    /// Reports whether an attempt sent now would not wait, as far as is known.
+    /// Returns whether an attempt sent now would start without queueing, by the latest report.
     fn is_free(&self, i: usize) -> bool {
         let load = &self.table.targets()[i].load;
-        let own = self.lanes[i].running.load(Ordering::Relaxed);
+        let own = self.lanes[i].in_flight.load(Ordering::Relaxed);
         let others = load.pending.saturating_sub(load.own);
         own + others < load.limit.max(1)
     }
 
     /// Returns the names of the targets.
-    pub fn targets(&self) -> Vec<id::TargetName> {
+    pub fn target_names(&self) -> Vec<id::TargetName> {
         let targets = self.table.targets().iter();
         targets.map(|target| target.name.clone()).collect()
     }
 
-    /// Returns the lanes.
+    /// Returns the lanes to all targets.
     pub fn lanes(&self) -> &[Arc<links::Lane>] {
         &self.lanes
     }
 }
 
-/// A target that was chosen for an attempt.
+/// Lane chosen for an attempt.
 #[derive(Clone, Debug)]
 pub struct Chosen {
-    /// Lane to its agent.
+    /// Lane to the target's agent.
     pub lane: Arc<links::Lane>,
-    /// Time until an attempt sent now has finished, its wait included.
+    /// Expected time until an attempt sent now completes, including queueing.
     pub expected: time::Duration,
-    /// Whether an attempt sent now would not wait.
+    /// Whether an attempt sent now would start without queueing.
     pub is_free: bool,
 }
 
-fn target(service: &id::ServiceName, way: &Way) -> Option<balancer::Target> {
-    let seen = way.lane.report()?;
-    let report = &seen.report;
-    let state = if way.lane.connection().is_none() || !report.ready || report.service != *service {
+fn balancer_target(service: &id::ServiceName, route: &Route) -> Option<balancer::Target> {
+    let received = route.lane.report()?;
+    let report = &received.report;
+    let state = if route.lane.connection().is_none() || !report.ready || report.service != *service
+    {
         balancer::State::Down
-    } else if report.leaving || way.leaving {
+    } else if report.leaving || route.leaving {
         balancer::State::Leaving
-    } else if way.ejected {
+    } else if route.ejected {
         balancer::State::Ejected
     } else {
         balancer::State::Ready
@@ -153,12 +159,12 @@
         state,
         load: balancer::Load {
             pending: report.load.running + report.load.queued,
-            own: seen.own,
+            own: received.own,
             limit: report.load.limit,
             service_time: report.load.service.0,
-            at: seen.at,
+            at: received.received_at,
         },
-        local: way.local,
-        extra_latency: way.crossing,
+        local: route.local,
+        extra_latency: route.extra_latency,
     })
 }
--- a/laburnumcart_entry/src/run.rs
+++ b/laburnumcart_entry/src/run.rs
@@ -167,7 +167,7 @@
         .metrics(counters)
         .start(Arc::new(store.clone()), peers.clone());
     entry.set_claims(Arc::new(claimed::Local { service, peers }));
-    let caller = links::Caller {
+    let caller = links::Config {
         instance: settings.instance.clone(),
         incarnation: entry.identity.incarnation,
         peer: settings.peer,
--- a/laburnumcart_entry/tests/it/agent.rs
+++ b/laburnumcart_entry/tests/it/agent.rs
@@ -1,4 +1,4 @@
-//! A small agent: keeps attempts, sessions and fences as the protocol says.
+//! Fake agent that implements attempts, sessions and fencing as the protocol demands.
 
 use std::{
     collections, net,
@@ -28,32 +28,32 @@
     stage, //
 };
 
-use crate::bench;
+use crate::fixture;
 
-/// How the target behaves.
+/// Behaviour of the fake target.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Plan {
+pub(crate) struct Behaviour {
     /// Pieces of an engine's text; empty for a pool.
     pub(crate) pieces: Vec<String>,
     /// Whether each step of an execution waits for a permit.
     pub(crate) gated: bool,
-    /// Number of starts that are refused as not run first.
+    /// Number of first calls that are refused as not run.
     pub(crate) refuse: u32,
-    /// Number of executions that fail after one piece first.
+    /// Number of first executions that fail after one piece.
     pub(crate) crash: u32,
 }
 
 #[derive(Debug)]
-struct Kept {
+struct Attempt {
     request: id::RequestId,
     chunks: Vec<stage::Chunk>,
     end: Option<Result<stage::End, verdict::Refusal>>,
 }
 
 #[derive(Debug, Default)]
-struct Inner {
+struct State {
     fences: collections::HashMap<id::Incarnation, u64>,
-    kept: collections::HashMap<id::AttemptId, Kept>,
+    attempts: collections::HashMap<id::AttemptId, Attempt>,
     calls: Vec<stage::Call>,
     cancelled: Vec<id::AttemptId>,
     leaving: bool,
@@ -61,20 +61,20 @@
     crash: u32,
 }
 
-/// An agent with its target in one.
+/// An agent and its target.
 #[derive(Debug)]
 pub(crate) struct Fake {
     target: id::TargetName,
     service: id::ServiceName,
     incarnation: id::Incarnation,
-    plan: Plan,
-    inner: Mutex<Inner>,
+    behaviour: Behaviour,
+    state: Mutex<State>,
     changed: sync::Notify,
     /// Permits for the steps of executions.
     pub(crate) gate: sync::Semaphore,
 }
 
-/// An agent that listens.
+/// A fake agent that accepts connections.
 pub(crate) struct Running {
     pub(crate) fake: Arc<Fake>,
     pub(crate) addr: net::SocketAddr,
@@ -82,7 +82,7 @@
 }
 
 impl Running {
-    /// Ends the agent, with all its connections.
+    /// Stops the agent and closes its connections.
     pub(crate) async fn kill(self) {
         self.handle.stop();
         self.handle.stopped().await;
@@ -90,16 +90,20 @@
 }
 
 /// Starts an agent on a free port.
-pub(crate) async fn start(service: &str, plan: Plan) -> Running {
-    start_at(service, plan, ([127, 0, 0, 1], 0).into()).await
+pub(crate) async fn start(service: &str, behaviour: Behaviour) -> Running {
+    start_at(service, behaviour, ([127, 0, 0, 1], 0).into()).await
 }
 
 /// Starts an agent on a given address.
-pub(crate) async fn start_at(service: &str, plan: Plan, addr: net::SocketAddr) -> Running {
-    let inner = Inner {
-        refuse: plan.refuse,
-        crash: plan.crash,
-        ..Inner::default()
+pub(crate) async fn start_at(
+    service: &str,
+    behaviour: Behaviour,
+    addr: net::SocketAddr,
+) -> Running {
+    let state = State {
+        refuse: behaviour.refuse,
+        crash: behaviour.crash,
+        ..State::default()
     };
     let listener = net::TcpListener::bind(addr).unwrap();
     let addr = listener.local_addr().unwrap();
@@ -107,49 +111,49 @@
         target: format!("target-{}", addr.port()).parse().unwrap(),
         service: service.parse().unwrap(),
         incarnation: id::Incarnation::random(),
-        plan,
-        inner: Mutex::new(inner),
+        behaviour,
+        state: Mutex::new(state),
         changed: sync::Notify::new(),
         gate: sync::Semaphore::new(0),
     });
-    let secrets = [bench::SECRET.parse().unwrap()];
-    let methods = Shared(fake.clone()).into_rpc();
+    let secrets = [fixture::SECRET.parse().unwrap()];
+    let methods = Rpc(fake.clone()).into_rpc();
     let handle = peer::serve(listener, &secrets, methods, &peer::Limits::default()).unwrap();
     Running { fake, addr, handle }
 }
 
 impl Fake {
-    /// Calls whose execution began.
+    /// Returns the calls whose execution has started.
     pub(crate) fn calls(&self) -> Vec<stage::Call> {
-        self.inner.lock().unwrap().calls.clone()
+        self.state.lock().unwrap().calls.clone()
     }
 
     /// Waits until an attempt was cancelled.
-    pub(crate) async fn cancelled(&self) {
-        self.until(|inner| !inner.cancelled.is_empty()).await;
+    pub(crate) async fn wait_cancelled(&self) {
+        self.wait_until(|state| !state.cancelled.is_empty()).await;
     }
 
     /// Refuses new work from now on.
     pub(crate) fn leave(&self) {
-        self.inner.lock().unwrap().leaving = true;
+        self.state.lock().unwrap().leaving = true;
     }
 
-    /// Waits until `count` executions have begun.
-    pub(crate) async fn called(&self, count: usize) {
-        self.until(|inner| inner.calls.len() >= count).await;
+    /// Waits until `count` executions have started.
+    pub(crate) async fn wait_started(&self, count: usize) {
+        self.wait_until(|state| state.calls.len() >= count).await;
     }
 
-    /// Waits until the last execution has made `count` chunks.
-    pub(crate) async fn made(&self, count: usize) {
-        self.until(|inner| inner.kept.values().any(|k| k.chunks.len() >= count))
+    /// Waits until an execution has produced `count` chunks.
+    pub(crate) async fn wait_chunks(&self, count: usize) {
+        self.wait_until(|state| state.attempts.values().any(|k| k.chunks.len() >= count))
             .await;
     }
 
-    async fn until(&self, check: impl Fn(&Inner) -> bool) {
+    async fn wait_until(&self, check: impl Fn(&State) -> bool) {
         loop {
             let mut changed = std::pin::pin!(self.changed.notified());
             changed.as_mut().enable();
-            if check(&self.inner.lock().unwrap()) {
+            if check(&self.state.lock().unwrap()) {
                 return;
             }
             changed.await;
@@ -162,7 +166,7 @@
             service: self.service.clone(),
             data_centre: "dc-1".parse().unwrap(),
             incarnation: self.incarnation,
-            leaving: self.inner.lock().unwrap().leaving,
+            leaving: self.state.lock().unwrap().leaving,
             ready: true,
             load: agent::Load::default(),
             facts: facts::Facts::default(),
@@ -170,13 +174,13 @@
     }
 
     fn is_fenced(&self, session: lane::Session) -> bool {
-        let fences = &self.inner.lock().unwrap().fences;
+        let fences = &self.state.lock().unwrap().fences;
         fences
             .get(&session.lane)
             .is_none_or(|number| session.number < *number)
     }
 
-    /// Decides on a call in one step with its entry into the table.
+    /// Checks a call and registers its attempt; returns whether its execution will fail.
     fn admit(&self, call: &stage::Call) -> Result<bool, verdict::Reason> {
         if self.is_fenced(call.session) {
             return Err(verdict::Reason::Fenced);
@@ -184,79 +188,84 @@
         if call.incarnation != self.incarnation {
             return Err(verdict::Reason::WrongIncarnation);
         }
-        let mut inner = self.inner.lock().unwrap();
-        if inner.leaving {
+        let mut state = self.state.lock().unwrap();
+        if state.leaving {
             return Err(verdict::Reason::Leaving);
         }
-        if inner.refuse > 0 {
-            inner.refuse -= 1;
+        if state.refuse > 0 {
+            state.refuse -= 1;
             return Err(verdict::Reason::Overloaded);
         }
-        let kept = Kept {
+        let attempt_state = Attempt {
             request: call.request,
             chunks: Vec::new(),
             end: None,
         };
-        assert!(inner.kept.insert(call.attempt, kept).is_none());
-        inner.calls.push(call.clone());
-        let crash = inner.crash > 0;
-        inner.crash = inner.crash.saturating_sub(1);
-        drop(inner);
+        assert!(state.attempts.insert(call.attempt, attempt_state).is_none());
+        state.calls.push(call.clone());
+        let crash = state.crash > 0;
+        state.crash = state.crash.saturating_sub(1);
+        drop(state);
         self.changed.notify_waiters();
         Ok(crash)
     }
 
-    async fn step(&self) {
-        if self.plan.gated {
+    async fn wait_for_permit(&self) {
+        if self.behaviour.gated {
             self.gate.acquire().await.unwrap().forget();
         }
     }
 
-    fn push(&self, attempt: id::AttemptId, text: String) {
-        let mut inner = self.inner.lock().unwrap();
-        let kept = inner.kept.get_mut(&attempt).unwrap();
-        let number = kept.chunks.len() as u32;
-        kept.chunks.push(stage::Chunk { number, text });
-        drop(inner);
+    fn push_chunk(&self, attempt: id::AttemptId, text: String) {
+        let mut state = self.state.lock().unwrap();
+        let attempt_state = state.attempts.get_mut(&attempt).unwrap();
+        let number = attempt_state.chunks.len() as u32;
+        attempt_state.chunks.push(stage::Chunk { number, text });
+        drop(state);
         self.changed.notify_waiters();
     }
 
-    fn end(&self, attempt: id::AttemptId, refusal: Option<verdict::Refusal>) {
-        let mut inner = self.inner.lock().unwrap();
-        let kept = inner.kept.get_mut(&attempt).unwrap();
-        let text: String = kept.chunks.iter().map(|c| c.text.as_str()).collect();
+    fn finish_attempt(&self, attempt: id::AttemptId, refusal: Option<verdict::Refusal>) {
+        let mut state = self.state.lock().unwrap();
+        let attempt_state = state.attempts.get_mut(&attempt).unwrap();
+        let text: String = attempt_state
+            .chunks
+            .iter()
+            .map(|c| c.text.as_str())
+            .collect();
         let end = stage::End {
-            count: kept.chunks.len() as u32,
+            count: attempt_state.chunks.len() as u32,
             checksum: stage::checksum(&text),
             busy: unit::Period::from_millis(1),
             queued: unit::Period::from_millis(0),
         };
-        kept.end = Some(refusal.map_or(Ok(end), Err));
-        drop(inner);
+        attempt_state.end = Some(refusal.map_or(Ok(end), Err));
+        drop(state);
         self.changed.notify_waiters();
     }
 
     async fn execute(self: Arc<Self>, call: stage::Call, crash: bool) {
-        self.step().await;
+        self.wait_for_permit().await;
         let pieces = self.output(&call);
         let count = if crash { 1 } else { pieces.len() };
         for piece in pieces.into_iter().take(count) {
-            self.push(call.attempt, piece);
-            self.step().await;
+            self.push_chunk(call.attempt, piece);
+            self.wait_for_permit().await;
         }
         let failed = verdict::Refusal::may_have_run(verdict::Reason::TargetFailed);
-        self.end(call.attempt, crash.then_some(failed));
+        self.finish_attempt(call.attempt, crash.then_some(failed));
     }
 
-    /// An engine goes on after what was received; a pool echoes its whole call.
+    /// Returns the pieces of a call: an engine resumes after the received text, a pool echoes its
+    /// input.
     fn output(&self, call: &stage::Call) -> Vec<String> {
-        if self.plan.pieces.is_empty() {
+        if self.behaviour.pieces.is_empty() {
             return vec![format!("{{\"{}\": {}}}", call.stage, call.body.get())];
         }
         let received = call.received.as_deref().unwrap_or_default();
         let mut text = String::new();
         let mut rest = Vec::new();
-        for piece in &self.plan.pieces {
+        for piece in &self.behaviour.pieces {
             if text.len() >= received.len() {
                 rest.push(piece.clone());
             }
@@ -266,23 +275,23 @@
     }
 
     fn progress(&self, attempt: id::AttemptId, from: u32) -> Option<stage::Progress> {
-        let inner = self.inner.lock().unwrap();
-        let kept = inner.kept.get(&attempt)?;
-        let state = match kept.end {
+        let state = self.state.lock().unwrap();
+        let attempt_state = state.attempts.get(&attempt)?;
+        let state = match attempt_state.end {
             None => stage::State::Running,
             Some(Ok(end)) => stage::State::Done(end),
             Some(Err(refusal)) => stage::State::Refused(refusal),
         };
         Some(stage::Progress {
-            request: kept.request,
+            request: attempt_state.request,
             attempt,
-            chunks: kept.chunks[from as usize..].to_vec(),
+            chunks: attempt_state.chunks[from as usize..].to_vec(),
             state,
         })
     }
 
-    /// Waits for news, as `start` and `next` do.
-    async fn news(&self, attempt: id::AttemptId, from: u32) -> stage::Progress {
+    /// Waits for new chunks or the end of the attempt.
+    async fn wait_for_progress(&self, attempt: id::AttemptId, from: u32) -> stage::Progress {
         loop {
             let mut changed = std::pin::pin!(self.changed.notified());
             changed.as_mut().enable();
@@ -295,7 +304,7 @@
     }
 }
 
-fn refused(
+fn refusal(
     request: id::RequestId,
     attempt: id::AttemptId,
     reason: verdict::Reason,
@@ -308,15 +317,15 @@
     }
 }
 
-struct Shared(Arc<Fake>);
+struct Rpc(Arc<Fake>);
 
 #[async_trait]
-impl AgentServer for Shared {
+impl AgentServer for Rpc {
     async fn hello(&self, hello: agent::Hello) -> RpcResult<agent::Report> {
-        let mut inner = self.0.inner.lock().unwrap();
-        let fence = inner.fences.entry(hello.session.lane).or_default();
+        let mut state = self.0.state.lock().unwrap();
+        let fence = state.fences.entry(hello.session.lane).or_default();
         *fence = hello.session.number.max(*fence);
-        drop(inner);
+        drop(state);
         Ok(self.0.report())
     }
 
@@ -327,28 +336,32 @@
     async fn start(&self, call: stage::Call) -> RpcResult<stage::Progress> {
         let (request, attempt) = (call.request, call.attempt);
         match self.0.admit(&call) {
-            Err(reason) => Ok(refused(request, attempt, reason)),
+            Err(reason) => Ok(refusal(request, attempt, reason)),
             Ok(crash) => {
                 tokio::spawn(self.0.clone().execute(call, crash));
-                Ok(self.0.news(attempt, 0).await)
+                Ok(self.0.wait_for_progress(attempt, 0).await)
             }
         }
     }
 
     async fn next(&self, next: stage::Next) -> RpcResult<stage::Progress> {
-        let wait = tokio::time::timeout(next.wait.0, self.0.news(next.attempt, next.from)).await;
+        let wait = tokio::time::timeout(
+            next.wait.0,
+            self.0.wait_for_progress(next.attempt, next.from),
+        )
+        .await;
         Ok(wait.unwrap_or_else(|_| self.0.progress(next.attempt, next.from).unwrap()))
     }
 
     async fn query(&self, query: stage::Query) -> RpcResult<stage::Progress> {
         let known = self.0.progress(query.attempt, query.from);
-        // The real agent keeps no request for an unknown attempt either, and echoes zero.
-        let unknown = refused(id::RequestId(0), query.attempt, verdict::Reason::Lost);
+        // Like the real agent, which does not know the request of an unknown attempt and sends zero.
+        let unknown = refusal(id::RequestId(0), query.attempt, verdict::Reason::Lost);
         Ok(known.unwrap_or(unknown))
     }
 
     async fn cancel(&self, cancel: stage::Cancel) -> RpcResult<()> {
-        self.0.inner.lock().unwrap().cancelled.push(cancel.attempt);
+        self.0.state.lock().unwrap().cancelled.push(cancel.attempt);
         self.0.changed.notify_waiters();
         Ok(())
     }
--- a/laburnumcart_entry/tests/it/claims.rs
+++ b/laburnumcart_entry/tests/it/claims.rs
@@ -1,4 +1,4 @@
-//! Requests that execute at most once, over two entries that share an object service.
+//! Tests of requests that execute at most once, over entries that share a store.
 
 use laburnumcart::{
     unit,
@@ -9,13 +9,13 @@
 
 use crate::{
     agent,
-    bench, //
+    fixture, //
 };
 
-fn gated() -> agent::Plan {
-    agent::Plan {
+fn gated() -> agent::Behaviour {
+    agent::Behaviour {
         gated: true,
-        ..agent::Plan::default()
+        ..agent::Behaviour::default()
     }
 }
 
@@ -24,54 +24,52 @@
     answer["request"].as_str().unwrap().to_owned()
 }
 
-// A caller sends its request again through another entry while the first still runs, and once more
-// after it has ended. It sees the one answer each time: the claim names the entry that runs the
-// request, and the others wait for its answer or fetch it.
+// Resends through another entry, during and after the execution, get the one answer from the entry
+// that holds the claim.
 #[tokio::test]
 async fn resend_joins() {
     let pool = agent::start("pool", gated()).await;
     let store = memory::Memory::new();
     let agents = [("pool", pool.addr)];
-    let one = bench::Bench::start_on(store.clone(), &agents).await;
-    let two = bench::Bench::start_on(store, &agents).await;
-    let first = one.run("post", serde_json::json!(7));
-    bench::within(pool.fake.called(1)).await;
-    let again = two.run("post", serde_json::json!(7));
+    let one = fixture::Fixture::start_with_store(store.clone(), &agents).await;
+    let two = fixture::Fixture::start_with_store(store, &agents).await;
+    let first = one.start_request("post", serde_json::json!(7));
+    fixture::within_limit(pool.fake.wait_started(1)).await;
+    let again = two.start_request("post", serde_json::json!(7));
     pool.fake.gate.add_permits(9);
-    let (_, first) = bench::finish(first).await;
-    let (_, again) = bench::finish(again).await;
-    let (_, late) = bench::finish(two.run("post", serde_json::json!(7))).await;
+    let (_, first) = fixture::collect(first).await;
+    let (_, again) = fixture::collect(again).await;
+    let (_, late) = fixture::collect(two.start_request("post", serde_json::json!(7))).await;
     assert_eq!(request(&first), request(&again));
     assert_eq!(request(&first), request(&late));
     assert_eq!(pool.fake.calls().len(), 1);
 }
 
-// A caller uses a key a second time for another content. It is refused as not run: an answer to the
-// first request would be taken for one to the second.
+// A key that is reused for other content must not be given the answer of the first request.
 #[tokio::test]
 async fn key_reused_is_refused() {
-    let pool = agent::start("pool", agent::Plan::default()).await;
-    let bench = bench::Bench::start(&[("pool", pool.addr)]).await;
-    let (_, first) = bench::finish(bench.run("post", serde_json::json!(1))).await;
+    let pool = agent::start("pool", agent::Behaviour::default()).await;
+    let fixture = fixture::Fixture::start(&[("pool", pool.addr)]).await;
+    let (_, first) = fixture::collect(fixture.start_request("post", serde_json::json!(1))).await;
     assert!(first.is_ok());
-    let (_, second) = bench::finish(bench.run("post", serde_json::json!(2))).await;
+    let (_, second) = fixture::collect(fixture.start_request("post", serde_json::json!(2))).await;
     let refusal = second.unwrap_err();
     assert_eq!(refusal.reason, verdict::Reason::KeyReused);
     assert_eq!(refusal.verdict, verdict::Verdict::NotRun);
     assert_eq!(pool.fake.calls().len(), 1);
 }
 
-// The object service is down when a caller sends a non-idempotent request. It is refused at once as
-// not run and told when to come again; nothing reaches a target without a durable claim.
+// While the store is down no claim is durable, so that a non-idempotent request is refused as not
+// run, with a retry delay, and nothing reaches a target.
 #[tokio::test]
 async fn store_down_is_refused() {
-    let pool = agent::start("pool", agent::Plan::default()).await;
-    let bench = bench::Bench::start(&[("pool", pool.addr)]).await;
-    bench.store.set_faults(memory::Faults {
+    let pool = agent::start("pool", agent::Behaviour::default()).await;
+    let fixture = fixture::Fixture::start(&[("pool", pool.addr)]).await;
+    fixture.store.set_faults(memory::Faults {
         down: true,
         ..memory::Faults::default()
     });
-    let (_, outcome) = bench::finish(bench.run("post", serde_json::json!(1))).await;
+    let (_, outcome) = fixture::collect(fixture.start_request("post", serde_json::json!(1))).await;
     let refusal = outcome.unwrap_err();
     assert_eq!(refusal.reason, verdict::Reason::ClaimUnavailable);
     assert_eq!(refusal.verdict, verdict::Verdict::NotRun);
@@ -79,35 +77,39 @@
     assert!(pool.fake.calls().is_empty());
 }
 
-// All attempts of a claimed request are refused as not run, and its caller is told so. It sends
-// again with the same key, as it was told to, and the request runs: the claim was given back.
+// A claimed request is refused as not run. Its claim must be released, so that a resend with the
+// same key is executed.
 #[tokio::test]
-async fn not_run_gives_back() {
-    let plan = agent::Plan {
+async fn claim_of_a_refused_request_is_released() {
+    let behaviour = agent::Behaviour {
         refuse: 4,
-        ..agent::Plan::default()
+        ..agent::Behaviour::default()
     };
-    let pool = agent::start("pool", plan).await;
-    let bench = bench::Bench::start(&[("pool", pool.addr)]).await;
-    let (_, refused) = bench::finish(bench.run("post", serde_json::json!(1))).await;
+    let pool = agent::start("pool", behaviour).await;
+    let fixture = fixture::Fixture::start(&[("pool", pool.addr)]).await;
+    let (_, refused) = fixture::collect(fixture.start_request("post", serde_json::json!(1))).await;
     assert_eq!(refused.unwrap_err().verdict, verdict::Verdict::NotRun);
-    let (_, outcome) = bench::finish(bench.run("post", serde_json::json!(1))).await;
-    assert_eq!(bench::output(outcome)["post"]["input"], 1);
+    let (_, outcome) = fixture::collect(fixture.start_request("post", serde_json::json!(1))).await;
+    assert_eq!(fixture::output(outcome)["post"]["input"], 1);
     assert_eq!(pool.fake.calls().len(), 1);
 }
 
-// The caller of a non-idempotent request goes away while it runs. The request is completed all the
-// same, so that the caller finds its answer when it sends again.
+// A non-idempotent request is completed after its caller disconnects, so that a resend gets the
+// answer.
 #[tokio::test]
-async fn caller_gone_completes() {
+async fn disconnect_does_not_stop_a_claimed_request() {
     let pool = agent::start("pool", gated()).await;
-    let bench = bench::Bench::start(&[("pool", pool.addr)]).await;
-    drop(bench.run("post", serde_json::json!(1)));
-    bench::within(pool.fake.called(1)).await;
+    let fixture = fixture::Fixture::start(&[("pool", pool.addr)]).await;
+    drop(fixture.start_request("post", serde_json::json!(1)));
+    fixture::within_limit(pool.fake.wait_started(1)).await;
     pool.fake.gate.add_permits(9);
-    let (_, outcome) = bench::finish(bench.run("post", serde_json::json!(1))).await;
-    assert_eq!(bench::output(outcome)["post"]["input"], 1);
+    let (_, outcome) = fixture::collect(fixture.start_request("post", serde_json::json!(1))).await;
+    assert_eq!(fixture::output(outcome)["post"]["input"], 1);
     assert_eq!(pool.fake.calls().len(), 1);
-    let stopped = bench.running.drain().wait(unit::Period(bench::LIMIT)).await;
+    let stopped = fixture
+        .running
+        .drain()
+        .wait(unit::Period(fixture::LIMIT))
+        .await;
     assert_eq!(stopped.left, 0);
 }
--- a/laburnumcart_entry/tests/it/doubt.rs
+++ b/laburnumcart_entry/tests/it/doubt.rs
@@ -1,4 +1,4 @@
-//! Connections that go silent in each phase of an attempt.
+//! Tests of connections and agents that fail in each phase of an attempt.
 
 use std::time;
 
@@ -6,7 +6,7 @@
 
 use crate::{
     agent,
-    bench,
+    fixture,
     relay, //
 };
 
@@ -23,15 +23,15 @@
     down: true,
 };
 
-fn engine() -> agent::Plan {
-    agent::Plan {
+fn engine() -> agent::Behaviour {
+    agent::Behaviour {
         pieces: ["one ", "two ", "three"].map(str::to_owned).to_vec(),
         gated: true,
-        ..agent::Plan::default()
+        ..agent::Behaviour::default()
     }
 }
 
-/// Moment at which the connection goes silent.
+/// Phase in which the connection goes silent.
 #[derive(Clone, Copy, Debug)]
 enum Phase {
     BeforeSend,
@@ -40,10 +40,8 @@
     BeforeEnd,
 }
 
-// The caller sees one whole answer, although the connection to the agent goes silent for good in
-// the middle of its request. The entry misses a heartbeat, opens a new connection, which fences the
-// old one, and asks what became of the attempt. The agent knows it and goes on with it, or does not
-// and so proves that it never runs; in no case does the stage execute twice.
+// After a missed heartbeat the entry reconnects, which fences the old connection, and queries the
+// attempt: it either continues or is proven not executed, and the stage never executes twice.
 #[rstest]
 #[tokio::test]
 async fn silence_resolves(
@@ -56,15 +54,15 @@
     phase: Phase,
     #[values(UP, DOWN, BOTH)] silence: relay::Silence,
 ) {
-    let pool = agent::start("pool", agent::Plan::default()).await;
+    let pool = agent::start("pool", agent::Behaviour::default()).await;
     let engine = agent::start("engine", engine()).await;
     let relay = relay::Relay::start(engine.addr).await;
-    let bench = bench::Bench::start(&[("pool", pool.addr), ("engine", relay.addr)]).await;
+    let fixture = fixture::Fixture::start(&[("pool", pool.addr), ("engine", relay.addr)]).await;
     let fake = &engine.fake;
     if let Phase::BeforeSend = phase {
         relay.silence(silence);
     }
-    let driven = bench.run("report", serde_json::json!({ "case": 7 }));
+    let execution = fixture.start_request("report", serde_json::json!({ "case": 7 }));
     let steps = match phase {
         Phase::BeforeSend => None,
         Phase::AfterSend => Some(0),
@@ -72,36 +70,38 @@
         Phase::BeforeEnd => Some(3),
     };
     if let Some(steps) = steps {
-        bench::within(fake.called(1)).await;
+        fixture::within_limit(fake.wait_started(1)).await;
         fake.gate.add_permits(steps);
-        bench::within(fake.made(steps)).await;
+        fixture::within_limit(fake.wait_chunks(steps)).await;
         relay.silence(silence);
     }
-    bench::within(relay.reopened(2)).await;
+    fixture::within_limit(relay.wait_connections(2)).await;
     fake.gate.add_permits(20);
-    let (pieces, outcome) = bench::finish(driven).await;
+    let (pieces, outcome) = fixture::collect(execution).await;
     assert_eq!(pieces.concat(), "one two three");
     let expected = serde_json::json!({ "text": "one two three" });
-    assert_eq!(bench::output(outcome), expected);
+    assert_eq!(fixture::output(outcome), expected);
     assert_eq!(fake.calls().len(), 1, "executions");
 }
 
-// The caller sees one whole answer although the agent dies in the middle of the stream. Its lane's
-// address refuses connections, so the attempt stays "may have run"; the request is idempotent, and
-// another engine goes on after the text that has come. No piece is sent twice or contradicted.
+// The agent dies in the middle of a stream of an idempotent request. Another engine resumes after
+// the text received so far, and no piece is sent twice or contradicted.
 #[tokio::test]
 async fn stream_resumes_elsewhere() {
-    let pool = agent::start("pool", agent::Plan::default()).await;
+    let pool = agent::start("pool", agent::Behaviour::default()).await;
     let first = agent::start("engine", engine()).await;
-    let bench = bench::Bench::start(&[("pool", pool.addr), ("engine", first.addr)]).await;
-    let driven = bench.run("report", serde_json::json!({}));
-    bench::within(first.fake.called(1)).await;
+    let fixture = fixture::Fixture::start(&[("pool", pool.addr), ("engine", first.addr)]).await;
+    let execution = fixture.start_request("report", serde_json::json!({}));
+    fixture::within_limit(first.fake.wait_started(1)).await;
     first.fake.gate.add_permits(2);
-    bench::within(first.fake.made(2)).await;
-    let mut driven = driven;
+    fixture::within_limit(first.fake.wait_chunks(2)).await;
+    let mut execution = execution;
     let mut text = String::new();
     while text != "one two " {
-        match bench::within(driven.events.recv()).await.unwrap() {
+        match fixture::within_limit(execution.events.recv())
+            .await
+            .unwrap()
+        {
             laburnumcart_entry::driver::Event::Piece(piece) => text.push_str(&piece),
             end => panic!("{end:?}"),
         }
@@ -110,31 +110,30 @@
     first.kill().await;
     let second = agent::start_at("engine", engine(), addr).await;
     second.fake.gate.add_permits(20);
-    let (pieces, outcome) = bench::finish(driven).await;
+    let (pieces, outcome) = fixture::collect(execution).await;
     assert_eq!(pieces.concat(), "three");
     let expected = serde_json::json!({ "text": "one two three" });
-    assert_eq!(bench::output(outcome), expected);
+    assert_eq!(fixture::output(outcome), expected);
     assert_eq!(second.fake.calls()[0].received.as_deref(), Some("one two "));
 }
 
-// The caller of a non-idempotent request sees "may have run", at once and not at its deadline,
-// when the agent dies after the call was sent: nobody is left who could tell. Nothing is sent to
-// the agent that takes its place, as that might run the request a second time.
+// The agent dies after a non-idempotent call was sent. The caller gets "may have run" at once, not
+// at its deadline, and the agent's successor gets no call, as that could be a second execution.
 #[tokio::test]
 async fn lost_agent_is_final() {
-    let plan = agent::Plan {
+    let behaviour = agent::Behaviour {
         gated: true,
-        ..agent::Plan::default()
+        ..agent::Behaviour::default()
     };
-    let first = agent::start("pool", plan.clone()).await;
-    let bench = bench::Bench::start(&[("pool", first.addr)]).await;
-    let driven = bench.run("post", serde_json::json!({}));
-    bench::within(first.fake.called(1)).await;
+    let first = agent::start("pool", behaviour.clone()).await;
+    let fixture = fixture::Fixture::start(&[("pool", first.addr)]).await;
+    let execution = fixture.start_request("post", serde_json::json!({}));
+    fixture::within_limit(first.fake.wait_started(1)).await;
     let addr = first.addr;
     first.kill().await;
-    let second = agent::start_at("pool", plan, addr).await;
+    let second = agent::start_at("pool", behaviour, addr).await;
     let begun = tokio::time::Instant::now();
-    let (_, outcome) = bench::finish(driven).await;
+    let (_, outcome) = fixture::collect(execution).await;
     let refusal = outcome.unwrap_err();
     assert_eq!(refusal.verdict, laburnumcart::verdict::Verdict::MayHaveRun);
     assert!(refusal.retry.is_some());
@@ -142,87 +141,84 @@
         begun.elapsed() < time::Duration::from_secs(15),
         "waited for the deadline"
     );
-    bench::within(bench.connected()).await;
+    fixture::within_limit(fixture.wait_connected()).await;
     assert!(second.fake.calls().is_empty());
 }
 
-// The caller of a non-idempotent request sees its whole answer although the connection went silent
-// before or after the call was sent. The stage executes once: what the agent does not know after the
-// old connection was fenced has provably not run and is sent again; what it knows is gone on with.
+// A non-idempotent call whose connection goes silent executes once: an attempt unknown after the
+// old session was fenced is proven not executed and sent again, a known one continues.
 #[rstest]
 #[tokio::test]
 async fn silence_runs_once(
     #[values(Phase::BeforeSend, Phase::AfterSend)] phase: Phase,
     #[values(UP, DOWN, BOTH)] silence: relay::Silence,
 ) {
-    let plan = agent::Plan {
+    let behaviour = agent::Behaviour {
         gated: true,
-        ..agent::Plan::default()
+        ..agent::Behaviour::default()
     };
-    let pool = agent::start("pool", plan).await;
+    let pool = agent::start("pool", behaviour).await;
     let relay = relay::Relay::start(pool.addr).await;
-    let bench = bench::Bench::start(&[("pool", relay.addr)]).await;
+    let fixture = fixture::Fixture::start(&[("pool", relay.addr)]).await;
     if let Phase::BeforeSend = phase {
         relay.silence(silence);
     }
-    let driven = bench.run("post", serde_json::json!({ "finish": 1 }));
+    let execution = fixture.start_request("post", serde_json::json!({ "finish": 1 }));
     if let Phase::AfterSend = phase {
-        bench::within(pool.fake.called(1)).await;
+        fixture::within_limit(pool.fake.wait_started(1)).await;
         relay.silence(silence);
     }
-    bench::within(relay.reopened(2)).await;
+    fixture::within_limit(relay.wait_connections(2)).await;
     pool.fake.gate.add_permits(9);
-    let (_, outcome) = bench::finish(driven).await;
-    assert_eq!(bench::output(outcome)["post"]["input"]["finish"], 1);
+    let (_, outcome) = fixture::collect(execution).await;
+    assert_eq!(fixture::output(outcome)["post"]["input"]["finish"], 1);
     assert_eq!(pool.fake.calls().len(), 1, "executions");
 }
 
-// The caller of a non-idempotent request sees "may have run", at once, when another process answers
-// at its agent's address. That process does not know the attempt, which proves nothing: it would
-// say so of one that the process before it has executed.
+// Another process answers at the agent's address. That it does not know the attempt proves nothing,
+// as its predecessor may have executed it: the caller gets "may have run" at once.
 #[tokio::test]
 async fn replaced_agent_is_final() {
-    let plan = agent::Plan {
+    let behaviour = agent::Behaviour {
         gated: true,
-        ..agent::Plan::default()
+        ..agent::Behaviour::default()
     };
-    let first = agent::start("pool", plan.clone()).await;
-    let second = agent::start("pool", plan).await;
+    let first = agent::start("pool", behaviour.clone()).await;
+    let second = agent::start("pool", behaviour).await;
     let relay = relay::Relay::start(first.addr).await;
-    let bench = bench::Bench::start(&[("pool", relay.addr)]).await;
-    let driven = bench.run("post", serde_json::json!({}));
-    bench::within(first.fake.called(1)).await;
-    relay.lead(second.addr);
+    let fixture = fixture::Fixture::start(&[("pool", relay.addr)]).await;
+    let execution = fixture.start_request("post", serde_json::json!({}));
+    fixture::within_limit(first.fake.wait_started(1)).await;
+    relay.redirect(second.addr);
     relay.silence(BOTH);
     second.fake.gate.add_permits(9);
-    let (_, outcome) = bench::finish(driven).await;
+    let (_, outcome) = fixture::collect(execution).await;
     let refusal = outcome.unwrap_err();
     assert_eq!(refusal.verdict, laburnumcart::verdict::Verdict::MayHaveRun);
     assert_eq!(refusal.reason, laburnumcart::verdict::Reason::Lost);
     assert!(second.fake.calls().is_empty());
 }
 
-// All callers see whole answers although one of two machines is cut off without a word, so that
-// neither its old connections nor new ones answer. Whoever's attempt went there cannot be told what
-// became of it; an idempotent one is made again at the other target, long before its deadline.
+// One of two machines is partitioned, so that no old or new connection to it answers. Idempotent
+// attempts in flight there are repeated at the other target, long before their deadline.
 #[tokio::test]
-async fn cut_off_fails_over() {
-    let gated = agent::Plan {
+async fn idempotent_requests_fail_over_in_a_partition() {
+    let gated = agent::Behaviour {
         gated: true,
-        ..agent::Plan::default()
+        ..agent::Behaviour::default()
     };
     let lost = agent::start("pool", gated).await;
-    let other = agent::start("pool", agent::Plan::default()).await;
+    let other = agent::start("pool", agent::Behaviour::default()).await;
     let relay = relay::Relay::start(lost.addr).await;
-    let bench = bench::Bench::start(&[("pool", relay.addr), ("pool", other.addr)]).await;
+    let fixture = fixture::Fixture::start(&[("pool", relay.addr), ("pool", other.addr)]).await;
     let mut running = Vec::new();
     while lost.fake.calls().is_empty() {
-        running.push(bench.run("echo", serde_json::json!(running.len())));
+        running.push(fixture.start_request("echo", serde_json::json!(running.len())));
         tokio::time::sleep(time::Duration::from_millis(5)).await;
     }
     relay.cut_off();
-    for (number, driven) in running.into_iter().enumerate() {
-        let (_, outcome) = bench::finish(driven).await;
-        assert_eq!(bench::output(outcome)["first"]["input"], number);
+    for (number, execution) in running.into_iter().enumerate() {
+        let (_, outcome) = fixture::collect(execution).await;
+        assert_eq!(fixture::output(outcome)["first"]["input"], number);
     }
 }
--- a/laburnumcart_entry/tests/it/bench.rs
+++ b/laburnumcart_entry/tests/it/fixture.rs
@@ -1,4 +1,4 @@
-//! An entry with a bundle and lanes to given agents, and callers of it.
+//! Fixture: an entry with a fixed bundle and lanes to given agents, and a plain HTTP client.
 
 use std::{
     collections,
@@ -45,31 +45,31 @@
     net::TcpStream,
 };
 
-/// Longest wait for a condition; only a fault makes a test wait so long.
+/// Timeout for conditions that hold soon if there is no fault.
 pub(crate) const LIMIT: time::Duration = time::Duration::from_secs(20);
 
 /// Bearer token of the only team.
 pub(crate) const TOKEN: &str = "token-1";
 
-/// Secret of the fleet.
+/// Secret that entry and agents share.
 pub(crate) const SECRET: &str = "secret-of-the-fleet";
 
 /// SHA-256 of [`TOKEN`].
 const DIGEST: &str = "3f08aace122ee2368432c1ca23a049bc640bafbf00fdf33a52429f38ba12dbf9";
 
-/// Short periods, so that a broken connection is found soon.
+/// Short intervals, so that a silent connection is detected quickly.
 pub(crate) fn timing() -> links::Timing {
     links::Timing {
-        beat: time::Duration::from_millis(40),
-        idle: time::Duration::from_millis(40),
-        answer: time::Duration::from_millis(200),
-        missed: 1,
-        connect: time::Duration::from_secs(2),
-        pause: time::Duration::from_millis(20),
+        active_period: time::Duration::from_millis(40),
+        idle_period: time::Duration::from_millis(40),
+        heartbeat_timeout: time::Duration::from_millis(200),
+        max_missed: 1,
+        connect_timeout: time::Duration::from_secs(2),
+        retry_pause: time::Duration::from_millis(20),
     }
 }
 
-/// A bundle of one pool, one engine and three pipelines.
+/// Returns a bundle of one pool, one engine and three pipelines.
 pub(crate) fn bundle() -> bundle::Bundle {
     serde_json::from_value(serde_json::json!({
         "format": 1,
@@ -98,22 +98,22 @@
     .unwrap()
 }
 
-/// An entry without its own process.
-pub(crate) struct Bench {
+/// An entry that runs in the test process.
+pub(crate) struct Fixture {
     pub(crate) entry: Arc<entry::Entry>,
     pub(crate) running: stop::Running,
     pub(crate) store: memory::Memory,
     lanes: Vec<Arc<links::Lane>>,
 }
 
-impl Bench {
-    /// Starts an entry with lanes to the agents and waits until all are open.
+impl Fixture {
+    /// Starts an entry with lanes to the agents, given by service, and waits until all are open.
     pub(crate) async fn start(agents: &[(&str, net::SocketAddr)]) -> Self {
-        Self::start_on(memory::Memory::new(), agents).await
+        Self::start_with_store(memory::Memory::new(), agents).await
     }
 
-    /// Starts an entry that shares an object service with others.
-    pub(crate) async fn start_on(
+    /// Starts an entry on a store that other entries may share.
+    pub(crate) async fn start_with_store(
         store: memory::Memory,
         agents: &[(&str, net::SocketAddr)],
     ) -> Self {
@@ -129,7 +129,7 @@
         let feed = daemon::bundle::Feed::new(&metrics::Metrics::new());
         let entry = entry::Entry::new(identity, feed, running.gate(), traffic.clone());
         let identity = &entry.identity;
-        let caller = links::Caller {
+        let config = links::Config {
             instance: identity.instance.clone(),
             incarnation: identity.incarnation,
             peer: identity.peer,
@@ -140,41 +140,42 @@
             timing: timing(),
         };
         let open = |(service, addr): &(&str, net::SocketAddr)| {
-            let lane = links::Lane::open(&traffic, *addr, caller.clone());
+            let lane = links::Lane::open(&traffic, *addr, config.clone());
             (service.parse().unwrap(), lane)
         };
         let lanes: Vec<(id::ServiceName, _)> = agents.iter().map(open).collect();
-        let bench = Self {
+        let fixture = Self {
             entry,
             running,
             store,
             lanes: lanes.iter().map(|(_, lane)| lane.clone()).collect(),
         };
-        bench.connected().await;
-        bench.publish(lanes);
-        bench.serve_peers(listener);
-        bench
+        fixture.wait_connected().await;
+        fixture.publish_view(lanes);
+        fixture.serve_peers(listener);
+        fixture
     }
 
-    fn publish(&self, lanes: Vec<(id::ServiceName, Arc<links::Lane>)>) {
-        let mut ways: collections::BTreeMap<id::ServiceName, Vec<_>> = collections::BTreeMap::new();
+    fn publish_view(&self, lanes: Vec<(id::ServiceName, Arc<links::Lane>)>) {
+        let mut routes: collections::BTreeMap<id::ServiceName, Vec<_>> =
+            collections::BTreeMap::new();
         for (service, lane) in lanes {
-            ways.entry(service).or_default().push(routes::Way {
+            routes.entry(service).or_default().push(routes::Route {
                 lane,
                 local: true,
-                crossing: time::Duration::ZERO,
+                extra_latency: time::Duration::ZERO,
                 leaving: false,
                 ejected: false,
             });
         }
-        let table = |(service, ways): (id::ServiceName, _)| {
-            (service.clone(), routes::Routes::new(service, ways))
+        let table = |(service, routes): (id::ServiceName, _)| {
+            (service.clone(), routes::Routes::new(service, routes))
         };
         let rules = control::Rules::new(id::Generation(1), bundle());
         self.entry.view.store(Arc::new(control::View {
             rules: Some(Arc::new(rules)),
             settled: true,
-            routes: ways.into_iter().map(table).collect(),
+            routes: routes.into_iter().map(table).collect(),
         }));
     }
 
@@ -189,46 +190,50 @@
         entry.set_claims(Arc::new(claimed::Local { service, peers }));
         let methods = peers::Peers::new(entry.clone()).into_rpc();
         let handle = peer::serve(listener, &[secret], methods, &peer::Limits::default()).unwrap();
-        // The server ends with the test's runtime.
+        // The server stops with the runtime of the test.
         std::mem::forget(handle);
     }
 
     /// Waits until all lanes are open.
-    pub(crate) async fn connected(&self) {
+    pub(crate) async fn wait_connected(&self) {
         for lane in &self.lanes {
-            let mut link = lane.link();
+            let mut link = lane.subscribe();
             let up = link.wait_for(|link| matches!(link, links::Link::Up(_)));
-            within(up).await.unwrap();
+            within_limit(up).await.unwrap();
         }
     }
 
-    /// Starts a request of the only team.
-    pub(crate) fn run(&self, pipeline: &str, input: serde_json::Value) -> driver::Driven {
-        self.run_key(pipeline, input, "key-1")
+    /// Starts a request of the only team with the key `key-1`.
+    pub(crate) fn start_request(
+        &self,
+        pipeline: &str,
+        input: serde_json::Value,
+    ) -> driver::Execution {
+        self.start_request_with_key(pipeline, input, "key-1")
     }
 
     /// Starts a request of the only team with an idempotency key.
-    pub(crate) fn run_key(
+    pub(crate) fn start_request_with_key(
         &self,
         pipeline: &str,
         input: serde_json::Value,
         key: &str,
-    ) -> driver::Driven {
-        let asked = request::Asked {
+    ) -> driver::Execution {
+        let unchecked = request::Unchecked {
             pipeline: pipeline.to_owned(),
             token: Some(TOKEN.to_owned()),
             key: Some(key.to_owned()),
-            ..request::Asked::default()
+            ..request::Unchecked::default()
         };
         let rules = self.entry.view.load().rules.clone().unwrap();
-        let head = request::Head::check(asked, rules, tokio::time::Instant::now()).unwrap();
+        let head = request::Head::check(unchecked, rules, tokio::time::Instant::now()).unwrap();
         let request = head.with_body(input.to_string().as_bytes()).unwrap();
         let admitted = self.entry.policy.admit(&request.head).unwrap();
         let work = self.entry.gate.enter().unwrap();
         driver::start(&self.entry, request, admitted, work)
     }
 
-    /// Opens the callers' port and returns its address.
+    /// Serves callers over HTTP on a free port and returns its address.
     pub(crate) fn listen(&self) -> net::SocketAddr {
         let listener = net::TcpListener::bind(("127.0.0.1", 0)).unwrap();
         let addr = listener.local_addr().unwrap();
@@ -239,38 +244,38 @@
     }
 }
 
-/// Waits for a condition that holds soon unless there is a fault.
-pub(crate) async fn within<T>(wait: impl Future<Output = T>) -> T {
+/// Awaits a future for at most [`LIMIT`].
+pub(crate) async fn within_limit<T>(wait: impl Future<Output = T>) -> T {
     tokio::time::timeout(LIMIT, wait)
         .await
         .expect("condition within the limit")
 }
 
-/// Waits for the final answer and collects the pieces before it.
-pub(crate) async fn finish(mut driven: driver::Driven) -> (Vec<String>, driver::Outcome) {
+/// Returns the pieces and the outcome of a request.
+pub(crate) async fn collect(mut execution: driver::Execution) -> (Vec<String>, driver::Outcome) {
     let mut pieces = Vec::new();
     loop {
-        match within(driven.events.recv()).await.expect("an end") {
+        match within_limit(execution.events.recv()).await.expect("an end") {
             driver::Event::Piece(text) => pieces.push(text),
             driver::Event::End(outcome, _) => return (pieces, outcome),
         }
     }
 }
 
-/// Returns the output of a whole answer.
+/// Returns the output of a successful answer.
 pub(crate) fn output(outcome: driver::Outcome) -> serde_json::Value {
     let answer: serde_json::Value = serde_json::from_str(&outcome.unwrap()).unwrap();
     answer["output"].clone()
 }
 
-/// A caller's answer, as text.
+/// An HTTP response, as text.
 pub(crate) struct Reply {
     pub(crate) status: u16,
     pub(crate) head: String,
     pub(crate) body: String,
 }
 
-/// Makes one HTTP call with extra header lines, on a connection of its own.
+/// Makes one HTTP call with extra headers, on a new connection.
 pub(crate) async fn http(
     addr: net::SocketAddr,
     line: &str,
@@ -279,11 +284,11 @@
 ) -> Reply {
     let mut stream = TcpStream::connect(addr).await.unwrap();
     stream
-        .write_all(head(line, headers, body).as_bytes())
+        .write_all(request_text(line, headers, body).as_bytes())
         .await
         .unwrap();
     let mut bytes = Vec::new();
-    within(stream.read_to_end(&mut bytes)).await.unwrap();
+    within_limit(stream.read_to_end(&mut bytes)).await.unwrap();
     let text = String::from_utf8(bytes).unwrap();
     let (head, body) = text.split_once("\r\n\r\n").unwrap();
     Reply {
@@ -293,8 +298,8 @@
     }
 }
 
-/// Writes a request that closes its connection.
-pub(crate) fn head(line: &str, headers: &[(&str, &str)], body: &str) -> String {
+/// Returns the text of a request with `connection: close`.
+pub(crate) fn request_text(line: &str, headers: &[(&str, &str)], body: &str) -> String {
     let mut text = format!("{line} HTTP/1.1\r\nhost: entry\r\nconnection: close\r\n");
     for (name, value) in headers {
         text.push_str(&format!("{name}: {value}\r\n"));
--- a/laburnumcart_entry/tests/it/main.rs
+++ b/laburnumcart_entry/tests/it/main.rs
@@ -1,9 +1,9 @@
-//! Tests of the entry against small agents of their own.
+//! Integration tests of the entry against fake agents.
 
 mod agent;
-mod bench;
 mod claims;
 mod doubt;
+mod fixture;
 mod members;
 mod policy;
 mod relay;
--- a/laburnumcart_entry/tests/it/members.rs
+++ b/laburnumcart_entry/tests/it/members.rs
@@ -1,4 +1,4 @@
-//! Which agents an entry keeps lanes to.
+//! Tests of the subset of agents that an entry keeps lanes to, and of its heartbeats.
 
 use std::net;
 
@@ -14,16 +14,16 @@
 
 use crate::{
     agent,
-    bench,
+    fixture,
     relay, //
 };
 
-/// Agents of the service; more than a subset holds.
+/// Number of agents of the service; more than a subset holds.
 const AGENTS: usize = 20;
 
-/// An entry's members with the agents that they can choose from.
+/// Members of an entry, and the agents that are listed to them.
 struct Setup {
-    _bench: bench::Bench,
+    _fixture: fixture::Fixture,
     members: members::Members,
     agents: Vec<agent::Running>,
     list: Vec<members::Instance>,
@@ -31,30 +31,30 @@
 
 impl Setup {
     async fn start() -> Self {
-        let bench = bench::Bench::start(&[]).await;
-        let identity = &bench.entry.identity;
-        let caller = links::Caller {
+        let fixture = fixture::Fixture::start(&[]).await;
+        let identity = &fixture.entry.identity;
+        let config = links::Config {
             instance: identity.instance.clone(),
             incarnation: identity.incarnation,
             peer: identity.peer,
-            gossip: bench.entry.gossip.clone(),
-            breaks: bench.entry.metrics.breaks.clone(),
-            doubts: bench.entry.metrics.doubts.clone(),
-            secret: bench::SECRET.parse().unwrap(),
-            timing: bench::timing(),
+            gossip: fixture.entry.gossip.clone(),
+            breaks: fixture.entry.metrics.breaks.clone(),
+            doubts: fixture.entry.metrics.doubts.clone(),
+            secret: fixture::SECRET.parse().unwrap(),
+            timing: fixture::timing(),
         };
-        let traffic = bench.entry.traffic.clone();
-        let members = members::Members::new(caller, identity.data_centre.clone(), traffic);
+        let traffic = fixture.entry.traffic.clone();
+        let members = members::Members::new(config, identity.data_centre.clone(), traffic);
         let mut agents = Vec::new();
         for _ in 0..AGENTS {
-            agents.push(agent::start("pool", agent::Plan::default()).await);
+            agents.push(agent::start("pool", agent::Behaviour::default()).await);
         }
         let list = agents
             .iter()
             .enumerate()
             .map(|(i, agent)| instance(i, agent.addr));
         let mut setup = Self {
-            _bench: bench,
+            _fixture: fixture,
             members,
             list: list.collect(),
             agents,
@@ -63,15 +63,18 @@
         setup
     }
 
-    /// Returns the addresses of the agents that take work.
+    /// Returns the addresses of the agents that accept work.
     fn ready(&self) -> Vec<net::SocketAddr> {
-        let takes = |m: &&members::Member| m.lane.takes(&m.service);
+        let takes = |m: &&members::Member| m.lane.accepts_work(&m.service);
         let ready = self.members.agents().filter(takes);
         ready.map(|m| m.lane.addr).collect()
     }
 
-    /// Waits until agents are ready and fit.
-    async fn until(&mut self, fits: impl Fn(&[net::SocketAddr]) -> bool) -> Vec<net::SocketAddr> {
+    /// Waits until the ready agents satisfy the condition and returns their addresses.
+    async fn wait_until(
+        &mut self,
+        fits: impl Fn(&[net::SocketAddr]) -> bool,
+    ) -> Vec<net::SocketAddr> {
         let wait = async {
             loop {
                 self.members.apply(&self.list);
@@ -82,7 +85,7 @@
                 time::sleep(time::Duration::from_millis(10)).await;
             }
         };
-        bench::within(wait).await
+        fixture::within_limit(wait).await
     }
 }
 
@@ -97,13 +100,12 @@
     }
 }
 
-// Callers' requests reach an entry whose subset has just lost all its agents, while others of the
-// service work. The platform's list lags and still names the dead ones. Without lanes to the others
-// each request is refused for want of a target until the list catches up.
+// All agents of the subset die and the list still names them. Without lanes to other agents every
+// request would be refused until the list is updated.
 #[tokio::test]
 async fn lost_subset_is_replaced() {
     let mut setup = Setup::start().await;
-    let subset = setup.until(|ready| ready.len() >= 8).await;
+    let subset = setup.wait_until(|ready| ready.len() >= 8).await;
     assert!(subset.len() < AGENTS, "a subset");
     let agents = std::mem::take(&mut setup.agents);
     for agent in agents {
@@ -112,16 +114,15 @@
             false => setup.agents.push(agent),
         }
     }
-    let others = setup.until(|ready| ready.len() >= 8).await;
+    let others = setup.wait_until(|ready| ready.len() >= 8).await;
     assert!(others.iter().all(|addr| !subset.contains(addr)));
 }
 
-// The agents of a subset say that they leave, so that they refuse all work as not run. They are still
-// listed and their connections are good.
+// Leaving agents refuse all work although they are still listed and connected.
 #[tokio::test]
 async fn leaving_subset_is_replaced() {
     let mut setup = Setup::start().await;
-    let subset = setup.until(|ready| ready.len() >= 8).await;
+    let subset = setup.wait_until(|ready| ready.len() >= 8).await;
     for agent in &setup.agents {
         if subset.contains(&agent.addr) {
             agent.fake.leave();
@@ -130,13 +131,13 @@
     let fits = |ready: &[net::SocketAddr]| {
         ready.len() >= 8 && ready.iter().all(|addr| !subset.contains(addr))
     };
-    setup.until(fits).await;
+    setup.wait_until(fits).await;
 }
 
-// A lane breaks and comes back again and again. Each time one more agent would be called and dropped,
-// so the subset stays wide until its agents have worked for a while.
+// Each failure of a flapping lane would open and drop one more lane, so that the subset stays wide
+// until its agents have worked for a while.
 #[tokio::test(start_paused = true)]
-async fn narrows_late() {
+async fn subset_narrows_only_after_a_stable_period() {
     let mut width = width::Width::default();
     let begun = time::Instant::now();
     let second = time::Duration::from_secs(1);
@@ -153,26 +154,26 @@
 }
 
 #[test]
-fn doubles_while_none_works() {
+fn width_doubles_while_no_agent_works() {
     let next = |kept| width::wanted(8, kept, 0);
     assert_eq!([next(0), next(8), next(16), next(32)], [8, 16, 32, 64]);
-    // One that works is kept at whatever place it was found.
+    // An agent that works is kept, at whatever rank it was found.
     assert_eq!(width::wanted(8, 64, 1), 71);
 }
 
-// An agent in another region is 20 ms away, each way. Its heartbeats tell, so that work goes there
-// only where it finishes sooner all the same.
+// The round-trip time to a remote agent, which routing adds to its completion estimate, is measured
+// on heartbeats.
 #[tokio::test]
-async fn heartbeats_measure_the_crossing() {
+async fn heartbeats_measure_the_round_trip() {
     let far = time::Duration::from_millis(20);
-    let agent = agent::start("pool", agent::Plan::default()).await;
-    let relay = relay::Relay::start_far(agent.addr, far).await;
-    let bench = bench::Bench::start(&[("pool", relay.addr)]).await;
-    let view = bench.entry.view.load();
+    let agent = agent::start("pool", agent::Behaviour::default()).await;
+    let relay = relay::Relay::start_with_delay(agent.addr, far).await;
+    let fixture = fixture::Fixture::start(&[("pool", relay.addr)]).await;
+    let view = fixture.entry.view.load();
     let lane = &view.routes[&"pool".parse().unwrap()].lanes()[0];
-    let trip = bench::within(async {
+    let trip = fixture::within_limit(async {
         loop {
-            if let Some(trip) = lane.report().and_then(|seen| seen.trip) {
+            if let Some(trip) = lane.report().and_then(|seen| seen.min_rtt) {
                 return trip;
             }
             time::sleep(time::Duration::from_millis(5)).await;
--- a/laburnumcart_entry/tests/it/policy.rs
+++ b/laburnumcart_entry/tests/it/policy.rs
@@ -1,4 +1,4 @@
-//! Decisions on hedges and early refusals, on a paused clock.
+//! Tests of the policy's decisions on hedges and admission, with a paused clock.
 
 use std::{
     sync::Arc,
@@ -18,28 +18,28 @@
 };
 use tokio::time as clock;
 
-use crate::bench;
+use crate::fixture;
 
 const TYPICAL: time::Duration = time::Duration::from_millis(20);
 
 fn head(ratio: f64, deadline: &str) -> request::Head {
-    let mut bundle = bench::bundle();
+    let mut bundle = fixture::bundle();
     bundle.limits.hedge_ratio = unit::Share(ratio);
     let rules = control::Rules::new(id::Generation(1), bundle);
-    let asked = request::Asked {
+    let unchecked = request::Unchecked {
         pipeline: "echo".to_owned(),
-        token: Some(bench::TOKEN.to_owned()),
+        token: Some(fixture::TOKEN.to_owned()),
         deadline: Some(deadline.to_owned()),
-        ..request::Asked::default()
+        ..request::Unchecked::default()
     };
-    request::Head::check(asked, Arc::new(rules), clock::Instant::now()).unwrap()
+    request::Head::check(unchecked, Arc::new(rules), clock::Instant::now()).unwrap()
 }
 
-async fn measured(head: &request::Head) -> Arc<policy::Policy> {
+async fn policy_with_samples(head: &request::Head) -> Arc<policy::Policy> {
     let policy = Arc::new(policy::Policy::default());
-    let stage = &head.stages().stages[0].name;
+    let stage = &head.definition().stages[0].name;
     for _ in 0..100 {
-        policy.took(head, stage, TYPICAL, TYPICAL);
+        policy.record_duration(head, stage, TYPICAL, TYPICAL);
     }
     policy
 }
@@ -47,9 +47,9 @@
 #[tokio::test(start_paused = true)]
 async fn hedges_stragglers_only() {
     let head = head(0.05, "20s");
-    let policy = measured(&head).await;
-    let stage = &head.stages().stages[0];
-    let decide = |elapsed, expected| policy.hedge(&head, stage, elapsed, expected);
+    let policy = policy_with_samples(&head).await;
+    let stage = &head.definition().stages[0];
+    let decide = |elapsed, expected| policy.decide_hedge(&head, stage, elapsed, expected);
     let slow = 10 * TYPICAL;
     assert_eq!(decide(slow, TYPICAL), hedge::Decision::Never, "not warm");
     clock::advance(time::Duration::from_secs(11)).await;
@@ -65,35 +65,34 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn no_share_no_hedges() {
+async fn zero_ratio_disables_hedging() {
     let head = head(0.0, "20s");
-    let policy = measured(&head).await;
+    let policy = policy_with_samples(&head).await;
     clock::advance(time::Duration::from_secs(11)).await;
-    let stage = &head.stages().stages[0];
-    let decision = policy.hedge(&head, stage, 10 * TYPICAL, TYPICAL);
+    let stage = &head.definition().stages[0];
+    let decision = policy.decide_hedge(&head, stage, 10 * TYPICAL, TYPICAL);
     assert_eq!(decision, hedge::Decision::Never);
 }
 
 #[tokio::test(start_paused = true)]
-async fn refuses_what_cannot_finish() {
+async fn deadline_below_the_expected_time_is_refused() {
     let head = head(0.05, "5ms");
-    let policy = measured(&head).await;
+    let policy = policy_with_samples(&head).await;
     let refusal = policy.admit(&head).unwrap_err();
     assert_eq!(refusal.reason, verdict::Reason::DeadlineTooShort);
     assert_eq!(refusal.verdict, verdict::Verdict::NotRun);
     assert!(refusal.retry.is_some());
 }
 
-// A pipeline goes away with one bundle and a new one of the same name comes with the next. Refusals
-// are judged by what the new one takes, and nothing of the old one is kept.
+// A new pipeline of the same name must not be refused by the durations of a removed one.
 #[tokio::test(start_paused = true)]
-async fn gone_stages_are_forgotten() {
+async fn durations_of_removed_stages_are_dropped() {
     let head = head(0.05, "5ms");
-    let policy = measured(&head).await;
-    let rest = |index| policy.rest(&head, index);
+    let policy = policy_with_samples(&head).await;
+    let rest = |index| policy.expected_rest(&head, index);
     policy.prune(&head.rules.bundle);
     assert!(rest(0) > time::Duration::ZERO, "still there");
-    let mut without = bench::bundle();
+    let mut without = fixture::bundle();
     without.pipelines.remove(&head.pipeline);
     policy.prune(&without);
     assert_eq!(rest(0), time::Duration::ZERO);
--- a/laburnumcart_entry/tests/it/relay.rs
+++ b/laburnumcart_entry/tests/it/relay.rs
@@ -1,4 +1,4 @@
-//! A TCP relay that can silence the connections that are open, one way or both ways.
+//! TCP relay that can silence its connections in one or both directions.
 
 use std::{
     net,
@@ -31,67 +31,67 @@
     pub(crate) down: bool,
 }
 
-/// Relay before one agent.
+/// Relay in front of one agent.
 pub(crate) struct Relay {
     pub(crate) addr: net::SocketAddr,
     open: Arc<Mutex<Vec<watch::Sender<Silence>>>>,
-    first: watch::Sender<Silence>,
+    initial: watch::Sender<Silence>,
     target: watch::Sender<net::SocketAddr>,
 }
 
 impl Relay {
     /// Starts a relay to `target`.
     pub(crate) async fn start(target: net::SocketAddr) -> Self {
-        Self::start_far(target, time::Duration::ZERO).await
+        Self::start_with_delay(target, time::Duration::ZERO).await
     }
 
-    /// Starts a relay to `target` that takes a time for each direction.
-    pub(crate) async fn start_far(target: net::SocketAddr, delay: time::Duration) -> Self {
+    /// Starts a relay to `target` with a delay in each direction.
+    pub(crate) async fn start_with_delay(target: net::SocketAddr, delay: time::Duration) -> Self {
         let listener = TcpListener::bind(("127.0.0.1", 0)).await.unwrap();
         let addr = listener.local_addr().unwrap();
         let open = Arc::new(Mutex::new(Vec::new()));
-        let first = watch::Sender::new(Silence::default());
+        let initial = watch::Sender::new(Silence::default());
         let target = watch::Sender::new(target);
         let accept = accept(
             listener,
             target.subscribe(),
             open.clone(),
-            first.subscribe(),
+            initial.subscribe(),
             delay,
         );
         tokio::spawn(accept);
         Self {
             addr,
             open,
-            first,
+            initial,
             target,
         }
     }
 
-    /// Silences all connections that are open now; new ones work.
+    /// Silences all open connections; new ones work.
     pub(crate) fn silence(&self, silence: Silence) {
         for connection in self.open.lock().unwrap().iter() {
             connection.send_replace(silence);
         }
     }
 
-    /// Leads new connections elsewhere, as when a process is replaced at its address.
-    pub(crate) fn lead(&self, target: net::SocketAddr) {
+    /// Relays new connections to another address, as if the process behind the relay was replaced.
+    pub(crate) fn redirect(&self, target: net::SocketAddr) {
         self.target.send_replace(target);
     }
 
-    /// Silences all connections both ways, those to come too, as when a machine is cut off.
+    /// Silences all connections, also new ones, in both directions, as in a network partition.
     pub(crate) fn cut_off(&self) {
         let both = Silence {
             up: true,
             down: true,
         };
-        self.first.send_replace(both);
+        self.initial.send_replace(both);
         self.silence(both);
     }
 
-    /// Waits until `count` connections have been opened in all.
-    pub(crate) async fn reopened(&self, count: usize) {
+    /// Waits until `count` connections have been opened in total.
+    pub(crate) async fn wait_connections(&self, count: usize) {
         while self.open.lock().unwrap().len() < count {
             time::sleep(time::Duration::from_millis(5)).await;
         }
@@ -102,7 +102,7 @@
     listener: TcpListener,
     target: watch::Receiver<net::SocketAddr>,
     open: Arc<Mutex<Vec<watch::Sender<Silence>>>>,
-    first: watch::Receiver<Silence>,
+    initial: watch::Receiver<Silence>,
     delay: time::Duration,
 ) {
     while let Ok((near, _)) = listener.accept().await {
@@ -112,7 +112,7 @@
         };
         near.set_nodelay(true).unwrap();
         far.set_nodelay(true).unwrap();
-        let (sender, silence) = watch::channel(*first.borrow());
+        let (sender, silence) = watch::channel(*initial.borrow());
         open.lock().unwrap().push(sender);
         let (near_read, near_write) = near.into_split();
         let (far_read, far_write) = far.into_split();
@@ -121,18 +121,18 @@
     }
 }
 
-/// Copies one direction; what comes while it is silenced waits, its end too.
+/// Copies one direction; data and end of stream are is_silenced back while it is silenced.
 async fn copy(
     mut from: tcp::OwnedReadHalf,
     mut to: tcp::OwnedWriteHalf,
     mut silence: watch::Receiver<Silence>,
     delay: time::Duration,
-    held: impl Fn(&Silence) -> bool,
+    is_silenced: impl Fn(&Silence) -> bool,
 ) {
     let mut buffer = vec![0; 64 << 10];
     loop {
         let read = from.read(&mut buffer).await.unwrap_or(0);
-        if silence.wait_for(|s| !held(s)).await.is_err() || read == 0 {
+        if silence.wait_for(|s| !is_silenced(s)).await.is_err() || read == 0 {
             return;
         }
         time::sleep(delay).await;
