--- a/laburnumcart_entry/tests/it/requests.rs
+++ b/laburnumcart_entry/tests/it/requests.rs
@@ -1,4 +1,4 @@
-//! Requests of callers over HTTP.
+//! Tests of callers' requests over HTTP.
 
 use rstest::rstest;
 use tokio::{
@@ -10,31 +10,31 @@
 
 use crate::{
     agent,
-    bench, //
+    fixture, //
 };
 
 const PARENT: &str = "00-0af7651916cd43dd8448eb211c80319c-b7ad6b7169203331-01";
 
 const BEARER: (&str, &str) = ("authorization", "Bearer token-1");
 
-async fn start() -> (bench::Bench, std::net::SocketAddr, [agent::Running; 2]) {
-    let pool = agent::start("pool", agent::Plan::default()).await;
-    let plan = agent::Plan {
+async fn start() -> (fixture::Fixture, std::net::SocketAddr, [agent::Running; 2]) {
+    let pool = agent::start("pool", agent::Behaviour::default()).await;
+    let behaviour = agent::Behaviour {
         pieces: ["one ", "two"].map(str::to_owned).to_vec(),
-        ..agent::Plan::default()
+        ..agent::Behaviour::default()
     };
-    let engine = agent::start("engine", plan).await;
-    let bench = bench::Bench::start(&[("pool", pool.addr), ("engine", engine.addr)]).await;
-    let addr = bench.listen();
-    (bench, addr, [pool, engine])
+    let engine = agent::start("engine", behaviour).await;
+    let fixture = fixture::Fixture::start(&[("pool", pool.addr), ("engine", engine.addr)]).await;
+    let addr = fixture.listen();
+    (fixture, addr, [pool, engine])
 }
 
 #[tokio::test]
-async fn answers_json() {
-    let (_bench, addr, agents) = start().await;
+async fn answer_is_json_by_default() {
+    let (_fixture, addr, agents) = start().await;
     let line = "POST /v1/pipelines/report";
     let headers = [BEARER, ("traceparent", PARENT)];
-    let reply = bench::http(addr, line, &headers, "{\"case\":7}").await;
+    let reply = fixture::http(addr, line, &headers, "{\"case\":7}").await;
     assert_eq!(reply.status, 200, "{}", reply.body);
     let answer: serde_json::Value = serde_json::from_str(&reply.body).unwrap();
     assert_eq!(answer["output"], serde_json::json!({ "text": "one two" }));
@@ -45,7 +45,7 @@
     assert_eq!(body["input"], serde_json::json!({ "case": 7 }));
     assert_eq!(body["previous"]["encode"]["input"], body["input"]);
     assert_eq!(calls[0].traceparent.as_deref(), Some(PARENT));
-    let page = bench::http(addr, "GET /metrics", &[], "").await;
+    let page = fixture::http(addr, "GET /metrics", &[], "").await;
     for line in [
         "laburnum_entry_requests_total{team=\"araya\",pipeline=\"report\",ended=\"Whole\"} 1",
         "laburnum_entry_attempts_total{service=\"engine\",ended=\"Whole\"} 1",
@@ -58,10 +58,10 @@
 }
 
 #[tokio::test]
-async fn streams_events() {
-    let (_bench, addr, _agents) = start().await;
+async fn pieces_are_streamed_as_events() {
+    let (_fixture, addr, _agents) = start().await;
     let headers = [BEARER, ("accept", "text/event-stream")];
-    let reply = bench::http(addr, "POST /v1/pipelines/report", &headers, "{}").await;
+    let reply = fixture::http(addr, "POST /v1/pipelines/report", &headers, "{}").await;
     assert_eq!(reply.status, 200);
     assert!(reply.head.contains("content-type: text/event-stream"));
     assert!(
@@ -87,16 +87,16 @@
 #[case::late("echo", &[BEARER, ("x-deadline", "1h")], "{}", 413, "too-large")]
 #[case::bad_deadline("echo", &[BEARER, ("x-deadline", "soon")], "{}", 400, "invalid")]
 #[tokio::test]
-async fn refuses(
+async fn invalid_request_is_refused(
     #[case] pipeline: &str,
     #[case] headers: &[(&str, &str)],
     #[case] body: &str,
     #[case] status: u16,
     #[case] reason: &str,
 ) {
-    let (_bench, addr, agents) = start().await;
+    let (_fixture, addr, agents) = start().await;
     let line = format!("POST /v1/pipelines/{pipeline}");
-    let reply = bench::http(addr, &line, headers, body).await;
+    let reply = fixture::http(addr, &line, headers, body).await;
     assert_eq!(reply.status, status, "{}", reply.body);
     assert!(
         reply
@@ -109,91 +109,95 @@
     assert!(agents.iter().all(|agent| agent.fake.calls().is_empty()));
 }
 
-// The caller goes away while its idempotent request runs, so that nobody waits for the answer. The
-// entry sees the closed connection although it is writing nothing, and cancels the attempt at the
-// agent; else the target would work on it until the deadline.
+// The entry must notice the closed connection while it writes nothing to it. Otherwise the target
+// would work on the abandoned request until the deadline.
 #[rstest]
 #[tokio::test]
-async fn caller_gone_cancels(#[values("application/json", "text/event-stream")] accept: &str) {
-    let plan = agent::Plan {
+async fn disconnect_cancels_an_idempotent_request(
+    #[values("application/json", "text/event-stream")] accept: &str,
+) {
+    let behaviour = agent::Behaviour {
         gated: true,
-        ..agent::Plan::default()
+        ..agent::Behaviour::default()
     };
-    let pool = agent::start("pool", plan).await;
-    let bench = bench::Bench::start(&[("pool", pool.addr)]).await;
-    let mut stream = TcpStream::connect(bench.listen()).await.unwrap();
-    let head = bench::head(
+    let pool = agent::start("pool", behaviour).await;
+    let fixture = fixture::Fixture::start(&[("pool", pool.addr)]).await;
+    let mut stream = TcpStream::connect(fixture.listen()).await.unwrap();
+    let head = fixture::request_text(
         "POST /v1/pipelines/echo",
         &[BEARER, ("accept", accept)],
         "{}",
     );
     stream.write_all(head.as_bytes()).await.unwrap();
-    bench::within(pool.fake.called(1)).await;
+    fixture::within_limit(pool.fake.wait_started(1)).await;
     drop(stream);
-    bench::within(pool.fake.cancelled()).await;
-    bench::within(bench.running.drain().wait(unit::Period(bench::LIMIT))).await;
+    fixture::within_limit(pool.fake.wait_cancelled()).await;
+    fixture::within_limit(fixture.running.drain().wait(unit::Period(fixture::LIMIT))).await;
 }
 
-// The caller is refused as not run while the entry leaves, and told when to come again; the request
-// that was in flight before ends whole, and only then is the entry drained.
+// A draining entry refuses new requests as not run, with a retry delay, and completes the requests
+// in flight before its drain ends.
 #[tokio::test]
 async fn leaving_finishes_first() {
-    let plan = agent::Plan {
+    let behaviour = agent::Behaviour {
         gated: true,
-        ..agent::Plan::default()
+        ..agent::Behaviour::default()
     };
-    let pool = agent::start("pool", plan).await;
-    let bench = bench::Bench::start(&[("pool", pool.addr)]).await;
-    let addr = bench.listen();
-    let ready = bench::http(addr, "GET /readyz", &[], "").await;
+    let pool = agent::start("pool", behaviour).await;
+    let fixture = fixture::Fixture::start(&[("pool", pool.addr)]).await;
+    let addr = fixture.listen();
+    let ready = fixture::http(addr, "GET /readyz", &[], "").await;
     assert_eq!(ready.status, 200);
     let line = "POST /v1/pipelines/echo";
-    let running = tokio::spawn(async move { bench::http(addr, line, &[BEARER], "{}").await });
-    bench::within(pool.fake.called(1)).await;
-    bench.entry.leave();
-    let draining = bench.running.drain();
-    assert_eq!(bench::http(addr, "GET /readyz", &[], "").await.status, 503);
-    let refused = bench::http(addr, line, &[BEARER], "{}").await;
+    let running = tokio::spawn(async move { fixture::http(addr, line, &[BEARER], "{}").await });
+    fixture::within_limit(pool.fake.wait_started(1)).await;
+    fixture.entry.leave();
+    let draining = fixture.running.drain();
+    assert_eq!(
+        fixture::http(addr, "GET /readyz", &[], "").await.status,
+        503
+    );
+    let refused = fixture::http(addr, line, &[BEARER], "{}").await;
     assert_eq!(refused.status, 503);
     assert!(refused.head.contains("retry-after: 1"));
     assert!(refused.body.contains("\"not-run\"") && refused.body.contains("\"leaving\""));
     assert_eq!(draining.count(), 1);
     pool.fake.gate.add_permits(9);
-    let reply = bench::within(running).await.unwrap();
+    let reply = fixture::within_limit(running).await.unwrap();
     assert_eq!(reply.status, 200);
-    let stopped = draining.wait(unit::Period(bench::LIMIT)).await;
+    let stopped = draining.wait(unit::Period(fixture::LIMIT)).await;
     assert_eq!(stopped.left, 0);
 }
 
-// The caller sees one answer although the first target refuses a few times: each refusal proves that
-// nothing ran, so that the request is tried again at once, however often.
+// A refusal that proves that nothing was executed is retried, also for a non-idempotent request.
 #[tokio::test]
 async fn not_run_is_retried() {
-    let plan = agent::Plan {
+    let behaviour = agent::Behaviour {
         refuse: 3,
-        ..agent::Plan::default()
+        ..agent::Behaviour::default()
     };
-    let pool = agent::start("pool", plan).await;
-    let bench = bench::Bench::start(&[("pool", pool.addr)]).await;
-    let (_, outcome) = bench::finish(bench.run("post", serde_json::json!(1))).await;
-    assert_eq!(bench::output(outcome)["post"]["input"], 1);
+    let pool = agent::start("pool", behaviour).await;
+    let fixture = fixture::Fixture::start(&[("pool", pool.addr)]).await;
+    let (_, outcome) = fixture::collect(fixture.start_request("post", serde_json::json!(1))).await;
+    assert_eq!(fixture::output(outcome)["post"]["input"], 1);
     assert_eq!(pool.fake.calls().len(), 1);
 }
 
-// The caller of a non-idempotent request gets "may have run" when the target fails while executing;
-// the caller of an idempotent one gets a whole answer from the next attempt.
+// A target that fails during execution ends a non-idempotent request with "may have run"; an
+// idempotent one is retried.
 #[rstest]
 #[case::once("post", 1)]
 #[case::again("echo", 2)]
 #[tokio::test]
 async fn failed_target(#[case] pipeline: &str, #[case] calls: usize) {
-    let plan = agent::Plan {
+    let behaviour = agent::Behaviour {
         crash: 1,
-        ..agent::Plan::default()
+        ..agent::Behaviour::default()
     };
-    let pool = agent::start("pool", plan).await;
-    let bench = bench::Bench::start(&[("pool", pool.addr)]).await;
-    let (_, outcome) = bench::finish(bench.run(pipeline, serde_json::json!(1))).await;
+    let pool = agent::start("pool", behaviour).await;
+    let fixture = fixture::Fixture::start(&[("pool", pool.addr)]).await;
+    let (_, outcome) =
+        fixture::collect(fixture.start_request(pipeline, serde_json::json!(1))).await;
     assert_eq!(outcome.is_ok(), calls == 2);
     if let Err(refusal) = outcome {
         assert_eq!(refusal.verdict, laburnumcart::verdict::Verdict::MayHaveRun);
@@ -202,28 +206,27 @@
     assert_eq!(pool.fake.calls().len(), calls);
 }
 
-// An engine reads a prompt faster whose prefix it has read before, and its memory holds few. Requests
-// that share a prefix go to one engine while that has room, whoever sends them and in whatever order
-// their fields are; other prefixes go to the others.
+// Engines have small prefix caches: requests that share a prefix must go to one engine while it has
+// room, and other prefixes to the other engines.
 #[tokio::test]
-async fn prefixes_keep_their_engine() {
-    let pool = agent::start("pool", agent::Plan::default()).await;
-    let plan = agent::Plan {
+async fn requests_with_one_prefix_go_to_one_engine() {
+    let pool = agent::start("pool", agent::Behaviour::default()).await;
+    let behaviour = agent::Behaviour {
         pieces: vec!["one".to_owned()],
-        ..agent::Plan::default()
+        ..agent::Behaviour::default()
     };
     let engines = [
-        agent::start("engine", plan.clone()).await,
-        agent::start("engine", plan.clone()).await,
-        agent::start("engine", plan).await,
+        agent::start("engine", behaviour.clone()).await,
+        agent::start("engine", behaviour.clone()).await,
+        agent::start("engine", behaviour).await,
     ];
     let mut agents = vec![("pool", pool.addr)];
     agents.extend(engines.iter().map(|engine| ("engine", engine.addr)));
-    let bench = bench::Bench::start(&agents).await;
+    let fixture = fixture::Fixture::start(&agents).await;
     for prefix in 0..64 {
         for n in 0..2 {
             let input = serde_json::json!({ "prefix": format!("terms {prefix}"), "n": n });
-            let (_, outcome) = bench::finish(bench.run("report", input)).await;
+            let (_, outcome) = fixture::collect(fixture.start_request("report", input)).await;
             assert!(outcome.is_ok());
         }
     }
@@ -241,28 +244,31 @@
     }
 }
 
-// A team asks for more than can be done in time, and is refused at the door, before anything ran. The
-// team's attainment must show it, or the operators would see a promise kept that was not.
+// Requests that admission control refuses must count in the team's attainment, or operators would
+// see an objective as met that is not.
 #[tokio::test]
-async fn refusals_at_the_door_count_for_the_team() {
-    let (bench, addr, _agents) = start().await;
-    let rules = bench.entry.view.load().rules.clone().unwrap();
-    let asked = laburnumcart_entry::request::Asked {
+async fn refusals_at_admission_count_for_the_team() {
+    let (fixture, addr, _agents) = start().await;
+    let rules = fixture.entry.view.load().rules.clone().unwrap();
+    let unchecked = laburnumcart_entry::request::Unchecked {
         pipeline: "report".to_owned(),
-        token: Some(bench::TOKEN.to_owned()),
+        token: Some(fixture::TOKEN.to_owned()),
         ..Default::default()
     };
     let now = tokio::time::Instant::now();
-    let head = laburnumcart_entry::request::Head::check(asked, rules.clone(), now).unwrap();
+    let head = laburnumcart_entry::request::Head::check(unchecked, rules.clone(), now).unwrap();
     let slow = std::time::Duration::from_secs(60);
     for _ in 0..30 {
-        let stage = &head.stages().stages[0].name;
-        bench.entry.policy.took(&head, stage, slow, slow);
+        let stage = &head.definition().stages[0].name;
+        fixture
+            .entry
+            .policy
+            .record_duration(&head, stage, slow, slow);
     }
-    let reply = bench::http(addr, "POST /v1/pipelines/report", &[BEARER], "{}").await;
+    let reply = fixture::http(addr, "POST /v1/pipelines/report", &[BEARER], "{}").await;
     assert!(reply.body.contains("deadline-too-short"), "{}", reply.body);
-    bench.entry.metrics.cost.promise(&rules.bundle);
-    let page = bench::http(addr, "GET /metrics", &[], "").await;
+    fixture.entry.metrics.cost.promise(&rules.bundle);
+    let page = fixture::http(addr, "GET /metrics", &[], "").await;
     for line in [
         "laburnum_entry_requests_total{team=\"araya\",pipeline=\"report\",ended=\"NotRun\"} 1",
         "laburnum_entry_team_share{team=\"araya\"} 1.0",
--- a/laburnumcart_entry/tests/members.rs
+++ b/laburnumcart_entry/tests/members.rs
@@ -17,9 +17,9 @@
 };
 use rstest::rstest;
 
-fn caller() -> links::Caller {
+fn caller() -> links::Config {
     let feed = bundle::Feed::new(&metrics::Metrics::new());
-    links::Caller {
+    links::Config {
         instance: "entry-0".parse().unwrap(),
         incarnation: id::Incarnation::random(),
         peer: ([127, 0, 0, 1], 1).into(),
@@ -74,6 +74,9 @@
     members.apply(&list(entries, services, targets));
     assert!(members.agents().count() > 0);
     for member in members.agents() {
-        assert_eq!(member.lane.idle(), time::Duration::from_millis(millis));
+        assert_eq!(
+            member.lane.idle_period(),
+            time::Duration::from_millis(millis)
+        );
     }
 }
