--- a/laburnumcart_entry/src/driver/placement.rs
+++ b/laburnumcart_entry/src/driver/placement.rs
@@ -118,10 +118,10 @@
     fn is_suspect(&self) -> Result<bool, verdict::Refusal> {
         let now = time::Instant::now();
         let suspects = self.entry.gossip.suspects();
-        let print = self.request.fingerprint;
-        match suspects.refusal(print, now) {
+        let fingerprint = self.request.fingerprint;
+        match suspects.refusal(fingerprint, now) {
             Some(refusal) => Err(refusal),
-            None => Ok(suspects.status(print, now) != suspects::Status::Clean),
+            None => Ok(suspects.status(fingerprint, now) != suspects::Status::Clean),
         }
     }
 
--- a/laburnumcart_entry/src/driver/race.rs
+++ b/laburnumcart_entry/src/driver/race.rs
@@ -66,8 +66,8 @@
     expected: time::Duration,
     /// Combined verdict on the failed attempts.
     verdict: verdict::Verdict,
-    /// Whether no (further) hedge is to be sent.
-    hedged: bool,
+    /// Whether no hedge may be sent any more.
+    hedging_done: bool,
     /// When to consider a hedge again.
     next_check: Option<time::Instant>,
 }
@@ -99,17 +99,17 @@
             expected: chosen.expected,
             verdict: verdict::Verdict::NotRun,
             // A hedge of suspect content could crash a second target.
-            hedged: !progress.idempotent || suspect,
+            hedging_done: !progress.idempotent || suspect,
             next_check: None,
         };
         loop {
-            if !race.hedged {
+            if !race.hedging_done {
                 self.hedge_if_slow(progress, &mut race);
             }
             match self.next_event(progress, &mut race).await {
                 RaceEvent::Step(index, step) => {
-                    if let Some(ended) = self.handle_step(progress, &mut race, index, step) {
-                        return ended;
+                    if let Some(outcome) = self.handle_step(progress, &mut race, index, step) {
+                        return outcome;
                     }
                 }
                 RaceEvent::CheckHedge => {}
@@ -166,9 +166,9 @@
             .decide_hedge(head, progress.stage, elapsed, race.expected)
         {
             hedge::Decision::Wait(wait) => race.next_check = Some(now + wait),
-            hedge::Decision::Never => race.hedged = true,
+            hedge::Decision::Never => race.hedging_done = true,
             hedge::Decision::Hedge => {
-                race.hedged = true;
+                race.hedging_done = true;
                 // A hedge that has to queue, or goes to the same target, would not win.
                 let fits = |c: &routes::Chosen| c.is_free && !progress.tried.contains(&c.lane.addr);
                 let other = self.choose_target(progress).filter(fits);
@@ -182,7 +182,7 @@
     }
 
     async fn next_event(&self, progress: &Progress<'_>, race: &mut Race) -> RaceEvent {
-        let check = race.next_check.filter(|_| !race.hedged);
+        let check = race.next_check.filter(|_| !race.hedging_done);
         let checked = async {
             match check {
                 Some(check) => time::sleep_until(check).await,
@@ -219,15 +219,15 @@
                 }
                 None
             }
-            pull::Step::Complete(whole) => {
+            pull::Step::Complete(completed) => {
                 let attempt = race.cancel_losers(index);
                 // Acknowledges the result, which the agent keeps until then.
                 tokio::spawn(attempt.canceller.clone().cancel());
                 let (target, elapsed) = (attempt.target.clone(), attempt.sent_at.elapsed());
-                self.forward_text(progress, &whole.tail);
+                self.forward_text(progress, &completed.tail);
                 self.record_attempt(progress, &target, elapsed, None);
                 Some(Outcome::Complete(Box::new(Winner {
-                    result: whole,
+                    result: completed,
                     target,
                     elapsed,
                 })))
@@ -258,8 +258,8 @@
         refusal: Option<verdict::Refusal>,
     ) {
         let service = &progress.stage.service;
-        let ended = refusal.map_or(metrics::Ended::Whole, |r| r.verdict.into());
-        self.entry.metrics.attempt(service, ended);
+        let outcome = refusal.map_or(metrics::Ended::Whole, |r| r.verdict.into());
+        self.entry.metrics.attempt(service, outcome);
         self.entry.policy.record_end(&policy::AttemptEnd {
             service,
             target,
@@ -299,7 +299,7 @@
 impl Race {
     /// Cancels all attempts but that at `index` and returns it.
     fn cancel_losers(&mut self, index: usize) -> &InFlight {
-        self.hedged = true;
+        self.hedging_done = true;
         if self.attempts.len() > 1 {
             self.attempts.swap(0, index);
             for loser in self.attempts.drain(1..) {
--- a/laburnumcart_entry/src/links/pull.rs
+++ b/laburnumcart_entry/src/links/pull.rs
@@ -67,7 +67,9 @@
 
     /// Returns the name of the agent's target.
     pub fn target(&self) -> Option<id::TargetName> {
-        self.lane.report().map(|seen| seen.report.target.clone())
+        self.lane
+            .report()
+            .map(|received| received.report.target.clone())
     }
 
     /// Returns the address of the agent.
--- a/laburnumcart_entry/src/policy.rs
+++ b/laburnumcart_entry/src/policy.rs
@@ -132,14 +132,14 @@
             services,
             busy,
             elapsed,
-            first_results: since,
+            first_results,
             ..
         } = &mut *state;
         let is_known = |(pipeline, stage): &Key| {
             let pipeline = bundle.pipelines.get(pipeline);
             pipeline.is_some_and(|p| p.stages.iter().any(|s| s.name == *stage))
         };
-        since.retain(|key, _| is_known(key));
+        first_results.retain(|key, _| is_known(key));
         busy.retain(&is_known);
         elapsed.retain(is_known);
         services.retain(|service, _| bundle.services.contains_key(service));
@@ -168,13 +168,13 @@
     }
 
     /// Records the outcome of an attempt.
-    pub fn record_end(&self, ended: &AttemptEnd<'_>) {
+    pub fn record_end(&self, end: &AttemptEnd<'_>) {
         let now = time::Instant::now();
         let mut state = self.lock();
-        let service = state.service(ended.service, now);
-        let key = service.target_key(ended.target);
-        let Some(refusal) = ended.refusal else {
-            let outcome = outlier::Outcome::Success(ended.elapsed);
+        let service = state.service(end.service, now);
+        let key = service.target_key(end.target);
+        let Some(refusal) = end.refusal else {
+            let outcome = outlier::Outcome::Success(end.elapsed);
             service.outliers.record_outcome(key, outcome, now);
             service.retries.deposit(now);
             return;
@@ -205,8 +205,8 @@
         state.elapsed.record(key, elapsed, now);
     }
 
-    /// Decides whether a failed attempt is retried; `needed` is the expected time of this
-    /// stage and those after it.
+    /// Decides whether a failed attempt is retried; `needed` is the expected time of this stage and
+    /// those after it.
     pub fn decide_retry(
         &self,
         head: &request::Head,
@@ -277,14 +277,12 @@
             return;
         };
         let Service {
-            targets,
-            outliers: ejector,
-            ..
+            targets, outliers, ..
         } = service;
         targets.retain(|target, key| {
             let kept = known.contains(target);
             if !kept {
-                ejector.remove(*key);
+                outliers.remove(*key);
             }
             kept
         });
--- a/laburnumcart_entry/src/request.rs
+++ b/laburnumcart_entry/src/request.rs
@@ -54,9 +54,9 @@
     pub arrived: time::Instant,
     /// Time by which the complete answer must be available.
     pub deadline: time::Instant,
-    /// Whether the whole request may execute more than at_most_once.
+    /// Whether the whole request may execute more than once.
     pub idempotent: bool,
-    /// Whether the caller requires execution at most at_most_once.
+    /// Whether the caller requires execution at most once.
     at_most_once: bool,
     /// Idempotency key.
     pub key: Option<String>,
@@ -132,7 +132,7 @@
         &self.rules.bundle.pipelines[&self.pipeline]
     }
 
-    /// Returns whether a stage may execute more than at_most_once.
+    /// Returns whether a stage may execute more than once.
     pub fn is_stage_idempotent(&self, stage: &bundle::Stage) -> bool {
         is_idempotent(self.definition(), stage, self.at_most_once)
     }
@@ -168,16 +168,18 @@
 }
 
 /// Parses the caller's header; returns true if it forbids repeated execution.
-fn parse_at_most_once(unchecked: Option<&str>) -> Result<bool, verdict::Reason> {
-    match unchecked {
+fn parse_at_most_once(value: Option<&str>) -> Result<bool, verdict::Reason> {
+    match value {
         None | Some("true") => Ok(false),
         Some("false") => Ok(true),
         Some(_) => Err(verdict::Reason::Invalid),
     }
 }
 
-/// Returns whether a stage may execute more than at_most_once. The stage's own setting takes precedence
-/// over the caller's header, which takes precedence over the pipeline's default.
+/// Returns whether a stage may execute more than once.
+///
+/// The stage's setting takes precedence over the caller's header, and that over the pipeline's
+/// default.
 fn is_idempotent(pipeline: &bundle::Pipeline, stage: &bundle::Stage, at_most_once: bool) -> bool {
     stage
         .idempotent
@@ -185,10 +187,10 @@
 }
 
 fn parse_deadline(
-    unchecked: Option<&str>,
+    value: Option<&str>,
     promised: unit::Period,
 ) -> Result<unit::Period, verdict::Reason> {
-    let Some(text) = unchecked else {
+    let Some(text) = value else {
         return Ok(promised);
     };
     let period: unit::Period = text.parse().map_err(|_| verdict::Reason::Invalid)?;
--- a/laburnumcart_entry/src/routes.rs
+++ b/laburnumcart_entry/src/routes.rs
@@ -61,7 +61,8 @@
     pub fn choose(&self, tried: &[std::net::SocketAddr], prefix: Option<u64>) -> Option<Chosen> {
         let is_tried = |i: &usize| tried.contains(&self.lanes[*i].addr);
         let mut excluded: Vec<usize> = (0..self.lanes.len()).filter(is_tried).collect();
-        // A retry at the same target is safe: its refusal proved that nothing was executed.
+        // If all were tried, one of them is tried again although it refused a moment ago: its
+        // refusal proved that nothing was executed.
         self.choose_excluding(&mut excluded, prefix)
             .or_else(|| self.choose_excluding(&mut Vec::new(), prefix))
     }
@@ -72,16 +73,16 @@
     /// content could crash both before either crash is known elsewhere.
     pub fn choose_by_content(
         &self,
-        print: id::Fingerprint,
+        fingerprint: id::Fingerprint,
         tried: &[std::net::SocketAddr],
     ) -> Option<Chosen> {
-        let takes = |i: usize| self.lanes[i].accepts_work(&self.service);
-        let fresh = |i: usize| takes(i) && !tried.contains(&self.lanes[i].addr);
-        let key = print.0 as u64;
-        let home = self.table.find_by_key(key, fresh);
-        let home = home.or_else(|| self.table.find_by_key(key, takes))?;
+        let accepts = |i: usize| self.lanes[i].accepts_work(&self.service);
+        let untried = |i: usize| accepts(i) && !tried.contains(&self.lanes[i].addr);
+        let key = fingerprint.0 as u64;
+        let index = self.table.find_by_key(key, untried);
+        let index = index.or_else(|| self.table.find_by_key(key, accepts))?;
         Some(Chosen {
-            lane: self.lanes[home].clone(),
+            lane: self.lanes[index].clone(),
             expected: time::Duration::ZERO,
             is_free: false,
         })
--- a/laburnumcart_entry/tests/it/agent.rs
+++ b/laburnumcart_entry/tests/it/agent.rs
@@ -37,9 +37,9 @@
     pub(crate) pieces: Vec<String>,
     /// Whether each step of an execution waits for a permit.
     pub(crate) gated: bool,
-    /// Number of first calls that are refused as not run.
+    /// Number of calls that are refused as not run before the first one is accepted.
     pub(crate) refuse: u32,
-    /// Number of first executions that fail after one piece.
+    /// Number of executions that fail after one piece before the first one succeeds.
     pub(crate) crash: u32,
 }
 
@@ -196,12 +196,12 @@
             state.refuse -= 1;
             return Err(verdict::Reason::Overloaded);
         }
-        let attempt_state = Attempt {
+        let record = Attempt {
             request: call.request,
             chunks: Vec::new(),
             end: None,
         };
-        assert!(state.attempts.insert(call.attempt, attempt_state).is_none());
+        assert!(state.attempts.insert(call.attempt, record).is_none());
         state.calls.push(call.clone());
         let crash = state.crash > 0;
         state.crash = state.crash.saturating_sub(1);
@@ -218,28 +218,24 @@
 
     fn push_chunk(&self, attempt: id::AttemptId, text: String) {
         let mut state = self.state.lock().unwrap();
-        let attempt_state = state.attempts.get_mut(&attempt).unwrap();
-        let number = attempt_state.chunks.len() as u32;
-        attempt_state.chunks.push(stage::Chunk { number, text });
+        let record = state.attempts.get_mut(&attempt).unwrap();
+        let number = record.chunks.len() as u32;
+        record.chunks.push(stage::Chunk { number, text });
         drop(state);
         self.changed.notify_waiters();
     }
 
     fn finish_attempt(&self, attempt: id::AttemptId, refusal: Option<verdict::Refusal>) {
         let mut state = self.state.lock().unwrap();
-        let attempt_state = state.attempts.get_mut(&attempt).unwrap();
-        let text: String = attempt_state
-            .chunks
-            .iter()
-            .map(|c| c.text.as_str())
-            .collect();
+        let record = state.attempts.get_mut(&attempt).unwrap();
+        let text: String = record.chunks.iter().map(|c| c.text.as_str()).collect();
         let end = stage::End {
-            count: attempt_state.chunks.len() as u32,
+            count: record.chunks.len() as u32,
             checksum: stage::checksum(&text),
             busy: unit::Period::from_millis(1),
             queued: unit::Period::from_millis(0),
         };
-        attempt_state.end = Some(refusal.map_or(Ok(end), Err));
+        record.end = Some(refusal.map_or(Ok(end), Err));
         drop(state);
         self.changed.notify_waiters();
     }
@@ -276,16 +272,16 @@
 
     fn progress(&self, attempt: id::AttemptId, from: u32) -> Option<stage::Progress> {
         let state = self.state.lock().unwrap();
-        let attempt_state = state.attempts.get(&attempt)?;
-        let state = match attempt_state.end {
+        let record = state.attempts.get(&attempt)?;
+        let state = match record.end {
             None => stage::State::Running,
             Some(Ok(end)) => stage::State::Done(end),
             Some(Err(refusal)) => stage::State::Refused(refusal),
         };
         Some(stage::Progress {
-            request: attempt_state.request,
+            request: record.request,
             attempt,
-            chunks: attempt_state.chunks[from as usize..].to_vec(),
+            chunks: record.chunks[from as usize..].to_vec(),
             state,
         })
     }
--- a/laburnumcart_entry/tests/it/relay.rs
+++ b/laburnumcart_entry/tests/it/relay.rs
@@ -121,7 +121,7 @@
     }
 }
 
-/// Copies one direction; data and end of stream are is_silenced back while it is silenced.
+/// Copies one direction; data and end of stream are held back while it is silenced.
 async fn copy(
     mut from: tcp::OwnedReadHalf,
     mut to: tcp::OwnedWriteHalf,
