--- a/laburnumcart_entry/src/callers.rs
+++ b/laburnumcart_entry/src/callers.rs
@@ -227,7 +227,7 @@
 }
 
 /// Extracts the relevant parts of a request's head.
-fn parse_head(req: &WebRequest<()>) -> request::Asked {
+fn parse_head(req: &WebRequest<()>) -> request::Unchecked {
     let text = |name: &str| {
         let value = req.headers().get(name)?;
         // A value that is not ASCII text is replaced by one that every check rejects.
@@ -236,7 +236,7 @@
     let bearer = text(header::AUTHORIZATION.as_str());
     let token = bearer.as_deref().and_then(|b| b.strip_prefix("Bearer "));
     let path = req.uri().path();
-    request::Asked {
+    request::Unchecked {
         pipeline: path.rsplit('/').next().unwrap_or_default().to_owned(),
         token: token.map(str::to_owned),
         key: text("idempotency-key"),
@@ -251,7 +251,7 @@
     head: request::Head,
     body: RequestBody,
 ) -> Result<request::Request, verdict::Reason> {
-    let limit = head.stages().body_limit.0;
+    let limit = head.definition().body_limit.0;
     let bytes = tokio::time::timeout_at(head.deadline, collect_body(body, limit)).await;
     let bytes = bytes.map_err(|_| verdict::Reason::DeadlineExceeded)??;
     head.with_body(&bytes)
@@ -271,7 +271,7 @@
 }
 
 /// Responds with an event stream if the caller accepts one, else with a single JSON body.
-async fn respond(ctx: &Context<'_>, id: id::RequestId, driven: driver::Driven) -> WebResponse {
+async fn respond(ctx: &Context<'_>, id: id::RequestId, driven: driver::Execution) -> WebResponse {
     let accept = ctx.req().headers().get(header::ACCEPT);
     let wants_stream = accept
         .and_then(|a| a.to_str().ok())
@@ -311,7 +311,7 @@
 }
 
 /// Waits for the outcome of a request.
-async fn wait_outcome(mut driven: driver::Driven) -> (driver::Outcome, Option<stop::Work>) {
+async fn wait_outcome(mut driven: driver::Execution) -> (driver::Outcome, Option<stop::Work>) {
     while let Some(event) = driven.events.recv().await {
         if let driver::Event::End(outcome, work) = event {
             return (outcome, Some(work));
--- a/laburnumcart_entry/src/callers/event_stream.rs
+++ b/laburnumcart_entry/src/callers/event_stream.rs
@@ -37,7 +37,7 @@
 /// Its request counts as in flight until the last event was written, as with `FullBody`.
 pub(super) struct EventStream {
     request: id::RequestId,
-    driven: Option<driver::Driven>,
+    driven: Option<driver::Execution>,
     /// Completes when the caller has disconnected.
     disconnected: pin::Pin<Box<dyn Future<Output = ()>>>,
     work: Option<stop::Work>,
@@ -48,7 +48,7 @@
     /// Creates the stream of a running request.
     pub(super) fn new(
         request: id::RequestId,
-        driven: driver::Driven,
+        driven: driver::Execution,
         disconnected: impl Future<Output = ()> + 'static,
     ) -> Self {
         Self {
--- a/laburnumcart_entry/src/control/thread.rs
+++ b/laburnumcart_entry/src/control/thread.rs
@@ -42,7 +42,7 @@
     /// Object service.
     pub store: S,
     /// Identity and resources for lanes to agents.
-    pub caller: links::Caller,
+    pub caller: links::Config,
     /// Secret for connections to peers.
     pub secret: secret::Secret,
     /// Options for following the bundle.
@@ -124,12 +124,15 @@
     }
 
     fn publish(&mut self) {
-        let opening = self.members.agents().any(|member| member.lane.is_opening());
+        let opening = self
+            .members
+            .agents()
+            .any(|member| member.lane.is_connecting());
         // A newly set up object service returns an empty list. An entry that counted as ready with
         // it would attract callers from entries that know targets, and refuse them all.
         let has_agents = self.members.agents().next().is_some();
         self.agents_known |= self.has_list && has_agents && !opening;
-        let mut ways: collections::BTreeMap<id::ServiceName, Vec<routes::Way>> =
+        let mut ways: collections::BTreeMap<id::ServiceName, Vec<routes::Route>> =
             collections::BTreeMap::new();
         let latencies = self.latencies();
         for member in self.members.agents() {
@@ -138,7 +141,9 @@
         }
         let routes = ways.into_iter().map(|(service, ways)| {
             let routes = routes::Routes::new(service.clone(), ways);
-            self.entry.policy.keep(&service, &routes.targets());
+            self.entry
+                .policy
+                .retain_targets(&service, &routes.target_names());
             (service, routes)
         });
         let open = |m: &&members::Member| m.lane.connection().is_some();
@@ -156,24 +161,25 @@
     fn latencies(&self) -> latency::ExtraLatency {
         let mut latencies = latency::ExtraLatency::new(self.entry.identity.data_centre.clone());
         for member in self.members.agents() {
-            if let Some(trip) = member.lane.report().and_then(|seen| seen.trip) {
+            if let Some(trip) = member.lane.report().and_then(|seen| seen.min_rtt) {
                 latencies.record(&member.data_centre, trip);
             }
         }
         latencies
     }
 
-    fn way(&self, member: &members::Member, latencies: &latency::ExtraLatency) -> routes::Way {
+    fn way(&self, member: &members::Member, latencies: &latency::ExtraLatency) -> routes::Route {
         let report = member.lane.report();
-        let leaving = |seen: &links::Seen| self.entry.gossip.is_leaving(seen.report.incarnation);
-        let ejected = |seen: &links::Seen| {
+        let leaving =
+            |seen: &links::ReceivedReport| self.entry.gossip.is_leaving(seen.report.incarnation);
+        let ejected = |seen: &links::ReceivedReport| {
             let target = &seen.report.target;
             self.entry.policy.is_ejected(&member.service, target)
         };
-        routes::Way {
+        routes::Route {
             lane: member.lane.clone(),
             local: member.data_centre == self.entry.identity.data_centre,
-            crossing: latencies.to(&member.data_centre),
+            extra_latency: latencies.to(&member.data_centre),
             leaving: report.as_deref().is_some_and(leaving),
             ejected: report.as_deref().is_some_and(ejected),
         }
--- a/laburnumcart_entry/src/members.rs
+++ b/laburnumcart_entry/src/members.rs
@@ -91,7 +91,7 @@
 /// Lanes to agents that are or were listed.
 #[derive(Debug)]
 pub struct Members {
-    caller: links::Caller,
+    caller: links::Config,
     data_centre: id::DataCentre,
     runtime: runtime::Handle,
     lanes: collections::BTreeMap<net::SocketAddr, Member>,
@@ -117,7 +117,7 @@
 impl Members {
     /// Creates an empty set whose lanes run on `runtime`.
     pub fn new(
-        caller: links::Caller,
+        caller: links::Config,
         data_centre: id::DataCentre,
         runtime: runtime::Handle,
     ) -> Self {
@@ -159,7 +159,7 @@
         for service in self.agents.iter().filter_map(|i| i.service.as_ref()) {
             *counts.entry(service.clone()).or_default() += 1;
         }
-        let idle = self.caller.timing.idle;
+        let idle = self.caller.timing.idle_period;
         let size = subset::size(HEARTBEAT_BANDWIDTH, idle, counts.values().copied());
         let size = size.max(MIN_SUBSET);
         self.subset_sizes
@@ -182,7 +182,7 @@
     fn count_agents(&self, service: &id::ServiceName) -> (usize, usize) {
         let kept = self.lanes.values();
         let kept = kept.filter(|m| m.service == *service && self.chosen.contains(&m.lane.addr));
-        let usable = |m: &&Member| m.lane.is_opening() || m.lane.takes(service);
+        let usable = |m: &&Member| m.lane.is_connecting() || m.lane.accepts_work(service);
         (kept.clone().count(), kept.filter(usable).count())
     }
 
@@ -239,7 +239,9 @@
     fn idle_period(&self, lanes: usize, kept: usize, all: usize) -> time::Duration {
         let lanes_per_agent = (self.entries.len() * kept).div_ceil(all.max(1));
         let period = subset::heartbeat_period(HEARTBEAT_BANDWIDTH, lanes.max(lanes_per_agent));
-        period.min(MAX_IDLE_PERIOD).max(self.caller.timing.idle)
+        period
+            .min(MAX_IDLE_PERIOD)
+            .max(self.caller.timing.idle_period)
     }
 
     fn open_lane(
@@ -256,7 +258,7 @@
         });
         member.service = service.clone();
         member.data_centre = instance.data_centre.clone();
-        member.lane.set_idle(period);
+        member.lane.set_idle_period(period);
     }
 
     /// Iterates over the agents.
--- a/laburnumcart_entry/src/run.rs
+++ b/laburnumcart_entry/src/run.rs
@@ -169,7 +169,7 @@
         .metrics(counters)
         .start(Arc::new(store.clone()), peers.clone());
     entry.set_claims(Arc::new(at_most_once::ClaimService { service, peers }));
-    let caller = links::Caller {
+    let caller = links::Config {
         instance: settings.instance.clone(),
         incarnation: entry.identity.incarnation,
         peer: settings.peer,
