--- a/laburnumcart_gateway/src/balancer.rs
+++ b/laburnumcart_gateway/src/balancer.rs
@@ -46,7 +46,7 @@
 pub struct Balancer {
     data_centre: id::DataCentre,
     entries: Vec<Entry>,
-    ejector: outlier::Detector,
+    detector: outlier::Detector,
 }
 
 impl Balancer {
@@ -55,7 +55,7 @@
         Self {
             data_centre: own,
             entries: Vec::new(),
-            ejector: outlier::Detector::new(EJECTED_SHARE_MAX, now),
+            detector: outlier::Detector::new(EJECTED_SHARE_MAX, now),
         }
     }
 
@@ -70,18 +70,18 @@
     ) {
         let keys = self.entries.iter().map(|e| e.target.key());
         let (gone, new) = view::diff_targets(keys, targets);
-        let ejector = &mut self.ejector;
+        let detector = &mut self.detector;
         self.entries.retain(|entry| {
             let kept = !gone.contains(&entry.target.key());
             if !kept {
-                ejector.remove(entry.key);
+                detector.remove(entry.key);
             }
             kept
         });
         for target in new {
             self.entries.push(Entry {
                 target: target.clone(),
-                key: self.ejector.add(),
+                key: self.detector.add(),
                 in_flight: 0,
                 load: initial_load(now),
                 limiter: limiter(target),
@@ -108,18 +108,18 @@
         let positions = (0..names.len()).filter(|i| tried.contains(&names[*i]));
         let tried: Vec<_> = positions.collect();
         let in_flight = |i: usize| self.entry(&names[i]).map_or(0, |e| e.in_flight);
-        let ask = balancer::Request {
+        let request = balancer::Request {
             tried: &tried,
             prefix: None,
             in_flight: &in_flight,
             now,
         };
-        let chosen = table.choose(&ask, &mut rand::rng())?;
+        let chosen = table.choose(&request, &mut rand::rng())?;
         let name = names[chosen].clone();
         let entry = self.entries.iter_mut().find(|e| e.target.name == name)?;
         entry.in_flight += 1;
         entry.limiter.record_send(now);
-        self.ejector.record_send(entry.key, now);
+        self.detector.record_send(entry.key, now);
         Some(entry.target.clone())
     }
 
@@ -140,7 +140,7 @@
             entry.load.service_time = time::Duration::from_secs_f64(mean);
         }
         if let Some(outcome) = outcome {
-            self.ejector.record_outcome(entry.key, outcome, now);
+            self.detector.record_outcome(entry.key, outcome, now);
         }
     }
 
@@ -166,7 +166,7 @@
 
     fn candidate(&self, entry: &Entry, now: Instant) -> balancer::Target {
         let is_local = entry.target.data_centre == self.data_centre;
-        let state = match self.ejector.can_send(entry.key, now) {
+        let state = match self.detector.can_send(entry.key, now) {
             true => balancer::State::Ready,
             false => balancer::State::Ejected,
         };
--- a/laburnumcart_gateway/src/budgets.rs
+++ b/laburnumcart_gateway/src/budgets.rs
@@ -86,7 +86,7 @@
 /// Retry budgets, one for each service.
 pub struct Budgets {
     view: Arc<view::View>,
-    bound: fleet_budget::Limit,
+    limit: fleet_budget::Limit,
     metrics: metrics::Metrics,
     budgets: Mutex<collections::HashMap<id::ServiceName, budget::Budget>>,
     /// The same moment on the runtime's clock and on the boot-time clock.
@@ -102,7 +102,7 @@
     ) -> Arc<Self> {
         Arc::new(Self {
             view,
-            bound: fleet_budget::Limit {
+            limit: fleet_budget::Limit {
                 ratio: bounds.retry_ratio,
                 extra: bounds.retry_extra,
             },
@@ -138,7 +138,7 @@
         };
         let counter = self.metrics.repeats.get_or_create(&labels).clone();
         counter.inc_by(repeat.count.into());
-        let account = self.with_budget(repeat.service, |budget, now| budget.usage(now));
+        let usage = self.with_budget(repeat.service, |budget, now| budget.usage(now));
         event!(
             Info,
             "repeat",
@@ -148,9 +148,9 @@
             count = repeat.count,
             outcome = outcome,
             cause = cause,
-            spent = account.spent,
-            allowed = format_args!("{:.1}", account.allowed),
-            shut = account.suspended,
+            spent = usage.spent,
+            allowed = format_args!("{:.1}", usage.allowed),
+            shut = usage.suspended,
             part = format_args!("{:.3}", self.view.budget_fraction())
         );
     }
@@ -164,8 +164,8 @@
         let now = self.now();
         let mut budgets = view::lock(&self.budgets);
         let budget = budgets.entry(service.clone());
-        let budget = budget.or_insert_with(|| self.bound.budget(now));
-        budget.set_reserve(self.bound.reserve(self.view.budget_fraction()));
+        let budget = budget.or_insert_with(|| self.limit.budget(now));
+        budget.set_reserve(self.limit.reserve(self.view.budget_fraction()));
         act(budget, now)
     }
 
--- a/laburnumcart_gateway/src/dispatcher/owned_queue.rs
+++ b/laburnumcart_gateway/src/dispatcher/owned_queue.rs
@@ -63,7 +63,7 @@
     pub(super) queue: batch::Queue,
     pub(super) targets: SecondaryMap<batch::TargetKey, Arc<view::Target>>,
     pub(super) waiters: SecondaryMap<batch::JobKey, Waiter>,
-    engine_keys: collections::HashMap<id::TargetLife, batch::TargetKey>,
+    target_keys: collections::HashMap<id::TargetLife, batch::TargetKey>,
     job_keys: collections::HashMap<u64, batch::JobKey>,
     /// Results to free, by the address and start time of their target.
     pub(super) to_free: collections::HashMap<(net::SocketAddr, id::Life), Vec<batch::Handle>>,
@@ -81,7 +81,7 @@
             queue: batch::Queue::new(batching),
             targets: SecondaryMap::new(),
             waiters: SecondaryMap::new(),
-            engine_keys: collections::HashMap::new(),
+            target_keys: collections::HashMap::new(),
             job_keys: collections::HashMap::new(),
             to_free: collections::HashMap::new(),
             last_expiry: None,
@@ -102,9 +102,9 @@
         targets: &[Arc<view::Target>],
         limiter: impl Fn(&view::Target) -> quota::Limiter,
     ) {
-        let (gone, new) = view::diff_targets(self.engine_keys.keys().cloned(), targets);
+        let (gone, new) = view::diff_targets(self.target_keys.keys().cloned(), targets);
         for life in gone {
-            if let Some(key) = self.engine_keys.remove(&life) {
+            if let Some(key) = self.target_keys.remove(&life) {
                 self.queue.targets.remove(key);
                 self.targets.remove(key);
             }
@@ -112,7 +112,7 @@
         for target in new {
             let key = self.queue.targets.add(target.data_centre.clone());
             self.queue.targets.set_limiter(key, limiter(target));
-            self.engine_keys.insert(target.key(), key);
+            self.target_keys.insert(target.key(), key);
             self.targets.insert(key, target.clone());
         }
     }
--- a/laburnumcart_gateway/src/engines.rs
+++ b/laburnumcart_gateway/src/engines.rs
@@ -82,12 +82,12 @@
     /// Chooses an engine and records the request as sent to it.
     pub fn assign(
         &mut self,
-        ask: &placement::Request<'_>,
+        request: &placement::Request<'_>,
         now: Instant,
     ) -> Option<(placement::Assignment, Arc<view::Target>)> {
-        let place = self.placement.choose(ask, now)?;
-        let target = self.targets.get(place.engine)?.clone();
-        self.placement.record_sent(ask, place, now);
-        Some((place, target))
+        let assignment = self.placement.choose(request, now)?;
+        let target = self.targets.get(assignment.engine)?.clone();
+        self.placement.record_sent(request, assignment, now);
+        Some((assignment, target))
     }
 }
--- a/laburnumcart_gateway/src/forward.rs
+++ b/laburnumcart_gateway/src/forward.rs
@@ -264,7 +264,7 @@
         let Some((target, sent)) = self.last_send.take() else {
             return;
         };
-        let strike = poison::Failure {
+        let failure = poison::Failure {
             content: self.request.fingerprint(),
             sent,
             failed: Instant::now(),
@@ -273,7 +273,7 @@
             .outbound
             .quotas
             .signals
-            .record_failure(&target, strike);
+            .record_failure(&target, failure);
     }
 
     /// Logs and counts the decision on a retry, unless no target has received the request.
--- a/laburnumcart_gateway/src/pipeline/admit.rs
+++ b/laburnumcart_gateway/src/pipeline/admit.rs
@@ -35,9 +35,10 @@
             .announcements
             .announce(self.gateway, announcements)
             .await;
-        let mut steps: Vec<_> = (0..stages.len()).map(|i| self.forecast_stage(i)).collect();
+        let mut forecast_stages: Vec<_> =
+            (0..stages.len()).map(|i| self.forecast_stage(i)).collect();
         for (i, estimate) in indices.into_iter().zip(estimates) {
-            steps[i].estimate = estimate;
+            forecast_stages[i].estimate = estimate;
         }
         let time = forecast::TimeBudget {
             slack: self.request.slack(),
@@ -45,17 +46,17 @@
             rest: self.first_token_time(),
             is_repeat: self.is_retry,
         };
-        match forecast::judge(&steps, time) {
+        match forecast::judge(&forecast_stages, time) {
             forecast::Judgement::OnTime => Ok(()),
             forecast::Judgement::Late => {
                 self.late = true;
                 self.announcements.withdraw();
-                self.log_judgement("late", &steps, time);
+                self.log_judgement("late", &forecast_stages, time);
                 Ok(())
             }
             forecast::Judgement::Refused(after) => {
                 self.gateway.metrics.refused_early.inc();
-                self.log_judgement("refused", &steps, time);
+                self.log_judgement("refused", &forecast_stages, time);
                 let millis = after.as_millis().try_into().unwrap_or(u32::MAX);
                 Err(batch::Failure::Busy(millis))
             }
@@ -77,14 +78,14 @@
     fn log_judgement(
         &self,
         judgement: &str,
-        steps: &[forecast::Stage],
+        forecast_stages: &[forecast::Stage],
         time: forecast::TimeBudget,
     ) {
-        let turn = |step: &forecast::Stage| {
-            let turn = step.estimate.map(|estimate| estimate.turn.0);
+        let turn = |stage: &forecast::Stage| {
+            let turn = stage.estimate.map(|estimate| estimate.turn.0);
             turn.map_or("?".into(), |turn| turn.as_millis().to_string())
         };
-        let turns: Vec<_> = steps.iter().map(turn).collect();
+        let turns: Vec<_> = forecast_stages.iter().map(turn).collect();
         event!(
             Info,
             "forecast",
--- a/laburnumcart_gateway/src/quotas.rs
+++ b/laburnumcart_gateway/src/quotas.rs
@@ -59,9 +59,9 @@
 
 impl TargetState {
     /// Returns the bound that stops all sends, if the target is leaving or asked for a backoff.
-    fn closed_bound(&self, heard: &quota::TargetLimit) -> Option<quota::Bound> {
+    fn closed_bound(&self, target_limit: &quota::TargetLimit) -> Option<quota::Bound> {
         let closed = quota::Bound::blocked();
-        match heard.leaving_since() {
+        match target_limit.leaving_since() {
             Some(_) => Some(closed),
             None => self.backoff.map(|until| closed.until(until)),
         }
@@ -164,7 +164,7 @@
         limiters.requests.is_backing_off(Instant::now())
     }
 
-    /// Records the rate limit that a response of a target states.
+    /// Records the rate limit that a target advertises in a response.
     pub fn record_limit(&self, target: &view::Target, observation: quota::Observation) {
         if !self.signals.record_limit(&target.key(), observation) {
             return;
@@ -238,14 +238,15 @@
 
     /// Sets the limiters of a target to the bounds that apply to it.
     fn update_limiters(&self, state: &mut TargetState, now: Instant) {
-        let heard = self.signals.get(&state.target.key());
-        let (mut requests, mut calls) = self.shared_bounds(&state.target, heard.advertised(), now);
-        let closed = state.closed_bound(&heard);
+        let target_limit = self.signals.get(&state.target.key());
+        let (mut requests, mut calls) =
+            self.shared_bounds(&state.target, target_limit.advertised(), now);
+        let closed = state.closed_bound(&target_limit);
         requests.backoff = closed;
         calls.backoff = closed;
         state.limiters.requests.set_bounds(requests);
         state.limiters.calls.set_bounds(calls);
-        let limit = heard.limit();
+        let limit = target_limit.limit();
         if limit == state.limit {
             return;
         }
@@ -269,12 +270,12 @@
     fn shared_bounds(
         &self,
         target: &view::Target,
-        named: Option<&quota::Advertised>,
+        advertised: Option<&quota::Advertised>,
         now: Instant,
     ) -> (quota::Bounds, quota::Bounds) {
         let (mut requests, mut calls) = (quota::Bounds::default(), quota::Bounds::default());
         let until = target.cold_until.filter(|until| *until > now);
-        if until.is_none() && named.is_none() {
+        if until.is_none() && advertised.is_none() {
             return (requests, calls);
         }
         let table = self.view.table.load();
@@ -295,12 +296,12 @@
             let quota = quota::Quota::from_rate(uses.call_rate(rate));
             calls.cold = Some(quota::Bound::new(quota).until(until));
         }
-        if let Some(named) = named {
-            let part = uses.request_rate(named.rate);
-            requests.advertised = Some(senders.advertised_bound(&target.name, part, named));
+        if let Some(advertised) = advertised {
+            let rate = uses.request_rate(advertised.rate);
+            requests.advertised = Some(senders.advertised_bound(&target.name, rate, advertised));
             calls.advertised = Some(quota::Bound::for_calls(
-                uses.call_rate(named.rate),
-                named.since,
+                uses.call_rate(advertised.rate),
+                advertised.since,
             ));
         }
         (requests, calls)
