--- a/laburnumcart_agent/src/agent.rs
+++ b/laburnumcart_agent/src/agent.rs
@@ -25,20 +25,20 @@
 use crate::{
     control,
     execute,
+    scheduler, //
     service,
     settings,
     shared,
-    work, //
 };
 
 /// Time between two looks for attempts and lanes whose time has passed.
-const SWEEP: time::Duration = time::Duration::from_millis(50);
+const EXPIRY_INTERVAL: time::Duration = time::Duration::from_millis(50);
 
 /// What an agent is made of beside its settings.
 #[derive(Debug, Default)]
 pub struct Parts {
     /// Limits of the work that it takes on.
-    pub limits: work::Limits,
+    pub limits: scheduler::Limits,
     /// Where its metrics go.
     pub metrics: metrics::Metrics,
     /// How it follows the bundle; without this it stays with none.
@@ -73,7 +73,7 @@
             let shared = shared.clone();
             move || control::run(shared, news, store, parts.options)
         })?;
-        tokio::spawn(sweep(shared.clone()));
+        tokio::spawn(expire_periodically(shared.clone()));
         event!(
             Info,
             "started",
@@ -101,11 +101,13 @@
     /// Refuses new work, finishes what runs and keeps results until they are settled, within the
     /// stop limit; returns the number of attempts that were left.
     pub async fn stop(self) -> usize {
-        self.shared.leave();
+        self.shared.start_drain();
         let draining = self.running.drain();
         // What still waits can run elsewhere sooner; that it did not run here is proven.
         let now = time::Instant::now();
-        self.shared.work().clear(verdict::Reason::Leaving, now);
+        self.shared
+            .scheduler()
+            .refuse_queued(verdict::Reason::Leaving, now);
         let stopped = draining.wait(self.shared.settings.stop_limit).await;
         self.peers.stop();
         stopped.left
@@ -118,20 +120,20 @@
 }
 
 /// Ends attempts whose time has passed and forgets results that were kept long enough.
-async fn sweep(shared: sync::Arc<shared::Shared>) {
-    let mut ticks = time::interval(SWEEP);
+async fn expire_periodically(shared: sync::Arc<shared::Shared>) {
+    let mut ticks = time::interval(EXPIRY_INTERVAL);
     ticks.set_missed_tick_behavior(time::MissedTickBehavior::Delay);
     loop {
         ticks.tick().await;
         let now = time::Instant::now();
         {
-            let mut work = shared.work();
-            work.sweep(now);
+            let mut scheduler = shared.scheduler();
+            scheduler.expire(now);
             let counters = &shared.counters;
-            counters.running.set(work.running() as i64);
-            counters.queued.set(work.queued() as i64);
-            counters.limit.set(i64::from(work.limit()));
+            counters.running.set(scheduler.running_count() as i64);
+            counters.queued.set(scheduler.queued_count() as i64);
+            counters.limit.set(i64::from(scheduler.concurrency_limit()));
         }
-        execute::pump(&shared);
+        execute::start_queued(&shared);
     }
 }
--- a/laburnumcart_agent/src/control.rs
+++ b/laburnumcart_agent/src/control.rs
@@ -1,8 +1,8 @@
-//! The control thread: bundle, facts, health of the target, term and orders.
+//! Control thread: bundle, facts, health checks of the target, term and orders.
 
-mod ordering;
+mod health;
+mod order_loop;
 mod term;
-mod watching;
 
 use std::sync;
 
@@ -31,57 +31,57 @@
     target, //
 };
 
-/// Time between two looks at the target.
-const POLL: time::Duration = time::Duration::from_millis(250);
+/// Time between two health checks of the target.
+const POLL_INTERVAL: time::Duration = time::Duration::from_millis(250);
 
 /// Control state, owned by the control thread.
 pub(crate) struct Control {
     shared: sync::Arc<shared::Shared>,
-    news: mpsc::Receiver<shared::News>,
+    messages: mpsc::Receiver<shared::Message>,
     facts: facts::Table,
-    watching: watching::Watching,
-    /// State of the target for the orders, `None` while it is not known.
-    states: watch::Sender<Option<target::State>>,
-    next: snapshot::Snapshot,
-    /// Failed attempts, the oldest ones, of which it is known now why they failed.
+    health: health::Health,
+    /// State of the target for the order loop; `None` while it is unknown.
+    target_states: watch::Sender<Option<target::State>>,
+    next_snapshot: snapshot::Snapshot,
+    /// Number of failures, oldest first, to mark as explained after the next publication.
     explained: usize,
-    /// Who waits until it is known whether the target crashed.
-    doubtful: Vec<shared::Taken>,
-    /// Who waits for the next publication.
-    taken: Vec<shared::Taken>,
+    /// Acknowledged once it is known whether the target crashed.
+    diagnosis_acks: Vec<shared::Ack>,
+    /// Acknowledged after the next publication.
+    acks: Vec<shared::Ack>,
 }
 
 /// Runs the control loops; never returns.
 pub(crate) async fn run<S: store::Store>(
     shared: sync::Arc<shared::Shared>,
-    news: mpsc::Receiver<shared::News>,
+    messages: mpsc::Receiver<shared::Message>,
     store: S,
     options: Option<bundle::Options>,
 ) {
     let store = sync::Arc::new(store);
     let control = Control {
         shared: shared.clone(),
-        news,
+        messages,
         facts: facts::Table::default(),
-        watching: watching::Watching::default(),
-        states: watch::Sender::new(None),
-        next: snapshot::Snapshot::default(),
+        health: health::Health::default(),
+        target_states: watch::Sender::new(None),
+        next_snapshot: snapshot::Snapshot::default(),
         explained: 0,
-        doubtful: Vec::new(),
-        taken: Vec::new(),
+        diagnosis_acks: Vec::new(),
+        acks: Vec::new(),
     };
     let secret = shared.settings.fleet.secret().cloned();
-    let states = control.states.subscribe();
-    // An order can take seconds, in which the target must still be looked at.
+    let states = control.target_states.subscribe();
+    // Concurrent: an order can take seconds, during which the target must still be polled.
     tokio::join!(
         control.run(),
-        ordering::run(shared.clone(), store.clone(), states),
-        follow(shared, store, secret, options),
+        order_loop::run(shared.clone(), store.clone(), states),
+        follow_bundles(shared, store, secret, options),
     );
 }
 
-/// Follows the bundle in force.
-async fn follow<S: store::Store>(
+/// Keeps the feed at the current bundle.
+async fn follow_bundles<S: store::Store>(
     shared: sync::Arc<shared::Shared>,
     store: sync::Arc<S>,
     secret: Option<secret::Secret>,
@@ -96,88 +96,88 @@
 impl Control {
     async fn run(mut self) {
         let mut generations = self.shared.feed.changes();
-        let mut ticks = time::interval(POLL);
+        let mut ticks = time::interval(POLL_INTERVAL);
         ticks.set_missed_tick_behavior(time::MissedTickBehavior::Delay);
         loop {
             tokio::select! {
-                news = self.news.recv() => self.take(news).await,
-                _ = generations.changed() => self.adopt(),
-                _ = ticks.tick() => self.look().await,
+                message = self.messages.recv() => self.handle_message(message).await,
+                _ = generations.changed() => self.apply_bundle(),
+                _ = ticks.tick() => self.poll_target().await,
             }
             self.publish();
         }
     }
 
-    async fn take(&mut self, news: Option<shared::News>) {
+    async fn handle_message(&mut self, message: Option<shared::Message>) {
         let now = time::Instant::now();
-        match news {
-            Some(shared::News::Facts(facts, taken)) => {
+        match message {
+            Some(shared::Message::Facts(facts, ack)) => {
                 self.facts.merge(&facts, now);
-                self.taken.push(taken);
+                self.acks.push(ack);
             }
-            Some(shared::News::Cleared(all)) => {
+            Some(shared::Message::Cleared(all)) => {
                 for cleared in all {
                     self.facts.add_cleared(&cleared, now);
                 }
             }
-            Some(shared::News::Failed(taken)) => {
-                self.doubtful.push(taken);
-                self.look().await;
+            Some(shared::Message::Failed(ack)) => {
+                self.diagnosis_acks.push(ack);
+                self.poll_target().await;
             }
             None => (),
         }
     }
 
-    /// Takes over the bundle in force.
-    fn adopt(&mut self) {
+    /// Applies the current bundle.
+    fn apply_bundle(&mut self) {
         let Some(current) = self.shared.feed.current() else {
             return;
         };
         let bundle = &current.bundle;
         let service = bundle.services.get(&self.shared.settings.target.service);
-        self.shared.work().configure(bundle);
-        self.watching.quarantine = bundle.limits.quarantine;
-        self.next.service = service.cloned().map(sync::Arc::new);
-        self.next.generation = current.generation;
+        self.shared.scheduler().configure(bundle);
+        self.health.quarantine = bundle.limits.quarantine;
+        self.next_snapshot.service = service.cloned().map(sync::Arc::new);
+        self.next_snapshot.generation = current.generation;
         event!(Info, "bundle", generation = current.generation);
     }
 
-    /// Looks at the target and at the facts.
-    async fn look(&mut self) {
-        self.watch().await;
+    /// Checks the target's health, and expires facts and sent versions.
+    async fn poll_target(&mut self) {
+        self.check_health().await;
         let now = time::Instant::now();
         self.facts.expire(now);
         if self.shared.is_leaving() {
             self.facts.set_leaving(self.shared.incarnation, now);
         }
-        self.shared.prune();
+        self.shared.prune_sent_facts();
     }
 
     fn publish(&mut self) {
         let now = time::Instant::now();
-        if self.next.facts.version() != self.facts.version() {
-            self.next.facts = self.facts.clone();
-            self.next.suspects = sync::Arc::new(suspects::Suspects::new(&self.facts, now));
+        if self.next_snapshot.facts.version() != self.facts.version() {
+            self.next_snapshot.facts = self.facts.clone();
+            self.next_snapshot.suspects = sync::Arc::new(suspects::Suspects::new(&self.facts, now));
         }
-        self.next.ready = self.watching.is_ready();
+        self.next_snapshot.ready = self.health.is_ready();
         self.shared
             .snapshot
-            .store(sync::Arc::new(self.next.clone()));
-        // Not before the crash is in force: a suspect that was held would start meanwhile.
+            .store(sync::Arc::new(self.next_snapshot.clone()));
+        // After the crash is published: a held suspect could otherwise start in between.
         let explained = std::mem::take(&mut self.explained);
-        self.shared.work().explain(explained);
-        if !self.shared.work().is_doubtful() {
-            self.taken.append(&mut self.doubtful);
+        self.shared.scheduler().mark_explained(explained);
+        if !self.shared.scheduler().has_unexplained() {
+            self.acks.append(&mut self.diagnosis_acks);
         }
-        for taken in self.taken.drain(..) {
-            // Nobody waits any more if it took too long.
-            let _ = taken.send(());
+        for ack in self.acks.drain(..) {
+            // Fails if the waiting thread has timed out.
+            let _ = ack.send(());
         }
     }
 
     fn add_crash(&mut self, suspects: Vec<id::Fingerprint>) {
         let now = time::Instant::now();
-        let crash = suspects::crash_fact(suspects, self.watching.quarantine);
+        let crash = suspects::crash_fact(suspects, self.health.quarantine);
         self.facts.add_crash(&crash, now);
     }
 }
--- a/laburnumcart_agent/src/control/term.rs
+++ b/laburnumcart_agent/src/control/term.rs
@@ -1,4 +1,4 @@
-//! The agent's term over its target, kept in the object service.
+//! Term of the agent over its target, stored in the object service.
 
 use laburnumcart::id;
 use laburnumcart_platform::store;
@@ -7,12 +7,11 @@
     Serialize, //
 };
 
-/// Object that names the holder of a target's term.
+/// Stored object that names the holder of a target's term.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub(super) struct Holder {
-    /// Number of the term.
     pub(super) term: id::Term,
-    /// Life of the agent that holds it.
+    /// Incarnation of the agent that holds the term.
     pub(super) incarnation: id::Incarnation,
 }
 
@@ -33,10 +32,10 @@
     Ok(Some((holder, object.version)))
 }
 
-/// Takes the next term over a target.
+/// Acquires the next term over a target.
 ///
-/// An answer can be lost after the write took effect; the next try then finds its own life in the
-/// object and takes the term that it has, in place of raising it again.
+/// An answer can be lost after the write took effect. The next try then finds its own incarnation
+/// in the object and returns that term instead of incrementing it again.
 pub(super) async fn acquire(
     store: &impl store::Store,
     key: &str,
--- a/laburnumcart_agent/src/counters.rs
+++ b/laburnumcart_agent/src/counters.rs
@@ -110,7 +110,7 @@
     }
 
     /// Counts a refusal.
-    pub fn refuse(&self, refusal: &verdict::Refusal) {
+    pub fn record_refusal(&self, refusal: &verdict::Refusal) {
         let labels = Refused {
             reason: metrics::Label(refusal.reason),
             verdict: metrics::Label(refusal.verdict),
@@ -119,7 +119,7 @@
     }
 
     /// Adds the time that the target spent on an attempt.
-    pub fn spend(&self, stage: &id::StageName, spent: Spent, busy: time::Duration) {
+    pub fn record_busy_time(&self, stage: &id::StageName, spent: Spent, busy: time::Duration) {
         let stage = self.stages.label(stage.as_str());
         let counter = self.busy.get_or_create(&Busy { stage, spent });
         counter.inc_by(busy.as_secs_f64());
--- a/laburnumcart_agent/src/execute.rs
+++ b/laburnumcart_agent/src/execute.rs
@@ -1,4 +1,4 @@
-//! Execution of admitted attempts on the traffic threads.
+//! Execution of admitted attempts at the target, on the traffic threads.
 
 use std::sync;
 
@@ -18,17 +18,17 @@
     target::run, //
 };
 
-/// Bytes of one result that may wait to be acknowledged before its stream is held back.
-const PENDING_MAX: usize = 1 << 20;
+/// Unacknowledged bytes of one result above which reading from the target pauses.
+const UNACKNOWLEDGED_MAX: usize = 1 << 20;
 
-/// Starts every queued attempt that has a slot.
-pub fn pump(shared: &sync::Arc<shared::Shared>) {
+/// Starts queued attempts while there are free slots.
+pub fn start_queued(shared: &sync::Arc<shared::Shared>) {
     loop {
-        let mut work = shared.work();
-        // Loaded before the lock, they could be from before another suspect was started.
+        let mut scheduler = shared.scheduler();
+        // Loaded under the lock: an earlier snapshot could predate the start of another suspect.
         let suspects = shared.snapshot.load().suspects.clone();
-        let next = work.next(&suspects, time::Instant::now());
-        drop(work);
+        let next = scheduler.start_next(&suspects, time::Instant::now());
+        drop(scheduler);
         let Some(job) = next else {
             return;
         };
@@ -36,10 +36,10 @@
     }
 }
 
-/// Executes one attempt to its end.
+/// Executes one attempt and records its outcome.
 async fn execute(shared: sync::Arc<shared::Shared>, job: sync::Arc<job::Job>) {
     let call = &job.call;
-    let came = call.traceparent.as_ref().and_then(|text| text.parse().ok());
+    let caller_span = call.traceparent.as_ref().and_then(|text| text.parse().ok());
     let span = tracing::info_span!(
         "execution",
         otel.kind = "server",
@@ -49,52 +49,68 @@
         pipeline = %call.pipeline,
         stage = %call.stage,
     );
-    traces::join(&span, came.as_ref());
-    let begun = time::Instant::now();
-    let outcome = attempt(&shared, &job, came).instrument(span).await;
+    traces::join(&span, caller_span.as_ref());
+    let started = time::Instant::now();
+    let outcome = run_on_target(&shared, &job, caller_span)
+        .instrument(span)
+        .await;
     let now = time::Instant::now();
-    spend(&shared, &job, outcome, now - begun);
-    shared.work().end(&job, outcome, now);
+    record_busy_time(&shared, &job, outcome, now - started);
+    shared.scheduler().record_outcome(&job, outcome, now);
     if let job::Outcome::MayHaveRun(reason @ verdict::Reason::TargetFailed) = outcome {
-        shared.failed().await;
-        shared.work().fail(&job, reason, time::Instant::now());
+        shared.diagnose_failure().await;
+        shared
+            .scheduler()
+            .record_failure(&job, reason, time::Instant::now());
     }
-    report(&shared, &job, outcome, now);
-    pump(&shared);
+    record_outcome(&shared, &job, outcome, now);
+    start_queued(&shared);
 }
 
-/// Counts the time that the target spent; what it refused cost it nothing.
-fn spend(shared: &shared::Shared, job: &job::Job, outcome: job::Outcome, busy: time::Duration) {
+/// Adds the time that the target spent on an attempt to the metrics; a refused attempt costs none.
+fn record_busy_time(
+    shared: &shared::Shared,
+    job: &job::Job,
+    outcome: job::Outcome,
+    busy: time::Duration,
+) {
     let spent = match outcome {
-        job::Outcome::Whole => counters::Spent::Whole,
+        job::Outcome::Completed => counters::Spent::Whole,
         job::Outcome::MayHaveRun(_) => counters::Spent::Wasted,
         job::Outcome::NotRun(..) => return,
     };
-    shared.counters.spend(&job.call.stage, spent, busy);
+    shared
+        .counters
+        .record_busy_time(&job.call.stage, spent, busy);
 }
 
-/// Counts an outcome and tells the control thread what concerns it.
-fn report(shared: &shared::Shared, job: &job::Job, outcome: job::Outcome, now: time::Instant) {
+/// Counts an outcome, and reports cleared suspects to the control thread.
+fn record_outcome(
+    shared: &shared::Shared,
+    job: &job::Job,
+    outcome: job::Outcome,
+    now: time::Instant,
+) {
     let refusal = match outcome {
-        job::Outcome::Whole => {
+        job::Outcome::Completed => {
             shared.counters.done.inc();
             let suspects = &shared.snapshot.load().suspects;
             let cleared = suspects.clearances(job.call.fingerprint, now);
             if !cleared.is_empty() {
-                shared.tell(shared::News::Cleared(cleared));
+                shared.notify_control(shared::Message::Cleared(cleared));
             }
             return;
         }
         job::Outcome::NotRun(reason, _) => verdict::Refusal::not_run(reason),
         job::Outcome::MayHaveRun(reason) => verdict::Refusal::may_have_run(reason),
     };
-    shared.counters.refuse(&refusal);
+    shared.counters.record_refusal(&refusal);
 }
 
-async fn attempt(
+async fn run_on_target(
     shared: &sync::Arc<shared::Shared>,
     job: &job::Job,
-    came: Option<traces::Traceparent>,
+    caller_span: Option<traces::Traceparent>,
 ) -> job::Outcome {
     let Some(kind) = shared.snapshot.load().kind() else {
         return job::Outcome::NotRun(verdict::Reason::NoBundle, None);
@@ -104,14 +120,14 @@
     let span = tracing::info_span!("target", otel.kind = "client", target = target);
     let hop = run::Hop {
         remaining: unit::Period(job.deadline - time::Instant::now()),
-        parent: traces::parent(&span, came.as_ref()),
+        parent: traces::parent(&span, caller_span.as_ref()),
     };
     let mut sink = Sink {
         shared,
         job,
         streams: kind == bundle::Kind::Engine,
     };
-    let run = shared.target.run(kind, &job.call, &hop, &mut sink);
+    let run = shared.target.run_stage(kind, &job.call, &hop, &mut sink);
     let reason = tokio::select! {
         biased;
         outcome = run.instrument(span) => return outcome,
@@ -119,7 +135,7 @@
         () = job.cancelled.notified() => verdict::Reason::Cancelled,
         () = time::sleep_until(job.deadline) => verdict::Reason::DeadlineExceeded,
     };
-    // The connection was dropped with the call; a target that does not notice is told as well.
+    // Dropping the call closes its connection; the explicit cancel is for targets that ignore this.
     tokio::spawn({
         let shared = shared.clone();
         let id = job.call.attempt;
@@ -131,20 +147,20 @@
 struct Sink<'a> {
     shared: &'a shared::Shared,
     job: &'a job::Job,
-    /// Whether each part is worth an answer of its own.
+    /// Whether readers are woken for each part rather than only at the end.
     streams: bool,
 }
 
 impl run::Sink for Sink<'_> {
     async fn push(&mut self, text: &str) {
         let id = self.job.call.attempt;
-        while self.shared.work().table.unacknowledged_bytes(id) >= PENDING_MAX {
+        while self.shared.scheduler().table.unacknowledged_bytes(id) >= UNACKNOWLEDGED_MAX {
             self.job.changed.notify_waiters();
-            self.job.drained.notified().await;
+            self.job.acknowledged.notified().await;
         }
-        self.shared.work().table.push(id, text);
-        // The end of a pool's result follows at once. Told of the part before, its reader would
-        // come a second time for the end alone.
+        self.shared.scheduler().table.push(id, text);
+        // The end of a pool's result follows at once. A reader woken for the part would need a
+        // second call just for the end.
         if self.streams {
             self.job.changed.notify_waiters();
         }
--- a/laburnumcart_agent/src/job.rs
+++ b/laburnumcart_agent/src/job.rs
@@ -22,11 +22,11 @@
     /// Its team in the queue.
     pub team: fair::TeamKey,
     /// What the queue charged for it, in milliseconds at the target.
-    pub cost: u32,
+    pub cost_ms: u32,
     /// Signals a new chunk or the end.
     pub changed: Notify,
     /// Signals that chunks were acknowledged.
-    pub drained: Notify,
+    pub acknowledged: Notify,
     /// Signals that the sender gave the attempt up.
     pub cancelled: Notify,
     /// Holds up a graceful shutdown until the result is settled.
@@ -46,9 +46,9 @@
             call,
             deadline,
             team,
-            cost,
+            cost_ms: cost,
             changed: Notify::new(),
-            drained: Notify::new(),
+            acknowledged: Notify::new(),
             cancelled: Notify::new(),
             _guard: guard,
         }
@@ -59,7 +59,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Outcome {
     /// The whole result is in the table.
-    Whole,
+    Completed,
     /// The target proved that it did not start the attempt.
     NotRun(verdict::Reason, Option<unit::Period>),
     /// The target may have executed the attempt.
--- a/laburnumcart_agent/src/run.rs
+++ b/laburnumcart_agent/src/run.rs
@@ -28,9 +28,9 @@
 
 use crate::{
     agent,
+    scheduler, //
     settings,
     shared,
-    work, //
 };
 
 /// Calls a second of the object service unless the settings say otherwise; an agent needs few.
@@ -74,19 +74,19 @@
         .build()
         .map_err(io::Error::other)?;
     metrics.register("laburnum_agent", |registry| store.register(registry));
-    let options = options(&settings).map_err(io::Error::other)?;
+    let options = bundle_options(&settings).map_err(io::Error::other)?;
     let parts = agent::Parts {
-        limits: work::Limits::default(),
+        limits: scheduler::Limits::default(),
         metrics: metrics.clone(),
         options: Some(options),
     };
     let agent = agent::Agent::start(settings, parts, peer, store)?;
     let shared = agent.shared().clone();
-    let pages = admin::Pages::new(metrics, move || ready(&shared));
+    let pages = admin::Pages::new(metrics, move || check_ready(&shared));
     let admin = admin::serve(listener, pages)?;
     tokio::select! {
         signal = signals.next() => event!(Info, "stopping", cause = signal),
-        () = agent.shared().left() => event!(Info, "stopping", cause = "drain"),
+        () = agent.shared().wait_for_drain() => event!(Info, "stopping", cause = "drain"),
     }
     let left = agent.stop().await;
     event!(Info, "stopped", left = left);
@@ -94,12 +94,12 @@
     Ok(left)
 }
 
-fn options(settings: &settings::Settings) -> Result<bundle::Options, document::Faults> {
+fn bundle_options(settings: &settings::Settings) -> Result<bundle::Options, document::Faults> {
     let trust = settings.fleet.trust()?;
     Ok(bundle::Options::new(trust).peers(settings.fleet.peers.clone()))
 }
 
-fn ready(shared: &sync::Arc<shared::Shared>) -> Result<(), String> {
+fn check_ready(shared: &sync::Arc<shared::Shared>) -> Result<(), String> {
     let snapshot = shared.snapshot.load();
     if shared.is_leaving() {
         return Err("leaving".into());
--- a/laburnumcart_agent/src/service.rs
+++ b/laburnumcart_agent/src/service.rs
@@ -1,4 +1,4 @@
-//! The agent's methods for entries, other agents and operators.
+//! RPC methods of the agent for entries, other agents and operators.
 
 use std::sync;
 
@@ -28,13 +28,13 @@
     shared, //
 };
 
-/// Longest time that a call waits for news of an attempt.
+/// Longest time that a call waits for progress of an attempt.
 const WAIT_MAX: time::Duration = time::Duration::from_secs(1);
 
-/// Most bytes of text in one answer.
+/// Most bytes of result text in one answer.
 const ANSWER_MAX: usize = 1 << 20;
 
-/// Methods over the shared state.
+/// RPC methods over the shared state.
 #[derive(Clone, Debug)]
 pub struct Service {
     shared: sync::Arc<shared::Shared>,
@@ -46,31 +46,38 @@
         Self { shared }
     }
 
-    /// Admits a call; the lock makes one step of the check of its session and the admission.
+    /// Admits a call, or returns the job of an attempt that is already known.
+    ///
+    /// One lock covers the session check and the admission, so that a session cannot be fenced
+    /// between them.
     fn admit(&self, call: stage::Call) -> Result<sync::Arc<job::Job>, verdict::Refusal> {
         if call.incarnation != self.shared.incarnation {
             return Err(verdict::Refusal::not_run(verdict::Reason::WrongIncarnation));
         }
-        let mut work = self.shared.work();
-        if let Some(job) = work.table.data(call.attempt) {
+        let mut scheduler = self.shared.scheduler();
+        if let Some(job) = scheduler.table.data(call.attempt) {
             return Ok(job.clone());
         }
         let leaving = verdict::Refusal::not_run(verdict::Reason::Leaving);
         let guard = self.shared.gate.enter().ok_or(leaving)?;
         let now = time::Instant::now();
-        self.open(&call, now)?;
-        let job = work.admit(call, guard, now)?;
+        self.check_accepting(&call, now)?;
+        let job = scheduler.admit(call, guard, now)?;
         self.shared.counters.admitted.inc();
         Ok(job)
     }
 
-    fn fenced(&self, refusal: verdict::Refusal) -> types::ErrorObjectOwned {
+    fn fenced_error(&self, refusal: verdict::Refusal) -> types::ErrorObjectOwned {
         self.shared.counters.fenced.inc();
         error(agent::FENCED, refusal)
     }
 
-    /// Refuses new work while the agent cannot execute it.
-    fn open(&self, call: &stage::Call, now: time::Instant) -> Result<(), verdict::Refusal> {
+    /// Returns a refusal while the agent cannot execute new work.
+    fn check_accepting(
+        &self,
+        call: &stage::Call,
+        now: time::Instant,
+    ) -> Result<(), verdict::Refusal> {
         let snapshot = self.shared.snapshot.load();
         if self.shared.is_leaving() {
             return Err(verdict::Refusal::not_run(verdict::Reason::Leaving));
@@ -85,8 +92,8 @@
         refusal.map_or(Ok(()), Err)
     }
 
-    /// Waits until there are chunks from `from` on or the attempt has ended.
-    async fn news(
+    /// Waits until there are chunks from number `from` on, the attempt has ended or `wait` is over.
+    async fn wait_progress(
         &self,
         job: &job::Job,
         from: u32,
@@ -97,9 +104,9 @@
             let changed = job.changed.notified();
             tokio::pin!(changed);
             changed.as_mut().enable();
-            let progress = self.read(job.call.attempt, from)?;
-            let waits = matches!(progress.state, stage::State::Queued | stage::State::Running);
-            if !waits || !progress.chunks.is_empty() {
+            let progress = self.read_progress(job.call.attempt, from)?;
+            let is_pending = matches!(progress.state, stage::State::Queued | stage::State::Running);
+            if !is_pending || !progress.chunks.is_empty() {
                 return Ok(progress);
             }
             if time::timeout_at(until, changed).await.is_err() {
@@ -108,8 +115,13 @@
         }
     }
 
-    fn read(&self, id: id::AttemptId, from: u32) -> RpcResult<stage::Progress> {
-        match self.shared.work().table.read_chunks(id, from, ANSWER_MAX) {
+    fn read_progress(&self, id: id::AttemptId, from: u32) -> RpcResult<stage::Progress> {
+        match self
+            .shared
+            .scheduler()
+            .table
+            .read_chunks(id, from, ANSWER_MAX)
+        {
             Some(Ok(view)) => Ok(progress(id, view)),
             Some(Err(position)) => Err(error(agent::INVALID, position)),
             None => Err(error(agent::UNKNOWN, "attempt not known")),
@@ -124,12 +136,12 @@
         let now = time::Instant::now();
         let opened = self
             .shared
-            .work()
+            .scheduler()
             .lanes
             .open(session.lane, session.number, now);
-        opened.map_err(|refusal| self.fenced(refusal))?;
-        self.shared.hear(hello.facts, hello.peer).await;
-        self.shared.resend(session.lane);
+        opened.map_err(|refusal| self.fenced_error(refusal))?;
+        self.shared.merge_facts(hello.facts, hello.peer).await;
+        self.shared.reset_sent_facts(session.lane);
         Ok(self.shared.report(Some(session.lane)))
     }
 
@@ -138,12 +150,12 @@
         let now = time::Instant::now();
         let checked = self
             .shared
-            .work()
+            .scheduler()
             .lanes
             .check(session.lane, session.number, now);
-        checked.map_err(|refusal| self.fenced(refusal))?;
+        checked.map_err(|refusal| self.fenced_error(refusal))?;
         if let Some(facts) = beat.facts {
-            self.shared.hear(facts, beat.peer).await;
+            self.shared.merge_facts(facts, beat.peer).await;
         }
         Ok(self.shared.report(Some(session.lane)))
     }
@@ -152,11 +164,11 @@
         let (request, attempt) = (call.request, call.attempt);
         match self.admit(call) {
             Ok(job) => {
-                execute::pump(&self.shared);
-                self.news(&job, 0, WAIT_MAX).await
+                execute::start_queued(&self.shared);
+                self.wait_progress(&job, 0, WAIT_MAX).await
             }
             Err(refusal) => {
-                self.shared.counters.refuse(&refusal);
+                self.shared.counters.record_refusal(&refusal);
                 Ok(stage::Progress {
                     request,
                     attempt,
@@ -169,19 +181,19 @@
 
     async fn next(&self, next: stage::Next) -> RpcResult<stage::Progress> {
         let job = {
-            let mut work = self.shared.work();
-            work.table.acknowledge(next.attempt, next.from);
-            work.table.data(next.attempt).cloned()
+            let mut scheduler = self.shared.scheduler();
+            scheduler.table.acknowledge(next.attempt, next.from);
+            scheduler.table.data(next.attempt).cloned()
         };
         let job = job.ok_or_else(|| error(agent::UNKNOWN, "attempt not known"))?;
-        job.drained.notify_one();
-        self.news(&job, next.from, next.wait.0).await
+        job.acknowledged.notify_one();
+        self.wait_progress(&job, next.from, next.wait.0).await
     }
 
     async fn query(&self, query: stage::Query) -> RpcResult<stage::Progress> {
-        let lane = query.session;
+        let session = query.session;
         let refused = |refusal| stage::Progress {
-            // A request that is not known cannot be named.
+            // The request of an unknown attempt is unknown too.
             request: id::RequestId(0),
             attempt: query.attempt,
             chunks: Vec::new(),
@@ -192,28 +204,29 @@
             let reason = verdict::Reason::WrongIncarnation;
             return Ok(refused(verdict::Refusal::may_have_run(reason)));
         }
-        if query.sent >= lane.number {
+        if query.sent >= session.number {
             return Err(error(
                 agent::INVALID,
                 "session of the attempt is not fenced",
             ));
         }
-        let mut work = self.shared.work();
-        work.lanes
-            .check(lane.lane, lane.number, time::Instant::now())
-            .map_err(|refusal| self.fenced(refusal))?;
-        if work.table.data(query.attempt).is_none() {
-            return Ok(refused(doubt(&work.lanes, &query)));
+        let mut scheduler = self.shared.scheduler();
+        scheduler
+            .lanes
+            .check(session.lane, session.number, time::Instant::now())
+            .map_err(|refusal| self.fenced_error(refusal))?;
+        if scheduler.table.data(query.attempt).is_none() {
+            return Ok(refused(unknown_refusal(&scheduler.lanes, &query)));
         }
-        drop(work);
-        self.read(query.attempt, query.from)
+        drop(scheduler);
+        self.read_progress(query.attempt, query.from)
     }
 
     async fn cancel(&self, cancel: stage::Cancel) -> RpcResult<()> {
         self.shared
-            .work()
+            .scheduler()
             .cancel(cancel.attempt, time::Instant::now());
-        execute::pump(&self.shared);
+        execute::start_queued(&self.shared);
         Ok(())
     }
 
@@ -222,13 +235,13 @@
     }
 
     async fn drain(&self) -> RpcResult<agent::Report> {
-        self.shared.leave();
+        self.shared.start_drain();
         Ok(self.shared.report(None))
     }
 }
 
-/// Answers a query about an attempt that is not in the table.
-fn doubt(lanes: &lanes::Lanes, query: &stage::Query) -> verdict::Refusal {
+/// Returns the refusal for a query about an attempt that is not in the table.
+fn unknown_refusal(lanes: &lanes::Lanes, query: &stage::Query) -> verdict::Refusal {
     match lanes.unknown_verdict(query.session.lane, query.sent) {
         verdict::Verdict::NotRun => verdict::Refusal::not_run(verdict::Reason::Lost),
         verdict::Verdict::MayHaveRun => verdict::Refusal::may_have_run(verdict::Reason::Lost),
--- a/laburnumcart_agent/src/shared.rs
+++ b/laburnumcart_agent/src/shared.rs
@@ -1,4 +1,4 @@
-//! State that the threads of an agent share.
+//! State shared by the traffic threads and the control thread.
 
 use std::{
     collections,
@@ -28,127 +28,128 @@
 
 use crate::{
     counters,
+    scheduler, //
     settings,
     snapshot,
     target,
-    work, //
 };
 
-/// News that may wait for the control thread.
-const NEWS_MAX: usize = 1024;
+/// Capacity of the channel to the control thread, in messages.
+const CHANNEL_CAPACITY: usize = 1024;
 
-/// Longest wait until facts are in force; well below what a heartbeat may take.
-const HEARD_LIMIT: time::Duration = time::Duration::from_millis(300);
+/// Limit on the wait until a peer's facts are published; well below a heartbeat's timeout.
+const FACTS_TIMEOUT: time::Duration = time::Duration::from_millis(300);
 
-/// Longest wait until it is known why the target failed; a look at it takes up to a second.
-const FAILED_LIMIT: time::Duration = time::Duration::from_millis(1500);
+/// Limit on the wait until a target failure is diagnosed; one poll of the target takes up to 1 s.
+const DIAGNOSIS_TIMEOUT: time::Duration = time::Duration::from_millis(1500);
 
-/// What traffic threads tell the control thread.
+/// Message from a traffic thread to the control thread.
 #[derive(Debug)]
-pub enum News {
-    /// A peer's facts, and whom to tell once they are in force.
-    Facts(facts::Facts, Taken),
-    /// Content that was suspected has completed.
+pub enum Message {
+    /// Facts of a peer; acknowledged once a snapshot with them is published.
+    Facts(facts::Facts, Ack),
+    /// Clearances of suspected content that has completed.
     Cleared(Vec<facts::Cleared>),
-    /// The target has failed an attempt; tells once it is known whether it crashed.
-    Failed(Taken),
+    /// The target failed an attempt; acknowledged once it is known whether the target crashed.
+    Failed(Ack),
 }
 
-/// Told when the control thread has published what follows from news.
-pub type Taken = oneshot::Sender<()>;
+/// Signals that the control thread has published the effects of a message.
+pub type Ack = oneshot::Sender<()>;
 
-/// State that all threads reach.
+/// State shared by all threads.
 #[derive(Debug)]
 pub struct Shared {
-    /// Settings.
+    /// Settings of the agent.
     pub settings: settings::Settings,
-    /// Life of this process.
+    /// Incarnation of this process.
     pub incarnation: id::Incarnation,
-    /// Lanes, attempts and queue.
-    pub work: sync::Mutex<work::Work>,
-    /// Control state.
+    /// Lanes, attempts and the queue.
+    pub scheduler: sync::Mutex<scheduler::Scheduler>,
+    /// Control state as last published.
     pub snapshot: ArcSwap<snapshot::Snapshot>,
     /// The bundle in force.
     pub feed: bundle::Feed,
     /// HTTP client of the target.
     pub target: target::Target,
-    /// Counters.
+    /// Metrics of the agent.
     pub counters: counters::Counters,
-    /// Where work enters.
+    /// Admits work until a graceful shutdown.
     pub gate: stop::Gate,
-    /// Number of crashes of the target that were noticed.
+    /// Number of target crashes detected so far.
     pub crashes: watch::Sender<u64>,
-    /// Whether a stop was asked for.
+    /// Whether a graceful shutdown was requested.
     leaving: watch::Sender<bool>,
-    news: mpsc::Sender<News>,
-    /// What each lane has been sent of the facts.
-    sent: sync::Mutex<collections::HashMap<id::Incarnation, facts::Version>>,
+    messages: mpsc::Sender<Message>,
+    /// Version of the facts last sent on each lane.
+    sent_facts: sync::Mutex<collections::HashMap<id::Incarnation, facts::Version>>,
 }
 
 impl Shared {
-    /// Creates the state of a starting agent, and what the control thread reads.
+    /// Creates the state of an agent and the control thread's end of the message channel.
     pub fn new(
         settings: settings::Settings,
-        limits: work::Limits,
+        limits: scheduler::Limits,
         gate: stop::Gate,
         metrics: &metrics::Metrics,
-    ) -> (Self, mpsc::Receiver<News>) {
-        let (news, received) = mpsc::channel(NEWS_MAX);
+    ) -> (Self, mpsc::Receiver<Message>) {
+        let (messages, received) = mpsc::channel(CHANNEL_CAPACITY);
         let shared = Self {
             target: target::Target::new(settings.target.address),
             settings,
             incarnation: id::Incarnation::random(),
-            work: sync::Mutex::new(work::Work::new(limits, time::Instant::now())),
+            scheduler: sync::Mutex::new(scheduler::Scheduler::new(limits, time::Instant::now())),
             snapshot: ArcSwap::default(),
             feed: bundle::Feed::new(metrics),
             counters: counters::Counters::new(metrics),
             gate,
             crashes: watch::Sender::new(0),
             leaving: watch::Sender::new(false),
-            news,
-            sent: sync::Mutex::default(),
+            messages,
+            sent_facts: sync::Mutex::default(),
         };
         (shared, received)
     }
 
-    /// Locks the work; a panic of another holder is taken for the end of its one change.
-    pub fn work(&self) -> sync::MutexGuard<'_, work::Work> {
-        self.work
+    /// Locks the scheduler. Poisoning is ignored: a panic is taken to affect only the change that
+    /// its thread was making.
+    pub fn scheduler(&self) -> sync::MutexGuard<'_, scheduler::Scheduler> {
+        self.scheduler
             .lock()
             .unwrap_or_else(sync::PoisonError::into_inner)
     }
 
-    /// Reports whether new work is refused.
+    /// Reports whether a graceful shutdown was requested, so that new work is refused.
     pub fn is_leaving(&self) -> bool {
         *self.leaving.borrow()
     }
 
-    /// Asks for a graceful shutdown; every report says so from now on.
-    pub fn leave(&self) {
+    /// Requests a graceful shutdown; every report announces it from now on.
+    pub fn start_drain(&self) {
         self.leaving.send_replace(true);
     }
 
-    /// Waits until a graceful shutdown is asked for.
-    pub async fn left(&self) {
-        // The sender is a field of this, so that it cannot be gone.
+    /// Waits until a graceful shutdown is requested.
+    pub async fn wait_for_drain(&self) {
+        // Cannot fail: the sender is a field of `self`.
         let _ = self.leaving.subscribe().wait_for(|leaving| *leaving).await;
     }
 
-    /// Tells the control thread.
+    /// Sends a message to the control thread.
     ///
-    /// News that finds the channel full is dropped: facts come again with the next connection, and
-    /// the target is looked at periodically.
-    pub fn tell(&self, news: News) {
-        if self.news.try_send(news).is_err() {
+    /// Drops the message if the channel is full: peers send their facts again on the next
+    /// connection, and the target is polled periodically anyway.
+    pub fn notify_control(&self, message: Message) {
+        if self.messages.try_send(message).is_err() {
             self.counters.news_dropped.inc();
         }
     }
 
-    /// Takes in the facts of a peer; those of crashes are in force when this returns.
+    /// Merges the facts of a peer; waits until crash facts are published, up to a time limit.
     ///
-    /// An entry tells what it knows of a suspect before it sends it. Were the call admitted first,
-    /// the target would execute content that has crashed two others.
-    pub async fn hear(&self, facts: facts::Facts, peer: Option<net::SocketAddr>) {
+    /// An entry sends its facts about a suspect before the call itself. If the call were admitted
+    /// first, the target would execute content that has already crashed two others.
+    pub async fn merge_facts(&self, facts: facts::Facts, peer: Option<net::SocketAddr>) {
         if let Some(peer) = peer {
             self.feed.hear(facts.generation, peer);
         }
@@ -156,28 +157,29 @@
             return;
         }
         let urgent = !facts.crashes.is_empty();
-        let (taken, wait) = oneshot::channel();
-        self.tell(News::Facts(facts, taken));
+        let (ack, wait) = oneshot::channel();
+        self.notify_control(Message::Facts(facts, ack));
         if urgent {
-            let _ = time::timeout(HEARD_LIMIT, wait).await;
+            let _ = time::timeout(FACTS_TIMEOUT, wait).await;
         }
     }
 
-    /// Has the control thread look at the target that failed an attempt, and waits until it is
-    /// known whether it crashed.
+    /// Has the control thread poll the target after a failed attempt, and waits until it is known
+    /// whether the target crashed, up to a time limit.
     ///
-    /// The sender repeats the attempt as soon as it is told. Told before the crash is a fact, it
-    /// would send the content that crashed the target to the next one as any other.
-    pub async fn failed(&self) {
-        let (taken, wait) = oneshot::channel();
-        self.tell(News::Failed(taken));
-        let _ = time::timeout(FAILED_LIMIT, wait).await;
+    /// The sender retries as soon as it learns of the failure. If it learned of it before the crash
+    /// fact exists, it would send the content that crashed this target to another one as if it were
+    /// harmless.
+    pub async fn diagnose_failure(&self) {
+        let (ack, wait) = oneshot::channel();
+        self.notify_control(Message::Failed(ack));
+        let _ = time::timeout(DIAGNOSIS_TIMEOUT, wait).await;
     }
 
-    /// Returns the answer to a heartbeat of `lane`, with the facts that it has not been sent yet.
+    /// Returns the answer to a heartbeat on `lane`, with the facts not yet sent on that lane.
     pub fn report(&self, lane: Option<id::Incarnation>) -> agent::Report {
         let snapshot = self.snapshot.load();
-        let since = self.since(lane, snapshot.facts.version());
+        let since = self.replace_sent_version(lane, snapshot.facts.version());
         let facts = snapshot.changes(since, time::Instant::now());
         agent::Report {
             target: self.settings.target.name.clone(),
@@ -191,36 +193,44 @@
         }
     }
 
-    /// Forgets what a lane has been sent; the answers of a broken connection may not have arrived.
-    pub fn resend(&self, lane: id::Incarnation) {
-        self.sent().remove(&lane);
+    /// Makes the next report on a lane carry all facts again: answers on its broken connection may
+    /// have been lost.
+    pub fn reset_sent_facts(&self, lane: id::Incarnation) {
+        self.lock_sent_facts().remove(&lane);
     }
 
-    /// Forgets lanes that are gone.
-    pub fn prune(&self) {
-        let work = self.work();
-        self.sent().retain(|lane, _| work.lanes.is_known(*lane));
+    /// Drops the sent versions of lanes that no longer exist.
+    pub fn prune_sent_facts(&self) {
+        let scheduler = self.scheduler();
+        self.lock_sent_facts()
+            .retain(|lane, _| scheduler.lanes.is_known(*lane));
     }
 
     fn load(&self) -> agent::Load {
-        let work = self.work();
+        let scheduler = self.scheduler();
         agent::Load {
-            running: work.running() as u32,
-            queued: work.queued() as u32,
-            limit: work.limit(),
-            service: work.service(),
+            running: scheduler.running_count() as u32,
+            queued: scheduler.queued_count() as u32,
+            limit: scheduler.concurrency_limit(),
+            service: scheduler.mean_service_time(),
         }
     }
 
-    fn since(&self, lane: Option<id::Incarnation>, now: facts::Version) -> facts::Version {
+    fn replace_sent_version(
+        &self,
+        lane: Option<id::Incarnation>,
+        now: facts::Version,
+    ) -> facts::Version {
         let Some(lane) = lane else {
             return facts::Version::default();
         };
-        self.sent().insert(lane, now).unwrap_or_default()
+        self.lock_sent_facts().insert(lane, now).unwrap_or_default()
     }
 
-    fn sent(&self) -> sync::MutexGuard<'_, collections::HashMap<id::Incarnation, facts::Version>> {
-        self.sent
+    fn lock_sent_facts(
+        &self,
+    ) -> sync::MutexGuard<'_, collections::HashMap<id::Incarnation, facts::Version>> {
+        self.sent_facts
             .lock()
             .unwrap_or_else(sync::PoisonError::into_inner)
     }
--- a/laburnumcart_agent/src/target.rs
+++ b/laburnumcart_agent/src/target.rs
@@ -19,10 +19,10 @@
 };
 
 /// Longest time that a connect to the target may take.
-const CONNECT_LIMIT: time::Duration = time::Duration::from_secs(1);
+const CONNECT_TIMEOUT: time::Duration = time::Duration::from_secs(1);
 
 /// Longest time that a call of control may take.
-const CONTROL_LIMIT: time::Duration = time::Duration::from_secs(1);
+const CONTROL_TIMEOUT: time::Duration = time::Duration::from_secs(1);
 
 /// The target beside this agent.
 #[derive(Debug)]
@@ -55,31 +55,31 @@
     /// Creates a client; nothing is connected yet.
     pub fn new(address: net::SocketAddr) -> Self {
         Self {
-            http: http::Client::new(address, CONNECT_LIMIT),
+            http: http::Client::new(address, CONNECT_TIMEOUT),
         }
     }
 
     /// Stops an attempt at the target.
     pub async fn cancel(&self, attempt: id::AttemptId) -> Result<(), http::Failure> {
         let body = serde_json::to_vec(&Cancel { attempt }).unwrap_or_default();
-        self.http.control("/v1/cancel", body, CONTROL_LIMIT).await?;
+        self.http.call("/v1/cancel", body, CONTROL_TIMEOUT).await?;
         Ok(())
     }
 
     /// Gives an order, which takes at most `limit`.
-    pub async fn order(
+    pub async fn send_order(
         &self,
         order: &orders::Order,
         limit: time::Duration,
     ) -> Result<(), http::Failure> {
         let body = serde_json::to_vec(order).unwrap_or_default();
-        self.http.control("/v1/orders", body, limit).await?;
+        self.http.call("/v1/orders", body, limit).await?;
         Ok(())
     }
 
     /// Reads the state of the target.
-    pub async fn state(&self) -> Result<State, http::Failure> {
-        let body = self.http.get("/v1/state", CONTROL_LIMIT).await?;
+    pub async fn read_state(&self) -> Result<State, http::Failure> {
+        let body = self.http.get("/v1/state", CONTROL_TIMEOUT).await?;
         serde_json::from_slice(&body).map_err(|_| http::Failure::Malformed)
     }
 }
--- a/laburnumcart_agent/src/target/events.rs
+++ b/laburnumcart_agent/src/target/events.rs
@@ -33,7 +33,7 @@
 #[derive(Debug, Default)]
 pub struct Parser {
     line: Vec<u8>,
-    name: String,
+    event_name: String,
     data: String,
 }
 
@@ -62,7 +62,7 @@
         let (field, value) = line.split_once(':').unwrap_or((line, ""));
         let value = value.strip_prefix(' ').unwrap_or(value);
         match field {
-            "event" => self.name = value.into(),
+            "event" => self.event_name = value.into(),
             "data" if self.data.is_empty() => self.data = value.into(),
             "data" => {
                 self.data.push('\n');
@@ -76,7 +76,7 @@
 
     fn dispatch(&mut self, events: &mut Vec<Event>) -> Result<(), Malformed> {
         let data = std::mem::take(&mut self.data);
-        let name = std::mem::take(&mut self.name);
+        let name = std::mem::take(&mut self.event_name);
         if data.is_empty() {
             return Ok(());
         }
--- a/laburnumcart_agent/src/target/http.rs
+++ b/laburnumcart_agent/src/target/http.rs
@@ -61,9 +61,9 @@
 pub struct Client {
     address: net::SocketAddr,
     /// Reuses connections.
-    kept: Inner,
+    pooled: Inner,
     /// Opens a connection for each call.
-    fresh: Inner,
+    unpooled: Inner,
 }
 
 /// An answer whose body is still to be read.
@@ -81,7 +81,7 @@
 
 impl Answer {
     /// Notes that the answer was read to its end, so that its connection can serve another call.
-    pub fn tidy(mut self) {
+    pub fn keep_connection(mut self) {
         self.captured = None;
     }
 }
@@ -105,8 +105,8 @@
         let builder = || legacy::Client::builder(rt::TokioExecutor::new());
         Self {
             address,
-            kept: builder().build(connector.clone()),
-            fresh: builder().pool_max_idle_per_host(0).build(connector),
+            pooled: builder().build(connector.clone()),
+            unpooled: builder().pool_max_idle_per_host(0).build(connector),
         }
     }
 
@@ -120,7 +120,7 @@
         once: bool,
     ) -> Result<Answer, Failure> {
         let captured = connect::capture_connection(&mut request);
-        let client = if once { &self.fresh } else { &self.kept };
+        let client = if once { &self.unpooled } else { &self.pooled };
         match client.request(request).await {
             Ok(response) => Ok(Answer {
                 response,
@@ -132,8 +132,8 @@
     }
 
     /// Returns a request with a JSON body.
-    pub fn post(&self, path: &str, body: impl Into<Bytes>) -> Request<Full<Bytes>> {
-        let mut request = self.request(path, body);
+    pub fn post_request(&self, path: &str, body: impl Into<Bytes>) -> Request<Full<Bytes>> {
+        let mut request = self.get_request(path, body);
         *request.method_mut() = Method::POST;
         let json = header::HeaderValue::from_static("application/json");
         request.headers_mut().insert(header::CONTENT_TYPE, json);
@@ -141,21 +141,23 @@
     }
 
     /// Posts to `path` and returns the whole answer.
-    pub async fn control(
+    pub async fn call(
         &self,
         path: &str,
         body: impl Into<Bytes>,
         limit: time::Duration,
     ) -> Result<Bytes, Failure> {
-        self.whole(self.post(path, body), limit).await
+        self.send_and_read(self.post_request(path, body), limit)
+            .await
     }
 
     /// Reads `path` and returns the whole answer.
     pub async fn get(&self, path: &str, limit: time::Duration) -> Result<Bytes, Failure> {
-        self.whole(self.request(path, Bytes::new()), limit).await
+        self.send_and_read(self.get_request(path, Bytes::new()), limit)
+            .await
     }
 
-    async fn whole(
+    async fn send_and_read(
         &self,
         request: Request<Full<Bytes>>,
         limit: time::Duration,
@@ -163,8 +165,8 @@
         let read = async {
             let mut answer = self.send(request, false).await?;
             let status = answer.response.status();
-            let body = collect(&mut answer, ANSWER_MAX).await?;
-            answer.tidy();
+            let body = read_body(&mut answer, ANSWER_MAX).await?;
+            answer.keep_connection();
             match status.is_success() {
                 true => Ok(body),
                 false => Err(Failure::Status(status)),
@@ -175,7 +177,7 @@
             .unwrap_or(Err(Failure::Timeout))
     }
 
-    fn request(&self, path: &str, body: impl Into<Bytes>) -> Request<Full<Bytes>> {
+    fn get_request(&self, path: &str, body: impl Into<Bytes>) -> Request<Full<Bytes>> {
         let mut request = Request::new(Full::new(body.into()));
         let uri = format!("http://{}{path}", self.address);
         // An address and one of our constant paths always make a valid URI.
@@ -185,7 +187,7 @@
 }
 
 /// Reads the whole body of an answer.
-pub async fn collect(answer: &mut Answer, limit: usize) -> Result<Bytes, Failure> {
+pub async fn read_body(answer: &mut Answer, limit: usize) -> Result<Bytes, Failure> {
     let body = Limited::new(answer.response.body_mut(), limit);
     match body.collect().await {
         Ok(body) => Ok(body.to_bytes()),
--- a/laburnumcart_agent/src/target/run.rs
+++ b/laburnumcart_agent/src/target/run.rs
@@ -33,7 +33,7 @@
 const OUTPUT_MAX: usize = 8 << 20;
 
 /// Size of the chunks that a pool's output is cut into, in bytes.
-const CHUNK: usize = 64 << 10;
+const CHUNK_SIZE: usize = 64 << 10;
 
 /// What changes of a call from hop to hop.
 #[derive(Clone, Debug)]
@@ -52,30 +52,30 @@
 
 impl Target {
     /// Executes a stage and passes its result to `sink`.
-    pub async fn run(
+    pub async fn run_stage(
         &self,
         kind: bundle::Kind,
         call: &stage::Call,
         hop: &Hop,
         sink: &mut impl Sink,
     ) -> job::Outcome {
-        let Some(request) = self.stage(kind, call, hop) else {
+        let Some(request) = self.stage_request(kind, call, hop) else {
             return job::Outcome::NotRun(verdict::Reason::Invalid, None);
         };
         let answer = match self.http.send(request, !call.idempotent).await {
             Ok(answer) => answer,
-            Err(failure) => return broken(failure),
+            Err(failure) => return failure_outcome(failure),
         };
         if answer.response.status() != StatusCode::OK {
-            return declined(answer);
+            return status_outcome(answer);
         }
         match kind {
-            bundle::Kind::Pool => output(answer, sink).await,
-            bundle::Kind::Engine => stream(answer, sink).await,
+            bundle::Kind::Pool => forward_output(answer, sink).await,
+            bundle::Kind::Engine => forward_stream(answer, sink).await,
         }
     }
 
-    fn stage(
+    fn stage_request(
         &self,
         kind: bundle::Kind,
         call: &stage::Call,
@@ -85,7 +85,7 @@
             bundle::Kind::Engine => "/v1/generate",
             bundle::Kind::Pool => "/v1/run",
         };
-        let mut request = self.http.post(path, body(call)?);
+        let mut request = self.http.post_request(path, request_body(call)?);
         let headers = request.headers_mut();
         let mut set = |name: &'static str, text: &str| {
             HeaderValue::from_str(text).map(|value| headers.insert(name, value))
@@ -108,7 +108,7 @@
 }
 
 /// Returns the body for the target: the caller's, with the text received so far if there is any.
-fn body(call: &stage::Call) -> Option<String> {
+fn request_body(call: &stage::Call) -> Option<String> {
     let Some(received) = &call.received else {
         return Some(call.body.get().into());
     };
@@ -120,7 +120,7 @@
 }
 
 /// Returns the outcome of a call that got no answer.
-fn broken(failure: client::Failure) -> job::Outcome {
+fn failure_outcome(failure: client::Failure) -> job::Outcome {
     match failure {
         client::Failure::Unreached => job::Outcome::NotRun(verdict::Reason::NoTarget, None),
         _ => job::Outcome::MayHaveRun(verdict::Reason::TargetFailed),
@@ -128,43 +128,43 @@
 }
 
 /// Returns the outcome of a call that the target did not execute to its end.
-fn declined(answer: client::Answer) -> job::Outcome {
+fn status_outcome(answer: client::Answer) -> job::Outcome {
     match answer.response.status() {
         StatusCode::BAD_REQUEST => job::Outcome::NotRun(verdict::Reason::TargetRefused, None),
         StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE => {
-            job::Outcome::NotRun(verdict::Reason::Overloaded, retry(&answer))
+            job::Outcome::NotRun(verdict::Reason::Overloaded, retry_after(&answer))
         }
         _ => job::Outcome::MayHaveRun(verdict::Reason::TargetFailed),
     }
 }
 
-fn retry(answer: &client::Answer) -> Option<unit::Period> {
+fn retry_after(answer: &client::Answer) -> Option<unit::Period> {
     let value = answer.response.headers().get(header::RETRY_AFTER)?;
     let secs = value.to_str().ok()?.parse().ok()?;
     Some(unit::Period::from_secs(secs))
 }
 
 /// Reads a pool's output, which is passed on only when it is whole.
-async fn output(mut answer: client::Answer, sink: &mut impl Sink) -> job::Outcome {
-    let body = match client::collect(&mut answer, OUTPUT_MAX).await {
+async fn forward_output(mut answer: client::Answer, sink: &mut impl Sink) -> job::Outcome {
+    let body = match client::read_body(&mut answer, OUTPUT_MAX).await {
         Ok(body) => body,
-        Err(failure) => return broken(failure),
+        Err(failure) => return failure_outcome(failure),
     };
-    answer.tidy();
+    answer.keep_connection();
     let Ok(json) = serde_json::from_slice::<&value::RawValue>(&body) else {
         return job::Outcome::MayHaveRun(verdict::Reason::Corrupt);
     };
     let mut rest = json.get();
     while !rest.is_empty() {
-        let (part, after) = rest.split_at(rest.floor_char_boundary(CHUNK));
+        let (part, after) = rest.split_at(rest.floor_char_boundary(CHUNK_SIZE));
         sink.push(part).await;
         rest = after;
     }
-    job::Outcome::Whole
+    job::Outcome::Completed
 }
 
 /// Passes on the pieces of an engine's stream up to its end mark.
-async fn stream(mut answer: client::Answer, sink: &mut impl Sink) -> job::Outcome {
+async fn forward_stream(mut answer: client::Answer, sink: &mut impl Sink) -> job::Outcome {
     let mut parser = events::Parser::default();
     let mut events = Vec::new();
     loop {
@@ -182,8 +182,8 @@
             match event {
                 events::Event::Piece(text) => sink.push(&text).await,
                 events::Event::End => {
-                    close(answer);
-                    return job::Outcome::Whole;
+                    release_connection(answer);
+                    return job::Outcome::Completed;
                 }
             }
         }
@@ -191,8 +191,8 @@
 }
 
 /// Keeps the connection of a whole stream if its body has ended with the end mark.
-fn close(answer: client::Answer) {
+fn release_connection(answer: client::Answer) {
     if hyper::body::Body::is_end_stream(answer.response.body()) {
-        answer.tidy();
+        answer.keep_connection();
     }
 }
--- a/laburnumcart_agent/tests/agent/counters.rs
+++ b/laburnumcart_agent/tests/agent/counters.rs
@@ -11,8 +11,8 @@
     let counters = counters::Counters::new(&metrics);
     let second = time::Duration::from_secs(1);
     let stage = "generate".parse().unwrap();
-    counters.spend(&stage, counters::Spent::Whole, 2 * second);
-    counters.spend(&stage, counters::Spent::Wasted, second);
+    counters.record_busy_time(&stage, counters::Spent::Whole, 2 * second);
+    counters.record_busy_time(&stage, counters::Spent::Wasted, second);
     let page = metrics.encode().unwrap();
     for line in [
         "laburnum_agent_stage_busy_seconds_total{stage=\"generate\",spent=\"Whole\"} 2.0",
@@ -30,7 +30,7 @@
     for n in 0..1000 {
         let stage = format!("stage-{n}").parse().unwrap();
         let busy = time::Duration::from_secs(1);
-        counters.spend(&stage, counters::Spent::Whole, busy);
+        counters.record_busy_time(&stage, counters::Spent::Whole, busy);
     }
     let page = metrics.encode().unwrap();
     let series = page
--- a/laburnumcart_agent/tests/agent/suspects.rs
+++ b/laburnumcart_agent/tests/agent/suspects.rs
@@ -81,7 +81,7 @@
 /// Waits until the agent has this many attempts that wait.
 async fn wait_queued(agent: &laburnumcart_agent::agent::Agent, count: usize) {
     bounded(async {
-        while agent.shared().work().queued() != count {
+        while agent.shared().scheduler().queued_count() != count {
             tokio::time::sleep(time::Duration::from_millis(5)).await;
         }
     })
@@ -219,7 +219,7 @@
         target.hold_looks();
         target.wait_looks(1).await;
         target.release();
-        while !agent.shared().work().is_doubtful() {
+        while !agent.shared().scheduler().has_unexplained() {
             tokio::time::sleep(time::Duration::from_millis(5)).await;
         }
         target.release_look();
