--- a/laburnumcart_agent/src/agent.rs
+++ b/laburnumcart_agent/src/agent.rs
@@ -1,4 +1,4 @@
-//! A running agent within its process.
+//! Start and graceful stop of an agent within its process.
 
 use std::{
     io,
@@ -31,21 +31,21 @@
     shared,
 };
 
-/// Time between two looks for attempts and lanes whose time has passed.
+/// Time between two expiries of attempts, lanes and results.
 const EXPIRY_INTERVAL: time::Duration = time::Duration::from_millis(50);
 
-/// What an agent is made of beside its settings.
+/// Dependencies of an agent beside its settings.
 #[derive(Debug, Default)]
 pub struct Parts {
-    /// Limits of the work that it takes on.
+    /// Limits on the accepted work.
     pub limits: scheduler::Limits,
-    /// Where its metrics go.
+    /// Registry of its metrics.
     pub metrics: metrics::Metrics,
-    /// How it follows the bundle; without this it stays with none.
+    /// Options for following the bundle; without them the agent never has one.
     pub options: Option<bundle::Options>,
 }
 
-/// An agent that serves its peers.
+/// Running agent that serves its peers.
 #[derive(Debug)]
 pub struct Agent {
     shared: sync::Arc<shared::Shared>,
@@ -55,7 +55,7 @@
 }
 
 impl Agent {
-    /// Starts to serve on `listener`, on the current runtime and a control thread.
+    /// Starts to serve on `listener`, on the current runtime and a new control thread.
     pub fn start(
         settings: settings::Settings,
         parts: Parts,
@@ -65,13 +65,13 @@
         let running = stop::Running::new();
         let fleet = settings.fleet.clone();
         let gate = running.gate();
-        let (shared, news) = shared::Shared::new(settings, parts.limits, gate, &parts.metrics);
+        let (shared, messages) = shared::Shared::new(settings, parts.limits, gate, &parts.metrics);
         let shared = sync::Arc::new(shared);
         let methods = service::Service::new(shared.clone()).into_rpc();
         let peers = server::serve(listener, &fleet, methods, &parts.metrics)?;
         let control = thread::spawn({
             let shared = shared.clone();
-            move || control::run(shared, news, store, parts.options)
+            move || control::run(shared, messages, store, parts.options)
         })?;
         tokio::spawn(expire_periodically(shared.clone()));
         event!(
@@ -88,22 +88,22 @@
         })
     }
 
-    /// Returns the state that its threads share.
+    /// Returns the state shared by the agent's threads.
     pub fn shared(&self) -> &sync::Arc<shared::Shared> {
         &self.shared
     }
 
-    /// Returns the address that peers reach it at.
+    /// Returns the address that it serves peers at.
     pub fn addr(&self) -> net::SocketAddr {
         self.peers.addr()
     }
 
-    /// Refuses new work, finishes what runs and keeps results until they are settled, within the
-    /// stop limit; returns the number of attempts that were left.
+    /// Stops gracefully: refuses new and waiting work, finishes running attempts and keeps results
+    /// until they are settled, within the stop limit. Returns the number of attempts cut off.
     pub async fn stop(self) -> usize {
         self.shared.start_drain();
         let draining = self.running.drain();
-        // What still waits can run elsewhere sooner; that it did not run here is proven.
+        // Waiting attempts can run sooner elsewhere; they are proven not executed here.
         let now = time::Instant::now();
         self.shared
             .scheduler()
@@ -119,7 +119,7 @@
     }
 }
 
-/// Ends attempts whose time has passed and forgets results that were kept long enough.
+/// Periodically expires attempts, lanes and results, and updates the gauges.
 async fn expire_periodically(shared: sync::Arc<shared::Shared>) {
     let mut ticks = time::interval(EXPIRY_INTERVAL);
     ticks.set_missed_tick_behavior(time::MissedTickBehavior::Delay);
--- a/laburnumcart_agent/src/control/order_loop.rs
+++ b/laburnumcart_agent/src/control/order_loop.rs
@@ -40,7 +40,7 @@
     mut states: watch::Receiver<Option<target::State>>,
 ) {
     let mut generations = shared.feed.changes();
-    let mut ordering = OrderLoop {
+    let mut order_loop = OrderLoop {
         key: term::key(&shared.settings.target.name),
         shared,
         store,
@@ -50,10 +50,10 @@
     };
     loop {
         tokio::select! {
-            _ = generations.changed() => ordering.apply_bundle(),
-            _ = states.changed() => ordering.set_state(states.borrow_and_update().as_ref()),
+            _ = generations.changed() => order_loop.apply_bundle(),
+            _ = states.changed() => order_loop.set_state(states.borrow_and_update().as_ref()),
         }
-        ordering.run_steps().await;
+        order_loop.run_steps().await;
     }
 }
 
@@ -119,7 +119,7 @@
 
     /// Confirms the term with the object service; returns whether the service answered.
     async fn confirm_term(&mut self) -> bool {
-        // The answer may describe the state as early as the start of the call.
+        // Read before the call: the answer may describe the state at its start.
         let now = time::Instant::now();
         let read = time::timeout(CALL_TIMEOUT, term::read(&*self.store, &self.key)).await;
         let Ok(Ok(found)) = read else {
--- a/laburnumcart_agent/src/counters.rs
+++ b/laburnumcart_agent/src/counters.rs
@@ -1,4 +1,4 @@
-//! Counters of an agent.
+//! Metrics of an agent.
 
 use std::{
     sync::atomic,
@@ -26,18 +26,18 @@
 /// Labels of a refusal.
 #[derive(Clone, Debug, EncodeLabelSet, Eq, Hash, PartialEq)]
 pub struct Refused {
-    /// Cause.
+    /// Reason of the refusal.
     pub reason: metrics::Label<verdict::Reason>,
-    /// Whether it may have run.
+    /// Whether the attempt may have executed.
     pub verdict: metrics::Label<verdict::Verdict>,
 }
 
-/// What the time that the target spent on an attempt led to.
+/// Use of the time that the target spent on an attempt.
 #[derive(Clone, Copy, Debug, EncodeLabelValue, Eq, Hash, PartialEq)]
 pub enum Spent {
-    /// A whole result.
+    /// The attempt produced a complete result.
     Whole,
-    /// None: it failed, was cancelled, or ran out of time.
+    /// The attempt failed, was cancelled or exceeded its deadline.
     Wasted,
 }
 
@@ -48,36 +48,36 @@
     spent: Spent,
 }
 
-/// Most stages that have series of their own.
+/// Most stages with a series of their own; the rest share one.
 const STAGES_MAX: usize = 64;
 
 /// Counters and gauges of an agent.
 #[derive(Debug)]
 pub struct Counters {
-    /// Attempts that were admitted.
+    /// Admitted attempts.
     pub admitted: counter::Counter,
-    /// Attempts whose whole result was kept.
+    /// Attempts with a complete result.
     pub done: counter::Counter,
-    /// Attempts that were refused or failed.
+    /// Refused or failed attempts.
     pub refused: family::Family<Refused, counter::Counter>,
-    /// Time that the target spent, by stage.
+    /// Seconds that the target spent, by stage.
     busy: family::Family<Busy, counter::Counter<f64, atomic::AtomicU64>>,
     stages: metrics::Names,
-    /// Queries about attempts that were in doubt.
+    /// Queries about attempts in doubt.
     pub queries: counter::Counter,
-    /// Calls over fenced sessions.
+    /// Calls refused because their session is fenced.
     pub fenced: counter::Counter,
-    /// Crashes of the target.
+    /// Detected crashes of the target.
     pub crashes: counter::Counter,
-    /// Orders that were given.
+    /// Orders sent to the target.
     pub orders: counter::Counter,
-    /// News that the control thread was too busy for.
+    /// Messages dropped because the channel to the control thread was full.
     pub news_dropped: counter::Counter,
-    /// Attempts that the target executes.
+    /// Attempts in execution at the target.
     pub running: gauge::Gauge,
-    /// Attempts that wait.
+    /// Waiting attempts.
     pub queued: gauge::Gauge,
-    /// Attempts that the target can execute at once.
+    /// Concurrency limit of the target, in attempts.
     pub limit: gauge::Gauge,
 }
 
@@ -109,7 +109,7 @@
         counters
     }
 
-    /// Counts a refusal.
+    /// Records a refused or failed attempt.
     pub fn record_refusal(&self, refusal: &verdict::Refusal) {
         let labels = Refused {
             reason: metrics::Label(refusal.reason),
@@ -128,19 +128,23 @@
     fn register(&self, registry: &mut registry::Registry) {
         let counters = [
             ("admitted", "Attempts admitted", &self.admitted),
-            ("done", "Attempts with a whole result", &self.done),
+            ("done", "Attempts with a complete result", &self.done),
             ("queries", "Queries about attempts in doubt", &self.queries),
             ("fenced", "Calls over fenced sessions", &self.fenced),
             ("crashes", "Crashes of the target", &self.crashes),
-            ("orders", "Orders given to the target", &self.orders),
-            ("news_dropped", "News dropped", &self.news_dropped),
+            ("orders", "Orders sent to the target", &self.orders),
+            (
+                "news_dropped",
+                "Messages to the control thread dropped",
+                &self.news_dropped,
+            ),
         ];
         for (name, help, counter) in counters {
             registry.register(name, help, counter.clone());
         }
         let gauges = [
             ("running", "Attempts at the target", &self.running),
-            ("queued", "Attempts that wait", &self.queued),
+            ("queued", "Attempts waiting", &self.queued),
             ("limit", "Concurrency limit", &self.limit),
         ];
         for (name, help, gauge) in gauges {
--- a/laburnumcart_agent/src/job.rs
+++ b/laburnumcart_agent/src/job.rs
@@ -1,4 +1,4 @@
-//! An admitted attempt and how it can end.
+//! Admitted attempt, and the outcomes of its execution.
 
 use laburnumcart::{
     fair,
@@ -12,29 +12,29 @@
     time, //
 };
 
-/// An admitted attempt as its executor and its readers share it.
+/// Admitted attempt, shared by its executor and its readers.
 #[derive(Debug)]
 pub struct Job {
-    /// The call.
+    /// The call as received.
     pub call: stage::Call,
     /// Time after which the result is of no use.
     pub deadline: time::Instant,
-    /// Its team in the queue.
+    /// Key of its team in the queue.
     pub team: fair::TeamKey,
-    /// What the queue charged for it, in milliseconds at the target.
+    /// Cost that the queue charged for it: expected time at the target, in milliseconds.
     pub cost_ms: u32,
     /// Signals a new chunk or the end.
     pub changed: Notify,
-    /// Signals that chunks were acknowledged.
+    /// Signals that the reader acknowledged chunks.
     pub acknowledged: Notify,
-    /// Signals that the sender gave the attempt up.
+    /// Signals that the sender cancelled the attempt.
     pub cancelled: Notify,
-    /// Holds up a graceful shutdown until the result is settled.
+    /// Delays a graceful shutdown until the result is settled.
     _guard: stop::Work,
 }
 
 impl Job {
-    /// Creates an attempt that holds up a graceful shutdown by `guard`.
+    /// Creates an attempt that delays a graceful shutdown while it holds `guard`.
     pub fn new(
         call: stage::Call,
         deadline: time::Instant,
@@ -55,10 +55,10 @@
     }
 }
 
-/// How the execution of an attempt ended.
+/// Outcome of the execution of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Outcome {
-    /// The whole result is in the table.
+    /// The complete result is in the table.
     Completed,
     /// The target proved that it did not start the attempt.
     NotRun(verdict::Reason, Option<unit::Period>),
--- a/laburnumcart_agent/src/lib.rs
+++ b/laburnumcart_agent/src/lib.rs
@@ -1,7 +1,7 @@
-//! Agent daemon: the one process of the system beside each target.
+//! Agent daemon, which runs beside each target.
 //!
-//! It admits attempts from entries, queues them, executes them on its target, keeps the results
-//! until they are settled, and gives the target its orders.
+//! It admits attempts from entries, queues them, executes them at its target, keeps the results
+//! until they are settled, and sends the target its load and unload orders.
 
 pub mod agent;
 mod control;
--- a/laburnumcart_agent/src/main.rs
+++ b/laburnumcart_agent/src/main.rs
@@ -1,4 +1,4 @@
-//! Starts an agent.
+//! Agent program.
 
 use std::process;
 
@@ -11,7 +11,7 @@
 const PROGRAM: args::Program = args::Program {
     name: "laburnum-agent",
     version: env!("CARGO_PKG_VERSION"),
-    about: "The one process of the system beside each target.",
+    about: "Executes requests at the target beside it and keeps their results.",
 };
 
 fn main() -> process::ExitCode {
--- a/laburnumcart_agent/src/run.rs
+++ b/laburnumcart_agent/src/run.rs
@@ -1,4 +1,4 @@
-//! Life of the process: start, wait for a stop, graceful shutdown.
+//! Main function of the process: start, wait for a signal or a drain, graceful shutdown.
 
 use std::{
     io,
@@ -33,16 +33,16 @@
     shared,
 };
 
-/// Calls a second of the object service unless the settings say otherwise; an agent needs few.
+/// Default rates of calls to the object service, per second; an agent needs few.
 const STORE_RATES: budget::Rates = budget::Rates {
     reads: unit::Rate(20.0),
     writes: unit::Rate(10.0),
 };
 
-/// Threads that execute attempts and serve peers.
+/// Number of threads that execute attempts and serve peers.
 const TRAFFIC_THREADS: usize = 2;
 
-/// Runs an agent until it is stopped; returns the process's exit code.
+/// Runs an agent until it is stopped; returns the exit code of the process.
 pub fn run(settings: settings::Settings) -> process::ExitCode {
     let runtime = runtime::Builder::new_multi_thread()
         .worker_threads(TRAFFIC_THREADS)
@@ -51,7 +51,7 @@
         .build();
     let served = runtime.and_then(|runtime| runtime.block_on(serve(settings)));
     match served {
-        // Whoever supervises the process learns from the code alone that work was cut off.
+        // The exit code is how a supervisor learns that attempts were cut off.
         Ok(left) if left > 0 => process::ExitCode::FAILURE,
         Ok(_) => process::ExitCode::SUCCESS,
         Err(error) => {
@@ -61,7 +61,7 @@
     }
 }
 
-/// Serves until it is told to stop; returns the number of attempts that the stop limit cut off.
+/// Serves until a signal or a drain; returns the number of attempts cut off by the stop limit.
 async fn serve(settings: settings::Settings) -> io::Result<usize> {
     let mut signals = stop::Signals::listen()?;
     let _traces = traces::launch("laburnum-agent", &settings.instance, &settings.telemetry);
--- a/laburnumcart_agent/src/service.rs
+++ b/laburnumcart_agent/src/service.rs
@@ -124,7 +124,7 @@
         {
             Some(Ok(view)) => Ok(progress(id, view)),
             Some(Err(position)) => Err(error(agent::INVALID, position)),
-            None => Err(error(agent::UNKNOWN, "attempt not known")),
+            None => Err(error(agent::UNKNOWN, "unknown attempt")),
         }
     }
 }
@@ -185,7 +185,7 @@
             scheduler.table.acknowledge(next.attempt, next.from);
             scheduler.table.data(next.attempt).cloned()
         };
-        let job = job.ok_or_else(|| error(agent::UNKNOWN, "attempt not known"))?;
+        let job = job.ok_or_else(|| error(agent::UNKNOWN, "unknown attempt"))?;
         job.acknowledged.notify_one();
         self.wait_progress(&job, next.from, next.wait.0).await
     }
--- a/laburnumcart_agent/src/settings.rs
+++ b/laburnumcart_agent/src/settings.rs
@@ -13,26 +13,26 @@
 #[derive(Clone, Debug, Deserialize, schemars::JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
-    /// Name of this process.
+    /// Name of this instance.
     pub instance: id::InstanceName,
-    /// Its data centre.
+    /// Data centre of this instance.
     pub data_centre: id::DataCentre,
-    /// Address for entries, other agents and operators.
+    /// Address of the interface for entries, other agents and operators.
     #[schemars(with = "settings::Address")]
     pub peer: net::SocketAddr,
-    /// Address for health checks and metrics.
+    /// Address of the health checks and metrics.
     #[schemars(with = "settings::Address")]
     pub admin: net::SocketAddr,
-    /// The target beside it.
+    /// The target beside this agent.
     pub target: Target,
-    /// What the processes of the fleet have in common.
+    /// Settings that all processes of the fleet share.
     pub fleet: settings::Fleet,
-    /// The object service.
+    /// Access to the object service.
     pub platform: settings::Platform,
     /// Logs and traces.
     #[serde(default)]
     pub telemetry: settings::Telemetry,
-    /// Longest time that a planned stop may take.
+    /// Longest time that a graceful shutdown may take.
     #[serde(default = "default_stop")]
     pub stop_limit: unit::Period,
 }
@@ -41,11 +41,11 @@
 #[derive(Clone, Debug, Deserialize, schemars::JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Target {
-    /// Name, unique in the fleet.
+    /// Name of the target, unique in the fleet.
     pub name: id::TargetName,
-    /// Service that it belongs to.
+    /// Service that the target belongs to.
     pub service: id::ServiceName,
-    /// Address of its HTTP port.
+    /// Address of the target's HTTP server.
     #[schemars(with = "settings::Address")]
     pub address: net::SocketAddr,
 }
--- a/laburnumcart_agent/src/snapshot.rs
+++ b/laburnumcart_agent/src/snapshot.rs
@@ -1,4 +1,4 @@
-//! What traffic threads read of the control state.
+//! Snapshot of the control state, published for the traffic threads.
 
 use std::sync;
 
@@ -10,23 +10,23 @@
 };
 use tokio::time;
 
-/// Control state at one moment; replaced as a whole by the control thread.
+/// Immutable control state; the control thread replaces it as a whole.
 #[derive(Clone, Debug, Default)]
 pub struct Snapshot {
     /// Whether the target answers.
     pub ready: bool,
-    /// Generation in force.
+    /// Generation of the current bundle.
     pub generation: id::Generation,
-    /// The target's service, once a bundle that has it is in force.
+    /// Service of the target, if the current bundle has it.
     pub service: Option<sync::Arc<bundle::Service>>,
-    /// Facts to pass on.
+    /// Facts to send to peers.
     pub facts: facts::Table,
-    /// Suspects that follow from the facts.
+    /// Suspects, derived from the facts.
     pub suspects: sync::Arc<suspects::Suspects>,
 }
 
 impl Snapshot {
-    /// Returns the protocol of the target.
+    /// Returns the kind of the target's service, which decides the protocol.
     pub fn kind(&self) -> Option<bundle::Kind> {
         self.service.as_ref().map(|service| service.kind)
     }
@@ -34,7 +34,8 @@
     /// Returns the facts that changed since a version.
     pub fn changes(&self, since: facts::Version, now: time::Instant) -> facts::Facts {
         let mut facts = self.facts.changes(since, now).unwrap_or_default();
-        // A generation that was only heard of is not in force here, and cannot be fetched here.
+        // Peers fetch the generation that an agent reports. One that is known from other peers'
+        // facts only is not available here.
         facts.generation = self.generation;
         facts
     }
--- a/laburnumcart_agent/src/target.rs
+++ b/laburnumcart_agent/src/target.rs
@@ -1,4 +1,4 @@
-//! HTTP client of the target.
+//! HTTP client of the target: stages, orders, cancellation and state.
 
 pub mod events;
 pub mod http;
@@ -18,30 +18,30 @@
     Serialize, //
 };
 
-/// Longest time that a connect to the target may take.
+/// Timeout of connecting to the target.
 const CONNECT_TIMEOUT: time::Duration = time::Duration::from_secs(1);
 
-/// Longest time that a call of control may take.
+/// Timeout of a state or cancel call.
 const CONTROL_TIMEOUT: time::Duration = time::Duration::from_secs(1);
 
-/// The target beside this agent.
+/// Client of the target beside this agent.
 #[derive(Debug)]
 pub struct Target {
     http: http::Client,
 }
 
-/// State of the target.
+/// State that the target reports.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
 pub struct State {
-    /// Differs after a restart.
+    /// Identifies one run of the target; differs after a restart.
     pub boot: String,
-    /// Models that are loaded.
+    /// Loaded models.
     #[serde(default)]
     pub models: Vec<String>,
-    /// Term of the last order that it took.
+    /// Term of the last order that the target accepted.
     #[serde(default)]
     pub term: id::Term,
-    /// Number of that order within the term.
+    /// Sequence number of that order within the term.
     #[serde(default)]
     pub sequence: u64,
 }
@@ -52,21 +52,21 @@
 }
 
 impl Target {
-    /// Creates a client; nothing is connected yet.
+    /// Creates a client, without connecting yet.
     pub fn new(address: net::SocketAddr) -> Self {
         Self {
             http: http::Client::new(address, CONNECT_TIMEOUT),
         }
     }
 
-    /// Stops an attempt at the target.
+    /// Cancels an attempt at the target.
     pub async fn cancel(&self, attempt: id::AttemptId) -> Result<(), http::Failure> {
         let body = serde_json::to_vec(&Cancel { attempt }).unwrap_or_default();
         self.http.call("/v1/cancel", body, CONTROL_TIMEOUT).await?;
         Ok(())
     }
 
-    /// Gives an order, which takes at most `limit`.
+    /// Sends an order and waits until the target has carried it out, for at most `limit`.
     pub async fn send_order(
         &self,
         order: &orders::Order,
--- a/laburnumcart_agent/src/target/events.rs
+++ b/laburnumcart_agent/src/target/events.rs
@@ -1,20 +1,20 @@
-//! Parser of an engine's event stream.
+//! Parser of the server-sent events of an engine.
 
 use serde::Deserialize;
 
-/// Longest event in bytes.
+/// Greatest size of an event, in bytes.
 const EVENT_MAX: usize = 1 << 20;
 
-/// An event of a stream.
+/// Event of a stream.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Event {
     /// A piece of text.
     Piece(String),
-    /// The end mark.
+    /// The end mark of a complete stream.
     End,
 }
 
-/// A stream that breaks the protocol.
+/// Error for a stream that violates the protocol.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Malformed;
 
@@ -29,7 +29,7 @@
     _tokens: u64,
 }
 
-/// Splits the bytes of a stream into events.
+/// Incremental parser of a stream.
 #[derive(Debug, Default)]
 pub struct Parser {
     line: Vec<u8>,
@@ -38,7 +38,7 @@
 }
 
 impl Parser {
-    /// Takes the next bytes and appends the events that they complete.
+    /// Parses the next bytes and appends the events that they complete to `events`.
     pub fn push(&mut self, bytes: &[u8], events: &mut Vec<Event>) -> Result<(), Malformed> {
         for byte in bytes {
             if *byte != b'\n' {
@@ -68,7 +68,7 @@
                 self.data.push('\n');
                 self.data.push_str(value);
             }
-            // Comments and unknown fields are allowed.
+            // Comments and unknown fields are ignored.
             _ => (),
         }
         Ok(())
--- a/laburnumcart_agent/src/target/http.rs
+++ b/laburnumcart_agent/src/target/http.rs
@@ -1,4 +1,4 @@
-//! Connections to the target.
+//! HTTP connections to the target.
 
 use std::{
     net,
@@ -31,14 +31,14 @@
     rt, //
 };
 
-/// Longest answer to a call of control in bytes.
+/// Greatest size of an answer to a control call, in bytes.
 const ANSWER_MAX: usize = 1 << 20;
 
-/// A call that did not succeed.
+/// Failure of a call.
 #[derive(Clone, Copy, Debug, Display, Error, Eq, PartialEq)]
 pub enum Failure {
-    /// No connection could be opened, so that nothing was sent.
-    #[display("target not reached")]
+    /// No connection could be opened, so nothing was sent.
+    #[display("could not connect to the target")]
     Unreached,
     /// The connection failed after the call may have been sent.
     #[display("connection to the target failed")]
@@ -46,41 +46,41 @@
     /// No answer came in time.
     #[display("target did not answer in time")]
     Timeout,
-    /// The target answered with another status than success.
+    /// The target answered with a status other than success.
     #[display("target answered {_0}")]
     Status(#[error(not(source))] StatusCode),
-    /// The answer is not what the protocol says.
-    #[display("malformed answer of the target")]
+    /// The answer violates the protocol.
+    #[display("malformed answer from the target")]
     Malformed,
 }
 
 type Inner = legacy::Client<connect::HttpConnector, Full<Bytes>>;
 
-/// Pools of connections to one address.
+/// Client with connections to one address.
 #[derive(Debug)]
 pub struct Client {
     address: net::SocketAddr,
-    /// Reuses connections.
+    /// Client that reuses connections.
     pooled: Inner,
-    /// Opens a connection for each call.
+    /// Client that opens a connection for each call.
     unpooled: Inner,
 }
 
-/// An answer whose body is still to be read.
+/// Answer whose body is still to be read.
 ///
-/// Unless [`Answer::tidy`] is called, the connection is closed when the answer is dropped. The HTTP
-/// library closes it by itself in the middle of a body, but not after a body that ended without
-/// what our protocol wants at its end; a target that lost its place there may not have found it for
-/// the next answer either, which would go to another caller.
+/// The connection is closed when the answer is dropped, unless [`Answer::keep_connection`] is
+/// called. The HTTP library itself closes it only in the middle of a body, not after a body that
+/// ended without the protocol's end mark. A target that lost track there may also mix up the next
+/// answer on the connection, which belongs to another caller.
 #[derive(Debug)]
 pub struct Answer {
-    /// Head and body.
+    /// Head and unread body.
     pub response: Response<Incoming>,
     captured: Option<connect::CaptureConnection>,
 }
 
 impl Answer {
-    /// Notes that the answer was read to its end, so that its connection can serve another call.
+    /// Returns the connection to the pool, after the answer was read to its end.
     pub fn keep_connection(mut self) {
         self.captured = None;
     }
@@ -97,7 +97,7 @@
 }
 
 impl Client {
-    /// Creates the pools; nothing is connected yet.
+    /// Creates a client with the given connect timeout, without connecting yet.
     pub fn new(address: net::SocketAddr, limit: time::Duration) -> Self {
         let mut connector = connect::HttpConnector::new();
         connector.set_nodelay(true);
@@ -112,15 +112,20 @@
 
     /// Sends a request and waits for the head of its answer.
     ///
-    /// A connection that idled may be closed by the target in the moment it is used again, and then
-    /// it is unknown whether the call arrived. With `once` the call gets a connection of its own.
+    /// The target may close an idle connection just as it is reused, and then it is unknown whether
+    /// the call arrived. With `new_connection` the call gets a connection of its own, which avoids
+    /// this for calls that must run at most once.
     pub async fn send(
         &self,
         mut request: Request<Full<Bytes>>,
-        once: bool,
+        new_connection: bool,
     ) -> Result<Answer, Failure> {
         let captured = connect::capture_connection(&mut request);
-        let client = if once { &self.unpooled } else { &self.pooled };
+        let client = if new_connection {
+            &self.unpooled
+        } else {
+            &self.pooled
+        };
         match client.request(request).await {
             Ok(response) => Ok(Answer {
                 response,
@@ -131,7 +136,7 @@
         }
     }
 
-    /// Returns a request with a JSON body.
+    /// Returns a POST request with a JSON body.
     pub fn post_request(&self, path: &str, body: impl Into<Bytes>) -> Request<Full<Bytes>> {
         let mut request = self.get_request(path, body);
         *request.method_mut() = Method::POST;
@@ -140,7 +145,7 @@
         request
     }
 
-    /// Posts to `path` and returns the whole answer.
+    /// Posts a JSON body to `path` and returns the body of the answer.
     pub async fn call(
         &self,
         path: &str,
@@ -151,7 +156,7 @@
             .await
     }
 
-    /// Reads `path` and returns the whole answer.
+    /// Gets `path` and returns the body of the answer.
     pub async fn get(&self, path: &str, limit: time::Duration) -> Result<Bytes, Failure> {
         self.send_and_read(self.get_request(path, Bytes::new()), limit)
             .await
@@ -180,13 +185,13 @@
     fn get_request(&self, path: &str, body: impl Into<Bytes>) -> Request<Full<Bytes>> {
         let mut request = Request::new(Full::new(body.into()));
         let uri = format!("http://{}{path}", self.address);
-        // An address and one of our constant paths always make a valid URI.
+        // Never fails: a socket address and a constant path form a valid URI.
         *request.uri_mut() = uri.parse().unwrap_or_default();
         request
     }
 }
 
-/// Reads the whole body of an answer.
+/// Reads the whole body of an answer, up to `limit` bytes.
 pub async fn read_body(answer: &mut Answer, limit: usize) -> Result<Bytes, Failure> {
     let body = Limited::new(answer.response.body_mut(), limit);
     match body.collect().await {
--- a/laburnumcart_agent/src/target/run.rs
+++ b/laburnumcart_agent/src/target/run.rs
@@ -1,4 +1,4 @@
-//! Execution of a stage on the target, with the verdict of every way that it can end.
+//! Execution of a stage at the target, and the verdict on each possible failure.
 
 use std::collections;
 
@@ -29,24 +29,24 @@
 };
 use crate::job;
 
-/// Longest output of a pool in bytes.
+/// Greatest size of a pool's output, in bytes.
 const OUTPUT_MAX: usize = 8 << 20;
 
-/// Size of the chunks that a pool's output is cut into, in bytes.
+/// Size of the chunks of a pool's output, in bytes.
 const CHUNK_SIZE: usize = 64 << 10;
 
-/// What changes of a call from hop to hop.
+/// Values of a call that differ on each hop.
 #[derive(Clone, Debug)]
 pub struct Hop {
     /// Time left until the deadline.
     pub remaining: unit::Period,
-    /// Span that the target's own are children of.
+    /// Parent of the target's spans.
     pub parent: Option<traces::Traceparent>,
 }
 
-/// Receives the parts of a result in order.
+/// Receiver of the parts of a result, in order.
 pub trait Sink: Send {
-    /// Takes a part; waits while too many bytes are not acknowledged.
+    /// Accepts a part; waits while too many bytes are unacknowledged.
     fn push(&mut self, text: &str) -> impl Future<Output = ()> + Send;
 }
 
@@ -107,7 +107,8 @@
     }
 }
 
-/// Returns the body for the target: the caller's, with the text received so far if there is any.
+/// Returns the body for the target: the caller's, plus the text already received when a stream is
+/// resumed.
 fn request_body(call: &stage::Call) -> Option<String> {
     let Some(received) = &call.received else {
         return Some(call.body.get().into());
@@ -119,7 +120,7 @@
     serde_json::to_string(&fields).ok()
 }
 
-/// Returns the outcome of a call that got no answer.
+/// Returns the outcome of a call without a complete answer.
 fn failure_outcome(failure: client::Failure) -> job::Outcome {
     match failure {
         client::Failure::Unreached => job::Outcome::NotRun(verdict::Reason::NoTarget, None),
@@ -127,7 +128,7 @@
     }
 }
 
-/// Returns the outcome of a call that the target did not execute to its end.
+/// Returns the outcome of a call that was answered with a status other than 200.
 fn status_outcome(answer: client::Answer) -> job::Outcome {
     match answer.response.status() {
         StatusCode::BAD_REQUEST => job::Outcome::NotRun(verdict::Reason::TargetRefused, None),
@@ -144,7 +145,7 @@
     Some(unit::Period::from_secs(secs))
 }
 
-/// Reads a pool's output, which is passed on only when it is whole.
+/// Reads a pool's output and forwards it once it is complete.
 async fn forward_output(mut answer: client::Answer, sink: &mut impl Sink) -> job::Outcome {
     let body = match client::read_body(&mut answer, OUTPUT_MAX).await {
         Ok(body) => body,
@@ -163,12 +164,12 @@
     job::Outcome::Completed
 }
 
-/// Passes on the pieces of an engine's stream up to its end mark.
+/// Forwards the pieces of an engine's stream up to its end mark.
 async fn forward_stream(mut answer: client::Answer, sink: &mut impl Sink) -> job::Outcome {
     let mut parser = events::Parser::default();
     let mut events = Vec::new();
     loop {
-        // A stream that stops before its end mark is not whole, however tidily it was closed.
+        // A stream without its end mark is incomplete, even if its body ended cleanly.
         let Some(Ok(frame)) = answer.response.body_mut().frame().await else {
             return job::Outcome::MayHaveRun(verdict::Reason::TargetFailed);
         };
@@ -190,7 +191,7 @@
     }
 }
 
-/// Keeps the connection of a whole stream if its body has ended with the end mark.
+/// Keeps the connection of a complete stream if its body ended with the end mark.
 fn release_connection(answer: client::Answer) {
     if hyper::body::Body::is_end_stream(answer.response.body()) {
         answer.keep_connection();
--- a/laburnumcart_agent/tests/agent/counters.rs
+++ b/laburnumcart_agent/tests/agent/counters.rs
@@ -1,4 +1,4 @@
-//! What an agent shows of the time that its target spent.
+//! Metrics of the time that a target spent.
 
 use std::time;
 
@@ -22,7 +22,7 @@
     }
 }
 
-// Bundles come and go by the thousand with new names of stages; the page must not grow with them.
+// Each new bundle can bring new stage names; the number of series must stay bounded.
 #[test]
 fn stages_beyond_the_cap_are_others() {
     let metrics = metrics::Metrics::new();
--- a/laburnumcart_agent/tests/agent/doubt.rs
+++ b/laburnumcart_agent/tests/agent/doubt.rs
@@ -1,4 +1,4 @@
-//! Doubt about an attempt after its connection was lost, and how it is resolved.
+//! Attempts in doubt after a lost connection, and queries that resolve them.
 
 use laburnumcart::{
     bundle::Kind,
@@ -36,9 +36,8 @@
     },
 };
 
-/// The caller gets its answer once. The connection goes silent before the call arrives; over a new
-/// one the agent says "not run", the sender runs the stage elsewhere, and then the call comes out
-/// of the old connection after all. It is refused, or the stage would run twice.
+/// A query over a new session is answered "not run", then the delayed call arrives over the old
+/// session. It must be refused: the sender may have retried elsewhere, and the stage would run twice.
 #[tokio::test(flavor = "multi_thread")]
 async fn late_call_never_starts() {
     let target = Target::start(Mode::Status(200, "")).await;
@@ -64,8 +63,8 @@
     assert!(target.seen().is_empty());
 }
 
-/// The sender learns nothing, in place of a false "not run", from a question that itself comes late:
-/// over a fenced session, or over the session that carried the attempt, which may still come.
+/// A query over a fenced session, or over the session that sent the attempt, gets an error: the
+/// attempt may still arrive, so "not run" would be false.
 #[tokio::test(flavor = "multi_thread")]
 async fn query_proves_nothing_over_a_wrong_session() {
     let target = Target::start(Mode::Status(200, "")).await;
@@ -88,8 +87,8 @@
     assert_eq!(code(bounded(first.client.beat(beat)).await), agent::FENCED);
 }
 
-/// The caller gets the whole stream, each piece once. The connection is lost in the middle; the
-/// sender asks over a new one from the piece it lacks and reads on.
+/// The connection is lost in the middle of a stream. The sender resumes from the first missing piece
+/// over a new connection, and gets each piece once.
 #[tokio::test(flavor = "multi_thread")]
 async fn stream_resumes_over_a_new_connection() {
     let target = Target::start(Mode::Stream(vec!["a", "b", "c"], Finish::Whole)).await;
@@ -97,34 +96,33 @@
     let sender = Sender::new(agent.addr());
     let old = sender.connect().await;
     let call = old.call();
-    let mut joiner = Assembler::default();
+    let mut assembler = Assembler::default();
     let first = bounded(old.client.start(call.clone())).await.unwrap();
-    joiner.push(&first.chunks[0]).unwrap();
+    assembler.push(&first.chunks[0]).unwrap();
     drop(old);
     target.release();
     let new = sender.connect().await;
-    let mut progress = bounded(new.client.query(new.query(&call, joiner.next_number())))
+    let mut progress = bounded(new.client.query(new.query(&call, assembler.next_number())))
         .await
         .unwrap();
     let end = bounded(async {
         loop {
             for chunk in &progress.chunks {
-                joiner.push(chunk).unwrap();
+                assembler.push(chunk).unwrap();
             }
             if let State::Done(end) = progress.state {
                 return end;
             }
-            let next = new.next(&call, joiner.next_number());
+            let next = new.next(&call, assembler.next_number());
             progress = new.client.next(next).await.unwrap();
         }
     })
     .await;
-    assert_eq!(joiner.finish(&end).unwrap(), "abc");
+    assert_eq!(assembler.finish(&end).unwrap(), "abc");
     assert_eq!(target.seen().len(), 1);
 }
 
-/// The caller gets the answer that was kept. The connection is lost after the stage has ended and
-/// before its end mark arrived.
+/// The connection is lost after the stage ended; its result is kept and read over a new connection.
 #[tokio::test(flavor = "multi_thread")]
 async fn kept_result_is_fetched() {
     let target = Target::start(Mode::Status(200, "")).await;
@@ -143,10 +141,10 @@
     assert_eq!(target.seen().len(), 1);
 }
 
-/// The target executes once. The sender repeats a call with the same attempt id over a new session;
-/// it joins the attempt that runs.
+/// A call repeated with the same attempt id over a new session joins the running attempt, and the
+/// target executes once.
 #[tokio::test(flavor = "multi_thread")]
-async fn duplicate_joins() {
+async fn repeated_call_joins_running_attempt() {
     let target = Target::start(Mode::Hold).await;
     let agent = fixture::start(target.addr, Kind::Pool).await;
     let sender = Sender::new(agent.addr());
@@ -166,9 +164,8 @@
     assert_eq!(target.seen().len(), 1);
 }
 
-/// The caller is told "may have run". The agent was replaced at the same address; the new process
-/// knows nothing of the attempt, and its ignorance must not pass for a proof. What was addressed to
-/// the old life and arrives late is refused.
+/// An agent is replaced at the same address. The new process does not know the attempt, which proves
+/// nothing: may have executed. A late call to the old incarnation is refused.
 #[tokio::test(flavor = "multi_thread")]
 async fn replaced_agent_proves_nothing() {
     let target = Target::start(Mode::Status(200, "")).await;
@@ -203,8 +200,8 @@
         (late.verdict, late.reason),
         (Verdict::NotRun, Reason::WrongIncarnation)
     );
-    // Even one that names the new life by mistake is not denied, as its session is older than
-    // what the new agent knows of the lane.
+    // A query that names the new incarnation by mistake gets no "not run" either: the attempt's
+    // session is older than any that the new agent knows of the lane.
     let mut query = new.query(&call, 0);
     query.incarnation = new.report.incarnation;
     let answer = bounded(new.client.query(query)).await.unwrap();
@@ -212,7 +209,7 @@
     assert_eq!(target.seen().len(), 1);
 }
 
-/// The sender is refused for sure: calls of a lane without `hello`, and of a session to come.
+/// Calls on a lane without `hello`, or with a session number above the open one, are refused.
 #[rstest]
 #[case(0)]
 #[case(1)]
--- a/laburnumcart_agent/tests/agent/fixture.rs
+++ b/laburnumcart_agent/tests/agent/fixture.rs
@@ -1,4 +1,4 @@
-//! An agent with a target, and a sender with a lane to it.
+//! Fixtures: an agent with a target, and a sender with a lane to the agent.
 
 use std::{
     net,
@@ -40,12 +40,12 @@
 
 use crate::sign;
 
-/// Bound on every wait for a condition; far above what any of them takes.
+/// Limit on each wait for a condition; far above what any of them takes.
 pub(crate) const BOUND: time::Duration = time::Duration::from_secs(20);
 
 const SECRET: &str = "a-secret-of-the-fleet-0123456789";
 
-/// Fails the test when the condition does not come true in time.
+/// Awaits a future; fails the test after [`BOUND`].
 pub(crate) async fn bounded<T>(wait: impl Future<Output = T>) -> T {
     tokio::time::timeout(BOUND, wait).await.expect("in time")
 }
@@ -65,13 +65,13 @@
     serde_json::from_value(text).unwrap()
 }
 
-/// Starts an agent whose target is of the given kind and waits until it is ready.
+/// Starts an agent for a service of the given kind and waits until it is ready.
 pub(crate) async fn start(target: net::SocketAddr, kind: bundle::Kind) -> agent::Agent {
     let addr = "127.0.0.1:0".parse().unwrap();
     start_at(addr, target, kind).await
 }
 
-/// Starts an agent at an address of its own, such as that of one that has gone.
+/// Starts an agent at the given address.
 pub(crate) async fn start_at(
     peer: net::SocketAddr,
     target: net::SocketAddr,
@@ -80,7 +80,7 @@
     start_with(peer, target, &rules(kind), memory::Memory::new()).await
 }
 
-/// Starts an agent under a bundle with the given service, which it reads from `store`.
+/// Starts an agent with a bundle that has the given service, read from `store`.
 pub(crate) async fn start_with(
     peer: net::SocketAddr,
     target: net::SocketAddr,
@@ -108,7 +108,7 @@
     agent
 }
 
-/// Starts an agent at the address of one that has stopped, once its port is free.
+/// Starts an agent at the address of a stopped one, once its port is free.
 pub(crate) async fn replace(
     addr: net::SocketAddr,
     target: net::SocketAddr,
@@ -121,7 +121,7 @@
     start_at(addr, target, kind).await
 }
 
-/// Returns the refusal of an attempt that must have got one.
+/// Returns the refusal in `state`; panics if there is none.
 pub(crate) fn refusal(state: &stage::State) -> verdict::Refusal {
     match state {
         stage::State::Refused(refusal) => *refusal,
@@ -129,27 +129,27 @@
     }
 }
 
-/// Returns the code of a call that must have failed with one.
+/// Returns the error code of a failed call; panics if it did not fail with one.
 pub(crate) fn code<T: std::fmt::Debug>(answer: Result<T, Error>) -> i32 {
     match answer {
         Err(Error::Call(error)) => error.code(),
-        other => panic!("no error of the call: {other:?}"),
+        other => panic!("call did not fail: {other:?}"),
     }
 }
 
-/// Returns a service of the given kind without orders.
+/// Returns the bundle's entry of a service of the given kind, without orders.
 pub(crate) fn rules(kind: bundle::Kind) -> Value {
     json!({"kind": kind})
 }
 
-/// One process that sends attempts, over one connection after the other.
+/// Process that sends attempts, over successive connections of one lane.
 pub(crate) struct Sender {
     addr: net::SocketAddr,
     lane: id::Incarnation,
     number: atomic::AtomicU64,
 }
 
-/// One connection of a sender.
+/// Connection of a sender.
 pub(crate) struct Connection {
     pub(crate) client: peer::Client,
     pub(crate) session: lane::Session,
@@ -192,7 +192,7 @@
 }
 
 impl Connection {
-    /// Prepares a call with its own ids.
+    /// Returns a call with new ids.
     pub(crate) fn call(&self) -> stage::Call {
         let body = json!({"stage": "encode", "input": {"n": 7}, "previous": null});
         stage::Call {
@@ -220,13 +220,13 @@
         self.rest(call, progress).await
     }
 
-    /// Reads the result of a call that another connection has started.
+    /// Reads the result of a call that was started over another connection.
     pub(crate) async fn read(&self, call: &stage::Call) -> (String, stage::State) {
         let progress = self.client.next(self.next(call, 0)).await.unwrap();
         self.rest(call, progress).await
     }
 
-    /// Waits until the agent has sent the facts.
+    /// Sends heartbeats until an answer has facts that match, and returns them.
     pub(crate) async fn wait_facts(&self, fits: impl Fn(&facts::Facts) -> bool) -> facts::Facts {
         loop {
             let beat = Heartbeat {
@@ -247,23 +247,23 @@
         call: &stage::Call,
         mut progress: stage::Progress,
     ) -> (String, stage::State) {
-        let mut joiner = stage::Assembler::default();
+        let mut assembler = stage::Assembler::default();
         loop {
             assert_eq!(
                 (progress.request, progress.attempt),
                 (call.request, call.attempt)
             );
             for chunk in &progress.chunks {
-                joiner.push(chunk).unwrap();
+                assembler.push(chunk).unwrap();
             }
             match progress.state {
                 stage::State::Done(end) => {
-                    return (joiner.finish(&end).unwrap(), progress.state);
+                    return (assembler.finish(&end).unwrap(), progress.state);
                 }
-                stage::State::Refused(_) => return (joiner.text().into(), progress.state),
+                stage::State::Refused(_) => return (assembler.text().into(), progress.state),
                 _ => (),
             }
-            let next = self.next(call, joiner.next_number());
+            let next = self.next(call, assembler.next_number());
             progress = self.client.next(next).await.unwrap();
         }
     }
@@ -276,7 +276,7 @@
         }
     }
 
-    /// Asks about a call that an earlier session has sent.
+    /// Returns a query about a call of an earlier session.
     pub(crate) fn query(&self, call: &stage::Call, from: u32) -> stage::Query {
         stage::Query {
             session: self.session,
--- a/laburnumcart_agent/tests/agent/main.rs
+++ b/laburnumcart_agent/tests/agent/main.rs
@@ -1,4 +1,4 @@
-//! An agent over real connections, with a target that fails as each test says.
+//! Tests of an agent over real connections, with a target that fails as each test configures.
 
 mod counters;
 mod doubt;
--- a/laburnumcart_agent/tests/agent/phases.rs
+++ b/laburnumcart_agent/tests/agent/phases.rs
@@ -1,4 +1,4 @@
-//! Each phase of an attempt in which its target can fail, and the verdict that follows.
+//! Target failures in each phase of an attempt, and the resulting verdicts.
 
 use laburnumcart::{
     bundle::Kind,
@@ -29,9 +29,9 @@
     },
 };
 
-/// The caller gets the whole output of its own stage.
+/// The caller gets the complete output of its stage.
 #[tokio::test(flavor = "multi_thread")]
-async fn pool_answers_whole() {
+async fn pool_output_is_complete() {
     let target = Target::start(Mode::Status(200, "")).await;
     let agent = fixture::start(target.addr, Kind::Pool).await;
     let lane = fixture::Sender::new(agent.addr()).connect().await;
@@ -45,8 +45,8 @@
     assert_eq!(target.seen().len(), 1);
 }
 
-/// The caller is told "not run": the target says by its status that it did not start the stage, or
-/// could not be reached before a byte was sent. All other failures after that may have run.
+/// Only the statuses by which a target states that it did not start are proven not executed; any
+/// other status may have executed.
 #[rstest]
 #[case(400, Verdict::NotRun, Reason::TargetRefused)]
 #[case(429, Verdict::NotRun, Reason::Overloaded)]
@@ -59,7 +59,7 @@
 #[case(302, Verdict::MayHaveRun, Reason::TargetFailed)]
 #[case(204, Verdict::MayHaveRun, Reason::TargetFailed)]
 #[tokio::test(flavor = "multi_thread")]
-async fn status_gives_verdict(
+async fn status_decides_verdict(
     #[case] status: u16,
     #[case] verdict: Verdict,
     #[case] reason: Reason,
@@ -74,8 +74,7 @@
     assert_eq!(target.seen().len(), 1);
 }
 
-/// The caller is told "not run". The target's port is closed when the stage should go there, so
-/// that nothing has left the agent.
+/// The target's port is closed, so nothing was sent: proven not executed.
 #[tokio::test(flavor = "multi_thread")]
 async fn fails_before_send() {
     let target = Target::start(Mode::Status(200, "")).await;
@@ -90,8 +89,8 @@
     );
 }
 
-/// The caller is told "may have run". The target has executed the stage and dies before it answers;
-/// nothing that the agent sees tells this from a target that died before it executed.
+/// The target dies after it executed the stage and before it answers. The agent cannot tell this
+/// from a death before the execution: may have executed.
 #[tokio::test(flavor = "multi_thread")]
 async fn fails_after_send() {
     let target = Target::start(Mode::Close).await;
@@ -106,12 +105,11 @@
     assert_eq!(target.seen().len(), 1, "the stage was not sent again");
 }
 
-/// The caller gets the pieces and then "may have run", never an end. The engine's stream stops in
-/// the middle, or ends tidily without its end mark; both would pass for a whole answer if the end
-/// of the connection were taken for the end of the stream.
+/// A stream that is cut off, or ends cleanly without its end mark, may have executed. It would pass
+/// for complete if the end of the connection counted as the end of the stream.
 #[rstest]
 #[case(Finish::Cut)]
-#[case(Finish::NoMark)]
+#[case(Finish::NoEndMark)]
 #[tokio::test(flavor = "multi_thread")]
 async fn fails_before_end_mark(#[case] finish: Finish) {
     let target = Target::start(Mode::Stream(vec!["a", "b"], finish)).await;
@@ -130,9 +128,9 @@
     );
 }
 
-/// The caller gets the whole stream, piece by piece, with its end mark.
+/// The caller gets all pieces of the stream, and the end.
 #[tokio::test(flavor = "multi_thread")]
-async fn stream_is_whole() {
+async fn stream_is_complete() {
     let target = Target::start(Mode::Stream(vec!["a", "b", "c"], Finish::Whole)).await;
     let agent = fixture::start(target.addr, Kind::Engine).await;
     let lane = fixture::Sender::new(agent.addr()).connect().await;
@@ -145,10 +143,10 @@
     assert_eq!(target.seen()[0].body["received"], "before");
 }
 
-/// The next caller gets its own answer. A call is cancelled before its answer; if its connection
-/// were used again, that answer would be read as the one to the next stage.
+/// A call is cancelled before its answer. If its connection were reused, that answer would be read
+/// as the answer to the next stage.
 #[tokio::test(flavor = "multi_thread")]
-async fn connection_without_answer_is_not_reused() {
+async fn cancelled_connection_is_not_reused() {
     let target = Target::start(Mode::Hold).await;
     let agent = fixture::start(target.addr, Kind::Pool).await;
     let lane = fixture::Sender::new(agent.addr()).connect().await;
@@ -160,9 +158,9 @@
         lane.client.cancel(Cancel { attempt }).await.unwrap();
         target.wait_cancelled(&attempt.to_string()).await;
     };
-    // The call itself ends without news, as its sender has given it up.
+    // The result of the cancelled call itself does not matter.
     let started = lane.client.start(first.clone());
-    let _given_up = bounded(futures_util::future::join(started, cancel)).await;
+    let _cancelled = bounded(futures_util::future::join(started, cancel)).await;
     let mut second = lane.call();
     second.idempotent = true;
     let answer = async {
@@ -175,8 +173,8 @@
     assert_ne!(seen[0].connection, seen[1].connection);
 }
 
-/// The next caller gets its answer over a new connection. The stream before has ended tidily as a
-/// body but without its end mark, so that the target's place in the connection is not trusted.
+/// A stream's body ends cleanly but without the end mark. The target may have lost track of the
+/// connection, so the next call uses a new one.
 #[tokio::test(flavor = "multi_thread")]
 async fn connection_without_end_mark_is_not_reused() {
     let target = Target::start(Mode::Status(200, "")).await;
@@ -192,8 +190,8 @@
     assert_ne!(seen[0].connection, seen[1].connection);
 }
 
-/// The next caller gets its own answer. A stream is cancelled in the middle; if its connection were
-/// used again, the rest of that stream would be read as the answer to the next stage.
+/// A stream is cancelled in the middle. If its connection were reused, the rest of the stream would
+/// be read as the answer to the next stage.
 #[tokio::test(flavor = "multi_thread")]
 async fn untidy_connection_is_not_reused() {
     let target = Target::start(Mode::Stream(vec!["a"], Finish::Whole)).await;
--- a/laburnumcart_agent/tests/agent/sign.rs
+++ b/laburnumcart_agent/tests/agent/sign.rs
@@ -1,4 +1,4 @@
-//! A signed bundle in the object service, as operators leave it there.
+//! Publishes a signed bundle in the object service, as an operator does.
 
 use std::collections;
 
@@ -21,7 +21,7 @@
     json, //
 };
 
-/// Puts a bundle with one service in force and returns how an agent follows it.
+/// Publishes a bundle with one service and returns the options for an agent to follow it.
 pub(crate) async fn accept(store: &memory::Memory, service: &Value) -> bundle::Options {
     let bundle = json!({
         "format": 1,
--- a/laburnumcart_agent/tests/agent/stopping.rs
+++ b/laburnumcart_agent/tests/agent/stopping.rs
@@ -1,4 +1,4 @@
-//! Deadlines, cancels, crashes of the target and graceful shutdown.
+//! Deadlines, cancellation, target crashes, orders and graceful shutdown.
 
 use laburnumcart::{
     bundle::Kind,
@@ -41,7 +41,7 @@
     },
 };
 
-/// The caller is told "may have run" at its deadline, and the target is told to stop.
+/// An attempt past its deadline may have executed, and is cancelled at the target.
 #[tokio::test(flavor = "multi_thread")]
 async fn deadline_cancels_at_the_target() {
     let target = Target::start(Mode::Hold).await;
@@ -58,7 +58,7 @@
     bounded(target.wait_cancelled(&call.attempt.to_string())).await;
 }
 
-/// The caller is told "not run" of what waited behind a full target until its deadline.
+/// An attempt that waits for a slot until its deadline is proven not executed.
 #[tokio::test(flavor = "multi_thread")]
 async fn deadline_in_the_queue_is_not_run() {
     let target = Target::start(Mode::Hold).await;
@@ -87,8 +87,8 @@
     assert_eq!(target.seen().len(), slots);
 }
 
-/// The caller of a long stream gets all of it although the agent is told to stop in the middle; new
-/// work is refused as "not run" at once, and every report says that the agent leaves.
+/// A drain in the middle of a stream lets the stream finish, refuses new work as "not run", and shows
+/// in every report.
 #[tokio::test(flavor = "multi_thread")]
 async fn drain_finishes_a_stream() {
     let target = Target::start(Mode::Stream(vec!["a", "b"], Finish::Whole)).await;
@@ -96,8 +96,8 @@
     let sender = Sender::new(agent.addr());
     let lane = sender.connect().await;
     let call = lane.call();
-    let begun = bounded(lane.client.start(call.clone())).await.unwrap();
-    assert!(!begun.chunks.is_empty());
+    let started = bounded(lane.client.start(call.clone())).await.unwrap();
+    assert!(!started.chunks.is_empty());
     let report = bounded(lane.client.drain()).await.unwrap();
     assert!(report.leaving);
     let stopping = tokio::spawn(agent.stop());
@@ -114,7 +114,7 @@
         (Verdict::NotRun, Reason::Leaving)
     );
     target.release();
-    // The stream goes on over a new connection as well.
+    // The stream can also be resumed over a new connection.
     drop(lane);
     let lane = sender.connect().await;
     let query = bounded(lane.client.query(lane.query(&call, 0)))
@@ -135,8 +135,8 @@
     assert_eq!(bounded(stopping).await.unwrap(), 0);
 }
 
-/// Both callers are told "may have run". The target is killed with one request in the middle and
-/// starts again; what it ran is named as suspect to all who ask.
+/// The target restarts while two attempts run: both may have executed, and the crash fact names the
+/// content of both as suspects.
 #[tokio::test(flavor = "multi_thread")]
 async fn crash_names_what_ran() {
     let target = Target::start(Mode::Hold).await;
@@ -167,7 +167,7 @@
     );
 }
 
-/// The same when the process closes its port and its connections, and does not come back.
+/// A target that closes its port and connections, and does not restart, has crashed too.
 #[tokio::test(flavor = "multi_thread")]
 async fn killed_target_names_what_ran() {
     let target = Target::start(Mode::Hold).await;
@@ -186,7 +186,7 @@
     assert_eq!(crashes[0].suspects, [call.fingerprint]);
 }
 
-/// Content that struck twice is refused as "not run" wherever the facts have come.
+/// Content that crashed two targets is refused as "not run" by an agent that has the facts.
 #[tokio::test(flavor = "multi_thread")]
 async fn quarantined_content_is_refused() {
     let target = Target::start(Mode::Status(200, "")).await;
@@ -204,7 +204,7 @@
         session: lane.session,
         facts: Some(facts),
     };
-    // Facts are sent once, so that the answer to this heartbeat may have them already.
+    // Facts are sent once per lane, so the answer to this heartbeat may have them already.
     let report = bounded(lane.client.beat(beat)).await.unwrap();
     if report.facts.crashes.len() != 2 {
         bounded(lane.wait_facts(|facts| facts.crashes.len() == 2)).await;
@@ -218,8 +218,8 @@
     assert!(refused.retry.is_some() && target.seen().is_empty());
 }
 
-/// The target gets the models of the bundle from the agent that holds its term; one whose term went
-/// to another gives no further order.
+/// The agent that holds the term orders the target to load the bundle's models; after another agent
+/// took the term it sends no further order.
 #[tokio::test(flavor = "multi_thread")]
 async fn orders_follow_the_bundle() {
     let target = Target::start(Mode::Status(200, "")).await;
@@ -246,6 +246,6 @@
     let expect = Expect::Version(held.version);
     store.put(&held.key, expect, &successor).await.unwrap();
     target.set_models(&["newer@1"]);
-    bounded(target.wait_looks(20)).await;
+    bounded(target.wait_polls(20)).await;
     assert_eq!(target.models(), ["newer@1"]);
 }
--- a/laburnumcart_agent/tests/agent/suspects.rs
+++ b/laburnumcart_agent/tests/agent/suspects.rs
@@ -1,4 +1,4 @@
-//! Content that may have crashed targets, as one agent treats it.
+//! Suspected content at one agent: isolation, clearing, quarantine and crash detection.
 
 use std::time;
 
@@ -35,7 +35,7 @@
 
 const QUARANTINE: unit::Period = unit::Period::from_secs(600);
 
-/// Returns the fact of a crash elsewhere of a target that ran this content.
+/// Returns the fact that another target crashed while it ran this content.
 fn crash(ran: &[u128]) -> facts::Crash {
     suspects::crash_fact(ran.iter().map(|print| id::Fingerprint(*print)), QUARANTINE)
 }
@@ -48,8 +48,8 @@
     }
 }
 
-/// Tells the agent of crashes, as an entry does before it sends a suspect.
-async fn tell(lane: &Connection, crashes: Vec<facts::Crash>) {
+/// Sends crash facts to the agent, as an entry does before it sends a suspect.
+async fn send_crashes(lane: &Connection, crashes: Vec<facts::Crash>) {
     let facts = facts::Facts {
         crashes,
         ..Default::default()
@@ -62,7 +62,7 @@
     bounded(lane.client.beat(beat)).await.unwrap();
 }
 
-/// Asks the agent for its state and for facts that it has not told yet.
+/// Returns the agent's report, with the facts not yet sent on this lane.
 async fn report(lane: &Connection) -> Report {
     let beat = Heartbeat {
         peer: None,
@@ -72,13 +72,13 @@
     bounded(lane.client.beat(beat)).await.unwrap()
 }
 
-/// Returns the content that is suspected of each crash.
+/// Returns the suspects of each crash.
 fn suspected(report: &Report) -> Vec<Vec<id::Fingerprint>> {
     let crashes = report.facts.crashes.iter();
     crashes.map(|crash| crash.suspects.clone()).collect()
 }
 
-/// Waits until the agent has this many attempts that wait.
+/// Waits until exactly `count` attempts wait at the agent.
 async fn wait_queued(agent: &laburnumcart_agent::agent::Agent, count: usize) {
     bounded(async {
         while agent.shared().scheduler().queued_count() != count {
@@ -88,34 +88,33 @@
     .await;
 }
 
-/// Two requests ran on a target that crashed elsewhere, and both are sent here at once. They run
-/// one after the other, so that a second crash would tell which it was; an innocent request does
-/// not wait. What completes is cleared, and all that hear of it treat it as any other.
+/// Two suspects of one crash run one after the other, so that a second crash identifies the culprit;
+/// other content does not wait. Content that completes is cleared by a fact.
 #[tokio::test(flavor = "multi_thread")]
 async fn suspects_run_one_at_a_time_and_are_cleared() {
     let target = Target::start(Mode::Hold).await;
     let agent = fixture::start(target.addr, Kind::Pool).await;
     let lane = fixture::Sender::new(agent.addr()).connect().await;
     let fact = crash(&[1, 2]);
-    tell(&lane, vec![fact.clone()]).await;
+    send_crashes(&lane, vec![fact.clone()]).await;
     let calls = [1, 2, 9].map(|print| call(&lane, print));
-    let innocent = calls[2].attempt.to_string();
-    let story = async {
-        // The innocent request and one of the suspects run side by side; the other suspect waits.
+    let unsuspected = calls[2].attempt.to_string();
+    let events = async {
+        // The unsuspected request and one suspect run concurrently; the other suspect waits.
         target.wait_seen(2).await;
         wait_queued(&agent, 1).await;
         let seen = target.seen();
-        assert!(seen.iter().any(|seen| seen.attempt == innocent));
+        assert!(seen.iter().any(|seen| seen.attempt == unsuspected));
         target.release();
         target.wait_seen(3).await;
         target.release();
     };
     let runs = futures_util::future::join_all(calls.each_ref().map(|call| lane.run(call)));
-    let (ends, ()) = bounded(async { tokio::join!(runs, story) }).await;
+    let (ends, ()) = bounded(async { tokio::join!(runs, events) }).await;
     for (_, state) in ends {
         assert!(matches!(state, stage::State::Done(_)), "{state:?}");
     }
-    // A connection is sent all facts at its start.
+    // A new lane gets all facts on its first report.
     let cleared = bounded(async {
         loop {
             let observer = fixture::Sender::new(agent.addr()).connect().await;
@@ -128,31 +127,31 @@
     assert!(cleared.await.iter().all(|cleared| cleared.crash == fact.id));
 }
 
-/// A suspect waits while another runs, and news of a second crash comes in which it had a part. It
-/// is refused as "not run" as soon as the other has ended, and does not wait for its deadline.
+/// A held suspect becomes quarantined by a second crash fact. It must be refused as "not run" when
+/// the running suspect ends, not at its deadline.
 #[tokio::test(flavor = "multi_thread")]
 async fn held_suspect_is_refused_once_it_is_quarantined() {
     let target = Target::start(Mode::Hold).await;
     let agent = fixture::start(target.addr, Kind::Pool).await;
     let lane = fixture::Sender::new(agent.addr()).connect().await;
-    tell(&lane, vec![crash(&[1, 2])]).await;
+    send_crashes(&lane, vec![crash(&[1, 2])]).await;
     let (first, second) = (call(&lane, 1), call(&lane, 2));
-    let story = async {
+    let events = async {
         target.wait_seen(1).await;
         wait_queued(&agent, 1).await;
-        tell(&lane, vec![crash(&[2])]).await;
+        send_crashes(&lane, vec![crash(&[2])]).await;
         target.release();
     };
     let one = lane.run(&first);
     let two = async {
         target.wait_seen(1).await;
-        let begun = tokio::time::Instant::now();
+        let started = tokio::time::Instant::now();
         let (_, state) = lane.run(&second).await;
-        // Half of the time it had: far more than the news take, far less than its deadline.
-        assert!(begun.elapsed() < second.remaining.0 / 2);
+        // Half of its deadline: far more than the facts take to arrive.
+        assert!(started.elapsed() < second.remaining.0 / 2);
         state
     };
-    let ((_, one), two, ()) = bounded(async { tokio::join!(one, two, story) }).await;
+    let ((_, one), two, ()) = bounded(async { tokio::join!(one, two, events) }).await;
     assert!(matches!(one, stage::State::Done(_)), "{one:?}");
     let refusal = refusal(&two);
     assert_eq!(
@@ -162,15 +161,15 @@
     assert_eq!(target.seen().len(), 1);
 }
 
-/// A target crashes; the sender of the attempt that ran there is told that it may have run. In that
-/// moment it must be able to learn of the crash: it sends the content to another target at once.
+/// The crash fact must exist when the sender learns that its attempt failed: it retries at another
+/// target at once, and would send the content there without the fact.
 #[tokio::test(flavor = "multi_thread")]
-async fn crash_is_a_fact_before_its_attempt_fails() {
+async fn crash_is_recorded_before_its_attempt_fails() {
     let target = Target::start(Mode::Hold).await;
     let agent = fixture::start(target.addr, Kind::Pool).await;
     let lane = fixture::Sender::new(agent.addr()).connect().await;
-    let poison = call(&lane, 3);
-    let run = lane.run(&poison);
+    let crashing = call(&lane, 3);
+    let run = lane.run(&crashing);
     let crash = async {
         target.wait_seen(1).await;
         target.stop().await;
@@ -182,15 +181,15 @@
     assert!(!report.ready);
 }
 
-/// A target crashes, is noticed to be down, and is back under a new boot. The life that is seen then
-/// comes of the crash that is known: nothing that runs on it is ended or suspected.
+/// A crash is detected while the target is down, then the target is back under a new boot. The
+/// restart must not count as a second crash, which would end and suspect the new attempts.
 #[tokio::test(flavor = "multi_thread")]
 async fn one_crash_counts_once() {
     let target = Target::start(Mode::Hold).await;
     let agent = fixture::start(target.addr, Kind::Pool).await;
     let lane = fixture::Sender::new(agent.addr()).connect().await;
-    let (addr, poison) = (target.addr, call(&lane, 4));
-    let run = lane.run(&poison);
+    let (addr, crashing) = (target.addr, call(&lane, 4));
+    let run = lane.run(&crashing);
     let crash = async {
         target.wait_seen(1).await;
         target.stop().await;
@@ -200,30 +199,30 @@
     assert_eq!(shared.counters.crashes.get(), 1);
     let target = bounded(Target::start_at(addr, Mode::Status(200, ""))).await;
     target.reboot();
-    bounded(target.wait_looks(3)).await;
+    bounded(target.wait_polls(3)).await;
     let (_, state) = bounded(lane.run(&call(&lane, 5))).await;
     assert!(matches!(state, stage::State::Done(_)), "{state:?}");
     assert_eq!(shared.counters.crashes.get(), 1);
 }
 
-/// A look that was answered before the target crashed explains no attempt that the crash failed.
+/// A poll that was answered before the crash must not explain an attempt that the crash failed.
 #[tokio::test(flavor = "multi_thread")]
-async fn crash_is_a_fact_although_an_earlier_look_found_the_target_well() {
+async fn crash_is_recorded_despite_an_earlier_healthy_poll() {
     let target = Target::start(Mode::Stream(Vec::new(), Finish::Cut)).await;
     let agent = fixture::start(target.addr, Kind::Engine).await;
     let lane = fixture::Sender::new(agent.addr()).connect().await;
-    let poison = call(&lane, 6);
-    let run = lane.run(&poison);
+    let crashing = call(&lane, 6);
+    let run = lane.run(&crashing);
     let crash = async {
         target.wait_seen(1).await;
-        target.hold_looks();
-        target.wait_looks(1).await;
+        target.hold_polls();
+        target.wait_polls(1).await;
         target.release();
         while !agent.shared().scheduler().has_unexplained() {
             tokio::time::sleep(time::Duration::from_millis(5)).await;
         }
-        target.release_look();
-        target.wait_looks(1).await;
+        target.release_poll();
+        target.wait_polls(1).await;
         target.stop().await;
     };
     let ((_, state), ()) = bounded(async { tokio::join!(run, crash) }).await;
--- a/laburnumcart_agent/tests/agent/target.rs
+++ b/laburnumcart_agent/tests/agent/target.rs
@@ -1,4 +1,4 @@
-//! A target of which each test says byte by byte how it behaves.
+//! Scripted target: a raw HTTP server whose behaviour each test sets.
 
 use std::{
     net,
@@ -21,16 +21,16 @@
     task, //
 };
 
-/// How the target treats a stage.
+/// Behaviour of the target on a stage request.
 #[derive(Clone, Debug)]
 pub(crate) enum Mode {
-    /// Answers with this status, after counting the execution if it is 200.
+    /// Answers with this status and body; 200 answers with the echoed input instead.
     Status(u16, &'static str),
-    /// Executes, then closes the connection without an answer.
+    /// Records the request, then closes the connection without an answer.
     Close,
-    /// Executes, then waits for [`Target::release`] and answers.
+    /// Records the request, then waits for [`Target::release`] and answers.
     Hold,
-    /// Streams these pieces, then waits for [`Target::release`], then ends as told.
+    /// Streams these pieces, then waits for [`Target::release`] and ends the stream as given.
     Stream(Vec<&'static str>, Finish),
 }
 
@@ -39,13 +39,13 @@
 pub(crate) enum Finish {
     /// With the end mark.
     Whole,
-    /// With a tidy end of the body but no end mark.
-    NoMark,
+    /// With a complete body but without the end mark.
+    NoEndMark,
     /// With the connection closed in the middle of the body.
     Cut,
 }
 
-/// A request for a stage as it came in.
+/// Stage request as received.
 #[derive(Clone, Debug)]
 pub(crate) struct Seen {
     /// Number of the connection.
@@ -56,7 +56,7 @@
     pub(crate) attempt: String,
     /// Value of `traceparent`.
     pub(crate) traceparent: Option<String>,
-    /// Whole body.
+    /// Body of the request.
     pub(crate) body: Value,
 }
 
@@ -68,9 +68,9 @@
     seen: watch::Sender<Vec<Seen>>,
     cancelled: watch::Sender<Vec<String>>,
     orders: watch::Sender<Vec<Value>>,
-    looks: watch::Sender<usize>,
-    hold_looks: watch::Sender<bool>,
-    look: Notify,
+    polls: watch::Sender<usize>,
+    hold_polls: watch::Sender<bool>,
+    held_poll: Notify,
     go: Notify,
 }
 
@@ -87,7 +87,7 @@
         Self::start_at("127.0.0.1:0".parse().unwrap(), mode).await
     }
 
-    /// Starts at the address of one that has stopped, once its port is free.
+    /// Starts at the address of a stopped target, once its port is free.
     pub(crate) async fn start_at(addr: net::SocketAddr, mode: Mode) -> Self {
         let listener = loop {
             match aio::TcpListener::bind(addr).await {
@@ -104,16 +104,16 @@
             seen: watch::Sender::default(),
             cancelled: watch::Sender::default(),
             orders: watch::Sender::default(),
-            looks: watch::Sender::default(),
-            hold_looks: watch::Sender::default(),
-            look: Notify::new(),
+            polls: watch::Sender::default(),
+            hold_polls: watch::Sender::default(),
+            held_poll: Notify::new(),
             go: Notify::new(),
         });
         let tasks = task::spawn(accept(listener, inner.clone()));
         Self { addr, inner, tasks }
     }
 
-    /// Looks as a new process does.
+    /// Reports another boot from now on, as a restarted process does.
     pub(crate) fn reboot(&self) {
         *self.inner.boot.lock().unwrap() = "second".into();
     }
@@ -142,35 +142,35 @@
         assert!(ended.is_err_and(|error| error.is_cancelled()));
     }
 
-    /// Waits until `count` stages have come in.
+    /// Waits until `count` stage requests have been received.
     pub(crate) async fn wait_seen(&self, count: usize) {
         let mut seen = self.inner.seen.subscribe();
         seen.wait_for(|seen| seen.len() >= count).await.unwrap();
     }
 
-    /// Waits until it has these models.
+    /// Waits until these models are loaded.
     pub(crate) async fn wait_models(&self, models: &[&str]) {
-        let mut looks = self.inner.looks.subscribe();
+        let mut polls = self.inner.polls.subscribe();
         while self.models() != models {
-            looks.changed().await.unwrap();
+            polls.changed().await.unwrap();
         }
     }
 
-    /// Waits until its state was read so many times again.
-    pub(crate) async fn wait_looks(&self, count: usize) {
-        let mut looks = self.inner.looks.subscribe();
-        let until = *looks.borrow() + count;
-        looks.wait_for(|now| *now >= until).await.unwrap();
+    /// Waits until its state has been polled `count` more times.
+    pub(crate) async fn wait_polls(&self, count: usize) {
+        let mut polls = self.inner.polls.subscribe();
+        let until = *polls.borrow() + count;
+        polls.wait_for(|now| *now >= until).await.unwrap();
     }
 
-    /// Keeps back the answers to looks at its state; each says what was true when the look came.
-    pub(crate) fn hold_looks(&self) {
-        self.inner.hold_looks.send_replace(true);
+    /// Delays the answers to polls of its state; each answer has the state at the time of its poll.
+    pub(crate) fn hold_polls(&self) {
+        self.inner.hold_polls.send_replace(true);
     }
 
-    /// Sends one answer that was kept back.
-    pub(crate) fn release_look(&self) {
-        self.inner.look.notify_one();
+    /// Sends one delayed answer.
+    pub(crate) fn release_poll(&self) {
+        self.inner.held_poll.notify_one();
     }
 
     /// Waits until an attempt is cancelled.
@@ -180,7 +180,7 @@
         cancelled.wait_for(found).await.unwrap();
     }
 
-    /// Waits until `count` orders have been taken.
+    /// Waits until `count` orders have been received.
     pub(crate) async fn wait_orders(&self, count: usize) -> Vec<Value> {
         let mut orders = self.inner.orders.subscribe();
         let taken = orders.wait_for(|all| all.len() >= count).await.unwrap();
@@ -261,12 +261,12 @@
 }
 
 async fn state(stream: &mut BufReader<aio::TcpStream>, inner: &Inner) -> Option<()> {
-    inner.looks.send_modify(|count| *count += 1);
+    inner.polls.send_modify(|count| *count += 1);
     let boot = inner.boot.lock().unwrap().clone();
     let models = inner.models.lock().unwrap().clone();
     let body = serde_json::json!({"boot": boot, "models": models, "term": 0, "sequence": 0});
-    if *inner.hold_looks.borrow() {
-        inner.look.notified().await;
+    if *inner.hold_polls.borrow() {
+        inner.held_poll.notified().await;
     }
     answer(stream, 200, &body.to_string()).await
 }
@@ -348,7 +348,7 @@
     inner.go.notified().await;
     match finish {
         Finish::Cut => return None,
-        Finish::NoMark => (),
+        Finish::NoEndMark => (),
         Finish::Whole => {
             let data = serde_json::json!({"tokens": pieces.len()});
             chunk(stream, &format!("event: end\ndata: {data}\n\n")).await?;
--- a/laburnumcart_agent/tests/events.rs
+++ b/laburnumcart_agent/tests/events.rs
@@ -1,4 +1,4 @@
-//! The parser of an engine's event stream, against any bytes and any division of them.
+//! Property tests of the event stream parser: arbitrary bytes in arbitrary pieces.
 
 use laburnumcart_agent::target::events;
 use proptest::{
@@ -6,7 +6,7 @@
     prelude::*, //
 };
 
-/// Writes a stream as an engine does.
+/// Returns a stream as an engine sends it.
 fn stream(pieces: &[String]) -> String {
     let events = pieces.iter().map(|text| {
         let data = serde_json::json!({ "text": text });
@@ -15,7 +15,7 @@
     events.collect::<String>() + "event: end\ndata: {\"tokens\":1}\n\n"
 }
 
-/// Feeds a parser the bytes in parts of the given lengths, the last of which is repeated.
+/// Parses the bytes in parts of the given lengths, repeating the last length.
 fn parse(bytes: &[u8], lengths: &[usize]) -> Result<Vec<events::Event>, events::Malformed> {
     let mut parser = events::Parser::default();
     let mut found = Vec::new();
@@ -37,12 +37,12 @@
         bytes in collection::vec(any::<u8>(), 0..500),
         lengths in collection::vec(1usize..50, 1..20),
     ) {
-        // Whatever a target writes is an event or a fault.
+        // Any input must yield events or an error.
         parse(&bytes, &lengths).ok();
     }
 
     #[test]
-    fn division_does_not_matter(
+    fn chunking_does_not_matter(
         pieces in collection::vec(any::<String>(), 0..10),
         lengths in collection::vec(1usize..50, 1..20),
     ) {
