--- a/laburnumcart_agent/src/run.rs
+++ b/laburnumcart_agent/src/run.rs
@@ -1,4 +1,4 @@
-//! Life of the process: start, wait for a stop, graceful shutdown.
+//! Main function of the process: start, wait for a signal or a drain, graceful shutdown.
 
 use std::{
     io,
@@ -28,21 +28,21 @@
 
 use crate::{
     agent,
+    scheduler, //
     settings,
     shared,
-    work, //
 };
 
-/// Calls a second of the object service unless the settings say otherwise; an agent needs few.
+/// Default rates of calls to the object service, per second; an agent needs few.
 const STORE_RATES: budget::Rates = budget::Rates {
     reads: unit::Rate(20.0),
     writes: unit::Rate(10.0),
 };
 
-/// Threads that execute attempts and serve peers.
+/// Number of threads that execute attempts and serve peers.
 const TRAFFIC_THREADS: usize = 2;
 
-/// Runs an agent until it is stopped; returns the process's exit code.
+/// Runs an agent until it is stopped; returns the exit code of the process.
 pub fn run(settings: settings::Settings) -> process::ExitCode {
     let runtime = runtime::Builder::new_multi_thread()
         .worker_threads(TRAFFIC_THREADS)
@@ -51,7 +51,7 @@
         .build();
     let served = runtime.and_then(|runtime| runtime.block_on(serve(settings)));
     match served {
-        // Whoever supervises the process learns from the code alone that work was cut off.
+        // The exit code is how a supervisor learns that attempts were cut off.
         Ok(left) if left > 0 => process::ExitCode::FAILURE,
         Ok(_) => process::ExitCode::SUCCESS,
         Err(error) => {
@@ -61,7 +61,7 @@
     }
 }
 
-/// Serves until it is told to stop; returns the number of attempts that the stop limit cut off.
+/// Serves until a signal or a drain; returns the number of attempts cut off by the stop limit.
 async fn serve(settings: settings::Settings) -> io::Result<usize> {
     let mut signals = stop::Signals::listen()?;
     let _traces = traces::launch("laburnum-agent", &settings.instance, &settings.telemetry);
@@ -74,19 +74,19 @@
         .build()
         .map_err(io::Error::other)?;
     metrics.register("laburnum_agent", |registry| store.register(registry));
-    let options = options(&settings).map_err(io::Error::other)?;
+    let options = bundle_options(&settings).map_err(io::Error::other)?;
     let parts = agent::Parts {
-        limits: work::Limits::default(),
+        limits: scheduler::Limits::default(),
         metrics: metrics.clone(),
         options: Some(options),
     };
     let agent = agent::Agent::start(settings, parts, peer, store)?;
     let shared = agent.shared().clone();
-    let pages = admin::Pages::new(metrics, move || ready(&shared));
+    let pages = admin::Pages::new(metrics, move || check_ready(&shared));
     let admin = admin::serve(listener, pages)?;
     tokio::select! {
         signal = signals.next() => event!(Info, "stopping", cause = signal),
-        () = agent.shared().left() => event!(Info, "stopping", cause = "drain"),
+        () = agent.shared().wait_for_drain() => event!(Info, "stopping", cause = "drain"),
     }
     let left = agent.stop().await;
     event!(Info, "stopped", left = left);
@@ -94,12 +94,12 @@
     Ok(left)
 }
 
-fn options(settings: &settings::Settings) -> Result<bundle::Options, document::Faults> {
+fn bundle_options(settings: &settings::Settings) -> Result<bundle::Options, document::Faults> {
     let trust = settings.fleet.trust()?;
     Ok(bundle::Options::new(trust).peers(settings.fleet.peers.clone()))
 }
 
-fn ready(shared: &sync::Arc<shared::Shared>) -> Result<(), String> {
+fn check_ready(shared: &sync::Arc<shared::Shared>) -> Result<(), String> {
     let snapshot = shared.snapshot.load();
     if shared.is_leaving() {
         return Err("leaving".into());
--- a/laburnumcart_agent/src/target/events.rs
+++ b/laburnumcart_agent/src/target/events.rs
@@ -1,20 +1,20 @@
-//! Parser of an engine's event stream.
+//! Parser of the server-sent events of an engine.
 
 use serde::Deserialize;
 
-/// Longest event in bytes.
+/// Greatest size of an event, in bytes.
 const EVENT_MAX: usize = 1 << 20;
 
-/// An event of a stream.
+/// Event of a stream.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Event {
     /// A piece of text.
     Piece(String),
-    /// The end mark.
+    /// The end mark of a complete stream.
     End,
 }
 
-/// A stream that breaks the protocol.
+/// Error for a stream that violates the protocol.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Malformed;
 
@@ -29,16 +29,16 @@
     _tokens: u64,
 }
 
-/// Splits the bytes of a stream into events.
+/// Incremental parser of a stream.
 #[derive(Debug, Default)]
 pub struct Parser {
     line: Vec<u8>,
-    name: String,
+    event_name: String,
     data: String,
 }
 
 impl Parser {
-    /// Takes the next bytes and appends the events that they complete.
+    /// Parses the next bytes and appends the events that they complete to `events`.
     pub fn push(&mut self, bytes: &[u8], events: &mut Vec<Event>) -> Result<(), Malformed> {
         for byte in bytes {
             if *byte != b'\n' {
@@ -62,13 +62,13 @@
         let (field, value) = line.split_once(':').unwrap_or((line, ""));
         let value = value.strip_prefix(' ').unwrap_or(value);
         match field {
-            "event" => self.name = value.into(),
+            "event" => self.event_name = value.into(),
             "data" if self.data.is_empty() => self.data = value.into(),
             "data" => {
                 self.data.push('\n');
                 self.data.push_str(value);
             }
-            // Comments and unknown fields are allowed.
+            // Comments and unknown fields are ignored.
             _ => (),
         }
         Ok(())
@@ -76,7 +76,7 @@
 
     fn dispatch(&mut self, events: &mut Vec<Event>) -> Result<(), Malformed> {
         let data = std::mem::take(&mut self.data);
-        let name = std::mem::take(&mut self.name);
+        let name = std::mem::take(&mut self.event_name);
         if data.is_empty() {
             return Ok(());
         }
--- a/laburnumcart_agent/src/target/run.rs
+++ b/laburnumcart_agent/src/target/run.rs
@@ -1,4 +1,4 @@
-//! Execution of a stage on the target, with the verdict of every way that it can end.
+//! Execution of a stage at the target, and the verdict on each possible failure.
 
 use std::collections;
 
@@ -29,53 +29,53 @@
 };
 use crate::job;
 
-/// Longest output of a pool in bytes.
+/// Greatest size of a pool's output, in bytes.
 const OUTPUT_MAX: usize = 8 << 20;
 
-/// Size of the chunks that a pool's output is cut into, in bytes.
-const CHUNK: usize = 64 << 10;
+/// Size of the chunks of a pool's output, in bytes.
+const CHUNK_SIZE: usize = 64 << 10;
 
-/// What changes of a call from hop to hop.
+/// Values of a call that differ on each hop.
 #[derive(Clone, Debug)]
 pub struct Hop {
     /// Time left until the deadline.
     pub remaining: unit::Period,
-    /// Span that the target's own are children of.
+    /// Parent of the target's spans.
     pub parent: Option<traces::Traceparent>,
 }
 
-/// Receives the parts of a result in order.
+/// Receiver of the parts of a result, in order.
 pub trait Sink: Send {
-    /// Takes a part; waits while too many bytes are not acknowledged.
+    /// Accepts a part; waits while too many bytes are unacknowledged.
     fn push(&mut self, text: &str) -> impl Future<Output = ()> + Send;
 }
 
 impl Target {
     /// Executes a stage and passes its result to `sink`.
-    pub async fn run(
+    pub async fn run_stage(
         &self,
         kind: bundle::Kind,
         call: &stage::Call,
         hop: &Hop,
         sink: &mut impl Sink,
     ) -> job::Outcome {
-        let Some(request) = self.stage(kind, call, hop) else {
+        let Some(request) = self.stage_request(kind, call, hop) else {
             return job::Outcome::NotRun(verdict::Reason::Invalid, None);
         };
         let answer = match self.http.send(request, !call.idempotent).await {
             Ok(answer) => answer,
-            Err(failure) => return broken(failure),
+            Err(failure) => return failure_outcome(failure),
         };
         if answer.response.status() != StatusCode::OK {
-            return declined(answer);
+            return status_outcome(answer);
         }
         match kind {
-            bundle::Kind::Pool => output(answer, sink).await,
-            bundle::Kind::Engine => stream(answer, sink).await,
+            bundle::Kind::Pool => forward_output(answer, sink).await,
+            bundle::Kind::Engine => forward_stream(answer, sink).await,
         }
     }
 
-    fn stage(
+    fn stage_request(
         &self,
         kind: bundle::Kind,
         call: &stage::Call,
@@ -85,7 +85,7 @@
             bundle::Kind::Engine => "/v1/generate",
             bundle::Kind::Pool => "/v1/run",
         };
-        let mut request = self.http.post(path, body(call)?);
+        let mut request = self.http.post_request(path, request_body(call)?);
         let headers = request.headers_mut();
         let mut set = |name: &'static str, text: &str| {
             HeaderValue::from_str(text).map(|value| headers.insert(name, value))
@@ -107,8 +107,9 @@
     }
 }
 
-/// Returns the body for the target: the caller's, with the text received so far if there is any.
-fn body(call: &stage::Call) -> Option<String> {
+/// Returns the body for the target: the caller's, plus the text already received when a stream is
+/// resumed.
+fn request_body(call: &stage::Call) -> Option<String> {
     let Some(received) = &call.received else {
         return Some(call.body.get().into());
     };
@@ -119,56 +120,56 @@
     serde_json::to_string(&fields).ok()
 }
 
-/// Returns the outcome of a call that got no answer.
-fn broken(failure: client::Failure) -> job::Outcome {
+/// Returns the outcome of a call without a complete answer.
+fn failure_outcome(failure: client::Failure) -> job::Outcome {
     match failure {
         client::Failure::Unreached => job::Outcome::NotRun(verdict::Reason::NoTarget, None),
         _ => job::Outcome::MayHaveRun(verdict::Reason::TargetFailed),
     }
 }
 
-/// Returns the outcome of a call that the target did not execute to its end.
-fn declined(answer: client::Answer) -> job::Outcome {
+/// Returns the outcome of a call that was answered with a status other than 200.
+fn status_outcome(answer: client::Answer) -> job::Outcome {
     match answer.response.status() {
         StatusCode::BAD_REQUEST => job::Outcome::NotRun(verdict::Reason::TargetRefused, None),
         StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE => {
-            job::Outcome::NotRun(verdict::Reason::Overloaded, retry(&answer))
+            job::Outcome::NotRun(verdict::Reason::Overloaded, retry_after(&answer))
         }
         _ => job::Outcome::MayHaveRun(verdict::Reason::TargetFailed),
     }
 }
 
-fn retry(answer: &client::Answer) -> Option<unit::Period> {
+fn retry_after(answer: &client::Answer) -> Option<unit::Period> {
     let value = answer.response.headers().get(header::RETRY_AFTER)?;
     let secs = value.to_str().ok()?.parse().ok()?;
     Some(unit::Period::from_secs(secs))
 }
 
-/// Reads a pool's output, which is passed on only when it is whole.
-async fn output(mut answer: client::Answer, sink: &mut impl Sink) -> job::Outcome {
-    let body = match client::collect(&mut answer, OUTPUT_MAX).await {
+/// Reads a pool's output and forwards it once it is complete.
+async fn forward_output(mut answer: client::Answer, sink: &mut impl Sink) -> job::Outcome {
+    let body = match client::read_body(&mut answer, OUTPUT_MAX).await {
         Ok(body) => body,
-        Err(failure) => return broken(failure),
+        Err(failure) => return failure_outcome(failure),
     };
-    answer.tidy();
+    answer.keep_connection();
     let Ok(json) = serde_json::from_slice::<&value::RawValue>(&body) else {
         return job::Outcome::MayHaveRun(verdict::Reason::Corrupt);
     };
     let mut rest = json.get();
     while !rest.is_empty() {
-        let (part, after) = rest.split_at(rest.floor_char_boundary(CHUNK));
+        let (part, after) = rest.split_at(rest.floor_char_boundary(CHUNK_SIZE));
         sink.push(part).await;
         rest = after;
     }
-    job::Outcome::Whole
+    job::Outcome::Completed
 }
 
-/// Passes on the pieces of an engine's stream up to its end mark.
-async fn stream(mut answer: client::Answer, sink: &mut impl Sink) -> job::Outcome {
+/// Forwards the pieces of an engine's stream up to its end mark.
+async fn forward_stream(mut answer: client::Answer, sink: &mut impl Sink) -> job::Outcome {
     let mut parser = events::Parser::default();
     let mut events = Vec::new();
     loop {
-        // A stream that stops before its end mark is not whole, however tidily it was closed.
+        // A stream without its end mark is incomplete, even if its body ended cleanly.
         let Some(Ok(frame)) = answer.response.body_mut().frame().await else {
             return job::Outcome::MayHaveRun(verdict::Reason::TargetFailed);
         };
@@ -182,17 +183,17 @@
             match event {
                 events::Event::Piece(text) => sink.push(&text).await,
                 events::Event::End => {
-                    close(answer);
-                    return job::Outcome::Whole;
+                    release_connection(answer);
+                    return job::Outcome::Completed;
                 }
             }
         }
     }
 }
 
-/// Keeps the connection of a whole stream if its body has ended with the end mark.
-fn close(answer: client::Answer) {
+/// Keeps the connection of a complete stream if its body ended with the end mark.
+fn release_connection(answer: client::Answer) {
     if hyper::body::Body::is_end_stream(answer.response.body()) {
-        answer.tidy();
+        answer.keep_connection();
     }
 }
