--- a/laburnumcart_ctl/src/args.rs
+++ b/laburnumcart_ctl/src/args.rs
@@ -1,4 +1,4 @@
-//! Command line of each command.
+//! Parser of the command line: the commands, their options and help texts.
 
 use laburnumcart::unit;
 
@@ -8,25 +8,29 @@
     settings, //
 };
 
-/// A command: its name, its arguments and one line on what it does.
+/// A command with its arguments and help.
 #[derive(Clone, Copy, Debug)]
 pub struct Command {
-    /// Name.
+    /// Name on the command line.
     pub name: &'static str,
-    /// Arguments and its own options, as shown in the usage.
+    /// Arguments and options of the command, as the usage line shows them.
     pub usage: &'static str,
-    /// What it does.
+    /// One-line description for the help.
     pub about: &'static str,
-    /// Options that take a value, with their help.
+    /// Options that take a value: name, placeholder of the value and help text.
     options: &'static [(&'static str, &'static str, &'static str)],
-    /// Fewest and most free arguments.
-    free: (usize, usize),
+    /// Smallest and largest number of positional arguments.
+    positional: (usize, usize),
 }
 
 const KEY: (&str, &str, &str) = ("key", "FILE", "file with the secret key");
 const OUT: (&str, &str, &str) = ("out", "FILE", "file to write");
-const ON: (&str, &str, &str) = ("on", "GENERATION", "succeed only on top of this generation");
-const LIMIT: (&str, &str, &str) = ("limit", "PERIOD", "longest time to try, such as 10s");
+const ON: (&str, &str, &str) = (
+    "on",
+    "GENERATION",
+    "succeed only if this is the accepted generation",
+);
+const LIMIT: (&str, &str, &str) = ("limit", "PERIOD", "time limit of the change, such as 10s");
 const NAME: (&str, &str, &str) = ("name", "NAME", "name of the signer");
 
 /// All commands.
@@ -34,99 +38,99 @@
     Command {
         name: "keygen",
         usage: "--name NAME --out FILE",
-        about: "make a key that signs bundles",
+        about: "generate a key that signs bundles",
         options: &[NAME, OUT],
-        free: (0, 0),
+        positional: (0, 0),
     },
     Command {
         name: "check",
         usage: "FILE",
         about: "report every fault of a bundle",
         options: &[],
-        free: (1, 1),
+        positional: (1, 1),
     },
     Command {
         name: "sign",
         usage: "FILE --key FILE --out FILE",
         about: "sign a bundle, or add a signature to a signed one",
         options: &[KEY, OUT],
-        free: (1, 1),
+        positional: (1, 1),
     },
     Command {
         name: "verify",
         usage: "FILE",
-        about: "verify a signed bundle as the fleet will",
+        about: "verify a signed bundle by the same rules as the fleet",
         options: &[],
-        free: (1, 1),
+        positional: (1, 1),
     },
     Command {
         name: "accept",
         usage: "FILE [--on GENERATION] [--limit PERIOD]",
         about: "put a signed bundle in force",
         options: &[ON, LIMIT],
-        free: (1, 1),
+        positional: (1, 1),
     },
     Command {
         name: "rollback",
         usage: "GENERATION [--on GENERATION] [--limit PERIOD]",
         about: "put the bundle of an earlier generation in force, under a new one",
         options: &[ON, LIMIT],
-        free: (1, 1),
+        positional: (1, 1),
     },
     Command {
         name: "status",
         usage: "[ADDRESS...]",
-        about: "show the head and the state of the processes",
+        about: "show the accepted generations and the state of the processes",
         options: &[],
-        free: (0, usize::MAX),
+        positional: (0, usize::MAX),
     },
     Command {
         name: "gateways",
         usage: "ADDRESS...",
-        about: "show what gateways know: evacuations, owners of queues, targets held back",
+        about: "show the state of gateways: evacuations, queue owners, restricted targets",
         options: &[],
-        free: (1, usize::MAX),
+        positional: (1, usize::MAX),
     },
     Command {
         name: "drain",
         usage: "ADDRESS...",
-        about: "let processes finish what they have and exit",
+        about: "shut processes down after their work in progress has completed",
         options: &[],
-        free: (1, usize::MAX),
+        positional: (1, usize::MAX),
     },
     Command {
         name: "teams",
         usage: "issue | digest < FILE | list FILE",
         about: "issue a token, digest one for the bundle, or list a bundle's teams",
         options: &[],
-        free: (1, 2),
+        positional: (1, 2),
     },
     Command {
         name: "explain",
         usage: "ID FILE...",
-        about: "tell from gateways' logs why a request ended as it did",
+        about: "explain the outcome of a request from the logs of gateways",
         options: &[],
-        free: (2, usize::MAX),
+        positional: (2, usize::MAX),
     },
     Command {
         name: "times",
         usage: "FILE...",
-        about: "tell from gateways' logs where requests spend their time, by route",
+        about: "show where requests spend their time, by route, from the logs of gateways",
         options: &[],
-        free: (1, usize::MAX),
+        positional: (1, usize::MAX),
     },
     Command {
         name: "schema",
         usage: "bundle | settings",
         about: "print the JSON Schema of bundles or of this program's settings",
         options: &[],
-        free: (1, 1),
+        positional: (1, 1),
     },
 ];
 
-/// What the command line asks for.
+/// Action that the command line requests.
 #[derive(Debug)]
-pub enum Request {
+pub enum Action {
     /// Print a text.
     Print(String),
     /// Run a command.
@@ -142,17 +146,17 @@
 }
 
 impl Args {
-    /// Returns the free arguments.
-    pub fn free(&self) -> &[String] {
+    /// Returns the positional arguments.
+    pub fn positional(&self) -> &[String] {
         &self.matches.free
     }
 
-    /// Returns the first free argument.
-    pub fn first(&self) -> &str {
-        self.free().first().map_or("", String::as_str)
+    /// Returns the first positional argument; empty if there is none.
+    pub fn first_positional(&self) -> &str {
+        self.positional().first().map_or("", String::as_str)
     }
 
-    /// Returns an option's value, which must be there.
+    /// Returns the value of an option, or a usage error if it is missing.
     pub fn required(&self, name: &str) -> Result<String, error::Error> {
         let value = self.matches.opt_str(name);
         let Self { command, .. } = self;
@@ -165,7 +169,7 @@
         value.ok_or_else(missing)
     }
 
-    /// Returns an option's value.
+    /// Returns the parsed value of an option, if it is set.
     pub fn optional<T>(&self, name: &str) -> Result<Option<T>, error::Error>
     where
         T: std::str::FromStr<Err: std::fmt::Display>,
@@ -174,20 +178,20 @@
         value.map(|text| parse_value(name, &text)).transpose()
     }
 
-    /// Returns the longest time to try.
-    pub fn limit(&self) -> Result<unit::Period, error::Error> {
+    /// Returns the time limit of a change, by default 20 s.
+    pub fn time_limit(&self) -> Result<unit::Period, error::Error> {
         let limit = self.optional("limit")?;
         Ok(limit.unwrap_or(unit::Period::from_secs(20)))
     }
 
-    /// Reads the settings.
-    pub fn settings(&self) -> Result<settings::Checked, error::Error> {
+    /// Reads and validates the settings file.
+    pub fn settings(&self) -> Result<settings::Validated, error::Error> {
         let file = self.matches.opt_str("settings");
-        settings::Checked::load(file.as_deref().unwrap_or(paths::SETTINGS))
+        settings::Validated::load(file.as_deref().unwrap_or(paths::SETTINGS))
     }
 }
 
-/// Parses the value of an argument.
+/// Parses the value of an argument; `name` identifies it in the error.
 pub fn parse_value<T>(name: &str, text: &str) -> Result<T, error::Error>
 where
     T: std::str::FromStr<Err: std::fmt::Display>,
@@ -196,35 +200,35 @@
     text.parse().map_err(error)
 }
 
-/// Parses the command line after the program's name.
-pub fn parse(args: &[String]) -> Result<Request, error::Error> {
+/// Parses the command line without the name of the program.
+pub fn parse(args: &[String]) -> Result<Action, error::Error> {
     let Some((name, rest)) = args.split_first() else {
         return Err(error::Error::Usage("no command".into()));
     };
     match name.as_str() {
-        "--help" | "-h" | "help" => return Ok(Request::Print(overview())),
+        "--help" | "-h" | "help" => return Ok(Action::Print(overview())),
         "--version" | "-V" => {
             let version = env!("CARGO_PKG_VERSION");
-            return Ok(Request::Print(format!("laburnumctl {version}")));
+            return Ok(Action::Print(format!("laburnumctl {version}")));
         }
         _ => {}
     }
     let command = COMMANDS.iter().find(|command| command.name == name);
-    let command = command.ok_or_else(|| unknown(name))?;
+    let command = command.ok_or_else(|| unknown_command(name))?;
     let matches = options(command).parse(rest);
     let matches = matches.map_err(|e| error::Error::Usage(e.to_string()))?;
     if matches.opt_present("help") {
-        return Ok(Request::Print(usage(command)));
+        return Ok(Action::Print(usage(command)));
     }
-    let (least, most) = command.free;
-    if !(least..=most).contains(&matches.free.len()) {
+    let (min, max) = command.positional;
+    if !(min..=max).contains(&matches.free.len()) {
         let text = format!("usage: laburnumctl {} {}", command.name, command.usage);
         return Err(error::Error::Usage(text));
     }
-    Ok(Request::Run(Args { command, matches }))
+    Ok(Action::Run(Args { command, matches }))
 }
 
-fn unknown(name: &str) -> error::Error {
+fn unknown_command(name: &str) -> error::Error {
     let names = COMMANDS.iter().map(|command| command.name);
     error::Error::Usage(laburnumcart::document::unknown("command", name, names))
 }
@@ -234,10 +238,10 @@
     for (name, hint, help) in command.options {
         options.optopt("", name, help, hint);
     }
-    let help = format!("file with the settings, {} unless set", paths::SETTINGS);
+    let help = format!("settings file, by default {}", paths::SETTINGS);
     options.optopt("s", "settings", &help, "FILE");
     options.optflag("", "json", "print JSON");
-    options.optflag("h", "help", "print this text");
+    options.optflag("h", "help", "print this help");
     options
 }
 
@@ -255,6 +259,6 @@
         text += &format!("  {:<9} {}\n", command.name, command.about);
     }
     text += "\nExit codes: 0 done, 2 bad input, 3 conflict, 4 unavailable, 5 refused.\n\
-             `laburnumctl COMMAND --help` tells more, `laburnumctl --version` its version.";
+             `laburnumctl COMMAND --help` shows the options, `laburnumctl --version` the version.";
     text
 }
--- a/laburnumcart_ctl/src/command/file.rs
+++ b/laburnumcart_ctl/src/command/bundle_file.rs
@@ -1,4 +1,4 @@
-//! Bundles in files.
+//! `check`, `sign` and `verify`: bundles in files.
 
 use std::fs;
 
@@ -19,7 +19,7 @@
     settings, //
 };
 
-/// What a bundle holds.
+/// Numbers of items in a valid bundle.
 #[derive(Display, Serialize)]
 #[display("{file}: {services} services, {pipelines} pipelines, {teams} teams; no faults")]
 struct Summary {
@@ -30,7 +30,7 @@
     teams: usize,
 }
 
-/// What a signed bundle is.
+/// Digest and signers of a signed bundle.
 #[derive(Display, Serialize)]
 #[display("{file}: digest {digest}, signed by {}", signers.join(", "))]
 struct Signed {
@@ -39,13 +39,13 @@
     signers: Vec<String>,
 }
 
-/// Reports the faults of a bundle, signed or not.
+/// Validates a bundle, signed or unsigned, and reports all of its faults.
 pub(super) fn check(args: &args::Args) -> Result<output::Output, error::Error> {
-    let file = args.first();
-    let text = settings::read(file)?;
+    let file = args.first_positional();
+    let text = settings::read_file(file)?;
     let bundle = match signing::Envelope::parse(&text) {
-        Ok(envelope) => parse(file, &envelope.bundle)?,
-        Err(_) => parse(file, &text)?,
+        Ok(envelope) => parse_bundle(file, &envelope.bundle)?,
+        Err(_) => parse_bundle(file, &text)?,
     };
     Ok(output::Output::new(&Summary {
         file: file.into(),
@@ -56,18 +56,18 @@
     }))
 }
 
-/// Signs a bundle.
+/// Signs a bundle, or adds a signature to a signed one.
 pub(super) fn sign(args: &args::Args) -> Result<output::Output, error::Error> {
-    let file = args.first();
+    let file = args.first_positional();
     let key = key::load(&args.required("key")?)?;
     let out = args.required("out")?;
-    let text = settings::read(file)?;
+    let text = settings::read_file(file)?;
     let mut envelope = match signing::Envelope::parse(&text) {
         Ok(envelope) => envelope,
-        Err(_) => signing::Envelope::new(compact(file, &text)?),
+        Err(_) => signing::Envelope::new(compact_json(file, &text)?),
     };
-    // Also what another has signed before: nobody signs what the fleet would refuse.
-    parse(file, &envelope.bundle)?;
+    // Also validates a bundle that is already signed: the fleet would reject an invalid one.
+    parse_bundle(file, &envelope.bundle)?;
     envelope.sign(key.name, &key.secret);
     let text = envelope.to_text();
     fs::write(&out, &text).map_err(|cause| error::Error::File {
@@ -82,10 +82,10 @@
     }))
 }
 
-/// Verifies a signed bundle.
+/// Verifies the signatures and content of a signed bundle.
 pub(super) fn verify(args: &args::Args) -> Result<output::Output, error::Error> {
-    let file = args.first();
-    let (_, verified) = load(file, &args.settings()?)?;
+    let file = args.first_positional();
+    let (_, verified) = load_signed(file, &args.settings()?)?;
     let names = verified.signers().iter();
     Ok(output::Output::new(&Signed {
         file: file.into(),
@@ -94,31 +94,31 @@
     }))
 }
 
-/// Reads a signed bundle, and verifies and validates it as the fleet will.
-pub(super) fn load(
+/// Reads a signed bundle, and verifies and validates it by the same rules as the fleet.
+pub(super) fn load_signed(
     file: &str,
-    settings: &settings::Checked,
+    settings: &settings::Validated,
 ) -> Result<(String, signing::Verified), error::Error> {
-    let text = settings::read(file)?.trim().to_owned();
+    let text = settings::read_file(file)?.trim().to_owned();
     let verified = settings.trust.verify(&text, None);
     let verified = verified.map_err(|cause| error::Error::Rejected {
         file: file.into(),
         cause,
     })?;
-    parse(file, verified.bundle())?;
+    parse_bundle(file, verified.bundle())?;
     Ok((text, verified))
 }
 
-fn parse(file: &str, text: &str) -> Result<bundle::Bundle, error::Error> {
+fn parse_bundle(file: &str, text: &str) -> Result<bundle::Bundle, error::Error> {
     bundle::check::parse(text).map_err(|faults| error::Error::Document {
         file: file.into(),
         faults,
     })
 }
 
-/// Drops the white space of a bundle's text, for which an object has no room to spare.
-fn compact(file: &str, text: &str) -> Result<String, error::Error> {
-    // Repeated keys are found first, as reading drops them.
+/// Removes the white space from the text of a bundle, as the size of a stored object is limited.
+fn compact_json(file: &str, text: &str) -> Result<String, error::Error> {
+    // Rejects duplicate keys, which `serde_json::Value` would drop silently.
     laburnumcart::document::parse::<bundle::Bundle>(text).map_err(|faults| {
         error::Error::Document {
             file: file.into(),
--- a/laburnumcart_ctl/src/command/fleet.rs
+++ b/laburnumcart_ctl/src/command/drain.rs
@@ -1,4 +1,4 @@
-//! Orders to processes.
+//! `drain`: graceful shutdown of processes.
 
 use derive_more::Display;
 use serde::Serialize;
@@ -11,18 +11,18 @@
     peers, //
 };
 
-/// Processes that are leaving.
+/// States of the processes that are draining.
 #[derive(Display, Serialize)]
-#[display("told to finish what they have and exit: {}", processes.len())]
+#[display("processes draining: {}", processes.len())]
 struct Drained {
     processes: Vec<peers::State>,
 }
 
-/// Lets processes finish what they have and exit, one after the other.
+/// Starts the graceful shutdown of processes, one after the other.
 pub(super) async fn drain(args: &args::Args) -> Result<output::Output, error::Error> {
     let settings = args.settings()?;
     let mut processes = Vec::new();
-    for address in status::addresses(args, &settings)? {
+    for address in status::process_addresses(args, &settings)? {
         let process = peers::Process::connect(address, &settings.settings.fleet).await?;
         processes.push(process.drain().await?);
     }
--- a/laburnumcart_ctl/src/command/explain.rs
+++ b/laburnumcart_ctl/src/command/explain.rs
@@ -1,4 +1,4 @@
-//! The story of one request, read from the logs of gateways.
+//! `explain`: the course and outcome of one request, from the logs of gateways.
 
 use std::fmt;
 
@@ -6,7 +6,7 @@
 
 use crate::{
     args,
-    command::lines::{
+    command::logs::{
         self,
         Line, //
     },
@@ -14,7 +14,7 @@
     output, //
 };
 
-/// Time that one stage took.
+/// Duration and outcome of one stage.
 #[derive(Clone, Debug, Serialize)]
 struct Stage {
     stage: String,
@@ -23,33 +23,34 @@
     millis: u64,
 }
 
-/// What became of a request, and why.
+/// Outcome of a request, its cause, and the log lines of the request.
 #[derive(Clone, Debug, Serialize)]
-struct Story {
+struct Explanation {
     request: String,
     cause: String,
     stages: Vec<Stage>,
     lines: Vec<Line>,
 }
 
-/// Prints the lines of a request in order, its time by stage, and why it ended as it did.
+/// Reports the outcome of a request and its cause, the duration of each stage, and its log lines by
+/// time.
 pub(super) fn explain(args: &args::Args) -> Result<output::Output, error::Error> {
-    let request = args.first();
-    let mut lines = lines::read(&args.free()[1..])?;
+    let request = args.first_positional();
+    let mut lines = logs::read_files(&args.positional()[1..])?;
     lines.retain(|line| line.field("request") == request);
     if lines.is_empty() {
-        let text = format!("no line tells of request {request}");
+        let text = format!("no log line found for request {request}");
         return Err(error::Error::Usage(text));
     }
-    Ok(output::Output::new(&Story {
+    Ok(output::Output::new(&Explanation {
         request: request.into(),
-        cause: cause(&lines),
-        stages: lines.iter().filter_map(stage).collect(),
+        cause: describe_outcome(&lines),
+        stages: lines.iter().filter_map(parse_stage).collect(),
         lines,
     }))
 }
 
-fn stage(line: &Line) -> Option<Stage> {
+fn parse_stage(line: &Line) -> Option<Stage> {
     (line.event == "stage-ended").then(|| Stage {
         stage: line.field("stage").into(),
         service: line.field("service").into(),
@@ -58,69 +59,69 @@
     })
 }
 
-/// Tells in one sentence why a request ended as it did.
-fn cause(lines: &[Line]) -> String {
+/// Describes the outcome of a request and its cause in one sentence.
+fn describe_outcome(lines: &[Line]) -> String {
     let last = |event: &str| lines.iter().rev().find(|line| line.event == event);
     if let Some(end) = last("answered") {
         let status = end.field("status");
         if status.starts_with('5') {
             return format!(
-                "the target itself answered {status}, after {} ms{}",
+                "the target itself answered with status {status} after {} ms{}",
                 end.field("taken_ms"),
-                sends(lines)
+                failed_sends(lines)
             );
         }
         return format!(
             "answered after {} ms{}",
             end.field("taken_ms"),
-            slowest(lines)
+            slowest_stage(lines)
         );
     }
     if let Some(end) = last("stream-broken") {
         let (reason, event) = (end.field("reason"), end.field("last"));
         return format!(
-            "the stream broke off after event {event}: {reason}{}",
-            sends(lines)
+            "the stream was cut off after event {event}: {reason}{}",
+            failed_sends(lines)
         );
     }
     let Some(end) = last("refused") else {
-        return "no end is logged: the caller left, or the process ended".into();
+        return "no outcome was logged: the caller disconnected, or the process exited".into();
     };
     let (reason, verdict) = (end.field("reason"), end.field("verdict"));
     if let Some(forecast) = last("forecast").filter(|f| f.field("judgement") == "refused") {
         let (queues, slack) = (forecast.field("queues_ms"), forecast.field("slack_ms"));
         return format!(
-            "refused ({verdict}): not begun, as the queues of its stages would be done with it \
-             after {queues} ms, and it was due in {slack} ms"
+            "refused ({verdict}): not started, as its stages were estimated to complete after \
+             {queues} ms, and it was due in {slack} ms"
         );
     }
     if let Some(queue) = last("job-refused") {
         let (service, outlook) = (queue.field("service"), queue.field("outlook_ms"));
         let due = queue.field("due_ms");
         return format!(
-            "refused ({verdict}): the queue of {service} expected it after {outlook} ms, and it \
-             was due in {due} ms"
+            "refused ({verdict}): the queue of {service} estimated its completion after \
+             {outlook} ms, and it was due in {due} ms"
         );
     }
-    format!("refused ({verdict}): {reason}{}", sends(lines))
+    format!("refused ({verdict}): {reason}{}", failed_sends(lines))
 }
 
-/// Tells of the sends that failed.
-fn sends(lines: &[Line]) -> String {
+/// Describes the failed sends to targets, and a retry that the budget denied.
+fn failed_sends(lines: &[Line]) -> String {
     let failed = lines.iter().filter(|line| line.event == "send-failed");
-    let tell = |line: &Line| {
+    let describe = |line: &Line| {
         format!(
             "; target {}: {}",
             line.field("target"),
             line.field("reason")
         )
     };
-    let failed: String = failed.map(tell).collect();
-    failed + &denied(lines)
+    let failed: String = failed.map(describe).collect();
+    failed + &denied_retry(lines)
 }
 
-/// Tells why a request was not sent again, if a budget decided that.
-fn denied(lines: &[Line]) -> String {
+/// Describes the exhausted retry budget, if it prevented a retry.
+fn denied_retry(lines: &[Line]) -> String {
     let is_denied = |line: &&Line| {
         let decided = (line.field("outcome"), line.field("cause"));
         line.event == "repeat" && decided == ("denied", "budget")
@@ -129,16 +130,16 @@
         return String::new();
     };
     format!(
-        "; not sent again: {} of {} repeats of {} were spent",
+        "; not retried: {} of {} allowed retries of {} were spent",
         line.field("spent"),
         line.field("allowed"),
         line.field("service")
     )
 }
 
-/// Tells which stage took longest.
-fn slowest(lines: &[Line]) -> String {
-    let stages = lines.iter().filter_map(stage);
+/// Describes the stage that took longest.
+fn slowest_stage(lines: &[Line]) -> String {
+    let stages = lines.iter().filter_map(parse_stage);
     match stages.max_by_key(|stage| stage.millis) {
         Some(Stage {
             stage,
@@ -150,7 +151,7 @@
     }
 }
 
-impl fmt::Display for Story {
+impl fmt::Display for Explanation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         writeln!(f, "{}: {}", self.request, self.cause)?;
         for stage in &self.stages {
--- a/laburnumcart_ctl/src/command/gateways.rs
+++ b/laburnumcart_ctl/src/command/gateways.rs
@@ -1,4 +1,4 @@
-//! What gateways know, as each of them tells.
+//! `gateways`: merged view of the state pages of gateways.
 
 use std::{
     collections,
@@ -28,60 +28,62 @@
     output, //
 };
 
-/// Longest wait for one gateway.
-const LIMIT: time::Duration = time::Duration::from_secs(3);
+/// Time limit of the query to one gateway.
+const QUERY_TIMEOUT: time::Duration = time::Duration::from_secs(3);
 
-/// Largest state that is read.
-const STATE_MAX: usize = 4 << 20;
+/// Largest accepted size of a state page, in bytes.
+const MAX_STATE_BYTES: usize = 4 << 20;
 
-/// What `gateways` prints.
+/// Output of `gateways`.
 #[derive(Serialize)]
 struct Gateways(Vec<Gateway>);
 
-/// One gateway, or why it could not be asked.
+/// State of one gateway, or the error of the query.
 #[derive(Serialize)]
 struct Gateway {
     address: net::SocketAddr,
     state: Result<wire::State, String>,
 }
 
-/// Asks gateways at their admin addresses.
+/// Queries gateways at their admin addresses, all at once.
 pub(super) async fn gateways(args: &args::Args) -> Result<output::Output, error::Error> {
-    let mut asked = task::JoinSet::new();
-    for text in args.free() {
+    let mut queries = task::JoinSet::new();
+    for text in args.positional() {
         let address: net::SocketAddr = args::parse_value("ADDRESS", text)?;
-        asked.spawn(async move {
-            let state = match tokio::time::timeout(LIMIT, ask(address)).await {
+        queries.spawn(async move {
+            let state = match tokio::time::timeout(QUERY_TIMEOUT, fetch_state(address)).await {
                 Ok(state) => state,
-                Err(_) => Err("no answer in time".into()),
+                Err(_) => Err("no response in time".into()),
             };
             Gateway { address, state }
         });
     }
-    let mut all = asked.join_all().await;
+    let mut all = queries.join_all().await;
     all.sort_by_key(|gateway| gateway.address);
-    let silent = all.iter().filter(|gateway| gateway.state.is_err()).count();
-    if silent == all.len() {
+    let failed = all.iter().filter(|gateway| gateway.state.is_err()).count();
+    if failed == all.len() {
         return Err(error::Error::Unavailable);
     }
-    let code = match silent {
+    let code = match failed {
         0 => 0,
-        _ => error::Error::Unavailable.code(),
+        _ => error::Error::Unavailable.exit_code(),
     };
-    Ok(output::Output::new(&Gateways(all)).exit(code))
+    Ok(output::Output::new(&Gateways(all)).with_exit_code(code))
 }
 
-async fn ask(address: net::SocketAddr) -> Result<wire::State, String> {
+async fn fetch_state(address: net::SocketAddr) -> Result<wire::State, String> {
     let client = legacy::Client::builder(rt::TokioExecutor::new()).build_http::<Empty<Bytes>>();
     let uri = format!("http://{address}{}", wire::STATE);
     let uri = uri.parse().map_err(|error| format!("{error}"))?;
-    let answer = client.get(uri).await.map_err(|error| error.to_string())?;
-    if !answer.status().is_success() {
-        return Err(format!("it answers {}", answer.status()));
+    let response = client.get(uri).await.map_err(|error| error.to_string())?;
+    if !response.status().is_success() {
+        return Err(format!("it responded with status {}", response.status()));
     }
-    let body = Limited::new(answer.into_body(), STATE_MAX).collect().await;
+    let body = Limited::new(response.into_body(), MAX_STATE_BYTES)
+        .collect()
+        .await;
     let body = body.map_err(|error| error.to_string())?.to_bytes();
-    serde_json::from_slice(&body).map_err(|error| format!("its state cannot be read: {error}"))
+    serde_json::from_slice(&body).map_err(|error| format!("its state cannot be parsed: {error}"))
 }
 
 impl Gateways {
@@ -91,31 +93,31 @@
             .filter_map(|gateway| gateway.state.as_ref().ok())
     }
 
-    /// Lists what some gateways see, with those that see it.
-    fn seen_by<T: Ord>(
+    /// Maps each item of the gateways' lists to the names of the gateways that report it.
+    fn reporters<T: Ord>(
         &self,
         list: impl Fn(&wire::State) -> Vec<T>,
     ) -> collections::BTreeMap<T, Vec<&str>> {
         let mut all: collections::BTreeMap<T, Vec<&str>> = collections::BTreeMap::new();
         for state in self.states() {
-            for seen in list(state) {
-                all.entry(seen).or_default().push(state.instance.as_str());
+            for item in list(state) {
+                all.entry(item).or_default().push(state.instance.as_str());
             }
         }
         all
     }
 
-    /// Writes what is seen, by whom if not by all.
-    fn write<T: Ord + fmt::Display>(
+    /// Writes the items of the gateways' lists, with the reporters of those that some gateways lack.
+    fn write_merged<T: Ord + fmt::Display>(
         &self,
         f: &mut fmt::Formatter<'_>,
         list: impl Fn(&wire::State) -> Vec<T>,
     ) -> fmt::Result {
         let count = self.states().count();
-        for (seen, by) in self.seen_by(list) {
-            match by.len() == count {
-                true => writeln!(f, "{seen}")?,
-                false => writeln!(f, "{seen} seen-by={}", by.join(","))?,
+        for (item, reporters) in self.reporters(list) {
+            match reporters.len() == count {
+                true => writeln!(f, "{item}")?,
+                false => writeln!(f, "{item} seen-by={}", reporters.join(","))?,
             }
         }
         Ok(())
@@ -127,11 +129,18 @@
         for gateway in &self.0 {
             writeln!(f, "{gateway}")?;
         }
-        self.write(f, |state| {
-            state.evacuated.iter().flatten().map(evacuated).collect()
+        self.write_merged(f, |state| {
+            state
+                .evacuated
+                .iter()
+                .flatten()
+                .map(format_evacuated)
+                .collect()
         })?;
-        self.write(f, |state| state.queues.iter().map(queue).collect())?;
-        self.write(f, |state| state.held.iter().map(held).collect())
+        self.write_merged(f, |state| state.queues.iter().map(format_queue).collect())?;
+        self.write_merged(f, |state| {
+            state.held.iter().map(format_restricted).collect()
+        })
     }
 }
 
@@ -141,7 +150,7 @@
             Ok(state) => state,
             Err(cause) => return write!(f, "{} silent: {cause}", self.address),
         };
-        let known = |value: Option<String>| value.unwrap_or_else(|| "unknown".into());
+        let or_unknown = |value: Option<String>| value.unwrap_or_else(|| "unknown".into());
         let readers: Vec<&str> = state.readers.iter().map(|name| name.as_str()).collect();
         write!(
             f,
@@ -149,16 +158,20 @@
             self.address,
             state.instance,
             state.data_centre,
-            known(state.version.map(|version| version.to_string())),
-            known(state.age.map(|age| age.to_string())),
+            or_unknown(state.version.map(|version| version.to_string())),
+            or_unknown(state.age.map(|age| age.to_string())),
             state.leaving,
             state.late,
             state.members,
             readers.join(","),
             state.targets
         )?;
-        for place in state.evacuated.iter().flatten() {
-            write!(f, " evacuated={}:{}", place.data_centre, place.known)?;
+        for evacuated in state.evacuated.iter().flatten() {
+            write!(
+                f,
+                " evacuated={}:{}",
+                evacuated.data_centre, evacuated.known
+            )?;
         }
         match state.evacuated {
             Some(_) => Ok(()),
@@ -167,17 +180,17 @@
     }
 }
 
-fn evacuated(place: &wire::Evacuated) -> String {
-    format!("evacuated {}", place.data_centre)
+fn format_evacuated(evacuated: &wire::Evacuated) -> String {
+    format!("evacuated {}", evacuated.data_centre)
 }
 
-fn queue(queue: &wire::Queue) -> String {
+fn format_queue(queue: &wire::Queue) -> String {
     let owner = queue.owner.as_ref();
     let owner = owner.map_or("nobody", |owner| owner.as_str());
     format!("queue {} owner={owner}", queue.service)
 }
 
-fn held(held: &wire::Restricted) -> String {
+fn format_restricted(target: &wire::Restricted) -> String {
     let cause = |cause: &wire::Cause| match cause {
         wire::Cause::Leaving => "leaving".to_owned(),
         wire::Cause::Evacuated => "evacuated".to_owned(),
@@ -185,11 +198,11 @@
         wire::Cause::Limit(rate) => format!("limit:{rate}"),
         wire::Cause::Backoff(_) => "backoff".to_owned(),
     };
-    let causes: Vec<_> = held.causes.iter().map(cause).collect();
+    let causes: Vec<_> = target.causes.iter().map(cause).collect();
     format!(
         "target {} service={} because={}",
-        held.target,
-        held.service,
+        target.target,
+        target.service,
         causes.join(",")
     )
 }
--- a/laburnumcart_ctl/src/command/key.rs
+++ b/laburnumcart_ctl/src/command/key.rs
@@ -1,4 +1,4 @@
-//! Keys that sign bundles.
+//! `keygen`, and the files of signing keys.
 
 use std::{
     fs,
@@ -33,24 +33,23 @@
     secret: String,
 }
 
-/// What `keygen` prints; the secret stays in the file.
+/// Output of `keygen`; the secret key is only written to the file.
 #[derive(Display, Serialize)]
 #[display("{name} {public}\nsecret key written to {file}")]
-struct Made {
+struct Generated {
     name: id::KeyName,
     public: signing::PublicKey,
     file: String,
 }
 
-/// A key from its file.
-pub(super) struct Key {
+/// A signing key that was read from its file.
+pub(super) struct SigningKey {
     /// Name of the signer.
     pub(super) name: id::KeyName,
-    /// Secret key.
     pub(super) secret: signing::SecretKey,
 }
 
-/// Makes a key.
+/// Generates a signing key and writes it to a new file.
 pub(super) fn keygen(args: &args::Args) -> Result<output::Output, error::Error> {
     let name: id::KeyName = args::parse_value("name", &args.required("name")?)?;
     let file = args.required("out")?;
@@ -60,19 +59,20 @@
         public: key.public(),
         secret: key.expose(),
     };
-    let text = serde_json::to_string_pretty(&content).expect("a key file has only texts");
+    let text = serde_json::to_string_pretty(&content).expect("a key file has only string values");
     write_secret(&file, &text).map_err(|cause| error::Error::File {
         file: file.clone(),
         cause,
     })?;
-    Ok(output::Output::new(&Made {
+    Ok(output::Output::new(&Generated {
         name,
         public: content.public,
         file,
     }))
 }
 
-/// Writes a new file that only its owner can read; an existing key is never overwritten.
+/// Creates a file that only its owner can read; fails if the file exists, so that no key is
+/// overwritten.
 fn write_secret(file: &str, text: &str) -> std::io::Result<()> {
     let mut options = fs::OpenOptions::new();
     let mut file = options
@@ -83,15 +83,16 @@
     file.write_all(text.as_bytes())
 }
 
-/// Reads a key file.
-pub(super) fn load(file: &str) -> Result<Key, error::Error> {
+/// Reads a key file and checks that its public and secret key match.
+pub(super) fn load(file: &str) -> Result<SigningKey, error::Error> {
     let error = || error::Error::Key { file: file.into() };
-    let content: KeyFile = serde_json::from_str(&settings::read(file)?).map_err(|_| error())?;
+    let content: KeyFile =
+        serde_json::from_str(&settings::read_file(file)?).map_err(|_| error())?;
     let secret: signing::SecretKey = content.secret.parse().map_err(|_| error())?;
     if secret.public() != content.public {
         return Err(error());
     }
-    Ok(Key {
+    Ok(SigningKey {
         name: content.name,
         secret,
     })
--- a/laburnumcart_ctl/src/command/rollout.rs
+++ b/laburnumcart_ctl/src/command/rollout.rs
@@ -1,4 +1,4 @@
-//! Changes of the head.
+//! `accept` and `rollback`: changes of the bundle in force.
 
 use derive_more::Display;
 use serde::Serialize;
@@ -9,7 +9,7 @@
     signing, //
 };
 
-use super::file;
+use super::bundle_file;
 use crate::{
     args,
     error,
@@ -18,7 +18,7 @@
     settings, //
 };
 
-/// What is accepted now.
+/// The accepted generation.
 #[derive(Display, Serialize)]
 #[display("generation {generation} accepted, digest {digest}")]
 struct Accepted {
@@ -29,27 +29,27 @@
 /// Puts a signed bundle in force.
 pub(super) async fn accept(args: &args::Args) -> Result<output::Output, error::Error> {
     let settings = args.settings()?;
-    let (text, _) = file::load(args.first(), &settings)?;
-    change(args, &settings, head::Change::Accept(text)).await
+    let (text, _) = bundle_file::load_signed(args.first_positional(), &settings)?;
+    publish_change(args, &settings, head::Change::Accept(text)).await
 }
 
-/// Puts the bundle of an earlier generation in force.
+/// Puts the bundle of an earlier generation in force, under a new generation.
 pub(super) async fn rollback(args: &args::Args) -> Result<output::Output, error::Error> {
     let settings = args.settings()?;
-    let generation = args::parse_value("GENERATION", args.first())?;
-    change(args, &settings, head::Change::Restore(generation)).await
+    let generation = args::parse_value("GENERATION", args.first_positional())?;
+    publish_change(args, &settings, head::Change::Restore(generation)).await
 }
 
-async fn change(
+async fn publish_change(
     args: &args::Args,
-    settings: &settings::Checked,
+    settings: &settings::Validated,
     change: head::Change,
 ) -> Result<output::Output, error::Error> {
     let mut change = head::Publish::new(change, id::Nonce::random());
     if let Some(base) = args.optional("on")? {
         change = change.with_base(base);
     }
-    let head = publish::publish(&settings.store(), change, args.limit()?).await?;
+    let head = publish::publish(&settings.store(), change, args.time_limit()?).await?;
     Ok(output::Output::new(&Accepted {
         generation: head.accepted.generation,
         digest: head.accepted.digest,
--- a/laburnumcart_ctl/src/command/schema.rs
+++ b/laburnumcart_ctl/src/command/schema.rs
@@ -1,4 +1,4 @@
-//! JSON Schemas of what operators write.
+//! `schema`: JSON Schemas of the documents that operators write.
 
 use laburnumcart::{
     bundle,
@@ -12,9 +12,9 @@
     settings, //
 };
 
-/// Prints a schema.
+/// Prints the JSON Schema of a document.
 pub(super) fn schema(args: &args::Args) -> Result<output::Output, error::Error> {
-    let schema = match args.first() {
+    let schema = match args.first_positional() {
         "bundle" => document::schema::<bundle::Bundle>(),
         "settings" => document::schema::<settings::Settings>(),
         name => {
@@ -22,5 +22,5 @@
             return Err(error::Error::Usage(problem));
         }
     };
-    Ok(output::Output::document(schema))
+    Ok(output::Output::from_json(schema))
 }
--- a/laburnumcart_ctl/src/command/status.rs
+++ b/laburnumcart_ctl/src/command/status.rs
@@ -1,4 +1,4 @@
-//! State of the head and of the processes.
+//! `status`: the accepted generations and the state of the processes.
 
 use std::{
     fmt,
@@ -25,31 +25,31 @@
     settings, //
 };
 
-/// What `status` prints.
+/// Output of `status`.
 #[derive(Serialize)]
 struct Status {
     head: Result<Option<head::Head>, String>,
     processes: Vec<Process>,
-    /// Processes that have the highest generation seen, in the head or in any process.
+    /// Number of processes that have the highest known generation, of the head or of any process.
     current: usize,
 }
 
-/// One process, or why it could not be asked.
+/// State of one process, or the error of the query.
 #[derive(Serialize)]
 struct Process {
     address: net::SocketAddr,
     state: Result<peers::State, String>,
 }
 
-/// Shows the head and the processes.
+/// Reports the head and the state of the processes, which are queried all at once.
 pub(super) async fn status(args: &args::Args) -> Result<output::Output, error::Error> {
     let settings = args.settings()?;
-    let addrs = addresses(args, &settings)?;
-    let mut asked = task::JoinSet::new();
+    let addrs = process_addresses(args, &settings)?;
+    let mut queries = task::JoinSet::new();
     for address in addrs {
         let fleet = settings.settings.fleet.clone();
-        asked.spawn(async move {
-            let state = ask(address, &fleet).await;
+        queries.spawn(async move {
+            let state = query_state(address, &fleet).await;
             Process {
                 address,
                 state: state.map_err(|e| e.to_string()),
@@ -57,17 +57,18 @@
         });
     }
     let head = read_head(&settings.store()).await;
-    let mut processes = asked.join_all().await;
+    let mut processes = queries.join_all().await;
     processes.sort_by_key(|process| process.address);
-    let silent = processes.iter().filter(|process| process.state.is_err());
-    let silent = silent.count();
-    if head.is_err() && silent == processes.len() {
+    let failed = processes.iter().filter(|process| process.state.is_err());
+    let failed = failed.count();
+    if head.is_err() && failed == processes.len() {
         return Err(error::Error::Unavailable);
     }
-    // A script that waits for a bundle to be in force must not take a partial view for the whole.
-    let code = match silent {
+    // The exit code shows that the view is partial, as a script may wait until a bundle is in force
+    // in all processes.
+    let code = match failed {
         0 => 0,
-        _ => error::Error::Unavailable.code(),
+        _ => error::Error::Unavailable.exit_code(),
     };
     let current = count_current(&head, &processes);
     let status = Status {
@@ -75,10 +76,10 @@
         processes,
         current,
     };
-    Ok(output::Output::new(&status).exit(code))
+    Ok(output::Output::new(&status).with_exit_code(code))
 }
 
-/// Counts the processes that have the highest generation seen.
+/// Counts the processes that have the highest known generation.
 fn count_current(head: &Result<Option<head::Head>, String>, processes: &[Process]) -> usize {
     let generation = |process: &Process| process.state.as_ref().ok().map(peers::State::generation);
     let accepted = head.as_ref().ok().and_then(Option::as_ref);
@@ -88,27 +89,27 @@
         .filter_map(generation)
         .chain(accepted)
         .max();
-    // Generation 0 is the lack of a bundle, not one that could be in force.
+    // Generation 0 means that there is no bundle.
     let highest = highest.filter(|highest| *highest > id::Generation(0));
     let current = |process: &&Process| generation(process) == highest && highest.is_some();
     processes.iter().filter(current).count()
 }
 
-/// Returns the addresses from the command line, or else those from the settings.
-pub(super) fn addresses(
+/// Returns the addresses of the command line, or those of the settings if there are none.
+pub(super) fn process_addresses(
     args: &args::Args,
-    settings: &settings::Checked,
+    settings: &settings::Validated,
 ) -> Result<Vec<net::SocketAddr>, error::Error> {
-    if args.free().is_empty() {
+    if args.positional().is_empty() {
         return Ok(settings.peers().to_vec());
     }
-    let texts = args.free().iter();
+    let texts = args.positional().iter();
     texts
         .map(|text| args::parse_value("ADDRESS", text))
         .collect()
 }
 
-async fn ask(
+async fn query_state(
     address: net::SocketAddr,
     fleet: &laburnumcart_daemon::settings::Fleet,
 ) -> Result<peers::State, error::Error> {
@@ -126,9 +127,13 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match &self.head {
             Ok(Some(head)) => {
-                for (number, a) in head.history().enumerate() {
+                for (number, accepted) in head.history().enumerate() {
                     let mark = if number == 0 { "accepted" } else { "earlier" };
-                    writeln!(f, "{mark} generation={} digest={}", a.generation, a.digest)?;
+                    writeln!(
+                        f,
+                        "{mark} generation={} digest={}",
+                        accepted.generation, accepted.digest
+                    )?;
                 }
             }
             Ok(None) => writeln!(f, "no bundle was accepted yet")?,
@@ -150,30 +155,35 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{} ", self.address)?;
         match &self.state {
-            Ok(state) => describe(f, state),
+            Ok(state) => write_state(f, state),
             Err(cause) => write!(f, "silent: {cause}"),
         }
     }
 }
 
-fn describe(f: &mut fmt::Formatter<'_>, state: &peers::State) -> fmt::Result {
+fn write_state(f: &mut fmt::Formatter<'_>, state: &peers::State) -> fmt::Result {
     match state {
-        peers::State::Entry(s) => write!(
+        peers::State::Entry(status) => write!(
             f,
             "entry {} data_centre={} generation={} leaving={} running={} agents={}",
-            s.instance, s.data_centre, s.generation, s.leaving, s.running, s.agents
+            status.instance,
+            status.data_centre,
+            status.generation,
+            status.leaving,
+            status.running,
+            status.agents
         ),
-        peers::State::Agent(r) => write!(
+        peers::State::Agent(report) => write!(
             f,
             "agent {} service={} data_centre={} generation={} leaving={} ready={} running={} queued={}",
-            r.target,
-            r.service,
-            r.data_centre,
-            r.facts.generation,
-            r.leaving,
-            r.ready,
-            r.load.running,
-            r.load.queued
+            report.target,
+            report.service,
+            report.data_centre,
+            report.facts.generation,
+            report.leaving,
+            report.ready,
+            report.load.running,
+            report.load.queued
         ),
     }
 }
--- a/laburnumcart_ctl/src/command/teams.rs
+++ b/laburnumcart_ctl/src/command/teams.rs
@@ -1,4 +1,4 @@
-//! Teams and their tokens.
+//! `teams`: the teams of a bundle and their tokens.
 
 use std::{
     fmt,
@@ -24,21 +24,21 @@
     settings, //
 };
 
-/// Random bytes in a token.
+/// Number of random bytes in a token.
 const TOKEN_BYTES: usize = 32;
 
-/// A new token; it is shown once and kept nowhere.
+/// A new token, which is printed once and not stored.
 #[derive(Display, Serialize)]
 #[display("token for the team: {token}\ndigest for the bundle: {digest}")]
-struct Issued {
+struct IssuedToken {
     token: String,
     digest: signing::Digest,
 }
 
-/// Digest of a token.
+/// Digest of a token, as the bundle holds it.
 #[derive(Display, Serialize)]
 #[display("{digest}")]
-struct Digested {
+struct TokenDigest {
     digest: signing::Digest,
 }
 
@@ -63,12 +63,12 @@
     }
 }
 
-/// Issues or digests a token, or lists teams.
+/// Issues a token, digests a token, or lists the teams of a bundle.
 pub(super) fn teams(args: &args::Args) -> Result<output::Output, error::Error> {
-    match (args.first(), args.free().get(1)) {
-        ("issue", None) => issue(),
-        ("digest", None) => digest(),
-        ("list", Some(file)) => list(file),
+    match (args.first_positional(), args.positional().get(1)) {
+        ("issue", None) => issue_token(),
+        ("digest", None) => digest_token(),
+        ("list", Some(file)) => list_teams(file),
         _ => Err(error::Error::Usage(format!(
             "usage: laburnumctl teams {}",
             args.command.usage
@@ -76,16 +76,16 @@
     }
 }
 
-fn issue() -> Result<output::Output, error::Error> {
+fn issue_token() -> Result<output::Output, error::Error> {
     let mut bytes = [0; TOKEN_BYTES];
     getrandom::fill(&mut bytes).map_err(error::Error::Random)?;
     let token = BASE64_URL_SAFE_NO_PAD.encode(bytes);
     let digest = signing::Digest::of(token.as_bytes());
-    Ok(output::Output::new(&Issued { token, digest }))
+    Ok(output::Output::new(&IssuedToken { token, digest }))
 }
 
-/// Digests the token on the standard input, as an argument would show in the list of processes.
-fn digest() -> Result<output::Output, error::Error> {
+/// Digests a token from the standard input; an argument would be visible in the process list.
+fn digest_token() -> Result<output::Output, error::Error> {
     let mut line = String::new();
     io::stdin()
         .read_line(&mut line)
@@ -98,11 +98,11 @@
         return Err(error::Error::Usage("no token on the standard input".into()));
     }
     let digest = signing::Digest::of(token.as_bytes());
-    Ok(output::Output::new(&Digested { digest }))
+    Ok(output::Output::new(&TokenDigest { digest }))
 }
 
-fn list(file: &str) -> Result<output::Output, error::Error> {
-    let text = settings::read(file)?;
+fn list_teams(file: &str) -> Result<output::Output, error::Error> {
+    let text = settings::read_file(file)?;
     let text = signing::Envelope::parse(&text).map_or(text, |envelope| envelope.bundle);
     let bundle = bundle::check::parse(&text).map_err(|faults| error::Error::Document {
         file: file.into(),
--- a/laburnumcart_ctl/src/command/times.rs
+++ b/laburnumcart_ctl/src/command/times.rs
@@ -1,4 +1,5 @@
-//! Where requests spend their time, by route, from the logs of gateways.
+//! `times`: statistics of the time that requests spend in each step, by route, from the logs of
+//! gateways.
 
 use std::{
     collections,
@@ -9,7 +10,7 @@
 
 use crate::{
     args,
-    command::lines::{
+    command::logs::{
         self,
         Line, //
     },
@@ -17,7 +18,7 @@
     output, //
 };
 
-/// Times of one step of the requests of a route, in milliseconds.
+/// Statistics of one step of the requests of a route, in milliseconds.
 #[derive(Clone, Debug, Serialize)]
 struct Step {
     step: String,
@@ -27,104 +28,106 @@
     p90: u64,
 }
 
-/// The requests of one route.
+/// Statistics of the requests of one route.
 #[derive(Clone, Debug, Serialize)]
 struct Route {
     route: String,
-    /// Requests that were admitted.
+    /// Number of admitted requests.
     requests: usize,
     steps: Vec<Step>,
-    /// What was not done, by step and reason.
+    /// Number of failures by step and reason.
     failures: collections::BTreeMap<String, usize>,
 }
 
-/// All routes.
+/// Statistics of all routes.
 #[derive(Clone, Debug, Serialize)]
 struct Table {
     routes: Vec<Route>,
 }
 
-/// What was read of the requests of one route.
+/// Samples of the requests of one route.
 #[derive(Default)]
-struct Seen {
+struct Samples {
     requests: usize,
     times: collections::BTreeMap<String, Vec<u64>>,
     failures: collections::BTreeMap<String, usize>,
 }
 
-/// Prints the time that the requests of each route have taken, by step.
+/// Reports how long the requests of each route took in each step.
 pub(super) fn times(args: &args::Args) -> Result<output::Output, error::Error> {
-    let lines = lines::read(args.free())?;
-    let mut routes = collections::BTreeMap::<String, Seen>::new();
-    let mut known = collections::HashMap::new();
+    let lines = logs::read_files(args.positional())?;
+    let mut routes = collections::BTreeMap::<String, Samples>::new();
+    let mut route_of = collections::HashMap::new();
     for line in &lines {
         let request = line.field("request");
         if line.event == "admitted" {
-            known.insert(request, line.field("route"));
+            route_of.insert(request, line.field("route"));
         }
-        // A request that was refused before a route was found has none.
-        if let Some(route) = known.get(request) {
-            let seen = routes.entry((*route).to_owned()).or_default();
-            seen.record(line);
+        // A request that was refused before routing has no route.
+        if let Some(route) = route_of.get(request) {
+            let samples = routes.entry((*route).to_owned()).or_default();
+            samples.record_line(line);
         }
     }
     if routes.is_empty() {
-        let text = "no line tells of an admitted request";
+        let text = "no log line of an admitted request found";
         return Err(error::Error::Usage(text.into()));
     }
-    let routes = routes.into_iter().map(|(route, seen)| seen.finish(route));
+    let routes = routes
+        .into_iter()
+        .map(|(route, samples)| samples.into_route(route));
     Ok(output::Output::new(&Table {
         routes: routes.collect(),
     }))
 }
 
-impl Seen {
-    fn record(&mut self, line: &Line) {
+impl Samples {
+    fn record_line(&mut self, line: &Line) {
         match line.event.as_str() {
             "admitted" => {
                 self.requests += 1;
-                self.time("spent before", line.field("spent_ms"));
+                self.record_time("spent before", line.field("spent_ms"));
             }
-            "stage-ended" => self.stage(line),
-            "head" => self.time("head of the answer", line.field("taken_ms")),
-            "answered" => self.time("whole request", line.field("taken_ms")),
+            "stage-ended" => self.record_stage(line),
+            "head" => self.record_time("head of the answer", line.field("taken_ms")),
+            "answered" => self.record_time("whole request", line.field("taken_ms")),
             "refused" | "send-failed" | "stream-broken" => {
-                self.fail(&format!("{} {}", line.event, line.field("reason")));
+                self.record_failure(&format!("{} {}", line.event, line.field("reason")));
             }
             _ => {}
         }
     }
 
-    fn stage(&mut self, line: &Line) {
+    fn record_stage(&mut self, line: &Line) {
         let step = format!("stage {} at {}", line.field("stage"), line.field("service"));
         match line.field("outcome") {
-            "done" => self.time(&step, line.field("taken_ms")),
-            outcome => self.fail(&format!("{step} {outcome}")),
+            "done" => self.record_time(&step, line.field("taken_ms")),
+            outcome => self.record_failure(&format!("{step} {outcome}")),
         }
     }
 
-    fn time(&mut self, step: &str, millis: &str) {
+    fn record_time(&mut self, step: &str, millis: &str) {
         if let Ok(millis) = millis.parse() {
             self.times.entry(step.into()).or_default().push(millis);
         }
     }
 
-    fn fail(&mut self, what: &str) {
-        *self.failures.entry(what.into()).or_default() += 1;
+    fn record_failure(&mut self, reason: &str) {
+        *self.failures.entry(reason.into()).or_default() += 1;
     }
 
-    fn finish(self, route: String) -> Route {
+    fn into_route(self, route: String) -> Route {
         Route {
             route,
             requests: self.requests,
-            steps: self.times.into_iter().map(summary).collect(),
+            steps: self.times.into_iter().map(summarize).collect(),
             failures: self.failures,
         }
     }
 }
 
-/// Summarizes the times of a step, of which there is one at least.
-fn summary((step, mut times): (String, Vec<u64>)) -> Step {
+/// Computes the statistics of a step from its times, of which there must be at least one.
+fn summarize((step, mut times): (String, Vec<u64>)) -> Step {
     times.sort_unstable();
     let count = times.len();
     Step {
@@ -147,8 +150,8 @@
                     step.step, step.count, step.mean, step.p50, step.p90
                 )?;
             }
-            for (what, count) in &route.failures {
-                writeln!(f, "  {what:<32} {count:>6}")?;
+            for (reason, count) in &route.failures {
+                writeln!(f, "  {reason:<32} {count:>6}")?;
             }
         }
         Ok(())
--- a/laburnumcart_ctl/src/error.rs
+++ b/laburnumcart_ctl/src/error.rs
@@ -1,4 +1,4 @@
-//! Why a command failed, its exit code, and what to do next.
+//! Errors of commands, with their exit codes and advice for the operator.
 
 use std::io;
 
@@ -16,120 +16,124 @@
 
 use crate::paths;
 
-/// A command that failed.
+/// Error of a command.
 #[derive(Debug, Display, Error)]
 pub enum Error {
-    /// The command line is wrong.
+    /// The command line or its input is invalid.
     #[display("{_0}")]
     Usage(#[error(not(source))] String),
     /// A file cannot be read or written.
     #[display("{file}: {cause}")]
     File {
-        /// File that was named.
+        /// Path of the file.
         file: String,
-        /// What the system says.
+        /// Error of the operating system.
         #[error(source)]
         cause: io::Error,
     },
-    /// A document has faults, one a line.
+    /// A document has faults, which are printed one per line.
     #[display("{file} has faults:\n{faults}")]
     Document {
-        /// File that holds it.
+        /// Path of the file.
         file: String,
         /// All of its faults.
         faults: document::Faults,
     },
-    /// A file holds no key.
+    /// The file is not a valid key file.
     #[display("{file}: not a key file")]
     Key {
-        /// File that was named.
+        /// Path of the file.
         file: String,
     },
-    /// The change of the head came to nothing.
+    /// The change of the head was not accepted.
     #[display("{_0}")]
-    Lost(head::PublishError),
+    Publish(head::PublishError),
     /// The object service does not answer; nothing was changed.
     #[display("the object service does not answer; nothing was changed")]
     Unavailable,
-    /// The object service refuses a call as wrong.
-    #[display("the object service refuses the call as wrong")]
+    /// The object service rejected a call as invalid.
+    #[display("the object service rejected the call as invalid")]
     Invalid,
-    /// The object service stopped answering in the middle of a change.
-    #[display("the object service does not answer; unknown whether the change took effect")]
+    /// The object service stopped answering during a change, which may have taken effect.
+    #[display("the object service does not answer; the change may have taken effect")]
     InDoubt,
-    /// No process answers.
+    /// A process cannot be reached.
     #[display("{_0}")]
     Unreachable(#[error(not(source))] String),
-    /// The envelope must not be used.
+    /// The signatures of the envelope cannot be verified.
     #[display("{file}: {cause}")]
     Rejected {
-        /// File that holds it.
+        /// Path of the file.
         file: String,
-        /// Why.
+        /// Reason of the rejection.
         cause: signing::VerifyError,
     },
     /// A process refused the call.
     #[display("{_0}")]
     Refused(#[error(not(source))] String),
-    /// The system gave no random numbers.
-    #[display("no random numbers: {_0}")]
+    /// The operating system provided no random bytes.
+    #[display("cannot generate random bytes: {_0}")]
     Random(getrandom::Error),
-    /// The head in the object service cannot be read.
+    /// The head in the object service cannot be parsed.
     #[display("{_0}")]
     Head(head::Malformed),
 }
 
 impl Error {
     /// Returns the exit code: 2 bad input, 3 conflict, 4 unavailable, 5 refused.
-    pub fn code(&self) -> u8 {
+    pub fn exit_code(&self) -> u8 {
         match self {
             Self::Usage(_) | Self::File { .. } | Self::Document { .. } | Self::Key { .. } => 2,
-            Self::Lost(head::PublishError::NoSuchGeneration { .. }) => 2,
-            Self::Lost(_) => 3,
+            Self::Publish(head::PublishError::NoSuchGeneration { .. }) => 2,
+            Self::Publish(_) => 3,
             Self::Unavailable | Self::InDoubt | Self::Unreachable(_) | Self::Random(_) => 4,
             Self::Rejected { .. } | Self::Refused(_) | Self::Head(_) | Self::Invalid => 5,
         }
     }
 
-    /// Returns what the operator can do next.
+    /// Returns advice on what the operator can do next.
     pub fn advice(&self) -> &'static str {
         match self {
             Self::Usage(_) => "see laburnumctl --help",
             Self::File { file, cause } => advise_file(file, cause.kind()),
-            Self::Document { .. } => "mend the lines above and run `laburnumctl check` again",
-            Self::Key { .. } => "make one with `laburnumctl keygen`",
-            Self::Lost(head::PublishError::NoSuchGeneration { .. }) => {
+            Self::Document { .. } => "correct the faults above and run `laburnumctl check` again",
+            Self::Key { .. } => "generate a key with `laburnumctl keygen`",
+            Self::Publish(head::PublishError::NoSuchGeneration { .. }) => {
                 "see `laburnumctl status` for the generations that can be restored, or accept the \
                  signed file of the older bundle"
             }
-            Self::Lost(head::PublishError::Forgotten { .. }) => {
-                "see `laburnumctl status`; accept again only if your bundle is still wanted"
+            Self::Publish(head::PublishError::Forgotten { .. }) => {
+                "see `laburnumctl status`; accept again only if your bundle is still needed"
             }
-            Self::Lost(_) => {
-                "look at what the other operator accepted (`laburnumctl status`), then accept again \
-                 if yours is still wanted"
+            Self::Publish(_) => {
+                "check what the other operator accepted (`laburnumctl status`), then accept again if \
+                 your bundle is still needed"
+            }
+            Self::Invalid => {
+                "check that `platform.address` in the settings is that of the object service"
             }
-            Self::Invalid => "check that `platform.address` in the settings is the object service",
             Self::Unavailable => "try again when the object service answers",
             Self::InDoubt => {
-                "see `laburnumctl status` when it answers again; accepting twice is safe"
+                "see `laburnumctl status` when the service answers again; accepting twice is safe"
             }
             Self::Unreachable(_) => "check the address, and `fleet.peers` in the settings",
             Self::Rejected { .. } => {
-                "sign it with `laburnumctl sign` and a key that the settings trust, by as many \
-                 signers as `fleet.signers` asks for"
+                "sign it with `laburnumctl sign` and keys that the settings trust, by as many signers \
+                 as `fleet.signers` requires"
             }
             Self::Refused(_) => "check `fleet.secrets` in the settings",
             Self::Random(_) => "try again",
-            Self::Head(_) => "the object `bundle/head` was written by something else; restore it",
+            Self::Head(_) => {
+                "the object `bundle/head` was overwritten by another program; restore it"
+            }
         }
     }
 
-    /// Returns what is printed.
+    /// Formats the error and its advice, as text or as JSON.
     pub fn render(&self, json: bool) -> String {
         if json {
             let text = self.to_string();
-            let value = json!({"error": text, "code": self.code(), "advice": self.advice()});
+            let value = json!({"error": text, "code": self.exit_code(), "advice": self.advice()});
             format!("{value}\n")
         } else {
             format!("error: {self}\nnext: {}\n", self.advice())
@@ -141,8 +145,8 @@
     match cause {
         io::ErrorKind::AlreadyExists => "choose another name: a key file is never overwritten",
         io::ErrorKind::NotFound if file == paths::SETTINGS => {
-            "name the settings with `--settings FILE`; `examples` has one for each fleet"
+            "pass the settings with `--settings FILE`; `examples` has one for each fleet"
         }
-        _ => "check the name and its permissions",
+        _ => "check the name and the permissions of the file",
     }
 }
--- a/laburnumcart_ctl/src/lib.rs
+++ b/laburnumcart_ctl/src/lib.rs
@@ -1,4 +1,4 @@
-//! Operator command line.
+//! Operators' command line, `laburnumctl`.
 
 use std::{
     io::{
@@ -17,22 +17,22 @@
 pub mod publish;
 pub mod settings;
 
-/// Runs one command and prints what came of it.
+/// Runs one command, prints its output or error, and returns the exit code.
 pub async fn run(args: impl IntoIterator<Item = String>) -> process::ExitCode {
     let args: Vec<String> = args.into_iter().collect();
     let json = args.iter().any(|arg| arg == "--json");
     let (printed, code) = match command::run(&args).await {
         Ok(output) => {
             let printed = io::stdout().write_all(output.render(json).as_bytes());
-            (printed, output.code())
+            (printed, output.exit_code())
         }
         Err(error) => {
             let text = error.render(json);
             let printed = io::stderr().write_all(text.as_bytes());
-            return process::ExitCode::from(printed.map_or(1, |()| error.code()));
+            return process::ExitCode::from(printed.map_or(1, |()| error.exit_code()));
         }
     };
-    // A closed pipe is the reader's choice; a full disk is not.
+    // A reader that closes the pipe is no error; other write errors, such as a full disk, are.
     match printed {
         Err(e) if e.kind() != io::ErrorKind::BrokenPipe => process::ExitCode::FAILURE,
         _ => process::ExitCode::from(code),
--- a/laburnumcart_ctl/src/main.rs
+++ b/laburnumcart_ctl/src/main.rs
@@ -1,4 +1,4 @@
-//! Operator command line.
+//! Entry point of `laburnumctl`.
 
 use std::{
     env,
--- a/laburnumcart_ctl/src/output.rs
+++ b/laburnumcart_ctl/src/output.rs
@@ -1,10 +1,10 @@
-//! What commands print.
+//! Output of commands, as text or as JSON.
 
 use std::fmt;
 
 use serde::Serialize;
 
-/// A result in both of its forms.
+/// Output of a command in both formats, with its exit code.
 #[derive(Clone, Debug)]
 pub struct Output {
     text: String,
@@ -13,7 +13,7 @@
 }
 
 impl Output {
-    /// Creates the forms of a result.
+    /// Creates the output from a result that can be shown and serialized.
     pub fn new(result: &(impl fmt::Display + Serialize)) -> Self {
         Self {
             text: result.to_string(),
@@ -22,8 +22,8 @@
         }
     }
 
-    /// Creates a result that is a text in either form.
-    pub fn text(text: impl Into<String>) -> Self {
+    /// Creates an output of plain text; as JSON it is a string.
+    pub fn from_text(text: impl Into<String>) -> Self {
         let text = text.into();
         Self {
             json: serde_json::Value::String(text.clone()),
@@ -32,8 +32,8 @@
         }
     }
 
-    /// Creates a result that is a JSON document in either form.
-    pub fn document(json: serde_json::Value) -> Self {
+    /// Creates an output that is a JSON document, which the text format indents.
+    pub fn from_json(json: serde_json::Value) -> Self {
         Self {
             text: format!("{json:#}"),
             json,
@@ -41,19 +41,19 @@
         }
     }
 
-    /// Sets the exit code of a command that has something to print and yet did not get all.
+    /// Sets the exit code of a command that prints a partial result.
     #[must_use]
-    pub fn exit(mut self, code: u8) -> Self {
+    pub fn with_exit_code(mut self, code: u8) -> Self {
         self.code = code;
         self
     }
 
     /// Returns the exit code.
-    pub fn code(&self) -> u8 {
+    pub fn exit_code(&self) -> u8 {
         self.code
     }
 
-    /// Returns what is printed.
+    /// Formats the output, as text or as JSON.
     pub fn render(&self, json: bool) -> String {
         if json {
             format!("{}\n", self.json)
--- a/laburnumcart_ctl/src/paths.rs
+++ b/laburnumcart_ctl/src/paths.rs
@@ -1,4 +1,4 @@
-//! Files that are read unless the command line names others.
+//! Default paths of files.
 
-/// Settings.
+/// Default path of the settings file.
 pub const SETTINGS: &str = "laburnumctl.json";
--- a/laburnumcart_ctl/src/peers.rs
+++ b/laburnumcart_ctl/src/peers.rs
@@ -1,4 +1,4 @@
-//! Calls of the processes of the fleet.
+//! RPC client for the entries and agents of the fleet.
 
 use std::net;
 
@@ -28,18 +28,18 @@
 
 use crate::error;
 
-/// What a process says of itself.
+/// State that a process reports.
 #[derive(Clone, Debug, Serialize)]
 #[serde(rename_all = "kebab-case", tag = "role")]
 pub enum State {
-    /// An entry.
+    /// State of an entry.
     Entry(entry::Status),
-    /// An agent.
+    /// State of an agent.
     Agent(agent::Report),
 }
 
 impl State {
-    /// Returns the generation in force.
+    /// Returns the generation of the bundle in force in the process.
     pub fn generation(&self) -> id::Generation {
         match self {
             Self::Entry(status) => status.generation,
@@ -55,13 +55,13 @@
 }
 
 impl Process {
-    /// Connects with the fleet's secret.
+    /// Connects to a process and authenticates with the secret of the fleet.
     pub async fn connect(
         addr: net::SocketAddr,
         fleet: &settings::Fleet,
     ) -> Result<Self, error::Error> {
         let secret = fleet.secret().ok_or_else(|| {
-            let text = "fleet.secrets in the settings is empty";
+            let text = "`fleet.secrets` in the settings is empty";
             error::Error::Usage(text.into())
         })?;
         let client = peer::connect(addr, secret, &peer::Limits::default()).await;
@@ -72,29 +72,29 @@
         Ok(Self { addr, client })
     }
 
-    /// Asks for its state.
+    /// Queries the state of the process, whose role is not known beforehand.
     pub async fn state(&self) -> Result<State, error::Error> {
         match EntryClient::status(&self.client).await {
-            Err(e) if is_unknown_method(&e) => self.hello().await,
-            other => other.map(State::Entry).map_err(|e| self.failed(&e)),
+            Err(e) if is_unknown_method(&e) => self.query_agent().await,
+            other => other.map(State::Entry).map_err(|e| self.call_error(&e)),
         }
     }
 
-    /// Lets it finish what it has and exit.
+    /// Starts the graceful shutdown of the process and returns its state.
     pub async fn drain(&self) -> Result<State, error::Error> {
         match EntryClient::drain(&self.client).await {
             Err(e) if is_unknown_method(&e) => {
                 let report = AgentClient::drain(&self.client).await;
-                report.map(State::Agent).map_err(|e| self.failed(&e))
+                report.map(State::Agent).map_err(|e| self.call_error(&e))
             }
-            other => other.map(State::Entry).map_err(|e| self.failed(&e)),
+            other => other.map(State::Entry).map_err(|e| self.call_error(&e)),
         }
     }
 
-    /// Opens a lane that is never used, which an agent answers with its state.
-    async fn hello(&self) -> Result<State, error::Error> {
+    /// Queries the state of an agent by opening a lane, which is then not used.
+    async fn query_agent(&self) -> Result<State, error::Error> {
         let hello = agent::Hello {
-            instance: "laburnumctl".parse().expect("a valid name"),
+            instance: "laburnumctl".parse().expect("a valid instance name"),
             session: lane::Session {
                 lane: id::Incarnation::random(),
                 number: 1,
@@ -103,10 +103,10 @@
             facts: facts::Facts::default(),
         };
         let report = AgentClient::hello(&self.client, hello).await;
-        report.map(State::Agent).map_err(|e| self.failed(&e))
+        report.map(State::Agent).map_err(|e| self.call_error(&e))
     }
 
-    fn failed(&self, cause: &client::Error) -> error::Error {
+    fn call_error(&self, cause: &client::Error) -> error::Error {
         let text = format!("{}: {cause}", self.addr);
         match cause {
             client::Error::Call(_) => error::Error::Refused(text),
--- a/laburnumcart_ctl/src/publish.rs
+++ b/laburnumcart_ctl/src/publish.rs
@@ -1,4 +1,4 @@
-//! Drives a change of the head against the object service.
+//! Publication of a change of the head to the object service.
 
 use std::time;
 
@@ -12,65 +12,65 @@
 
 use crate::error;
 
-/// Pause before a refused call is repeated.
-const PAUSE: time::Duration = time::Duration::from_millis(200);
+/// Delay before a failed call is retried.
+const RETRY_DELAY: time::Duration = time::Duration::from_millis(200);
 
-/// Performs a change until its outcome is proven, for at most `limit`.
+/// Publishes a change of the head and retries until its outcome is certain, for at most `limit`.
 ///
-/// A call without an answer is settled by reading, so that a change is never made twice and never
-/// reported wrongly.
+/// After a write without a response, reads the head to find out whether the write took effect, so
+/// that a change is neither made twice nor reported wrongly.
 pub async fn publish(
     store: &impl store::Store,
     mut change: head::Publish<store::Version>,
     limit: unit::Period,
 ) -> Result<head::Head, error::Error> {
-    let end = Instant::now() + limit.0;
+    let deadline = Instant::now() + limit.0;
     loop {
         if let head::Step::Done(outcome) = change.step() {
-            return outcome.map_err(error::Error::Lost);
+            return outcome.map_err(error::Error::Publish);
         }
-        let step = tokio::time::timeout_at(end, perform(store, &mut change)).await;
+        let step = tokio::time::timeout_at(deadline, perform_step(store, &mut change)).await;
         match step {
             Ok(Ok(())) => {}
-            Ok(Err(Stop::Head(e))) => return Err(error::Error::Head(e)),
-            Ok(Err(Stop::Invalid)) => return Err(error::Error::Invalid),
-            // A write cut off by the end of the time may take effect as well.
-            Err(_) => return Err(cut_off(&change)),
-            Ok(Err(Stop::Later)) if Instant::now() + PAUSE < end => {
-                tokio::time::sleep(PAUSE).await;
+            Ok(Err(StepError::Head(e))) => return Err(error::Error::Head(e)),
+            Ok(Err(StepError::Invalid)) => return Err(error::Error::Invalid),
+            // A write that was cancelled at the deadline may still take effect.
+            Err(_) => return Err(timeout_error(&change)),
+            Ok(Err(StepError::Transient)) if Instant::now() + RETRY_DELAY < deadline => {
+                tokio::time::sleep(RETRY_DELAY).await;
             }
-            Ok(Err(Stop::Later)) => return Err(given_up(&change)),
+            Ok(Err(StepError::Transient)) => return Err(unavailable_error(&change)),
         }
     }
 }
 
-/// Why a step was not performed.
-enum Stop {
-    /// The service does not answer now; the step is to be performed again.
-    Later,
-    /// The service refuses the call as wrong.
+/// Failure of a step.
+enum StepError {
+    /// The service does not answer; the step can be retried.
+    Transient,
+    /// The service rejected the call as invalid.
     Invalid,
-    /// The head is not one.
+    /// The stored head cannot be parsed.
     Head(head::Malformed),
 }
 
-impl From<store::Failure> for Stop {
+impl From<store::Failure> for StepError {
     fn from(failure: store::Failure) -> Self {
         match failure {
             store::Failure::Invalid => Self::Invalid,
-            _ => Self::Later,
+            _ => Self::Transient,
         }
     }
 }
 
-fn cut_off(change: &head::Publish<store::Version>) -> error::Error {
+fn timeout_error(change: &head::Publish<store::Version>) -> error::Error {
     match change.step() {
         head::Step::Write { .. } => error::Error::InDoubt,
-        _ => given_up(change),
+        _ => unavailable_error(change),
     }
 }
 
-fn given_up(change: &head::Publish<store::Version>) -> error::Error {
+fn unavailable_error(change: &head::Publish<store::Version>) -> error::Error {
     if change.is_in_doubt() {
         error::Error::InDoubt
     } else {
@@ -78,27 +78,27 @@
     }
 }
 
-async fn perform(
+async fn perform_step(
     store: &impl store::Store,
     change: &mut head::Publish<store::Version>,
-) -> Result<(), Stop> {
+) -> Result<(), StepError> {
     match change.step() {
         head::Step::Create { digest, value } => {
             let key = head::object_key(digest);
             match store.put(&key, store::Expect::Absent, &value).await {
-                // The name is the digest of the content: what exists under it is the same.
+                // Objects are named by their digest, so an existing one has the same content.
                 Ok(_) | Err(store::Failure::Conflict) => change.record_created(),
-                Err(failure) => return Err(Stop::from(failure)),
+                Err(failure) => return Err(StepError::from(failure)),
             }
         }
-        head::Step::Read => change.record_read(read(store).await?),
+        head::Step::Read => change.record_read(read_head(store).await?),
         head::Step::Write { expect, value } => {
             let expect = expect.map_or(store::Expect::Absent, store::Expect::Version);
             match store.put(head::KEY, expect, &value).await {
                 Ok(_) => change.record_write(head::WriteOutcome::Applied),
                 Err(store::Failure::Conflict) => change.record_write(head::WriteOutcome::Conflict),
                 Err(store::Failure::Unanswered) => change.record_write(head::WriteOutcome::Unknown),
-                Err(failure) => return Err(Stop::from(failure)),
+                Err(failure) => return Err(StepError::from(failure)),
             }
         }
         head::Step::Done(_) => {}
@@ -106,11 +106,13 @@
     Ok(())
 }
 
-async fn read(store: &impl store::Store) -> Result<Option<(store::Version, head::Head)>, Stop> {
-    let object = store.get(head::KEY).await.map_err(Stop::from)?;
+async fn read_head(
+    store: &impl store::Store,
+) -> Result<Option<(store::Version, head::Head)>, StepError> {
+    let object = store.get(head::KEY).await.map_err(StepError::from)?;
     let Some(object) = object else {
         return Ok(None);
     };
-    let head = head::Head::parse(&object.value).map_err(Stop::Head)?;
+    let head = head::Head::parse(&object.value).map_err(StepError::Head)?;
     Ok(Some((object.version, head)))
 }
--- a/laburnumcart_ctl/src/settings.rs
+++ b/laburnumcart_ctl/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of the command line.
+//! Settings of `laburnumctl`.
 
 use std::{
     fs,
@@ -20,33 +20,33 @@
 #[derive(Clone, Debug, Deserialize, schemars::JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
-    /// Secrets, trusted keys and processes to ask.
+    /// Secrets, trusted keys and addresses of the processes.
     pub fleet: settings::Fleet,
     /// The platform's object service.
     pub platform: settings::Platform,
 }
 
 /// Reads a text file.
-pub fn read(file: &str) -> Result<String, error::Error> {
+pub fn read_file(file: &str) -> Result<String, error::Error> {
     fs::read_to_string(file).map_err(|cause| error::Error::File {
         file: file.into(),
         cause,
     })
 }
 
-/// Settings that were checked.
+/// Settings that were validated.
 #[derive(Debug)]
-pub struct Checked {
+pub struct Validated {
     /// The settings.
     pub settings: Settings,
-    /// Keys that they trust.
+    /// Trusted keys of the settings.
     pub trust: signing::Trust,
 }
 
-impl Checked {
-    /// Reads settings from a file, or reports every fault in it.
+impl Validated {
+    /// Reads settings from a file, or returns all of their faults.
     pub fn load(file: &str) -> Result<Self, error::Error> {
-        let text = read(file)?;
+        let text = read_file(file)?;
         let invalid = |faults| error::Error::Document {
             file: file.into(),
             faults,
@@ -58,12 +58,12 @@
 
     /// Returns a client of the object service.
     pub fn store(&self) -> client::Client {
-        let addr = self.settings.platform.address;
-        let client = client::Client::builder([addr]).build();
+        let address = self.settings.platform.address;
+        let client = client::Client::builder([address]).build();
         client.expect("one address and the default number of connections")
     }
 
-    /// Returns the processes to ask.
+    /// Returns the addresses of the processes.
     pub fn peers(&self) -> &[net::SocketAddr] {
         &self.settings.fleet.peers
     }
--- a/laburnumcart_ctl/tests/explain.rs
+++ b/laburnumcart_ctl/tests/explain.rs
@@ -71,7 +71,8 @@
 #[rstest]
 #[case(
     "r1",
-    "refused (not-run): the queue of encode expected it after 798 ms, and it was due in 10 ms"
+    "refused (not-run): the queue of encode estimated its completion after 798 ms, and it was due in 10 \
+     ms"
 )]
 #[case("r2", "refused (may-have-run): lost; target i-3: lost")]
 #[case(
@@ -80,16 +81,19 @@
 )]
 #[case(
     "r5",
-    "refused (not-run): not begun, as the queues of its stages would be done with it after \
-     260,1490,? ms, and it was due in 1100 ms"
+    "refused (not-run): not started, as its stages were estimated to complete after 260,1490,? ms, \
+     and it was due in 1100 ms"
 )]
 #[case(
     "r7",
-    "refused (may-have-run): lost; target i-3: lost; not sent again: 9 of 9.4 repeats of desk \
-     were spent"
+    "refused (may-have-run): lost; target i-3: lost; not retried: 9 of 9.4 allowed retries of \
+     desk were spent"
+)]
+#[case("r6", "the target itself answered with status 500 after 45 ms")]
+#[case(
+    "r4",
+    "no outcome was logged: the caller disconnected, or the process exited"
 )]
-#[case("r6", "the target itself answered 500, after 45 ms")]
-#[case("r4", "no end is logged: the caller left, or the process ended")]
 fn the_cause_stands_first(#[case] id: &str, #[case] cause: &str) {
     let (code, text) = explain(id, &[]);
     assert_eq!(code, 0, "{text}");
@@ -115,7 +119,7 @@
 fn an_unknown_id_is_told() {
     let (code, text) = explain("r9", &[]);
     assert_eq!(code, 2);
-    assert!(text.contains("no line tells of request r9"), "{text}");
+    assert!(text.contains("no log line found for request r9"), "{text}");
 }
 
 // An engineer asks where requests of a route lose their time. The answer has each step of it, and
--- a/laburnumcart_ctl/tests/gateways.rs
+++ b/laburnumcart_ctl/tests/gateways.rs
@@ -97,7 +97,7 @@
 // One gateway cannot be asked, or tells nonsense. The view is partial, and a script is told so.
 #[rstest]
 #[case("503 Service Unavailable", "{}", "503")]
-#[case("200 OK", "nonsense", "cannot be read")]
+#[case("200 OK", "nonsense", "cannot be parsed")]
 fn a_partial_view_is_called_so(
     #[case] status: &'static str,
     #[case] body: &str,
--- a/laburnumcart_ctl/tests/publish.rs
+++ b/laburnumcart_ctl/tests/publish.rs
@@ -65,7 +65,9 @@
     while let Some(outcome) = operators.join_next().await {
         match outcome.expect("no panic") {
             Ok(head) => won.push(head.accepted),
-            Err(error::Error::Lost(head::PublishError::Conflict { winner })) => lost.push(winner),
+            Err(error::Error::Publish(head::PublishError::Conflict { winner })) => {
+                lost.push(winner)
+            }
             Err(error) => panic!("{error}"),
         }
     }
@@ -129,7 +131,7 @@
     let change = head::Change::Accept("not JSON".into());
     let change = head::Publish::new(change, id::Nonce::random());
     let error = publish::publish(&store, change, LIMIT).await;
-    assert_eq!(error.expect_err("refused").code(), 5);
+    assert_eq!(error.expect_err("refused").exit_code(), 5);
 }
 
 /// The service is down all the time: the operator is told that nothing was changed.
@@ -141,7 +143,7 @@
         ..Default::default()
     });
     let error = accept(&store, "a").await.expect_err("down");
-    assert_eq!(error.code(), 4);
+    assert_eq!(error.exit_code(), 4);
     assert!(matches!(error, error::Error::Unavailable), "{error}");
 }
 
