--- a/laburnumcart_ctl/tests/explain.rs
+++ b/laburnumcart_ctl/tests/explain.rs
@@ -1,4 +1,4 @@
-//! The story of a request, and the times of many, from logs.
+//! `laburnumctl explain` and `laburnumctl times`, on sample logs.
 
 use std::{
     env,
@@ -14,7 +14,7 @@
     json, //
 };
 
-const HERE: &str = "\
+const GATEWAY_LOG: &str = "\
 time=2026-05-04T00:14:49.768Z level=info event=admitted request=r1 route=a rank=0
 time=2026-05-04T00:14:49.771Z level=info event=refused request=r1 reason=deadline-too-short verdict=not-run status=503
 time=2026-05-04T00:14:50.100Z level=info event=admitted request=r2 route=a rank=0
@@ -35,7 +35,7 @@
 not a line of the log
 ";
 
-const OWNER: &str = "\
+const OWNER_LOG: &str = "\
 time=2026-05-04T00:14:49.770Z level=info event=job-refused request=r1 service=encode outlook_ms=798 due_ms=10 waiting=42
 ";
 
@@ -44,7 +44,7 @@
 }
 
 fn run(command: &[&str], more: &[&str]) -> (i32, String) {
-    // Each call has its own folder, as tests of one process run side by side.
+    // A directory for each call, as the tests of a process run in parallel.
     static CALLS: atomic::AtomicU32 = atomic::AtomicU32::new(0);
     let call = CALLS.fetch_add(1, atomic::Ordering::Relaxed);
     let dir = env::temp_dir().join(format!("laburnumctl-explain-{}-{call}", process::id()));
@@ -56,7 +56,10 @@
     };
     let output = process::Command::new(env!("CARGO_BIN_EXE_laburnumctl"))
         .args(command)
-        .args([write("here.log", HERE), write("owner.log", OWNER)])
+        .args([
+            write("gateway.log", GATEWAY_LOG),
+            write("owner.log", OWNER_LOG),
+        ])
         .args(more)
         .output()
         .unwrap();
@@ -71,8 +74,8 @@
 #[rstest]
 #[case(
     "r1",
-    "refused (not-run): the queue of encode estimated its completion after 798 ms, and it was due in 10 \
-     ms"
+    "refused (not-run): the queue of encode estimated its completion after 798 ms, and it was \
+     due in 10 ms"
 )]
 #[case("r2", "refused (may-have-run): lost; target i-3: lost")]
 #[case(
@@ -94,17 +97,17 @@
     "r4",
     "no outcome was logged: the caller disconnected, or the process exited"
 )]
-fn the_cause_stands_first(#[case] id: &str, #[case] cause: &str) {
+fn first_line_states_outcome_and_cause(#[case] id: &str, #[case] cause: &str) {
     let (code, text) = explain(id, &[]);
     assert_eq!(code, 0, "{text}");
     assert_eq!(text.lines().next(), Some(format!("{id}: {cause}").as_str()));
 }
 
 #[test]
-fn lines_of_all_processes_are_in_order() {
+fn lines_of_all_processes_are_sorted_by_time() {
     let (_, text) = explain("r1", &["--json"]);
-    let story: Value = serde_json::from_str(&text).unwrap();
-    let events: Vec<_> = story["lines"]
+    let explanation: Value = serde_json::from_str(&text).unwrap();
+    let events: Vec<_> = explanation["lines"]
         .as_array()
         .unwrap()
         .iter()
@@ -116,16 +119,15 @@
 }
 
 #[test]
-fn an_unknown_id_is_told() {
+fn unknown_request_is_reported() {
     let (code, text) = explain("r9", &[]);
     assert_eq!(code, 2);
     assert!(text.contains("no log line found for request r9"), "{text}");
 }
 
-// An engineer asks where requests of a route lose their time. The answer has each step of it, and
-// what was not done.
+// The report of each route has the times of all of its steps, and the failures.
 #[test]
-fn times_are_told_by_route_and_step() {
+fn times_are_reported_by_route_and_step() {
     let (code, text) = run(&["times"], &["--json"]);
     assert_eq!(code, 0, "{text}");
     let table: Value = serde_json::from_str(&text).unwrap();
--- a/laburnumcart_ctl/tests/gateways.rs
+++ b/laburnumcart_ctl/tests/gateways.rs
@@ -1,4 +1,4 @@
-//! `laburnumctl gateways`, against gateways that tell a fixed state.
+//! `laburnumctl gateways`, against gateways with a fixed state.
 
 use std::{
     io::{
@@ -16,8 +16,8 @@
     json, //
 };
 
-/// Serves one answer and tells the address.
-fn serve(status: &'static str, body: String) -> String {
+/// Serves one response and returns the address of the server.
+fn serve_once(status: &'static str, body: String) -> String {
     let listener = net::TcpListener::bind(("127.0.0.1", 0)).unwrap();
     let addr = listener.local_addr().unwrap();
     thread::spawn(move || {
@@ -30,8 +30,8 @@
         }
         assert!(head.starts_with(b"GET /state "));
         let length = body.len();
-        let answer = format!("HTTP/1.1 {status}\r\ncontent-length: {length}\r\n\r\n{body}");
-        stream.write_all(answer.as_bytes()).unwrap();
+        let response = format!("HTTP/1.1 {status}\r\ncontent-length: {length}\r\n\r\n{body}");
+        stream.write_all(response.as_bytes()).unwrap();
     });
     addr.to_string()
 }
@@ -62,12 +62,12 @@
     (code, text(output.stdout), text(output.stderr))
 }
 
-// Two gateways see another owner of a queue, and one has not heard of an evacuation.
+// Two gateways report different owners of a queue, and one does not know of an evacuation.
 #[test]
-fn what_gateways_see_differently_stands_out() {
+fn differences_between_gateways_are_marked() {
     let south = json!([{ "data_centre": "south", "known": "3s" }]);
-    let first = serve("200 OK", state("gateway-1", "gateway-1", south));
-    let second = serve("200 OK", state("gateway-2", "gateway-2", json!([])));
+    let first = serve_once("200 OK", state("gateway-1", "gateway-1", south));
+    let second = serve_once("200 OK", state("gateway-2", "gateway-2", json!([])));
     let (code, out, _) = run(&[&first, &second]);
     assert_eq!(code, 0, "{out}");
     let lines: Vec<&str> = out.lines().collect();
@@ -94,22 +94,23 @@
     );
 }
 
-// One gateway cannot be asked, or tells nonsense. The view is partial, and a script is told so.
+// One gateway returns an error or a malformed state: the exit code shows a script that the view is
+// partial.
 #[rstest]
 #[case("503 Service Unavailable", "{}", "503")]
 #[case("200 OK", "nonsense", "cannot be parsed")]
-fn a_partial_view_is_called_so(
+fn partial_view_sets_the_exit_code(
     #[case] status: &'static str,
     #[case] body: &str,
     #[case] cause: &str,
 ) {
-    let first = serve("200 OK", state("gateway-1", "gateway-1", json!([])));
-    let second = serve(status, body.into());
+    let first = serve_once("200 OK", state("gateway-1", "gateway-1", json!([])));
+    let second = serve_once(status, body.into());
     let (code, out, _) = run(&[&first, &second]);
     assert_eq!(code, 4, "{out}");
-    let silent = out.lines().find(|line| line.starts_with(&second)).unwrap();
+    let failed = out.lines().find(|line| line.starts_with(&second)).unwrap();
     assert!(
-        silent.contains("silent: ") && silent.contains(cause),
+        failed.contains("silent: ") && failed.contains(cause),
         "{out}"
     );
 }
@@ -118,6 +119,6 @@
 #[case(&[], 2)]
 #[case(&["gateway-1"], 2)]
 #[case(&["127.0.0.1:1"], 4)]
-fn what_cannot_be_asked_is_an_error(#[case] args: &[&str], #[case] code: i32) {
+fn missing_invalid_or_unreachable_address_is_an_error(#[case] args: &[&str], #[case] code: i32) {
     assert_eq!(run(args).0, code);
 }
--- a/laburnumcart_ctl/tests/program.rs
+++ b/laburnumcart_ctl/tests/program.rs
@@ -1,4 +1,4 @@
-//! The program as operators run it, with files.
+//! The `laburnumctl` program, run with files in a temporary directory.
 
 use std::{
     fs,
@@ -18,21 +18,21 @@
 
 const ARAYA: &str = include_str!("../../examples/araya/bundle.json");
 
-/// A folder that is removed when dropped.
-struct Folder(path::PathBuf);
+/// A temporary directory, removed when dropped.
+struct TempDir(path::PathBuf);
 
-impl Drop for Folder {
+impl Drop for TempDir {
     fn drop(&mut self) {
         let _ = fs::remove_dir_all(&self.0);
     }
 }
 
-impl Folder {
+impl TempDir {
     fn write(&self, file: &str, text: impl AsRef<[u8]>) {
         fs::write(self.0.join(file), text).expect("written");
     }
 
-    /// Runs the program and returns its exit code and what it wrote to either output.
+    /// Runs the program and returns its exit code, standard output and standard error.
     fn run(&self, args: &[&str]) -> (i32, String, String) {
         let program = env!("CARGO_BIN_EXE_laburnumctl");
         let mut command = process::Command::new(program);
@@ -46,16 +46,17 @@
         (code, text(output.stdout), text(output.stderr))
     }
 
+    /// Generates a key file and returns the public key.
     fn keygen(&self, name: &str) -> String {
         let file = format!("{name}.key");
         let (code, out, err) = self.run(&["keygen", "--name", name, "--out", &file, "--json"]);
         assert_eq!(code, 0, "{err}");
-        let made: Value = serde_json::from_str(&out).expect("JSON");
-        made["public"].as_str().expect("a key").into()
+        let generated: Value = serde_json::from_str(&out).expect("JSON");
+        generated["public"].as_str().expect("a key").into()
     }
 
-    /// Writes settings that trust the keys of ana and eva; nothing answers at the addresses.
-    fn settings(&self, signers: u32) {
+    /// Writes settings that trust new keys of ana and eva; nothing listens at their addresses.
+    fn write_settings(&self, signers: u32) {
         let keys = json!({"ana": self.keygen("ana"), "eva": self.keygen("eva")});
         let settings = json!({
             "fleet": {"secrets": ["0123456789abcdef"], "keys": keys, "signers": signers},
@@ -66,20 +67,20 @@
 }
 
 #[fixture]
-fn folder() -> Folder {
+fn dir() -> TempDir {
     let path = std::env::temp_dir().join(format!("laburnumctl-{:032x}", rand::random::<u128>()));
-    fs::create_dir_all(&path).expect("a folder");
-    let folder = Folder(path);
-    folder.write("bundle.json", ARAYA);
-    folder
+    fs::create_dir_all(&path).expect("a directory");
+    let dir = TempDir(path);
+    dir.write("bundle.json", ARAYA);
+    dir
 }
 
 #[rstest]
-fn a_bundle_is_signed_by_two_and_verified(folder: Folder) {
-    folder.settings(2);
-    let sign = |file, key, out| folder.run(&["sign", file, "--key", key, "--out", out]).0;
+fn bundle_is_verified_with_the_required_number_of_signers(dir: TempDir) {
+    dir.write_settings(2);
+    let sign = |file, key, out| dir.run(&["sign", file, "--key", key, "--out", out]).0;
     assert_eq!(sign("bundle.json", "ana.key", "one"), 0);
-    let (code, _, err) = folder.run(&["verify", "one"]);
+    let (code, _, err) = dir.run(&["verify", "one"]);
     assert_eq!(code, 5, "{err}");
     assert!(
         err.contains("signed by 1 trusted signers, 2 required"),
@@ -87,32 +88,32 @@
     );
 
     assert_eq!(sign("one", "eva.key", "two"), 0);
-    let (code, out, err) = folder.run(&["verify", "two", "--json"]);
+    let (code, out, err) = dir.run(&["verify", "two", "--json"]);
     assert_eq!(code, 0, "{err}");
     let verified: Value = serde_json::from_str(&out).expect("JSON");
     assert_eq!(verified["signers"], json!(["ana", "eva"]));
 }
 
 #[rstest]
-fn a_changed_file_is_refused(folder: Folder) {
-    folder.settings(1);
-    folder.run(&["sign", "bundle.json", "--key", "ana.key", "--out", "signed"]);
-    let text = fs::read_to_string(folder.0.join("signed")).expect("signed");
-    folder.write("signed", text.replace("rural", "urban"));
-    assert_eq!(folder.run(&["verify", "signed"]).0, 5);
-    assert_eq!(folder.run(&["accept", "signed"]).0, 5);
+fn altered_bundle_is_rejected(dir: TempDir) {
+    dir.write_settings(1);
+    dir.run(&["sign", "bundle.json", "--key", "ana.key", "--out", "signed"]);
+    let text = fs::read_to_string(dir.0.join("signed")).expect("signed");
+    dir.write("signed", text.replace("rural", "urban"));
+    assert_eq!(dir.run(&["verify", "signed"]).0, 5);
+    assert_eq!(dir.run(&["accept", "signed"]).0, 5);
 }
 
 #[rstest]
 #[case::check(&["check", "bad.json"])]
 #[case::sign(&["sign", "bad.json", "--key", "ana.key", "--out", "signed"])]
-fn faults_are_listed_and_nothing_is_written(folder: Folder, #[case] args: &[&str]) {
-    folder.settings(1);
+fn all_faults_of_a_bundle_are_reported_and_no_file_is_written(dir: TempDir, #[case] args: &[&str]) {
+    dir.write_settings(1);
     let bad = ARAYA
         .replace("\"weight\": 40", "\"weight\": 0")
         .replace("24h", "1s");
-    folder.write("bad.json", bad);
-    let (code, out, err) = folder.run(args);
+    dir.write("bad.json", bad);
+    let (code, out, err) = dir.run(args);
     assert_eq!((code, out.as_str()), (2, ""));
     assert!(
         err.contains(r#"$.teams["city-defenders"].weight: must be at least 1"#),
@@ -122,16 +123,16 @@
         err.contains("$.claims.retention: must be from 1m to 168h"),
         "{err}"
     );
-    assert!(!folder.0.join("signed").exists());
+    assert!(!dir.0.join("signed").exists());
 }
 
 #[rstest]
-fn faults_of_the_settings_are_listed(folder: Folder) {
-    folder.write(
+fn all_faults_of_the_settings_are_reported(dir: TempDir) {
+    dir.write(
         "laburnumctl.json",
         r#"{"flet": {}, "platform": {"adress": "x"}}"#,
     );
-    let (code, _, err) = folder.run(&["verify", "bundle.json"]);
+    let (code, _, err) = dir.run(&["verify", "bundle.json"]);
     assert_eq!(code, 2);
     for fault in [
         "$.fleet: missing",
@@ -147,10 +148,10 @@
 #[case::accept(&["accept", "signed", "--limit", "300ms"])]
 #[case::rollback(&["rollback", "1", "--limit", "300ms"])]
 #[case::status(&["status"])]
-fn an_unreachable_service_is_told_from_bad_input(folder: Folder, #[case] args: &[&str]) {
-    folder.settings(1);
-    folder.run(&["sign", "bundle.json", "--key", "ana.key", "--out", "signed"]);
-    let (code, _, err) = folder.run(&[args, &["--json"]].concat());
+fn unreachable_service_has_its_own_exit_code(dir: TempDir, #[case] args: &[&str]) {
+    dir.write_settings(1);
+    dir.run(&["sign", "bundle.json", "--key", "ana.key", "--out", "signed"]);
+    let (code, _, err) = dir.run(&[args, &["--json"]].concat());
     assert_eq!(code, 4, "{err}");
     let error: Value = serde_json::from_str(&err).expect("JSON");
     assert_eq!(error["code"], 4);
@@ -166,34 +167,33 @@
 #[case::number(&["rollback", "one"])]
 #[case::no_file(&["check", "absent.json"])]
 #[case::no_key(&["sign", "bundle.json", "--key", "bundle.json", "--out", "x"])]
-fn a_wrong_command_line_is_bad_input(folder: Folder, #[case] args: &[&str]) {
-    folder.settings(1);
-    let (code, out, err) = folder.run(args);
+fn invalid_command_line_is_bad_input(dir: TempDir, #[case] args: &[&str]) {
+    dir.write_settings(1);
+    let (code, out, err) = dir.run(args);
     assert_eq!((code, out.as_str()), (2, ""));
     assert!(err.contains("next: "), "{err}");
 }
 
-/// A new operator has no settings yet, forgets an option, or takes the name of a key that is there.
-/// The advice names what is missing in each case.
+/// The settings, an option or a file are missing, or a key file exists: the advice names the cause.
 #[rstest]
 #[case::settings(&["status"], "--settings FILE")]
 #[case::option(&["sign", "bundle.json"], "sign FILE --key FILE --out FILE")]
 #[case::key(&["keygen", "--name", "a", "--out", "bundle.json"], "choose another name")]
 #[case::file(&["check", "absent.json"], "check the name")]
-fn advice_fits_the_error(folder: Folder, #[case] args: &[&str], #[case] advice: &str) {
-    let (code, _, err) = folder.run(args);
+fn advice_matches_the_error(dir: TempDir, #[case] args: &[&str], #[case] advice: &str) {
+    let (code, _, err) = dir.run(args);
     assert_eq!(code, 2, "{err}");
     assert!(err.contains(advice), "{err}");
 }
 
 #[rstest]
-fn a_key_is_not_overwritten_and_not_shown(folder: Folder) {
-    folder.keygen("ana");
-    let before = fs::read_to_string(folder.0.join("ana.key")).expect("a key");
-    let (code, out, err) = folder.run(&["keygen", "--name", "ana", "--out", "ana.key"]);
+fn key_file_is_neither_overwritten_nor_printed(dir: TempDir) {
+    dir.keygen("ana");
+    let before = fs::read_to_string(dir.0.join("ana.key")).expect("a key");
+    let (code, out, err) = dir.run(&["keygen", "--name", "ana", "--out", "ana.key"]);
     assert_eq!(code, 2);
     assert_eq!(
-        fs::read_to_string(folder.0.join("ana.key")).expect("a key"),
+        fs::read_to_string(dir.0.join("ana.key")).expect("a key"),
         before
     );
     let key: Value = serde_json::from_str(&before).expect("JSON");
@@ -202,8 +202,8 @@
 }
 
 #[rstest]
-fn a_token_is_issued_with_its_digest(folder: Folder) {
-    let (_, out, _) = folder.run(&["teams", "issue", "--json"]);
+fn digest_command_matches_issued_token(dir: TempDir) {
+    let (_, out, _) = dir.run(&["teams", "issue", "--json"]);
     let issued: Value = serde_json::from_str(&out).expect("JSON");
     let mut child = process::Command::new(env!("CARGO_BIN_EXE_laburnumctl"))
         .args(["teams", "digest"])
@@ -221,16 +221,16 @@
 }
 
 #[rstest]
-fn help_and_version_are_printed(folder: Folder) {
-    let (code, out, _) = folder.run(&["--help"]);
+fn help_and_version_are_printed(dir: TempDir) {
+    let (code, out, _) = dir.run(&["--help"]);
     assert_eq!(code, 0);
     for name in [
         "keygen", "check", "sign", "verify", "accept", "rollback", "status", "drain",
     ] {
         assert!(out.contains(name), "{out}");
     }
-    let (code, out, _) = folder.run(&["accept", "--help"]);
+    let (code, out, _) = dir.run(&["accept", "--help"]);
     assert_eq!(code, 0);
     assert!(out.contains("--settings"), "{out}");
-    assert_eq!(folder.run(&["--version"]).0, 0);
+    assert_eq!(dir.run(&["--version"]).0, 0);
 }
--- a/laburnumcart_ctl/tests/publish.rs
+++ b/laburnumcart_ctl/tests/publish.rs
@@ -1,4 +1,4 @@
-//! Operators who change the head through an object service that loses calls and answers.
+//! Publication of head changes to an object service that loses calls and responses.
 
 use rstest::rstest;
 use tokio::task;
@@ -36,14 +36,13 @@
     publish::publish(store, change, LIMIT).await
 }
 
-async fn stored(store: &memory::Memory) -> head::Head {
+async fn stored_head(store: &memory::Memory) -> head::Head {
     let object = store.get(head::KEY).await.expect("read").expect("a head");
     head::Head::parse(&object.value).expect("a head")
 }
 
-/// Many operators accept at the same moment, while the service loses some of their calls and answers.
-/// Each is told the truth: the generations reported as accepted are exactly those in the head's
-/// history, each by one operator, and each loser is told the winner of the generation it wanted.
+/// Concurrent changes over a service that loses calls and responses: exactly the changes in the
+/// history of the head are reported as accepted, and each other one reports the winner.
 #[rstest]
 #[tokio::test(start_paused = true)]
 async fn every_racing_operator_is_told_the_truth(#[values(0, 1, 3)] losses: u32) {
@@ -71,21 +70,21 @@
             Err(error) => panic!("{error}"),
         }
     }
-    let head = stored(&store).await;
+    let head = stored_head(&store).await;
     let mut history: Vec<_> = head.history().copied().collect();
     history.reverse();
     won.sort_by_key(|accepted| accepted.generation);
     assert_eq!(
         won,
         history[1..],
-        "reported as accepted and accepted differ"
+        "changes reported as accepted differ from the history"
     );
     assert_eq!(won.len() + lost.len(), 12);
     assert!(lost.iter().all(|winner| history.contains(winner)));
 }
 
-/// The answer to each of the next writes is lost after they took effect. The operator finds its object
-/// and its nonce, and reports success; nothing is accepted twice.
+/// Two writes take effect but their responses are lost: the existing object and the nonce in the head
+/// prove the success, and nothing is accepted twice.
 #[tokio::test(start_paused = true)]
 async fn lost_answers_do_not_accept_twice() {
     let store = memory::Memory::new();
@@ -95,24 +94,24 @@
     });
     let head = accept(&store, "a").await.expect("accepted");
     assert_eq!(head.accepted.generation, id::Generation(1));
-    assert_eq!(stored(&store).await, head);
+    assert_eq!(stored_head(&store).await, head);
 }
 
 #[tokio::test(start_paused = true)]
-async fn lost_calls_are_repeated() {
+async fn lost_calls_are_retried() {
     let store = memory::Memory::new();
     store.set_faults(memory::Faults {
         lose_calls: 2,
         ..Default::default()
     });
     let head = accept(&store, "a").await.expect("accepted");
-    assert_eq!(stored(&store).await, head);
+    assert_eq!(stored_head(&store).await, head);
 }
 
-/// Bundle 2 turns out to be bad. The operator goes back to bundle 1, which becomes generation 3, so
-/// that every process goes on to it; and then forward again.
+/// Restoring the bundle of generation 1 makes it generation 3, so that every process switches to it;
+/// generation 2 can then be restored in the same way.
 #[tokio::test(start_paused = true)]
-async fn rolling_back_rolls_forward() {
+async fn rollback_creates_a_new_generation() {
     let store = memory::Memory::new();
     let first = accept(&store, "good").await.expect("accepted");
     let second = accept(&store, "bad").await.expect("accepted");
@@ -124,9 +123,9 @@
     assert_eq!(fourth.accepted.digest, second.accepted.digest);
 }
 
-/// The service refuses the envelope for good: the operator is told at once, not after the whole time.
+/// The service rejects the envelope as invalid: the error is returned without retries.
 #[tokio::test(start_paused = true)]
-async fn a_refused_object_is_reported_as_refused() {
+async fn rejected_object_is_reported_as_refused() {
     let store = memory::Memory::new();
     let change = head::Change::Accept("not JSON".into());
     let change = head::Publish::new(change, id::Nonce::random());
@@ -134,9 +133,9 @@
     assert_eq!(error.expect_err("refused").exit_code(), 5);
 }
 
-/// The service is down all the time: the operator is told that nothing was changed.
+/// The service is down all the time: the error states that nothing was changed.
 #[tokio::test(start_paused = true)]
-async fn an_outage_is_reported_as_one() {
+async fn outage_is_reported_as_unavailable() {
     let store = memory::Memory::new();
     store.set_faults(memory::Faults {
         down: true,
@@ -147,11 +146,11 @@
     assert!(matches!(error, error::Error::Unavailable), "{error}");
 }
 
-/// The service goes down right after it took the head's write, whose answer is lost: the operator is
-/// not told that nothing was changed, as the bundle may be in force.
+/// The service goes down after it applied the write of the head, whose response is lost: the error
+/// must not state that nothing was changed, as the bundle may be in force.
 #[tokio::test(start_paused = true)]
 async fn an_outage_after_a_lost_answer_leaves_doubt() {
-    let store = Failing(memory::Memory::new());
+    let store = FailingStore(memory::Memory::new());
     let change = head::Change::Accept("{}".into());
     let change = head::Publish::new(change, id::Nonce::random());
     let error = publish::publish(&store, change, LIMIT).await;
@@ -159,10 +158,10 @@
     assert!(matches!(error, error::Error::InDoubt), "{error}");
 }
 
-/// A service that goes down with the first write of the head.
-struct Failing(memory::Memory);
+/// An object service that goes down after the first write of the head.
+struct FailingStore(memory::Memory);
 
-impl Store for Failing {
+impl Store for FailingStore {
     async fn get(&self, key: &str) -> Result<Option<store::Object>, store::Failure> {
         self.0.get(key).await
     }
--- a/laburnumcart_ctl/tests/settings.rs
+++ b/laburnumcart_ctl/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings and the head as hostile or damaged text.
+//! Parsers of the settings, the head and envelopes, on corrupted or arbitrary text.
 
 use proptest::prelude::*;
 
@@ -13,8 +13,8 @@
     {"ana": "11qYAYKxCrfVS/7TyWQHOg7hcvPapiMlrwIaaPcHURo="}, "peers": ["127.0.0.1:7000"]},
     "platform": {"address": "127.0.0.1:7001"}}"#;
 
-/// A text in which some bytes are replaced.
-fn damaged() -> impl Strategy<Value = String> {
+/// Generates the valid settings with some bytes replaced.
+fn corrupted() -> impl Strategy<Value = String> {
     let bytes = prop::collection::vec((0..VALID.len(), any::<u8>()), 1..4);
     bytes.prop_map(|bytes| {
         let mut text = VALID.as_bytes().to_vec();
@@ -26,13 +26,13 @@
 }
 
 #[test]
-fn the_sample_is_valid() {
+fn sample_is_valid() {
     document::parse::<settings::Settings>(VALID).expect("no faults");
 }
 
 proptest! {
     #[test]
-    fn damaged_settings_are_read_or_have_faults(text in damaged()) {
+    fn corrupted_settings_are_parsed_or_have_faults(text in corrupted()) {
         if let Err(faults) = document::parse::<settings::Settings>(&text) {
             prop_assert!(!faults.is_empty());
             prop_assert!(!faults.to_string().contains("0123456789abcdef"));
@@ -40,7 +40,7 @@
     }
 
     #[test]
-    fn no_text_makes_the_head_or_an_envelope_panic(text in r#"[\[\]{}",:a-z0-9]{0,120}"#) {
+    fn parsers_do_not_panic_on_arbitrary_text(text in r#"[\[\]{}",:a-z0-9]{0,120}"#) {
         let _ = head::Head::parse(&text);
         let _ = signing::Envelope::parse(&text);
     }
