--- a/laburnumcart_ctl/src/command/gateways.rs
+++ b/laburnumcart_ctl/src/command/gateways.rs
@@ -107,7 +107,7 @@
         all
     }
 
-    /// Writes the items of the gateways' lists, with the reporters of those that some gateways lack.
+    /// Writes the items of the gateways' lists, each with its reporters unless all report it.
     fn write_merged<T: Ord + fmt::Display>(
         &self,
         f: &mut fmt::Formatter<'_>,
--- a/laburnumcart_ctl/src/error.rs
+++ b/laburnumcart_ctl/src/error.rs
@@ -106,8 +106,8 @@
                 "see `laburnumctl status`; accept again only if your bundle is still needed"
             }
             Self::Publish(_) => {
-                "check what the other operator accepted (`laburnumctl status`), then accept again if \
-                 your bundle is still needed"
+                "check what the other operator accepted (`laburnumctl status`), then accept again \
+                 if your bundle is still needed"
             }
             Self::Invalid => {
                 "check that `platform.address` in the settings is that of the object service"
@@ -118,8 +118,8 @@
             }
             Self::Unreachable(_) => "check the address, and `fleet.peers` in the settings",
             Self::Rejected { .. } => {
-                "sign it with `laburnumctl sign` and keys that the settings trust, by as many signers \
-                 as `fleet.signers` requires"
+                "sign it with `laburnumctl sign` and keys that the settings trust, by as many \
+                 signers as `fleet.signers` requires"
             }
             Self::Refused(_) => "check `fleet.secrets` in the settings",
             Self::Random(_) => "try again",
--- a/laburnumcart_ctl/tests/publish.rs
+++ b/laburnumcart_ctl/tests/publish.rs
@@ -83,8 +83,8 @@
     assert!(lost.iter().all(|winner| history.contains(winner)));
 }
 
-/// Two writes take effect but their responses are lost: the existing object and the nonce in the head
-/// prove the success, and nothing is accepted twice.
+/// Two writes take effect but their responses are lost: the existing object and the nonce in the
+/// head prove the success, and nothing is accepted twice.
 #[tokio::test(start_paused = true)]
 async fn lost_answers_do_not_accept_twice() {
     let store = memory::Memory::new();
@@ -108,8 +108,8 @@
     assert_eq!(stored_head(&store).await, head);
 }
 
-/// Restoring the bundle of generation 1 makes it generation 3, so that every process switches to it;
-/// generation 2 can then be restored in the same way.
+/// Restoring the bundle of generation 1 makes it generation 3, so that every process switches to
+/// it; generation 2 can then be restored in the same way.
 #[tokio::test(start_paused = true)]
 async fn rollback_creates_a_new_generation() {
     let store = memory::Memory::new();
