--- a/laburnumcart_agent/src/agent.rs
+++ b/laburnumcart_agent/src/agent.rs
@@ -108,7 +108,7 @@
         self.shared.work().clear(verdict::Reason::Leaving, now);
         let stopped = draining.wait(self.shared.settings.stop_limit).await;
         self.peers.stop();
-        stopped.left
+        stopped.unfinished
     }
 
     /// Reports whether the control thread has ended.
--- a/laburnumcart_agent/src/control.rs
+++ b/laburnumcart_agent/src/control.rs
@@ -88,7 +88,7 @@
     options: Option<bundle::Options>,
 ) {
     if let (Some(secret), Some(options)) = (secret, options) {
-        let peers = bundle::Rpc::new(secret);
+        let peers = bundle::RpcPeers::new(secret);
         bundle::run(shared.feed.clone(), store, peers, options).await;
     }
 }
--- a/laburnumcart_agent/src/execute.rs
+++ b/laburnumcart_agent/src/execute.rs
@@ -49,7 +49,7 @@
         pipeline = %call.pipeline,
         stage = %call.stage,
     );
-    traces::join(&span, came.as_ref());
+    traces::set_parent(&span, came.as_ref());
     let begun = time::Instant::now();
     let outcome = attempt(&shared, &job, came).instrument(span).await;
     let now = time::Instant::now();
@@ -104,7 +104,7 @@
     let span = tracing::info_span!("target", otel.kind = "client", target = target);
     let hop = run::Hop {
         remaining: unit::Period(job.deadline - time::Instant::now()),
-        parent: traces::parent(&span, came.as_ref()),
+        parent: traces::outgoing_parent(&span, came.as_ref()),
     };
     let mut sink = Sink {
         shared,
--- a/laburnumcart_agent/src/service.rs
+++ b/laburnumcart_agent/src/service.rs
@@ -218,7 +218,7 @@
     }
 
     async fn bundle(&self, least: id::Generation) -> RpcResult<Option<agent::SignedBundle>> {
-        Ok(self.shared.feed.show(least))
+        Ok(self.shared.feed.signed_bundle(least))
     }
 
     async fn drain(&self) -> RpcResult<agent::Report> {
--- a/laburnumcart_daemon/examples/in_force.rs
+++ b/laburnumcart_daemon/examples/in_force.rs
@@ -229,8 +229,8 @@
         .collect();
     loop {
         for link in &links {
-            feeds[*link].hear(feeds[number].generation(), addr(number));
-            feeds[number].hear(feeds[*link].generation(), addr(*link));
+            feeds[*link].record_peer_generation(feeds[number].generation(), addr(number));
+            feeds[number].record_peer_generation(feeds[*link].generation(), addr(*link));
         }
         tokio::time::sleep(BEAT).await;
     }
@@ -251,7 +251,7 @@
     ) -> Result<Option<agent::SignedBundle>, bundle::PeerError> {
         tokio::time::sleep(CALL.0).await;
         let feed = self.0.get(usize::from(peer.port()));
-        Ok(feed.and_then(|feed| feed.show(least)))
+        Ok(feed.and_then(|feed| feed.signed_bundle(least)))
     }
 }
 
--- a/laburnumcart_daemon/src/bundle.rs
+++ b/laburnumcart_daemon/src/bundle.rs
@@ -15,7 +15,7 @@
 pub use peers::{
     PeerError,
     Peers,
-    Rpc, //
+    RpcPeers, //
 };
 pub use run::run;
 
--- a/laburnumcart_daemon/src/bundle/feed.rs
+++ b/laburnumcart_daemon/src/bundle/feed.rs
@@ -96,12 +96,12 @@
     }
 
     /// Returns how often a failure was counted.
-    pub fn failures(&self, reason: counters::Failure) -> u64 {
+    pub fn failure_count(&self, reason: counters::Failure) -> u64 {
         self.0.counters.failures(reason)
     }
 
     /// Takes note that a peer has shown a generation.
-    pub fn hear(&self, generation: id::Generation, peer: net::SocketAddr) {
+    pub fn record_peer_generation(&self, generation: id::Generation, peer: net::SocketAddr) {
         let mut state = self.lock();
         if generation <= state.view.generation() {
             return;
@@ -121,7 +121,7 @@
     }
 
     /// Returns what a peer is shown that asks for at least this generation.
-    pub fn show(&self, least: id::Generation) -> Option<agent::SignedBundle> {
+    pub fn signed_bundle(&self, least: id::Generation) -> Option<agent::SignedBundle> {
         let snapshot = self.0.current.load();
         let snapshot = snapshot.as_ref()?;
         (snapshot.generation >= least).then(|| snapshot.shown.clone())
--- a/laburnumcart_daemon/src/bundle/peers.rs
+++ b/laburnumcart_daemon/src/bundle/peers.rs
@@ -46,12 +46,12 @@
 
 /// Asks by a connection of its own, as it is rarely done.
 #[derive(Clone, Debug)]
-pub struct Rpc {
+pub struct RpcPeers {
     secret: secret::Secret,
     limits: peer::Limits,
 }
 
-impl Rpc {
+impl RpcPeers {
     /// Creates a client that shows this secret.
     pub fn new(secret: secret::Secret) -> Self {
         Self {
@@ -61,7 +61,7 @@
     }
 }
 
-impl Peers for Rpc {
+impl Peers for RpcPeers {
     async fn fetch(
         &self,
         addr: net::SocketAddr,
--- a/laburnumcart_daemon/src/logs.rs
+++ b/laburnumcart_daemon/src/logs.rs
@@ -31,16 +31,16 @@
 pub enum Output {
     /// Standard error, written at once.
     #[default]
-    Error,
+    Stderr,
     /// Standard output, in bounded numbers and without ever blocking; for lines on each request.
-    Bounded,
+    BoundedStdout,
 }
 
 /// Starts the process's log; a second call changes nothing.
 pub fn start(level: Level, output: Output) {
     let logger = match output {
-        Output::Error => logger(level, io::stderr()),
-        Output::Bounded => match bounded::Bounded::start(io::stdout()) {
+        Output::Stderr => logger(level, io::stderr()),
+        Output::BoundedStdout => match bounded::Writer::start(io::stdout()) {
             Ok(out) => logger(level, out),
             Err(_) => logger(level, io::stderr()),
         },
--- a/laburnumcart_daemon/src/logs/bounded.rs
+++ b/laburnumcart_daemon/src/logs/bounded.rs
@@ -33,13 +33,13 @@
 /// Whoever reads the output may stop to read. A request that waited for its log line would be late
 /// or lost with it, so lines are dropped instead, and their number is told.
 #[derive(Debug)]
-pub struct Bounded {
+pub struct Writer {
     line: Vec<u8>,
     sender: mpsc::SyncSender<Vec<u8>>,
     counts: Arc<Counts>,
 }
 
-impl Bounded {
+impl Writer {
     /// Starts a writer to `out` on a thread of its own.
     pub fn start(out: impl io::Write + Send + 'static) -> io::Result<Self> {
         let (sender, receiver) = mpsc::sync_channel(LINES);
@@ -71,7 +71,7 @@
     }
 }
 
-impl io::Write for Bounded {
+impl io::Write for Writer {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
         for byte in bytes {
             if self.line.len() < LINE_MAX || *byte == b'\n' {
--- a/laburnumcart_daemon/src/metrics.rs
+++ b/laburnumcart_daemon/src/metrics.rs
@@ -93,18 +93,18 @@
 }
 
 /// Types with few values, fit for a label.
-pub trait Closed: fmt::Display {}
+pub trait ClosedSet: fmt::Display {}
 
-impl Closed for verdict::Verdict {}
-impl Closed for verdict::Reason {}
-impl Closed for bundle::Priority {}
-impl Closed for bool {}
+impl ClosedSet for verdict::Verdict {}
+impl ClosedSet for verdict::Reason {}
+impl ClosedSet for bundle::Priority {}
+impl ClosedSet for bool {}
 
 /// Value of a label, from a closed set.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub struct Label<T>(pub T);
 
-impl<T: Closed> encoding::EncodeLabelValue for Label<T> {
+impl<T: ClosedSet> encoding::EncodeLabelValue for Label<T> {
     fn encode(&self, encoder: &mut encoding::LabelValueEncoder<'_>) -> Result<(), fmt::Error> {
         fmt::Write::write_fmt(encoder, format_args!("{}", self.0))
     }
--- a/laburnumcart_daemon/src/stop.rs
+++ b/laburnumcart_daemon/src/stop.rs
@@ -70,7 +70,7 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Stopped {
     /// Work that was still in flight when the bound passed; 0 for a graceful shutdown.
-    pub left: usize,
+    pub unfinished: usize,
 }
 
 /// Where work enters; shared by all threads.
@@ -129,7 +129,7 @@
     }
 
     /// Returns how many pieces of work are in flight.
-    pub fn count(&self) -> usize {
+    pub fn in_flight(&self) -> usize {
         self.shared.count()
     }
 }
@@ -151,7 +151,7 @@
 
 impl Draining {
     /// Returns how many pieces of work are in flight.
-    pub fn count(&self) -> usize {
+    pub fn in_flight(&self) -> usize {
         self.shared.count()
     }
 
@@ -159,7 +159,9 @@
     pub async fn wait(self, limit: unit::Period) -> Stopped {
         // A timeout is not an error here: `left` tells of it.
         let _ = time::timeout(limit.0, self.empty()).await;
-        Stopped { left: self.count() }
+        Stopped {
+            unfinished: self.in_flight(),
+        }
     }
 
     async fn empty(&self) {
@@ -169,7 +171,7 @@
             // Registered before the count is read, or the last piece of work could end in between
             // and its notice would be missed.
             notified.as_mut().enable();
-            if self.count() == 0 {
+            if self.in_flight() == 0 {
                 return;
             }
             notified.await;
--- a/laburnumcart_daemon/src/traces.rs
+++ b/laburnumcart_daemon/src/traces.rs
@@ -1,8 +1,8 @@
 //! Traces: a span for each hop, sent to a collector by OTLP over HTTP when one is configured.
 //!
 //! Without a collector no subscriber is installed: a span is then one relaxed load of a flag, and
-//! the caller's `traceparent` is passed on as it came. A span's trace is set by [`join`] and named to
-//! the next hop by [`parent`]:
+//! the caller's `traceparent` is passed on as it came. A span's parent is set by [`set_parent`] and named to
+//! the next hop by [`outgoing_parent`]:
 //!
 //! ```
 //! use laburnumcart_daemon::traces;
@@ -10,8 +10,8 @@
 //! let came: Option<traces::Traceparent> =
 //!     "00-0af7651916cd43dd8448eb211c80319c-b7ad6b7169203331-01".parse().ok();
 //! let span = tracing::info_span!("stage", stage = "encode");
-//! traces::join(&span, came.as_ref());
-//! let goes = traces::parent(&span, came.as_ref());
+//! traces::set_parent(&span, came.as_ref());
+//! let goes = traces::outgoing_parent(&span, came.as_ref());
 //! assert_eq!(goes, came);
 //! ```
 
@@ -101,7 +101,7 @@
 }
 
 /// Makes `span` a child of what the sender named.
-pub fn join(span: &tracing::Span, came: Option<&Traceparent>) {
+pub fn set_parent(span: &tracing::Span, came: Option<&Traceparent>) {
     let Some(came) = came else {
         return;
     };
@@ -120,7 +120,7 @@
 }
 
 /// Returns what to name to the next hop: `span`, or what came in while traces are off.
-pub fn parent(span: &tracing::Span, came: Option<&Traceparent>) -> Option<Traceparent> {
+pub fn outgoing_parent(span: &tracing::Span, came: Option<&Traceparent>) -> Option<Traceparent> {
     if span.is_disabled() {
         return came.cloned();
     }
--- a/laburnumcart_daemon/tests/bounded.rs
+++ b/laburnumcart_daemon/tests/bounded.rs
@@ -47,7 +47,7 @@
         passed: false,
         text: text.clone(),
     };
-    let mut log = bounded::Bounded::start(out).unwrap();
+    let mut log = bounded::Writer::start(out).unwrap();
     for n in 0..50_000 {
         writeln!(log, "level=info event=routine n={n}").unwrap();
     }
@@ -73,7 +73,7 @@
         passed: false,
         text: text.clone(),
     };
-    let mut log = bounded::Bounded::start(out).unwrap();
+    let mut log = bounded::Writer::start(out).unwrap();
     writeln!(log, "{}", "x".repeat(100_000)).unwrap();
     let end = time::Instant::now() + time::Duration::from_secs(20);
     while !text.lock().unwrap().ends_with(b"\n") {
--- a/laburnumcart_daemon/tests/bundle.rs
+++ b/laburnumcart_daemon/tests/bundle.rs
@@ -148,7 +148,7 @@
     /// Waits until a failure was counted and met again.
     async fn counted(&self, reason: bundle::Failure) {
         let counted = async {
-            while self.feed.failures(reason) < 3 {
+            while self.feed.failure_count(reason) < 3 {
                 tokio::time::sleep(time::Duration::from_millis(100)).await;
             }
         };
@@ -204,7 +204,7 @@
         let feed = feed.ok_or_else(|| bundle::PeerError {
             cause: "no such process".into(),
         })?;
-        Ok(feed.show(least))
+        Ok(feed.signed_bundle(least))
     }
 }
 
@@ -255,9 +255,7 @@
     envelope.to_text()
 }
 
-/// Someone moves the head, past the operators' tool, to a bundle that no process may take: unsigned,
-/// signed with a key that is not trusted, or invalid. The one in force stays, the failure is counted,
-/// and the next good one comes into force.
+/// The head is moved, without the operator's tool, to an unsigned, untrusted or invalid bundle.
 #[rstest]
 #[case::unsigned(|_: &Fleet| signing::Envelope::new(titled("x")).to_text(), bundle::Failure::Signature)]
 #[case::unknown_key(foreign, bundle::Failure::Signature)]
@@ -297,8 +295,7 @@
     assert!(process.feed.current().is_none());
 }
 
-/// Reads and watches of the object service lag by seconds, and the head's history is cut, so that the
-/// process lists again and sees heads that it has passed already. Its generation never goes down.
+/// Stale reads and a compacted history make the process list again and see older heads.
 #[tokio::test(start_paused = true)]
 async fn stale_reads_take_nobody_back() {
     let mut fleet = Fleet::new();
@@ -356,7 +353,10 @@
     fleet.accept_title("old").await;
     let source = fleet.start(1, &[]);
     source.until(id::Generation(1)).await;
-    let old = source.feed.show(id::Generation(1)).expect("in force");
+    let old = source
+        .feed
+        .signed_bundle(id::Generation(1))
+        .expect("in force");
     let new = fleet.accept_title("new").await;
 
     let feed = bundle::Feed::new(&metrics::Metrics::new());
@@ -369,7 +369,9 @@
     process.until(new).await;
     fleet.set_down(true);
     for number in 0..10 {
-        process.feed.hear(id::Generation(9), addr(number));
+        process
+            .feed
+            .record_peer_generation(id::Generation(9), addr(number));
         tokio::time::sleep(time::Duration::from_secs(1)).await;
         assert_eq!(process.feed.generation(), new);
         assert_eq!(process.title(), "new");
@@ -434,7 +436,7 @@
     // Each process hears of the generation from the one before it, as messages carry it.
     let mut source = addr(20);
     for (number, process) in others.iter().enumerate() {
-        process.feed.hear(second, source);
+        process.feed.record_peer_generation(second, source);
         process.until(second).await;
         assert_eq!(process.title(), "second");
         source = addr(number as u16);
@@ -490,9 +492,9 @@
 async fn a_feed_shows_only_what_is_new_enough() {
     let mut fleet = Fleet::new();
     let process = fleet.start(1, &[]);
-    assert!(process.feed.show(id::Generation(0)).is_none());
+    assert!(process.feed.signed_bundle(id::Generation(0)).is_none());
     let generation = fleet.accept_title("x").await;
     process.until(generation).await;
-    assert!(process.feed.show(generation).is_some());
-    assert!(process.feed.show(generation.next()).is_none());
+    assert!(process.feed.signed_bundle(generation).is_some());
+    assert!(process.feed.signed_bundle(generation.next()).is_none());
 }
--- a/laburnumcart_daemon/tests/peers.rs
+++ b/laburnumcart_daemon/tests/peers.rs
@@ -66,7 +66,7 @@
 #[tokio::test]
 async fn an_envelope_arrives_as_it_was_stored(#[case] method: &'static str) {
     let server = serve(method);
-    let peers = bundle::Rpc::new(secret(SECRET));
+    let peers = bundle::RpcPeers::new(secret(SECRET));
     let answer = peers.fetch(server.addr(), id::Generation(1)).await;
     let answer = answer.expect("an answer").expect("a bundle");
     assert_eq!(answer.envelope.get(), envelope());
@@ -83,7 +83,7 @@
 #[tokio::test]
 async fn a_stranger_is_shown_nothing() {
     let server = serve("entry_bundle");
-    let peers = bundle::Rpc::new(secret("fedcba9876543210"));
+    let peers = bundle::RpcPeers::new(secret("fedcba9876543210"));
     let answer = peers.fetch(server.addr(), id::Generation(1)).await;
     assert!(answer.is_err());
 }
@@ -93,6 +93,6 @@
     let listener = net::TcpListener::bind("127.0.0.1:0").expect("a port");
     let addr = listener.local_addr().expect("an address");
     drop(listener);
-    let peers = bundle::Rpc::new(secret(SECRET));
+    let peers = bundle::RpcPeers::new(secret(SECRET));
     assert!(peers.fetch(addr, id::Generation(1)).await.is_err());
 }
--- a/laburnumcart_daemon/tests/stop.rs
+++ b/laburnumcart_daemon/tests/stop.rs
@@ -25,13 +25,13 @@
     let draining = running.drain();
     assert!(gate.enter().is_none());
     assert!(gate.is_closed());
-    assert_eq!(draining.count(), 1);
+    assert_eq!(draining.in_flight(), 1);
     tokio::spawn(async move {
         tokio::time::sleep(time::Duration::from_secs(10)).await;
         drop(work);
     });
     let start = tokio::time::Instant::now();
-    assert_eq!(draining.wait(LIMIT).await, stop::Stopped { left: 0 });
+    assert_eq!(draining.wait(LIMIT).await, stop::Stopped { unfinished: 0 });
     assert_eq!(start.elapsed(), time::Duration::from_secs(10));
 }
 
@@ -41,7 +41,10 @@
     let running = stop::Running::new();
     let _work = running.gate().enter();
     let start = tokio::time::Instant::now();
-    assert_eq!(running.drain().wait(LIMIT).await, stop::Stopped { left: 1 });
+    assert_eq!(
+        running.drain().wait(LIMIT).await,
+        stop::Stopped { unfinished: 1 }
+    );
     assert_eq!(start.elapsed(), LIMIT.0);
 }
 
@@ -49,7 +52,7 @@
 async fn idle_process_stops_at_once() {
     let start = tokio::time::Instant::now();
     let stopped = stop::Running::new().drain().wait(LIMIT).await;
-    assert_eq!(stopped, stop::Stopped { left: 0 });
+    assert_eq!(stopped, stop::Stopped { unfinished: 0 });
     assert_eq!(start.elapsed(), time::Duration::ZERO);
 }
 
@@ -85,7 +88,7 @@
         let stopped = runtime.block_on(draining.wait(LIMIT));
         let finished = done.load(sync::atomic::Ordering::SeqCst);
         let entered: usize = threads.into_iter().map(|t| t.join().unwrap()).sum();
-        assert_eq!(stopped.left, 0);
+        assert_eq!(stopped.unfinished, 0);
         assert_eq!(finished, entered);
     }
 }
--- a/laburnumcart_daemon/tests/traces.rs
+++ b/laburnumcart_daemon/tests/traces.rs
@@ -48,7 +48,10 @@
     let came: traces::Traceparent = CAME.parse().unwrap();
     let off = tracing::info_span!("stage");
     assert!(off.is_disabled());
-    assert_eq!(traces::parent(&off, Some(&came)), Some(came.clone()));
+    assert_eq!(
+        traces::outgoing_parent(&off, Some(&came)),
+        Some(came.clone())
+    );
 
     let listener = net::TcpListener::bind("127.0.0.1:0").unwrap();
     let addr = listener.local_addr().unwrap();
@@ -56,8 +59,10 @@
     let instance = "agent-1".parse().unwrap();
     let running = traces::start("laburnum-sample", &instance, addr).unwrap();
     let span = tracing::info_span!("stage", stage = "encode");
-    traces::join(&span, Some(&came));
-    let goes = traces::parent(&span, Some(&came)).unwrap().to_string();
+    traces::set_parent(&span, Some(&came));
+    let goes = traces::outgoing_parent(&span, Some(&came))
+        .unwrap()
+        .to_string();
     drop(span);
     // The end of the process sends what waits.
     tokio::task::spawn_blocking(move || drop(running))
--- a/laburnumcart_entry/src/control/thread.rs
+++ b/laburnumcart_entry/src/control/thread.rs
@@ -58,7 +58,7 @@
     let (list, instances) = watch::channel(Vec::new());
     tokio::task::spawn_local(listing::follow(start.store.clone(), list));
     let feed = start.entry.gossip.feed().clone();
-    let rpc = bundle::Rpc::new(start.secret);
+    let rpc = bundle::RpcPeers::new(start.secret);
     tokio::task::spawn_local(bundle::run(feed, start.store, rpc, start.options));
     let control = Control {
         members: members::Members::new(
--- a/laburnumcart_entry/src/driver.rs
+++ b/laburnumcart_entry/src/driver.rs
@@ -68,7 +68,7 @@
         team = head.team.as_str(),
         pipeline = head.pipeline.as_str(),
     );
-    traces::join(&span, head.traceparent.as_ref());
+    traces::set_parent(&span, head.traceparent.as_ref());
     let (sender, events) = mpsc::unbounded_channel();
     let mut driver = Driver {
         entry: entry.clone(),
--- a/laburnumcart_entry/src/driver/stage.rs
+++ b/laburnumcart_entry/src/driver/stage.rs
@@ -147,7 +147,7 @@
         span: &tracing::Span,
     ) -> stage::Call {
         let head = &self.request.head;
-        let parent = traces::parent(span, head.traceparent.as_ref());
+        let parent = traces::outgoing_parent(span, head.traceparent.as_ref());
         stage::Call {
             session: ready.session(),
             incarnation: ready.incarnation(),
--- a/laburnumcart_entry/src/gossip.rs
+++ b/laburnumcart_entry/src/gossip.rs
@@ -64,7 +64,7 @@
     /// Takes in the facts of the process whose bundle is shown at `peer`.
     pub fn merge(&self, facts: &facts::Facts, peer: net::SocketAddr) {
         if facts.generation > self.feed.generation() {
-            self.feed.hear(facts.generation, peer);
+            self.feed.record_peer_generation(facts.generation, peer);
         }
         // The own generation is told as the own fact only once its bundle is in force here.
         let others = facts::Facts {
--- a/laburnumcart_entry/src/peers.rs
+++ b/laburnumcart_entry/src/peers.rs
@@ -50,7 +50,7 @@
             incarnation: self.entry.identity.incarnation,
             generation,
             leaving: self.entry.is_leaving(),
-            running: self.entry.gate.count().try_into().unwrap_or(u32::MAX),
+            running: self.entry.gate.in_flight().try_into().unwrap_or(u32::MAX),
             agents: open.try_into().unwrap_or(u32::MAX),
             facts: self.entry.gossip.all(),
         }
@@ -92,6 +92,6 @@
     }
 
     async fn bundle(&self, least: id::Generation) -> RpcResult<Option<agent::SignedBundle>> {
-        Ok(self.entry.gossip.feed().show(least))
+        Ok(self.entry.gossip.feed().signed_bundle(least))
     }
 }
--- a/laburnumcart_entry/src/run.rs
+++ b/laburnumcart_entry/src/run.rs
@@ -130,7 +130,7 @@
     }
     entry.leave();
     let stopped = running.drain().wait(settings.stop_limit).await;
-    event!(Info, "stopped", left = stopped.left);
+    event!(Info, "stopped", left = stopped.unfinished);
     if let Some(claims) = entry.claims() {
         // The shards' next owners need not wait for this one then.
         let _ = tokio::time::timeout(FLUSH, claims.drain()).await;
@@ -139,7 +139,7 @@
     // Idle connections are kept open by their callers; they are not waited for.
     let _ = tokio::time::timeout(FLUSH, server).await;
     peers.stop();
-    Ok(match stopped.left {
+    Ok(match stopped.unfinished {
         0 => process::ExitCode::SUCCESS,
         _ => process::ExitCode::FAILURE,
     })
--- a/laburnumcart_entry/tests/it/claims.rs
+++ b/laburnumcart_entry/tests/it/claims.rs
@@ -109,5 +109,5 @@
     assert_eq!(bench::output(outcome)["post"]["input"], 1);
     assert_eq!(pool.fake.calls().len(), 1);
     let stopped = bench.running.drain().wait(unit::Period(bench::LIMIT)).await;
-    assert_eq!(stopped.left, 0);
+    assert_eq!(stopped.unfinished, 0);
 }
--- a/laburnumcart_entry/tests/it/requests.rs
+++ b/laburnumcart_entry/tests/it/requests.rs
@@ -157,12 +157,12 @@
     assert_eq!(refused.status, 503);
     assert!(refused.head.contains("retry-after: 1"));
     assert!(refused.body.contains("\"not-run\"") && refused.body.contains("\"leaving\""));
-    assert_eq!(draining.count(), 1);
+    assert_eq!(draining.in_flight(), 1);
     pool.fake.gate.add_permits(9);
     let reply = bench::within(running).await.unwrap();
     assert_eq!(reply.status, 200);
     let stopped = draining.wait(unit::Period(bench::LIMIT)).await;
-    assert_eq!(stopped.left, 0);
+    assert_eq!(stopped.unfinished, 0);
 }
 
 // The caller sees one answer although the first target refuses a few times: each refusal proves that
--- a/laburnumcart_gateway/src/run.rs
+++ b/laburnumcart_gateway/src/run.rs
@@ -183,13 +183,17 @@
     let _ = closing.send(true);
     let gate = running.gate();
     // Idle connections close by themselves; requests may still arrive on others.
-    while gate.count() + closing.receiver_count() > 1 && tokio::time::Instant::now() < end {
+    while gate.in_flight() + closing.receiver_count() > 1 && tokio::time::Instant::now() < end {
         if tokio::time::Instant::now() + REFUSAL_PERIOD >= end {
             view.announce_exit();
         }
         tokio::time::sleep(CHECK_INTERVAL).await;
     }
-    let left = running.drain().wait(unit::Period::default()).await.left;
+    let left = running
+        .drain()
+        .wait(unit::Period::default())
+        .await
+        .unfinished;
     event!(
         Info,
         "stopped",
--- a/laburnumcart_gateway/src/settings.rs
+++ b/laburnumcart_gateway/src/settings.rs
@@ -114,7 +114,7 @@
     }
 
     fn output(&self) -> logs::Output {
-        logs::Output::Bounded
+        logs::Output::BoundedStdout
     }
 
     fn check(&self) -> Vec<settings::Fault> {
