--- a/laburnumcart_daemon/src/admin.rs
+++ b/laburnumcart_daemon/src/admin.rs
@@ -1,4 +1,4 @@
-//! Pages for operators and their tools: `/metrics`, `/healthz`, `/readyz`.
+//! Admin HTTP pages: `/metrics`, `/healthz` and `/readyz`.
 
 use std::{
     fmt,
@@ -21,38 +21,38 @@
 
 use crate::metrics;
 
-/// Paths that [`Pages::answer`] knows.
+/// Paths that [`Pages::answer`] always serves.
 pub const PATHS: [&str; 3] = ["/metrics", "/healthz", "/readyz"];
 
 const TEXT: &str = "text/plain; charset=utf-8";
 
-/// A page of a program's own.
-type Own = sync::Arc<dyn Fn() -> Page + Send + Sync>;
+/// Function that renders a program-specific page.
+type PageFn = sync::Arc<dyn Fn() -> Page + Send + Sync>;
 
-/// The pages' content; clones share it.
+/// Content of the pages; clones share it.
 #[derive(Clone)]
 pub struct Pages {
     metrics: metrics::Metrics,
-    /// Path that tells readiness beside `/readyz`.
-    path: Option<sync::Arc<str>>,
+    /// Second path that reports readiness, beside `/readyz`.
+    ready_path: Option<sync::Arc<str>>,
     ready: sync::Arc<dyn Fn() -> Result<(), String> + Send + Sync>,
-    /// A page of the program's own, by its path.
-    own: Option<(&'static str, Own)>,
+    /// Path and function of a program-specific page.
+    extra: Option<(&'static str, PageFn)>,
 }
 
-/// One answer.
+/// An HTTP response.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Page {
-    /// HTTP status.
+    /// HTTP status code.
     pub status: u16,
-    /// Value of `content-type`.
+    /// Value of the `content-type` header.
     pub content_type: &'static str,
-    /// Whole body.
+    /// Response body.
     pub body: String,
 }
 
 impl Page {
-    /// Creates an answer in JSON.
+    /// Creates a JSON response.
     pub fn json(body: impl Into<String>) -> Self {
         Self {
             status: 200,
@@ -61,7 +61,7 @@
         }
     }
 
-    /// Creates the answer for a page that cannot be written.
+    /// Creates the response for a page that could not be rendered.
     pub fn failed(error: impl fmt::Display) -> Self {
         Self::text(500, format!("{error}\n"))
     }
@@ -76,46 +76,47 @@
 }
 
 impl Pages {
-    /// Creates the pages; `ready` says whether the process takes work, or why not.
+    /// Creates the pages; `ready` returns the reason if the process does not accept work.
     pub fn new(
         metrics: metrics::Metrics,
         ready: impl Fn() -> Result<(), String> + Send + Sync + 'static,
     ) -> Self {
         Self {
             metrics,
-            path: None,
+            ready_path: None,
             ready: sync::Arc::new(ready),
-            own: None,
+            extra: None,
         }
     }
 
-    /// Adds a page of the program's own.
+    /// Sets a program-specific page, in place of an earlier one.
     #[must_use]
     pub fn page(
         mut self,
         path: &'static str,
         page: impl Fn() -> Page + Send + Sync + 'static,
     ) -> Self {
-        self.own = Some((path, sync::Arc::new(page)));
+        self.extra = Some((path, sync::Arc::new(page)));
         self
     }
 
-    /// Tells readiness on one more path, which a balancer may demand.
+    /// Sets a second path that reports readiness, for load balancers that require one.
     #[must_use]
     pub fn ready_path(mut self, path: impl Into<sync::Arc<str>>) -> Self {
-        self.path = Some(path.into());
+        self.ready_path = Some(path.into());
         self
     }
 
-    /// Answers a GET, for programs that serve these pages beside their own.
+    /// Answers a GET request, or returns `None` for an unknown path; for programs that serve these
+    /// pages on their own server.
     pub fn answer(&self, path: &str) -> Option<Page> {
         match path {
             "/metrics" => Some(self.metrics()),
             "/healthz" => Some(Page::text(200, "ok\n")),
             "/readyz" => Some(self.ready()),
-            path if self.path.as_deref() == Some(path) => Some(self.ready()),
+            path if self.ready_path.as_deref() == Some(path) => Some(self.ready()),
             path => {
-                let (known, page) = self.own.as_ref()?;
+                let (known, page) = self.extra.as_ref()?;
                 (path == *known).then(|| page())
             }
         }
@@ -147,7 +148,7 @@
     thread: Option<thread::JoinHandle<io::Result<()>>>,
 }
 
-/// Serves the pages on `listener`, on a thread of its own.
+/// Serves the pages on `listener` from a separate thread.
 pub fn serve(listener: net::TcpListener, pages: Pages) -> io::Result<Admin> {
     let addr = listener.local_addr()?;
     let app = App::new()
@@ -189,7 +190,7 @@
 }
 
 impl Admin {
-    /// Returns the address that it listens on.
+    /// Returns the listening address.
     pub fn addr(&self) -> net::SocketAddr {
         self.addr
     }
@@ -202,7 +203,7 @@
     fn drop(&mut self) {
         (self.stop)();
         if let Some(thread) = self.thread.take() {
-            // The server's own error is of no use to a process that is about to exit.
+            // An error of the server does not matter to a process that is about to exit.
             let _ = thread.join();
         }
     }
--- a/laburnumcart_daemon/src/args.rs
+++ b/laburnumcart_daemon/src/args.rs
@@ -1,4 +1,4 @@
-//! Command line of a daemon.
+//! Command-line arguments of a daemon.
 
 use std::path;
 
@@ -9,21 +9,21 @@
 
 use crate::logs;
 
-/// What a program says about itself.
+/// Name, version and description of a program.
 #[derive(Clone, Copy, Debug)]
 pub struct Program {
     /// Name of the binary.
     pub name: &'static str,
     /// Version, from `CARGO_PKG_VERSION`.
     pub version: &'static str,
-    /// One line on its job.
+    /// One-line description.
     pub about: &'static str,
 }
 
-/// What the command line asks for.
+/// Action that the command line selects.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Command {
-    /// Print this text and exit with 0.
+    /// Print the text and exit with 0.
     Print(String),
     /// Check the settings and exit with 0 or 2.
     Check(Args),
@@ -31,30 +31,30 @@
     Run(Args),
 }
 
-/// Values from the command line.
+/// Values of the command-line options.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Args {
-    /// File with the settings.
+    /// Path of the settings file.
     pub settings: path::PathBuf,
-    /// Level of logs in place of the one in the settings.
+    /// Log level that overrides the one in the settings.
     pub level: Option<logs::Level>,
 }
 
-/// A command line that cannot be used.
+/// An invalid command line.
 #[derive(Clone, Debug, Display, Eq, Error, PartialEq)]
 pub enum UsageError {
-    /// An option is unknown, repeated or lacks its value.
+    /// An option is unknown, repeated or without its value.
     #[display("{_0}")]
     Option(#[error(not(source))] getopts::Fail),
-    /// No file with settings is named.
+    /// The settings file is missing.
     #[display("--settings FILE is required")]
     NoSettings,
-    /// The level is not one of the known ones.
+    /// The log level is unknown.
     #[display("--level must be off, error, warn, info, debug or trace")]
     Level,
-    /// An argument is left over.
+    /// There is an unexpected positional argument.
     #[display("unexpected argument: {_0:?}")]
-    Excess(#[error(not(source))] String),
+    Unexpected(#[error(not(source))] String),
 }
 
 fn options() -> getopts::Options {
@@ -106,8 +106,8 @@
             program.name, program.version
         )));
     }
-    if let Some(excess) = matches.free.first() {
-        return Err(UsageError::Excess(excess.clone()));
+    if let Some(argument) = matches.free.first() {
+        return Err(UsageError::Unexpected(argument.clone()));
     }
     let settings = matches.opt_str("settings").ok_or(UsageError::NoSettings)?;
     let level = matches.opt_str("level").map(|l| l.parse()).transpose();
--- a/laburnumcart_daemon/src/bundle.rs
+++ b/laburnumcart_daemon/src/bundle.rs
@@ -1,7 +1,7 @@
-//! The bundle in force in this process, and how it gets here.
+//! Bundle synchronisation: the bundle in force in this process and how it is kept up to date.
 //!
-//! The control thread runs [`run`], which follows the head in the object service and asks peers
-//! where that falls short. Everything else holds a [`Feed`] and reads from it without waiting.
+//! The control thread runs [`run`], which watches the head in the object service and falls back to
+//! peers. All other code holds a [`Feed`] and reads from it without blocking.
 
 pub use counters::Failure;
 pub use feed::{
@@ -20,9 +20,9 @@
 pub use run::run;
 
 mod counters;
+mod fallback;
 mod feed;
 mod follow;
-mod gather;
 mod options;
 mod peers;
 mod run;
--- a/laburnumcart_daemon/src/bundle/counters.rs
+++ b/laburnumcart_daemon/src/bundle/counters.rs
@@ -1,4 +1,4 @@
-//! Metrics of the bundle.
+//! Metrics of bundle synchronisation.
 
 use derive_more::Display;
 use prometheus_client::{
@@ -12,17 +12,17 @@
 
 use crate::metrics;
 
-/// Why a bundle was not taken in.
+/// Reason why a bundle was not fetched or was rejected.
 #[derive(Clone, Copy, Debug, Display, Eq, Hash, PartialEq)]
 #[display(rename_all = "kebab-case")]
 pub enum Failure {
-    /// The object service did not give it.
+    /// The object service did not return it.
     Store,
-    /// A peer did not give it.
+    /// A peer did not return it.
     Peer,
-    /// The head is malformed or belongs to another generation than was said.
+    /// The head is malformed or of another generation than announced.
     Head,
-    /// The envelope is not the accepted one, or is not signed by enough trusted signers.
+    /// The envelope differs from the accepted one or lacks signatures of enough trusted signers.
     Signature,
     /// The text is not a valid bundle.
     Content,
@@ -35,7 +35,7 @@
     reason: metrics::Label<Failure>,
 }
 
-/// Counters of one process.
+/// Bundle metrics of one process.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Counters {
     generation: gauge::Gauge,
@@ -43,7 +43,7 @@
 }
 
 impl Counters {
-    /// Registers the counters.
+    /// Registers the metrics.
     pub(super) fn register(&self, metrics: &metrics::Metrics) {
         metrics.register("laburnum_bundle", |registry| {
             registry.register(
@@ -59,20 +59,19 @@
         });
     }
 
-    /// Shows the generation in force.
+    /// Sets the gauge of the generation in force.
     pub(super) fn set_generation(&self, generation: u64) {
         self.generation
             .set(generation.try_into().unwrap_or(i64::MAX));
     }
 
-    /// Counts a failure.
-    pub(super) fn fail(&self, reason: Failure) {
+    pub(super) fn record_failure(&self, reason: Failure) {
         let reason = metrics::Label(reason);
         self.failures.get_or_create(&Labels { reason }).inc();
     }
 
-    /// Returns how often a failure was counted.
-    pub(super) fn failures(&self, reason: Failure) -> u64 {
+    /// Returns the number of failures with this reason.
+    pub(super) fn failure_count(&self, reason: Failure) -> u64 {
         let reason = metrics::Label(reason);
         self.failures.get_or_create(&Labels { reason }).get()
     }
--- a/laburnumcart_daemon/src/bundle/feed.rs
+++ b/laburnumcart_daemon/src/bundle/feed.rs
@@ -1,4 +1,4 @@
-//! What this process knows of bundles, shared between its threads.
+//! Bundle in force and generations known to exist, shared between the threads of a process.
 
 use std::{
     collections,
@@ -21,24 +21,24 @@
 use super::counters;
 use crate::metrics;
 
-/// Most peers remembered that have shown a higher generation.
-const HEARD_MAX: usize = 16;
+/// Maximum number of tracked peers that have announced a higher generation.
+const PEERS_MAX: usize = 16;
 
-/// Failed fetches after which a peer's word is forgotten.
+/// Failed fetches after which a peer is no longer tracked.
 const FAILURES_MAX: u32 = 5;
 
 /// A bundle in force.
 #[derive(Clone, Debug)]
 pub struct Snapshot {
-    /// Generation under which it was accepted.
+    /// Generation of the head that accepted it.
     pub generation: id::Generation,
-    /// Its content.
+    /// Parsed content.
     pub bundle: bundle::Bundle,
-    /// What peers are shown.
-    pub shown: agent::SignedBundle,
+    /// Head and envelope as served to peers.
+    pub signed: agent::SignedBundle,
 }
 
-/// The bundle in force; clones share it.
+/// Shared handle on the bundle in force; clones refer to the same state.
 #[derive(Clone, Debug)]
 pub struct Feed(sync::Arc<Inner>);
 
@@ -51,17 +51,17 @@
     counters: counters::Counters,
 }
 
-/// What only goes up, and what was heard of beyond it.
+/// Monotonic view of the head, and higher generations that are known to exist.
 #[derive(Debug, Default)]
 struct State {
     view: head::View,
-    wanted: id::Generation,
-    heard: collections::HashMap<net::SocketAddr, Heard>,
+    head_generation: id::Generation,
+    peers: collections::HashMap<net::SocketAddr, PeerState>,
 }
 
-/// A peer's word that it has a generation.
+/// Generation that a peer has announced, and failed fetches from it.
 #[derive(Clone, Copy, Debug)]
-struct Heard {
+struct PeerState {
     generation: id::Generation,
     failures: u32,
 }
@@ -85,107 +85,107 @@
         self.0.current.load_full()
     }
 
-    /// Returns the generation in force, 0 before the first.
+    /// Returns the generation in force, or 0 if there is none.
     pub fn generation(&self) -> id::Generation {
         self.lock().view.generation()
     }
 
-    /// Returns a receiver of the generation in force, which sees each change.
+    /// Returns a receiver that is notified of each change of the generation in force.
     pub fn changes(&self) -> watch::Receiver<id::Generation> {
         self.0.changes.subscribe()
     }
 
-    /// Returns how often a failure was counted.
+    /// Returns the number of failures with this reason.
     pub fn failure_count(&self, reason: counters::Failure) -> u64 {
-        self.0.counters.failures(reason)
+        self.0.counters.failure_count(reason)
     }
 
-    /// Takes note that a peer has shown a generation.
+    /// Records a generation that a peer has announced.
     pub fn record_peer_generation(&self, generation: id::Generation, peer: net::SocketAddr) {
         let mut state = self.lock();
         if generation <= state.view.generation() {
             return;
         }
-        let full = state.heard.len() >= HEARD_MAX;
-        if full && !state.heard.contains_key(&peer) {
+        let full = state.peers.len() >= PEERS_MAX;
+        if full && !state.peers.contains_key(&peer) {
             return;
         }
-        let heard = Heard {
+        let known = PeerState {
             generation,
             failures: 0,
         };
-        let before = state.heard.insert(peer, heard);
-        if before.is_none_or(|before| before.generation < generation) {
+        let previous = state.peers.insert(peer, known);
+        if previous.is_none_or(|previous| previous.generation < generation) {
             self.0.wake.notify_one();
         }
     }
 
-    /// Returns what a peer is shown that asks for at least this generation.
+    /// Returns the signed bundle in force if its generation is at least `least`.
     pub fn signed_bundle(&self, least: id::Generation) -> Option<agent::SignedBundle> {
         let snapshot = self.0.current.load();
         let snapshot = snapshot.as_ref()?;
-        (snapshot.generation >= least).then(|| snapshot.shown.clone())
+        (snapshot.generation >= least).then(|| snapshot.signed.clone())
     }
 
-    /// Takes note that the head has shown a generation.
-    pub(super) fn want(&self, generation: id::Generation) {
+    /// Records the generation of a head read from the object service.
+    pub(super) fn record_head_generation(&self, generation: id::Generation) {
         let mut state = self.lock();
-        if generation > state.wanted {
-            state.wanted = generation;
+        if generation > state.head_generation {
+            state.head_generation = generation;
             self.0.wake.notify_one();
         }
     }
 
-    /// Returns whether a generation is known to be accepted that is not in force here.
+    /// Returns whether a higher generation than the one in force is known to be accepted.
     pub(super) fn is_behind(&self) -> bool {
         let state = self.lock();
         let now = state.view.generation();
-        state.wanted > now || state.heard.values().any(|heard| heard.generation > now)
+        state.head_generation > now || state.peers.values().any(|known| known.generation > now)
     }
 
-    /// Waits until a generation was heard of that is not in force here.
-    pub(super) async fn woken(&self) {
+    /// Waits until a higher generation than the one in force is recorded.
+    pub(super) async fn wait_newer(&self) {
         self.0.wake.notified().await;
     }
 
-    /// Returns the peers that have shown a higher generation, the highest first.
-    pub(super) fn heard(&self) -> Vec<net::SocketAddr> {
+    /// Returns the peers that have announced a higher generation: those with the fewest failed
+    /// fetches first, then by descending generation.
+    pub(super) fn newer_peers(&self) -> Vec<net::SocketAddr> {
         let state = self.lock();
-        let mut peers: Vec<_> = state.heard.iter().collect();
-        peers.sort_by_key(|(_, heard)| (heard.failures, std::cmp::Reverse(heard.generation)));
+        let mut peers: Vec<_> = state.peers.iter().collect();
+        peers.sort_by_key(|(_, known)| (known.failures, std::cmp::Reverse(known.generation)));
         peers.into_iter().map(|(peer, _)| *peer).collect()
     }
 
-    /// Takes note that a peer could not be asked.
-    pub(super) fn failed(&self, peer: net::SocketAddr) {
+    /// Records a failed fetch from a peer, and drops the peer after [`FAILURES_MAX`] of them.
+    pub(super) fn record_peer_failure(&self, peer: net::SocketAddr) {
         let mut state = self.lock();
-        if let Some(heard) = state.heard.get_mut(&peer) {
-            heard.failures += 1;
+        if let Some(known) = state.peers.get_mut(&peer) {
+            known.failures += 1;
         }
-        let tried = |heard: &Heard| heard.failures < FAILURES_MAX;
-        state.heard.retain(|_, heard| tried(heard));
+        let keep = |known: &PeerState| known.failures < FAILURES_MAX;
+        state.peers.retain(|_, known| keep(known));
     }
 
-    /// Forgets the word of a peer that has not got what it has shown.
-    pub(super) fn forget(&self, peer: net::SocketAddr) {
-        self.lock().heard.remove(&peer);
+    /// Drops the generation announced by a peer.
+    pub(super) fn forget_peer(&self, peer: net::SocketAddr) {
+        self.lock().peers.remove(&peer);
     }
 
-    /// Counts a failure.
-    pub(super) fn fail(&self, reason: counters::Failure) {
-        self.0.counters.fail(reason);
+    pub(super) fn record_failure(&self, reason: counters::Failure) {
+        self.0.counters.record_failure(reason);
     }
 
-    /// Puts a snapshot in force if it is newer, and returns whether it was.
+    /// Puts a snapshot in force if it is newer than the current one; returns whether it was.
     pub(super) fn publish(&self, accepted: head::Accepted, snapshot: Snapshot) -> bool {
-        // The lock is held over the swap: of two sources that bring different generations at once,
-        // the older could otherwise be swapped in last and the process would go back.
+        // The lock is held during the swap. Otherwise, with two concurrent sources, the older
+        // generation could be stored last and the process would revert to it.
         let mut state = self.lock();
         if !state.view.advance(accepted) {
             return false;
         }
         let generation = accepted.generation;
-        state.heard.retain(|_, heard| heard.generation > generation);
+        state.peers.retain(|_, known| known.generation > generation);
         self.0.current.store(Some(sync::Arc::new(snapshot)));
         self.0.counters.set_generation(generation.0);
         self.0.changes.send_replace(generation);
--- a/laburnumcart_daemon/src/bundle/follow.rs
+++ b/laburnumcart_daemon/src/bundle/follow.rs
@@ -1,4 +1,4 @@
-//! Follows the head in the object service.
+//! Watches the head in the object service and installs the bundles that it names.
 
 use std::sync::atomic::{
     AtomicBool,
@@ -24,26 +24,26 @@
     options, //
 };
 
-/// State that the loops over the object service and over the peers share.
+/// State shared by the loops over the object service and over the peers.
 pub(super) struct Follower {
     pub(super) feed: feed::Feed,
     pub(super) options: options::Options,
     /// Whether the last call of the object service failed.
     down: AtomicBool,
-    /// Whether a refused bundle was logged since the last one that was taken in.
+    /// Whether a rejected bundle was logged since the last one came into force.
     reported: AtomicBool,
 }
 
-/// A head that was read and whose bundle is not in force yet.
+/// A head whose bundle is not in force yet.
 struct Pending {
     text: String,
     accepted: head::Accepted,
-    /// Consecutive refusals of its bundle.
-    refusals: u32,
+    /// Number of times that its bundle was rejected.
+    rejections: u32,
 }
 
 impl Follower {
-    /// Creates a follower that has not called the object service.
+    /// Creates a follower that regards the object service as up.
     pub(super) fn new(feed: feed::Feed, options: options::Options) -> Self {
         Self {
             feed,
@@ -58,53 +58,53 @@
         self.down.load(Ordering::Relaxed)
     }
 
-    /// Follows the head; never returns.
+    /// Lists and then watches the head; never returns.
     pub(super) async fn follow(&self, store: &impl store::Store) {
         loop {
             match self.call(store.list(head::KEY)).await {
                 Ok(listing) => self.watch(store, listing).await,
-                Err(_) => self.pause(0).await,
+                Err(_) => self.back_off(0).await,
             }
         }
     }
 
-    /// Watches from a listing on, until the history no longer reaches back.
+    /// Watches from the revision of a listing until the service has compacted its history.
     async fn watch(&self, store: &impl store::Store, listing: store::Listing) {
         let mut after = listing.revision;
         let objects = listing.objects.into_iter();
         let texts = objects
             .filter(|object| object.key == head::KEY)
             .map(|object| object.value);
-        let mut pending = self.newest(texts, None);
+        let mut pending = self.newest_head(texts, None);
         loop {
             if let Some(head) = pending.take() {
-                pending = self.take_in(store, head).await;
+                pending = self.fetch_bundle(store, head).await;
             }
             let wait = match &pending {
-                Some(_) => self.options.timing.retry,
-                None => self.options.timing.wait,
+                Some(_) => self.options.timing.retry_pause,
+                None => self.options.timing.watch_wait,
             };
             let changes = store.watch(head::KEY, after, wait.0);
-            let limit = wait.0 + self.options.timing.call.0;
+            let limit = wait.0 + self.options.timing.call_timeout.0;
             let answer = time::timeout(limit, changes).await;
             let answer = answer.unwrap_or(Err(store::Failure::Unanswered));
-            self.note(&answer);
+            self.record_outcome(&answer);
             match answer {
                 Ok(changes) => {
-                    // A stale answer must not lead to the same changes being waited for again.
+                    // A stale answer must not move the watch back to changes already seen.
                     after = after.max(changes.revision);
                     let events = changes.events.into_iter();
                     let events = events.filter(|event| event.key == head::KEY);
-                    pending = self.newest(events.filter_map(|event| event.value), pending);
+                    pending = self.newest_head(events.filter_map(|event| event.value), pending);
                 }
                 Err(store::Failure::Compacted) => return,
-                Err(_) => self.pause(0).await,
+                Err(_) => self.back_off(0).await,
             }
         }
     }
 
-    /// Picks the newest of some heads and the pending one, if it is newer than what is in force.
-    fn newest(
+    /// Returns the newest of the given heads and the pending one, if newer than the one in force.
+    fn newest_head(
         &self,
         texts: impl Iterator<Item = String>,
         pending: Option<Pending>,
@@ -112,11 +112,11 @@
         let mut newest = pending;
         for text in texts {
             let Ok(head) = head::Head::parse(&text) else {
-                self.refuse(Failure::Head, "malformed");
+                self.record_rejection(Failure::Head, "malformed");
                 continue;
             };
             let generation = head.accepted.generation;
-            self.feed.want(generation);
+            self.feed.record_head_generation(generation);
             if newest
                 .as_ref()
                 .is_none_or(|n| n.accepted.generation < generation)
@@ -124,15 +124,15 @@
                 newest = Some(Pending {
                     text,
                     accepted: head.accepted,
-                    refusals: 0,
+                    rejections: 0,
                 });
             }
         }
         newest.filter(|head| head.accepted.generation > self.feed.generation())
     }
 
-    /// Fetches a head's bundle and puts it in force; returns the head if that has to be repeated.
-    async fn take_in(&self, store: &impl store::Store, mut head: Pending) -> Option<Pending> {
+    /// Fetches the bundle of a head and installs it; returns the head if this must be retried.
+    async fn fetch_bundle(&self, store: &impl store::Store, mut head: Pending) -> Option<Pending> {
         if head.accepted.generation <= self.feed.generation() {
             return None;
         }
@@ -142,19 +142,20 @@
                 if self.install(&head.text, &object.value, "store") {
                     return None;
                 }
-                // What is refused once is refused again, unless the read was damaged.
-                head.refusals += 1;
-                self.pause(head.refusals).await;
+                // A rejected bundle stays invalid unless the read was corrupted, hence the growing
+                // backoff.
+                head.rejections += 1;
+                self.back_off(head.rejections).await;
             }
-            Ok(None) => self.feed.fail(Failure::Store),
-            Err(_) => self.pause(0).await,
+            Ok(None) => self.feed.record_failure(Failure::Store),
+            Err(_) => self.back_off(0).await,
         }
         Some(head)
     }
 
-    /// Verifies and validates a bundle and puts it in force; returns whether it or a newer one is.
+    /// Verifies a bundle and puts it in force; returns whether it or a newer one is in force.
     pub(super) fn install(&self, head: &str, envelope: &str, source: &str) -> bool {
-        match self.open(head, envelope) {
+        match self.verify(head, envelope) {
             Ok((accepted, snapshot)) => {
                 if self.feed.publish(accepted, snapshot) {
                     self.reported.store(false, Ordering::Relaxed);
@@ -169,13 +170,14 @@
                 true
             }
             Err((reason, cause)) => {
-                self.refuse(reason, &cause);
+                self.record_rejection(reason, &cause);
                 false
             }
         }
     }
 
-    fn open(
+    /// Checks the head, the signatures and the content of a bundle.
+    fn verify(
         &self,
         text: &str,
         envelope: &str,
@@ -189,7 +191,7 @@
         let bundle = bundle.map_err(|e| fail(Failure::Content)(e.to_string()))?;
         let raw = |text: &str| value::RawValue::from_string(text.into());
         let malformed = |e: serde_json::Error| fail(Failure::Head)(e.to_string());
-        let shown = agent::SignedBundle {
+        let signed = agent::SignedBundle {
             generation: head.accepted.generation,
             head: raw(text).map_err(malformed)?,
             envelope: raw(envelope).map_err(malformed)?,
@@ -197,35 +199,35 @@
         let snapshot = feed::Snapshot {
             generation: head.accepted.generation,
             bundle,
-            shown,
+            signed,
         };
         Ok((head.accepted, snapshot))
     }
 
-    /// Counts a refused bundle, and logs the first of a row.
-    pub(super) fn refuse(&self, reason: Failure, cause: &str) {
-        self.feed.fail(reason);
+    /// Counts a rejected bundle, and logs it if it is the first since a bundle came into force.
+    pub(super) fn record_rejection(&self, reason: Failure, cause: &str) {
+        self.feed.record_failure(reason);
         if !self.reported.swap(true, Ordering::Relaxed) {
             event!(Warn, "bundle-refused", reason = reason, cause = cause);
         }
     }
 
-    /// Makes a call of the object service within its time.
+    /// Runs a call of the object service with the call timeout.
     async fn call<T>(
         &self,
         call: impl Future<Output = Result<T, store::Failure>>,
     ) -> Result<T, store::Failure> {
-        let answer = time::timeout(self.options.timing.call.0, call).await;
+        let answer = time::timeout(self.options.timing.call_timeout.0, call).await;
         let answer = answer.unwrap_or(Err(store::Failure::Unanswered));
-        self.note(&answer);
+        self.record_outcome(&answer);
         answer
     }
 
-    /// Takes note of whether the object service answers.
-    fn note<T>(&self, answer: &Result<T, store::Failure>) {
+    /// Updates whether the object service is down, and logs each change.
+    fn record_outcome<T>(&self, answer: &Result<T, store::Failure>) {
         let down = !matches!(answer, Ok(_) | Err(store::Failure::Compacted));
         if down {
-            self.feed.fail(Failure::Store);
+            self.feed.record_failure(Failure::Store);
         }
         if self.down.swap(down, Ordering::Relaxed) != down {
             let state = if down { "down" } else { "up" };
@@ -233,11 +235,11 @@
         }
     }
 
-    /// Waits before a repetition, longer each time.
-    async fn pause(&self, repetitions: u32) {
-        let factor = f64::from(1 << repetitions.min(6));
-        // Without the random part, a whole fleet would come back at the same moment.
-        let part = rand::rng().random_range(0.5..1.5);
-        time::sleep(self.options.timing.retry.0.mul_f64(factor * part)).await;
+    /// Waits before a retry, with exponential backoff and jitter.
+    async fn back_off(&self, retries: u32) {
+        let factor = f64::from(1 << retries.min(6));
+        // Without jitter, the whole fleet would retry at the same moment.
+        let jitter = rand::rng().random_range(0.5..1.5);
+        time::sleep(self.options.timing.retry_pause.0.mul_f64(factor * jitter)).await;
     }
 }
--- a/laburnumcart_daemon/src/bundle/options.rs
+++ b/laburnumcart_daemon/src/bundle/options.rs
@@ -1,4 +1,4 @@
-//! Settings of the task that follows the head.
+//! Options of the bundle synchronisation task.
 
 use std::net;
 
@@ -7,34 +7,34 @@
     unit, //
 };
 
-/// Periods of [`run`](super::run).
+/// Timeouts and intervals of [`run`](super::run).
 #[derive(Clone, Copy, Debug)]
 pub struct Timing {
-    /// Longest wait of one watch; a waiting watch counts as a call of the object service.
-    pub wait: unit::Period,
-    /// Longest time for any other call.
-    pub call: unit::Period,
-    /// Mean pause after a failed call.
-    pub retry: unit::Period,
-    /// Pause between two rounds of asking peers while the object service is down.
-    pub ask: unit::Period,
-    /// Time that the object service gets before a peer is asked for what was heard of.
-    pub grace: unit::Period,
+    /// Longest wait of one watch; an open watch counts as a call of the object service.
+    pub watch_wait: unit::Period,
+    /// Timeout of any other call, and of a watch beyond its wait.
+    pub call_timeout: unit::Period,
+    /// Mean pause before the first retry of a failed call.
+    pub retry_pause: unit::Period,
+    /// Interval between two rounds of polling peers while the object service is down.
+    pub poll_interval: unit::Period,
+    /// Time for the object service to deliver a known generation before peers are asked for it.
+    pub store_grace: unit::Period,
 }
 
 impl Default for Timing {
     fn default() -> Self {
         Self {
-            wait: unit::Period::from_secs(30),
-            call: unit::Period::from_secs(5),
-            retry: unit::Period::from_millis(500),
-            ask: unit::Period::from_secs(2),
-            grace: unit::Period::from_millis(250),
+            watch_wait: unit::Period::from_secs(30),
+            call_timeout: unit::Period::from_secs(5),
+            retry_pause: unit::Period::from_millis(500),
+            poll_interval: unit::Period::from_secs(2),
+            store_grace: unit::Period::from_millis(250),
         }
     }
 }
 
-/// Settings of [`run`](super::run).
+/// Options of [`run`](super::run).
 #[derive(Clone, Debug)]
 pub struct Options {
     pub(super) trust: signing::Trust,
@@ -43,7 +43,7 @@
 }
 
 impl Options {
-    /// Creates settings with no peers and the default periods.
+    /// Creates options with no peers and the default timing.
     pub fn new(trust: signing::Trust) -> Self {
         Self {
             trust,
@@ -52,14 +52,14 @@
         }
     }
 
-    /// Sets the peers to ask while the object service is down.
+    /// Sets the peers to poll while the object service is down.
     #[must_use]
     pub fn peers(mut self, peers: impl Into<Vec<net::SocketAddr>>) -> Self {
         self.peers = peers.into();
         self
     }
 
-    /// Sets the periods.
+    /// Sets the timeouts and intervals.
     #[must_use]
     pub fn timing(mut self, timing: Timing) -> Self {
         self.timing = timing;
--- a/laburnumcart_daemon/src/bundle/peers.rs
+++ b/laburnumcart_daemon/src/bundle/peers.rs
@@ -1,4 +1,4 @@
-//! Bundles from other processes.
+//! Fetches of bundles from other processes.
 
 use std::{
     future,
@@ -25,16 +25,16 @@
     secret, //
 };
 
-/// A peer that could not be asked for its bundle.
+/// Failed fetch from a peer.
 #[derive(Clone, Debug, Display, Error, Eq, PartialEq)]
 #[display("peer did not answer: {cause}")]
 pub struct PeerError {
-    /// What happened.
+    /// Cause reported by the connection or the call.
     #[error(not(source))]
     pub cause: String,
 }
 
-/// How other processes are asked for their bundle.
+/// Client for the bundles of other processes.
 pub trait Peers: Send + Sync + 'static {
     /// Returns the bundle of the process at `peer`, if its generation is at least `least`.
     fn fetch(
@@ -44,7 +44,7 @@
     ) -> impl future::Future<Output = Result<Option<agent::SignedBundle>, PeerError>> + Send;
 }
 
-/// Asks by a connection of its own, as it is rarely done.
+/// Client that opens a connection for each fetch, as fetches are rare.
 #[derive(Clone, Debug)]
 pub struct RpcPeers {
     secret: secret::Secret,
@@ -52,7 +52,7 @@
 }
 
 impl RpcPeers {
-    /// Creates a client that shows this secret.
+    /// Creates a client that authenticates with this secret.
     pub fn new(secret: secret::Secret) -> Self {
         Self {
             secret,
@@ -68,13 +68,13 @@
         least: id::Generation,
     ) -> Result<Option<agent::SignedBundle>, PeerError> {
         let client = peer::connect(addr, &self.secret, &self.limits).await;
-        let client = client.map_err(|e| error(&e))?;
+        let client = client.map_err(|e| peer_error(&e))?;
         match EntryClient::bundle(&client, least).await {
-            // An address does not tell an agent from an entry.
+            // The address does not say whether the peer is an agent or an entry.
             Err(e) if is_unknown_method(&e) => AgentClient::bundle(&client, least).await,
             other => other,
         }
-        .map_err(|e| error(&e))
+        .map_err(|e| peer_error(&e))
     }
 }
 
@@ -83,7 +83,7 @@
     matches!(error, client::Error::Call(e) if e.code() == code)
 }
 
-fn error(cause: &impl std::fmt::Display) -> PeerError {
+fn peer_error(cause: &impl std::fmt::Display) -> PeerError {
     PeerError {
         cause: cause.to_string(),
     }
--- a/laburnumcart_daemon/src/bundle/run.rs
+++ b/laburnumcart_daemon/src/bundle/run.rs
@@ -1,16 +1,18 @@
-//! Keeps a process up to date, from the object service and from peers.
+//! Bundle synchronisation task.
 
 use laburnumcart_platform::store;
 
 use super::{
+    fallback,
     feed,
     follow,
-    gather,
     options,
     peers, //
 };
 
-/// Keeps `feed` up to date; never returns, and can be dropped at any time.
+/// Keeps `feed` up to date from the object service and from peers.
+///
+/// Never returns; the future can be dropped at any time.
 pub async fn run(
     feed: feed::Feed,
     store: impl store::Store,
@@ -18,5 +20,8 @@
     options: options::Options,
 ) {
     let follower = follow::Follower::new(feed, options);
-    tokio::join!(follower.follow(&store), gather::gather(&follower, &peers));
+    tokio::join!(
+        follower.follow(&store),
+        fallback::poll_peers(&follower, &peers)
+    );
 }
--- a/laburnumcart_daemon/src/control.rs
+++ b/laburnumcart_daemon/src/control.rs
@@ -1,4 +1,4 @@
-//! The one thread that owns a daemon's control state.
+//! Control thread: the single thread that owns a daemon's control state.
 
 use std::{
     future,
@@ -11,7 +11,7 @@
     Error, //
 };
 
-/// The control thread ended in a panic.
+/// The control thread panicked.
 #[derive(Clone, Copy, Debug, Display, Eq, Error, PartialEq)]
 #[display("the control thread panicked")]
 pub struct Panicked;
@@ -22,10 +22,10 @@
     thread: thread::JoinHandle<T>,
 }
 
-/// Runs `main` on a thread of its own with a current-thread runtime.
+/// Runs `main` on a new thread with a current-thread runtime.
 ///
-/// The future is made on that thread and need not be `Send`: control state has one owner and no
-/// locks; other threads read the snapshots that it publishes.
+/// The future is created on that thread and need not be `Send`: control state has one owner and
+/// needs no locks. Other threads read the snapshots that it publishes.
 pub fn spawn<T, F>(main: impl FnOnce() -> F + Send + 'static) -> io::Result<Control<T>>
 where
     T: Send + 'static,
@@ -43,12 +43,12 @@
 }
 
 impl<T> Control<T> {
-    /// Reports whether the thread has ended, without waiting.
+    /// Returns whether the thread has ended, without blocking.
     pub fn is_finished(&self) -> bool {
         self.thread.is_finished()
     }
 
-    /// Waits for the thread to end; blocks the caller's thread.
+    /// Blocks the calling thread until the control thread has ended.
     pub fn join(self) -> Result<T, Panicked> {
         self.thread.join().map_err(|_| Panicked)
     }
--- a/laburnumcart_daemon/src/launch.rs
+++ b/laburnumcart_daemon/src/launch.rs
@@ -1,4 +1,4 @@
-//! From the command line to a running daemon.
+//! Entry point of a daemon: command line, settings and logs.
 
 use std::{
     env,
@@ -13,8 +13,9 @@
 
 /// Parses the command line, loads the settings, starts the logs and calls `run`.
 ///
-/// The exit code is 0 when all went well, 2 for a wrong command line or wrong settings, and
-/// otherwise what `run` returns. Nothing has been opened or changed when it is 2.
+/// Returns exit code 0 after printing a text or checking valid settings, 2 for an invalid command
+/// line or invalid settings, and otherwise the code that `run` returns. With 2, nothing has been
+/// opened or changed.
 pub fn launch<T: settings::Settings>(
     program: &args::Program,
     run: impl FnOnce(T) -> process::ExitCode,
@@ -22,7 +23,7 @@
     with_args(program, env::args().skip(1), run)
 }
 
-/// Does what [`launch`] does, with the arguments given.
+/// Like [`launch`], with the given arguments.
 pub fn with_args<T: settings::Settings>(
     program: &args::Program,
     args: impl IntoIterator<Item = String>,
@@ -49,7 +50,7 @@
             println!("settings are valid");
             process::ExitCode::SUCCESS
         }
-        Err(error) => refuse(&error),
+        Err(error) => report_invalid(&error),
     }
 }
 
@@ -59,14 +60,14 @@
 ) -> process::ExitCode {
     let settings: T = match settings::load(&args.settings) {
         Ok(settings) => settings,
-        Err(error) => return refuse(&error),
+        Err(error) => return report_invalid(&error),
     };
     let level = args.level.unwrap_or(settings.telemetry().level);
     logs::start(level, settings.output());
     run(settings)
 }
 
-fn refuse(error: &settings::LoadError) -> process::ExitCode {
+fn report_invalid(error: &settings::LoadError) -> process::ExitCode {
     eprintln!("{error}");
     settings::EXIT_INVALID.into()
 }
--- a/laburnumcart_daemon/src/lib.rs
+++ b/laburnumcart_daemon/src/lib.rs
@@ -1,4 +1,5 @@
-//! What the daemons share: start, settings, logs, traces, metrics and stop.
+//! Code shared by the daemons: command line, settings, logs, traces, metrics, bundle
+//! synchronisation and graceful shutdown.
 
 pub mod admin;
 pub mod args;
--- a/laburnumcart_daemon/src/logs.rs
+++ b/laburnumcart_daemon/src/logs.rs
@@ -1,4 +1,4 @@
-//! Logs: one `key=value` line for each change of state, and in the gateway for each decision.
+//! Logs in `key=value` lines: one for each change of state, and in the gateway for each decision.
 //!
 //! Lines are written by [`event!`](macro@crate::event):
 //!
@@ -7,9 +7,9 @@
 //! laburnumcart_daemon::event!(Info, "bundle-accepted", generation = generation);
 //! ```
 //!
-//! gives `time=2026-03-01T08:30:00.120Z level=info event=bundle-accepted generation=7`. What happens
-//! once for each request belongs into a counter, but for the gateway, whose operators find a
-//! request's cause by its id.
+//! writes `time=2026-03-01T08:30:00.120Z level=info event=bundle-accepted generation=7`. Events of
+//! each request are counted in metrics instead of logged, except in the gateway, where operators
+//! look up a request by its id.
 
 pub mod bounded;
 mod level;
@@ -23,20 +23,20 @@
 
 pub use self::level::Level;
 
-/// Crates whose lines are written at every level; of others only errors and warnings are.
-const OWN: &str = "laburnum";
+/// Prefix of crates that are logged at every level; others are logged from warnings up.
+const OWN_PREFIX: &str = "laburnum";
 
-/// Where a process's log goes.
+/// Output of a process's log.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub enum Output {
-    /// Standard error, written at once.
+    /// Standard error, written synchronously.
     #[default]
     Stderr,
-    /// Standard output, in bounded numbers and without ever blocking; for lines on each request.
+    /// Standard output through a bounded queue that never blocks; for per-request lines.
     BoundedStdout,
 }
 
-/// Starts the process's log; a second call changes nothing.
+/// Installs the process's logger; a second call has no effect.
 pub fn start(level: Level, output: Output) {
     let logger = match output {
         Output::Stderr => logger(level, io::stderr()),
@@ -70,14 +70,15 @@
         .build()
 }
 
-/// Puts the level in front of a line as one more key.
+/// Logger that writes the level as a key in front of each line.
 struct Logger<W: io::Write + Send + 'static> {
     inner: Box<simplelog::WriteLogger<W>>,
 }
 
 impl<W: io::Write + Send + 'static> log::Log for Logger<W> {
     fn enabled(&self, metadata: &log::Metadata<'_>) -> bool {
-        let wanted = metadata.level() <= log::Level::Warn || metadata.target().starts_with(OWN);
+        let wanted =
+            metadata.level() <= log::Level::Warn || metadata.target().starts_with(OWN_PREFIX);
         wanted && self.inner.enabled(metadata)
     }
 
@@ -86,7 +87,7 @@
             return;
         }
         let level = record.level().as_str().to_ascii_lowercase();
-        let foreign = !record.target().starts_with(OWN);
+        let foreign = !record.target().starts_with(OWN_PREFIX);
         let args = record.args();
         let write = |args: fmt::Arguments<'_>| {
             let mut line = log::Record::builder();
--- a/laburnumcart_daemon/src/logs/bounded.rs
+++ b/laburnumcart_daemon/src/logs/bounded.rs
@@ -1,4 +1,4 @@
-//! Writer that never blocks and keeps a bounded number of lines.
+//! Non-blocking log writer with a bounded queue of lines.
 
 use std::{
     io,
@@ -10,28 +10,28 @@
     thread,
 };
 
-/// Lines that may wait: about a second of a loaded process, and below 2 MB.
-const LINES: usize = 8192;
+/// Maximum number of queued lines: about one second of a loaded process, and below 2 MB.
+const QUEUE_LINES: usize = 8192;
 
-/// Lines beyond which those of routine are dropped, so that failures keep their place.
-const ROUTINE: usize = LINES * 3 / 4;
+/// Queued lines above which routine lines are dropped, which reserves the rest for failures.
+const ROUTINE_LINES: usize = QUEUE_LINES * 3 / 4;
 
-/// Longest line; the rest of a longer one is cut.
+/// Maximum length of a line in bytes; longer ones are truncated.
 const LINE_MAX: usize = 4096;
 
-/// What marks a line of routine.
+/// Substring that marks a routine line.
 const ROUTINE_MARK: &[u8] = b"level=info";
 
 #[derive(Debug, Default)]
 struct Counts {
-    waiting: atomic::AtomicUsize,
+    queued: atomic::AtomicUsize,
     dropped: atomic::AtomicU64,
 }
 
-/// Hands lines to a thread that writes them.
+/// Writer that passes lines to a thread that writes them to the output.
 ///
-/// Whoever reads the output may stop to read. A request that waited for its log line would be late
-/// or lost with it, so lines are dropped instead, and their number is told.
+/// The reader of the output may stall. A request that waited for its log line would be late or lost,
+/// so lines are dropped instead and their number is logged.
 #[derive(Debug)]
 pub struct Writer {
     line: Vec<u8>,
@@ -40,14 +40,14 @@
 }
 
 impl Writer {
-    /// Starts a writer to `out` on a thread of its own.
+    /// Starts the thread that writes to `out`.
     pub fn start(out: impl io::Write + Send + 'static) -> io::Result<Self> {
-        let (sender, receiver) = mpsc::sync_channel(LINES);
+        let (sender, receiver) = mpsc::sync_channel(QUEUE_LINES);
         let counts = Arc::new(Counts::default());
         let shared = counts.clone();
         thread::Builder::new()
             .name("log".into())
-            .spawn(move || write(out, &receiver, &shared))?;
+            .spawn(move || write_queued(out, &receiver, &shared))?;
         Ok(Self {
             line: Vec::new(),
             sender,
@@ -57,15 +57,15 @@
 
     fn send(&mut self) {
         let line = std::mem::take(&mut self.line);
-        let waiting = self.counts.waiting.load(atomic::Ordering::Relaxed);
+        let queued = self.counts.queued.load(atomic::Ordering::Relaxed);
         let routine = line.windows(ROUTINE_MARK.len()).any(|w| w == ROUTINE_MARK);
-        if routine && waiting >= ROUTINE {
+        if routine && queued >= ROUTINE_LINES {
             self.counts.dropped.fetch_add(1, atomic::Ordering::Relaxed);
             return;
         }
-        self.counts.waiting.fetch_add(1, atomic::Ordering::Relaxed);
+        self.counts.queued.fetch_add(1, atomic::Ordering::Relaxed);
         if self.sender.try_send(line).is_err() {
-            self.counts.waiting.fetch_sub(1, atomic::Ordering::Relaxed);
+            self.counts.queued.fetch_sub(1, atomic::Ordering::Relaxed);
             self.counts.dropped.fetch_add(1, atomic::Ordering::Relaxed);
         }
     }
@@ -89,8 +89,8 @@
     }
 }
 
-/// Writes what comes, as many lines at once as wait, and tells how many were dropped.
-fn write(mut out: impl io::Write, receiver: &mpsc::Receiver<Vec<u8>>, counts: &Counts) {
+/// Writes queued lines in batches, and logs the number of dropped lines.
+fn write_queued(mut out: impl io::Write, receiver: &mpsc::Receiver<Vec<u8>>, counts: &Counts) {
     while let Ok(mut text) = receiver.recv() {
         let mut lines = 1;
         while let Ok(line) = receiver.try_recv() {
@@ -100,13 +100,13 @@
                 break;
             }
         }
-        counts.waiting.fetch_sub(lines, atomic::Ordering::Relaxed);
+        counts.queued.fetch_sub(lines, atomic::Ordering::Relaxed);
         let dropped = counts.dropped.swap(0, atomic::Ordering::Relaxed);
         if dropped > 0 {
             let line = format!("level=warn event=log-dropped lines={dropped}\n");
             text.extend_from_slice(line.as_bytes());
         }
-        // Nobody is left to tell of an output that is gone.
+        // There is nowhere else to report a failed output.
         let _ = out.write_all(&text).and_then(|()| out.flush());
     }
 }
--- a/laburnumcart_daemon/src/logs/level.rs
+++ b/laburnumcart_daemon/src/logs/level.rs
@@ -19,18 +19,18 @@
 #[serde(rename_all = "lowercase")]
 #[display(rename_all = "lowercase")]
 pub enum Level {
-    /// No lines at all.
+    /// Nothing is logged.
     Off,
-    /// Something is broken.
+    /// Failures that need a repair.
     Error,
-    /// Something needs a look.
+    /// Conditions that an operator should check.
     Warn,
     /// Changes of state.
     #[default]
     Info,
-    /// Details for a developer.
+    /// Details for developers.
     Debug,
-    /// Everything.
+    /// All lines.
     Trace,
 }
 
--- a/laburnumcart_daemon/src/metrics.rs
+++ b/laburnumcart_daemon/src/metrics.rs
@@ -1,8 +1,8 @@
-//! Metrics of a process, named by Prometheus conventions.
+//! Metrics of a process, with names by Prometheus conventions.
 //!
-//! A name is `laburnum_<program>_<what>_<unit>`; the library adds `_total` to counters. Label sets are
-//! structs, so that a misspelt label does not compile, and the values of each label come from a
-//! closed set: [`Label`] takes enums, [`Names`] caps the number of names.
+//! A name is `laburnum_<program>_<what>_<unit>`; the library appends `_total` to counters. Label sets
+//! are structs, so that a misspelt label does not compile. The number of values of each label is
+//! bounded: [`Label`] wraps types with few values, and [`Names`] caps the number of names.
 //!
 //! ```
 //! use laburnumcart::verdict;
@@ -48,7 +48,7 @@
 /// Content type of [`Metrics::encode`].
 pub const CONTENT_TYPE: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
 
-/// Value of a label for what [`Names`] has no room for.
+/// Label value of names beyond the cap of [`Names`].
 pub const OTHER: &str = "other";
 
 /// The metrics of one process; clones share them.
@@ -58,12 +58,13 @@
 }
 
 impl Metrics {
-    /// Creates an empty set.
+    /// Creates an empty registry.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Registers metrics whose names start with `prefix` and an underscore.
+    /// Registers metrics whose names start with `prefix` and an underscore, or with neither if
+    /// `prefix` is empty.
     pub fn register<T>(
         &self,
         prefix: &str,
@@ -77,14 +78,15 @@
         }
     }
 
-    /// Writes all metrics in the text format of OpenMetrics.
+    /// Encodes all metrics in the OpenMetrics text format.
     pub fn encode(&self) -> Result<String, fmt::Error> {
         let mut out = String::new();
         text::encode(&mut out, &self.lock())?;
         Ok(out)
     }
 
-    /// Locks the registry; a panic while it was held leaves counters whole, so it is used on.
+    /// Locks the registry. A panic of a holder leaves the counters consistent, so poisoning is
+    /// ignored.
     fn lock(&self) -> sync::MutexGuard<'_, registry::Registry> {
         self.registry
             .lock()
@@ -92,7 +94,7 @@
     }
 }
 
-/// Types with few values, fit for a label.
+/// Types with a small, fixed set of values that can be used as a label.
 pub trait ClosedSet: fmt::Display {}
 
 impl ClosedSet for verdict::Verdict {}
@@ -100,7 +102,7 @@
 impl ClosedSet for bundle::Priority {}
 impl ClosedSet for bool {}
 
-/// Value of a label, from a closed set.
+/// Label value from a closed set.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub struct Label<T>(pub T);
 
@@ -110,7 +112,7 @@
     }
 }
 
-/// Value of a label, from a capped set of names.
+/// Label value from a capped set of names.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub struct Name(sync::Arc<str>);
 
@@ -126,10 +128,10 @@
     }
 }
 
-/// Names that a label may show; those beyond the cap are counted as [`OTHER`].
+/// Capped set of names for a label; names beyond the cap are counted as [`OTHER`].
 ///
-/// Each value of a label is a series that is kept until the process ends. Without a cap, names that
-/// come and go with bundles would make memory grow for as long as the process lives.
+/// Each label value is a time series that is kept until the process exits. Without a cap, names that
+/// change with each bundle would make memory grow without bound.
 #[derive(Debug)]
 pub struct Names {
     cap: usize,
@@ -147,7 +149,7 @@
         }
     }
 
-    /// Returns the label for `name`.
+    /// Returns the label value for `name`.
     pub fn label(&self, name: &str) -> Name {
         let known = self
             .known
@@ -160,15 +162,15 @@
             return self.other.clone();
         }
         drop(known);
-        self.add(name)
+        self.insert(name)
     }
 
-    fn add(&self, name: &str) -> Name {
+    fn insert(&self, name: &str) -> Name {
         let mut known = self
             .known
             .write()
             .unwrap_or_else(sync::PoisonError::into_inner);
-        // Another thread may have added names since the read.
+        // Another thread may have inserted names since the read lock was released.
         if let Some(name) = known.get(name) {
             return Name(name.clone());
         }
--- a/laburnumcart_daemon/src/peer.rs
+++ b/laburnumcart_daemon/src/peer.rs
@@ -1,4 +1,4 @@
-//! Serving peers: the fleet's secrets, and a counter of those who do not know one.
+//! Server for peers, with authentication by the fleet's secrets.
 
 use std::{
     io,
@@ -15,8 +15,9 @@
     settings, //
 };
 
-/// Serves `methods` on `listener` for peers that know a secret of the fleet, and counts in
-/// `laburnum_peer_refused_total` the requests of those that do not.
+/// Serves `methods` on `listener` to peers that present a secret of the fleet.
+///
+/// Requests without a valid secret are counted in `laburnum_peer_refused_total`.
 pub fn serve(
     listener: net::TcpListener,
     fleet: &settings::Fleet,
--- a/laburnumcart_daemon/src/process.rs
+++ b/laburnumcart_daemon/src/process.rs
@@ -1,4 +1,4 @@
-//! The process's own use of processor, memory and file descriptors, as metrics.
+//! Metrics of the process's own use of processor, memory and file descriptors.
 
 use std::{
     fmt,
@@ -20,16 +20,16 @@
 
 use crate::metrics;
 
-/// Ticks a second in `/proc`; Linux reports 100 on every machine that Rust has a target for.
-const TICKS: f64 = 100.0;
+/// Clock ticks per second in `/proc`; 100 on all Linux targets of Rust.
+const TICKS_PER_SECOND: f64 = 100.0;
 
-/// What a process has used.
+/// Resource usage of a process.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Usage {
     /// Processor time of all threads, user and system, in seconds.
-    pub cpu: f64,
+    pub cpu_seconds: f64,
     /// Resident memory in bytes.
-    pub memory: u64,
+    pub memory_bytes: u64,
     /// Open file descriptors.
     pub fds: u64,
 }
@@ -41,25 +41,26 @@
         let stat = fs::read_to_string("/proc/self/stat")?;
         let status = fs::read_to_string("/proc/self/status")?;
         Ok(Self {
-            cpu: cpu(&stat).ok_or_else(invalid)?,
-            memory: memory(&status).ok_or_else(invalid)?,
+            cpu_seconds: parse_cpu_seconds(&stat).ok_or_else(invalid)?,
+            memory_bytes: parse_memory_bytes(&status).ok_or_else(invalid)?,
             fds: fs::read_dir("/proc/self/fd")?.count() as u64,
         })
     }
 }
 
-/// Reads user and system time from the text of `/proc/<pid>/stat`.
-fn cpu(stat: &str) -> Option<f64> {
-    // The name in parentheses may contain spaces and parentheses; the fields follow the last one.
+/// Parses user and system time from the text of `/proc/<pid>/stat`.
+fn parse_cpu_seconds(stat: &str) -> Option<f64> {
+    // The process name in parentheses may itself contain spaces and parentheses; the fields start
+    // after the last closing one.
     let (_, fields) = stat.rsplit_once(')')?;
     let mut fields = fields.split_ascii_whitespace().skip(11);
     let user: u64 = fields.next()?.parse().ok()?;
     let system: u64 = fields.next()?.parse().ok()?;
-    Some((user + system) as f64 / TICKS)
+    Some((user + system) as f64 / TICKS_PER_SECOND)
 }
 
-/// Reads the resident memory from the text of `/proc/<pid>/status`.
-fn memory(status: &str) -> Option<u64> {
+/// Parses the resident memory from the text of `/proc/<pid>/status`.
+fn parse_memory_bytes(status: &str) -> Option<u64> {
     let line = status.lines().find_map(|l| l.strip_prefix("VmRSS:"))?;
     let kib: u64 = line.trim().strip_suffix("kB")?.trim().parse().ok()?;
     Some(kib << 10)
@@ -67,30 +68,30 @@
 
 /// Registers `process_cpu_seconds_total`, `process_resident_memory_bytes` and `process_open_fds`.
 pub fn register(metrics: &metrics::Metrics) {
-    metrics.register("", |r| r.register_collector(Box::new(Own)));
+    metrics.register("", |r| r.register_collector(Box::new(UsageCollector)));
 }
 
 #[derive(Debug)]
-struct Own;
+struct UsageCollector;
 
-impl Collector for Own {
+impl Collector for UsageCollector {
     fn encode(&self, mut encoder: DescriptorEncoder<'_>) -> Result<(), fmt::Error> {
-        // A page without these three is of more use than no page.
+        // A metrics page without these three is more useful than none.
         let Ok(usage) = Usage::read() else {
             return Ok(());
         };
-        let cpu = counter::ConstCounter::new(usage.cpu);
+        let cpu = counter::ConstCounter::new(usage.cpu_seconds);
         let help = "Processor time, user and system";
         let out =
             encoder.encode_descriptor("process_cpu_seconds", help, None, cpu.metric_type())?;
         cpu.encode(out)?;
-        gauge(
+        encode_gauge(
             &mut encoder,
             "process_resident_memory_bytes",
             "Resident memory",
-            usage.memory,
+            usage.memory_bytes,
         )?;
-        gauge(
+        encode_gauge(
             &mut encoder,
             "process_open_fds",
             "Open file descriptors",
@@ -99,7 +100,7 @@
     }
 }
 
-fn gauge(
+fn encode_gauge(
     encoder: &mut DescriptorEncoder<'_>,
     name: &str,
     help: &str,
--- a/laburnumcart_daemon/src/settings.rs
+++ b/laburnumcart_daemon/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of a daemon: one JSON file, read once at the start.
+//! Settings of a daemon: one JSON file that is read once at startup.
 
 mod schema;
 
@@ -35,32 +35,32 @@
     SecretText, //
 };
 
-/// Exit code of a process whose settings or arguments are wrong.
+/// Exit code for invalid settings or arguments.
 pub const EXIT_INVALID: u8 = 2;
 
-/// What [`launch`](crate::launch) needs of a daemon's settings.
+/// Settings of a daemon that [`launch`](crate::launch) can load.
 pub trait Settings: de::DeserializeOwned + schemars::JsonSchema + 'static {
-    /// Returns the part on logs and traces.
+    /// Returns the settings of logs and traces.
     fn telemetry(&self) -> &Telemetry;
 
-    /// Returns where the log goes.
+    /// Returns the output of the log.
     fn output(&self) -> logs::Output {
         logs::Output::default()
     }
 
-    /// Lists faults that the types cannot express.
+    /// Returns the faults that the types do not catch.
     fn check(&self) -> Vec<Fault> {
         Vec::new()
     }
 }
 
-/// One thing that is wrong in a file of settings.
+/// One fault in the settings.
 #[derive(Clone, Debug, Display, Eq, PartialEq)]
 #[display("{path}: {message}")]
 pub struct Fault {
-    /// Place in the document, such as `$.fleet.peers[2]`.
+    /// Path in the document, such as `$.fleet.peers[2]`.
     pub path: String,
-    /// What is wrong there and, where known, what was probably meant.
+    /// Description of the fault, with a suggestion if there is one.
     pub message: String,
 }
 
@@ -74,27 +74,27 @@
     }
 }
 
-/// Settings that cannot be used.
+/// Settings that could not be loaded.
 #[derive(Debug, Display, Error)]
 pub enum LoadError {
-    /// The file cannot be read.
+    /// The file could not be read.
     #[display("cannot read {}: {cause}", file.display())]
     Read {
-        /// File that was named.
+        /// Path of the file.
         file: path::PathBuf,
-        /// What the system says.
+        /// Error of the operating system.
         #[error(source)]
         cause: io::Error,
     },
-    /// The file is readable but wrong; every fault is listed, one a line.
-    #[display("{}", lines(faults))]
+    /// The content is invalid; displayed with one fault per line.
+    #[display("{}", join_lines(faults))]
     Invalid {
-        /// All faults in the order of the document.
+        /// All faults in document order.
         faults: Vec<Fault>,
     },
 }
 
-fn lines(faults: &[Fault]) -> String {
+fn join_lines(faults: &[Fault]) -> String {
     let lines: Vec<String> = faults.iter().map(Fault::to_string).collect();
     lines.join("\n")
 }
@@ -112,7 +112,7 @@
 /// Reads settings from JSON text.
 pub fn parse<T: Settings>(text: &str) -> Result<T, LoadError> {
     let invalid = |faults| LoadError::Invalid { faults };
-    let settings: T = document::parse(text).map_err(|f| invalid(convert(&f)))?;
+    let settings: T = document::parse(text).map_err(|f| invalid(convert_faults(&f)))?;
     let faults = settings.check();
     if faults.is_empty() {
         Ok(settings)
@@ -121,47 +121,47 @@
     }
 }
 
-fn convert(faults: &document::Faults) -> Vec<Fault> {
+fn convert_faults(faults: &document::Faults) -> Vec<Fault> {
     let convert = |f: &document::Fault| Fault::new(f.path.to_string(), &f.problem);
     faults.iter().map(convert).collect()
 }
 
-/// What the processes of one fleet have in common.
+/// Settings that all processes of a fleet share.
 #[derive(Clone, Debug, Deserialize, schemars::JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Fleet {
-    /// Secrets that peers accept; the first one is shown to others.
+    /// Secrets accepted from peers; the first one is used to authenticate to them.
     #[schemars(with = "Vec<SecretText>", length(min = 1))]
     pub secrets: Vec<secret::Secret>,
-    /// Public keys whose signatures on a bundle count, by the signer's name; two in one
-    /// text, divided by a comma, while a signer changes keys.
+    /// Public keys trusted to sign bundles, by the signer's name; two keys separated by a comma
+    /// while a signer rotates its key.
     pub keys: collections::BTreeMap<id::KeyName, signing::Keys>,
-    /// How many of the signers must have signed a bundle.
-    #[serde(default = "one")]
+    /// Number of signers that must have signed a bundle.
+    #[serde(default = "default_signers")]
     pub signers: u32,
-    /// Peer addresses of processes to ask for the bundle when the object service is down.
+    /// Peer addresses of processes to fetch the bundle from while the object service is down.
     #[serde(default)]
     #[schemars(with = "Vec<Address>")]
     pub peers: Vec<net::SocketAddr>,
 }
 
-fn one() -> u32 {
+fn default_signers() -> u32 {
     1
 }
 
 impl Fleet {
-    /// Returns the secret that this process shows to others.
+    /// Returns the secret with which this process authenticates to peers.
     pub fn secret(&self) -> Option<&secret::Secret> {
         self.secrets.first()
     }
 
-    /// Returns the keys that the fleet trusts; the settings stand at `$.fleet`.
+    /// Returns the trusted signers; paths of faults start with `$.fleet`.
     pub fn trust(&self) -> Result<signing::Trust, document::Faults> {
         let at = document::Path::root().key("fleet");
         signing::Trust::new(self.keys.clone(), self.signers, &at)
     }
 
-    /// Lists faults that no schema can express, with paths below `path`.
+    /// Returns the faults that no schema can express, with paths below `path`.
     pub fn check(&self, path: &str) -> Vec<Fault> {
         let Err(faults) = self.trust() else {
             return Vec::new();
@@ -172,23 +172,23 @@
     }
 }
 
-/// The platform's object service.
+/// Connection to the platform's object service.
 #[derive(Clone, Copy, Debug, Deserialize, schemars::JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Platform {
-    /// Address that it answers on.
+    /// Address of the object service.
     #[schemars(with = "Address")]
     pub address: net::SocketAddr,
-    /// Reads a second that this process may make at most.
+    /// Maximum rate of reads by this process, in calls per second.
     #[serde(default)]
     pub reads: Option<unit::Rate>,
-    /// Writes a second that this process may make at most.
+    /// Maximum rate of writes by this process, in calls per second.
     #[serde(default)]
     pub writes: Option<unit::Rate>,
 }
 
 impl Platform {
-    /// Returns the rates set, or else those given.
+    /// Returns the configured rates, with `default` for those not set.
     pub fn rates(&self, default: budget::Rates) -> budget::Rates {
         budget::Rates {
             reads: self.reads.unwrap_or(default.reads),
@@ -197,14 +197,14 @@
     }
 }
 
-/// Logs and traces.
+/// Settings of logs and traces.
 #[derive(Clone, Copy, Debug, Default, Deserialize, schemars::JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Telemetry {
-    /// Least severe lines that are written.
+    /// Lowest severity that is logged.
     #[serde(default)]
     pub level: logs::Level,
-    /// Address of a collector that takes OTLP over HTTP; without one, spans cost nothing.
+    /// Address of a collector for OTLP over HTTP; without it, spans are disabled.
     #[serde(default)]
     #[schemars(with = "Option<Address>")]
     pub traces: Option<net::SocketAddr>,
--- a/laburnumcart_daemon/src/settings/schema.rs
+++ b/laburnumcart_daemon/src/settings/schema.rs
@@ -1,7 +1,7 @@
-//! Schemas of values whose types come from elsewhere, for `#[schemars(with = "…")]`.
+//! JSON Schemas of types from other crates, for `#[schemars(with = "…")]`.
 //!
-//! A schema that says all that the type requires lets every fault of a file be reported in one run;
-//! what only the type's own parser refuses ends the run at the first.
+//! Faults that the schema catches are all reported in one run; a fault that only the type's own
+//! parser catches ends parsing at the first. A schema should therefore be as strict as the parser.
 
 use std::borrow;
 
@@ -29,7 +29,7 @@
     }
 }
 
-/// A secret of the fleet.
+/// Secret shared by the processes of a fleet.
 #[derive(Clone, Copy, Debug)]
 pub enum SecretText {}
 
--- a/laburnumcart_daemon/src/stop.rs
+++ b/laburnumcart_daemon/src/stop.rs
@@ -1,7 +1,7 @@
 //! Graceful shutdown: `Running -> Draining -> Stopped`.
 //!
-//! Work enters through a [`Gate`] and holds a [`Work`] for as long as it is in flight. Draining
-//! closes the gate and waits, within a bound, for the work that is left.
+//! A [`Gate`] admits work and returns a [`Work`] guard, which is held while the work is in flight.
+//! Draining closes the gate and waits, up to a limit, for the work in flight.
 
 use std::{
     io,
@@ -19,7 +19,7 @@
 
 use laburnumcart::unit;
 
-/// Waits for SIGTERM or SIGINT.
+/// Listener for SIGTERM and SIGINT.
 #[derive(Debug)]
 pub struct Signals {
     term: unix::Signal,
@@ -27,7 +27,8 @@
 }
 
 impl Signals {
-    /// Starts to listen; signals from here on are not lost. Needs a runtime.
+    /// Starts to listen; later signals are queued until [`next`](Self::next). Must be called in a
+    /// tokio runtime.
     pub fn listen() -> io::Result<Self> {
         Ok(Self {
             term: unix::signal(unix::SignalKind::terminate())?,
@@ -44,9 +45,11 @@
     }
 }
 
-/// Bit of [`Shared::state`] that closes the gate; the rest counts the work, in steps of [`ONE`].
+/// Bit of [`Shared::state`] that marks the gate as closed; the higher bits count the work.
 const CLOSED: usize = 1;
-const ONE: usize = 2;
+
+/// Increment of [`Shared::state`] for each piece of work in flight.
+const WORK_UNIT: usize = 2;
 
 #[derive(Debug, Default)]
 struct Shared {
@@ -60,45 +63,45 @@
     shared: sync::Arc<Shared>,
 }
 
-/// A process that accepts no more work and finishes what it has.
+/// A process that accepts no new work and finishes the work in flight.
 #[derive(Debug)]
 pub struct Draining {
     shared: sync::Arc<Shared>,
 }
 
-/// A process whose work has ended, or whose bound on waiting for it has passed.
+/// A process whose work has ended, or whose drain limit has passed.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Stopped {
-    /// Work that was still in flight when the bound passed; 0 for a graceful shutdown.
+    /// Pieces of work still in flight when the limit passed; 0 after a graceful shutdown.
     pub unfinished: usize,
 }
 
-/// Where work enters; shared by all threads.
+/// Admission of work; clones share it between threads.
 #[derive(Clone, Debug)]
 pub struct Gate {
     shared: sync::Arc<Shared>,
 }
 
-/// A piece of work in flight, until it is dropped.
+/// Guard of a piece of work, which counts as in flight until the guard is dropped.
 #[derive(Debug)]
 pub struct Work {
     shared: sync::Arc<Shared>,
 }
 
 impl Running {
-    /// Creates a process without work.
+    /// Creates a process with an open gate and no work.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Returns the gate for the threads that accept work.
+    /// Returns the gate that admits work.
     pub fn gate(&self) -> Gate {
         Gate {
             shared: self.shared.clone(),
         }
     }
 
-    /// Closes the gate.
+    /// Closes the gate and starts to drain.
     pub fn drain(self) -> Draining {
         self.shared.state.fetch_or(CLOSED, atomic::Ordering::AcqRel);
         Draining {
@@ -108,27 +111,27 @@
 }
 
 impl Gate {
-    /// Lets a piece of work in, unless the process is draining.
+    /// Admits a piece of work, or returns `None` if the process is draining.
     ///
-    /// The check and the count are one step: work that were let in between the two would be cut
-    /// off by an exit that has counted none.
+    /// The check and the count are one atomic step. Work admitted between the two would be cut off
+    /// by a process that has counted no work and exits.
     pub fn enter(&self) -> Option<Work> {
-        let open = |state: usize| (state & CLOSED == 0).then_some(state + ONE);
+        let admit = |state: usize| (state & CLOSED == 0).then_some(state + WORK_UNIT);
         self.shared
             .state
-            .fetch_update(atomic::Ordering::AcqRel, atomic::Ordering::Acquire, open)
+            .fetch_update(atomic::Ordering::AcqRel, atomic::Ordering::Acquire, admit)
             .ok()
             .map(|_| Work {
                 shared: self.shared.clone(),
             })
     }
 
-    /// Reports whether the process refuses new work.
+    /// Returns whether the process refuses new work.
     pub fn is_closed(&self) -> bool {
         self.shared.state.load(atomic::Ordering::Acquire) & CLOSED != 0
     }
 
-    /// Returns how many pieces of work are in flight.
+    /// Returns the number of pieces of work in flight.
     pub fn in_flight(&self) -> usize {
         self.shared.count()
     }
@@ -136,40 +139,43 @@
 
 impl Shared {
     fn count(&self) -> usize {
-        self.state.load(atomic::Ordering::Acquire) / ONE
+        self.state.load(atomic::Ordering::Acquire) / WORK_UNIT
     }
 }
 
 impl Drop for Work {
     fn drop(&mut self) {
-        let before = self.shared.state.fetch_sub(ONE, atomic::Ordering::AcqRel);
-        if before == ONE | CLOSED {
+        let before = self
+            .shared
+            .state
+            .fetch_sub(WORK_UNIT, atomic::Ordering::AcqRel);
+        if before == WORK_UNIT | CLOSED {
             self.shared.empty.notify_waiters();
         }
     }
 }
 
 impl Draining {
-    /// Returns how many pieces of work are in flight.
+    /// Returns the number of pieces of work in flight.
     pub fn in_flight(&self) -> usize {
         self.shared.count()
     }
 
-    /// Waits until no work is left, at most for `limit`.
+    /// Waits until no work is in flight, for at most `limit`.
     pub async fn wait(self, limit: unit::Period) -> Stopped {
-        // A timeout is not an error here: `left` tells of it.
-        let _ = time::timeout(limit.0, self.empty()).await;
+        // A timeout is reported as `unfinished` work.
+        let _ = time::timeout(limit.0, self.wait_empty()).await;
         Stopped {
             unfinished: self.in_flight(),
         }
     }
 
-    async fn empty(&self) {
+    async fn wait_empty(&self) {
         loop {
             let notified = self.shared.empty.notified();
             tokio::pin!(notified);
-            // Registered before the count is read, or the last piece of work could end in between
-            // and its notice would be missed.
+            // Registered before the count is read. Otherwise the last piece of work could end in
+            // between and its notification would be lost.
             notified.as_mut().enable();
             if self.in_flight() == 0 {
                 return;
--- a/laburnumcart_daemon/src/traces.rs
+++ b/laburnumcart_daemon/src/traces.rs
@@ -1,18 +1,18 @@
-//! Traces: a span for each hop, sent to a collector by OTLP over HTTP when one is configured.
+//! Traces: a span for each hop, exported by OTLP over HTTP if a collector is configured.
 //!
-//! Without a collector no subscriber is installed: a span is then one relaxed load of a flag, and
-//! the caller's `traceparent` is passed on as it came. A span's parent is set by [`set_parent`] and named to
-//! the next hop by [`outgoing_parent`]:
+//! Without a collector no subscriber is installed: a span then costs one relaxed load of a flag,
+//! and the caller's `traceparent` is forwarded unchanged. [`set_parent`] sets the parent of a span,
+//! and [`outgoing_parent`] returns the parent to send to the next hop:
 //!
 //! ```
 //! use laburnumcart_daemon::traces;
 //!
-//! let came: Option<traces::Traceparent> =
+//! let incoming: Option<traces::Traceparent> =
 //!     "00-0af7651916cd43dd8448eb211c80319c-b7ad6b7169203331-01".parse().ok();
 //! let span = tracing::info_span!("stage", stage = "encode");
-//! traces::set_parent(&span, came.as_ref());
-//! let goes = traces::outgoing_parent(&span, came.as_ref());
-//! assert_eq!(goes, came);
+//! traces::set_parent(&span, incoming.as_ref());
+//! let outgoing = traces::outgoing_parent(&span, incoming.as_ref());
+//! assert_eq!(outgoing, incoming);
 //! ```
 
 use std::{
@@ -52,10 +52,10 @@
     settings, //
 };
 
-/// Spans that wait for the collector; further ones are dropped.
+/// Maximum number of spans queued for the collector; further ones are dropped.
 pub const QUEUE_MAX: usize = 4096;
 
-/// Position in a trace, as the W3C header `traceparent` writes it.
+/// Position in a trace, as in the W3C header `traceparent`.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Traceparent {
     trace: trace::TraceId,
@@ -83,14 +83,14 @@
     }
 }
 
-/// Splits a header of version 00; a later version may carry more after the four fields.
+/// Parses the header; versions after 00 may have more fields after the first four.
 fn parse(text: &str) -> Option<Traceparent> {
     let fields: Vec<&str> = text.splitn(5, '-').collect();
     let (&[version, trace, span, flags], rest) = fields.split_first_chunk::<4>()?;
     let lower = |t: &str| t.bytes().all(|b| matches!(b, b'0'..=b'9' | b'a'..=b'f'));
-    let shape = [version.len(), trace.len(), span.len(), flags.len()] == [2, 32, 16, 2];
+    let lengths = [version.len(), trace.len(), span.len(), flags.len()] == [2, 32, 16, 2];
     let hex = [version, trace, span, flags].into_iter().all(lower);
-    if !shape || !hex || version == "ff" || (version == "00" && !rest.is_empty()) {
+    if !lengths || !hex || version == "ff" || (version == "00" && !rest.is_empty()) {
         return None;
     }
     let trace = trace::TraceId::from_hex(trace).ok()?;
@@ -100,34 +100,37 @@
     valid.then_some(Traceparent { trace, span, flags })
 }
 
-/// Makes `span` a child of what the sender named.
-pub fn set_parent(span: &tracing::Span, came: Option<&Traceparent>) {
-    let Some(came) = came else {
+/// Makes `span` a child of the sender's span.
+pub fn set_parent(span: &tracing::Span, incoming: Option<&Traceparent>) {
+    let Some(incoming) = incoming else {
         return;
     };
     if span.is_disabled() {
         return;
     }
     let remote = trace::SpanContext::new(
-        came.trace,
-        came.span,
-        came.flags,
+        incoming.trace,
+        incoming.span,
+        incoming.flags,
         true,
         trace::TraceState::default(),
     );
-    // An error says that no subscriber of ours is installed; the header is passed on regardless.
+    // Fails only if our subscriber is not installed; the header is forwarded regardless.
     let _ = span.set_parent(Context::new().with_remote_span_context(remote));
 }
 
-/// Returns what to name to the next hop: `span`, or what came in while traces are off.
-pub fn outgoing_parent(span: &tracing::Span, came: Option<&Traceparent>) -> Option<Traceparent> {
+/// Returns the parent for the next hop: `span`, or the incoming parent if traces are disabled.
+pub fn outgoing_parent(
+    span: &tracing::Span,
+    incoming: Option<&Traceparent>,
+) -> Option<Traceparent> {
     if span.is_disabled() {
-        return came.cloned();
+        return incoming.cloned();
     }
     let context = span.context();
     let own = context.span().span_context().clone();
     if !own.is_valid() {
-        return came.cloned();
+        return incoming.cloned();
     }
     Some(Traceparent {
         trace: own.trace_id(),
@@ -136,26 +139,26 @@
     })
 }
 
-/// Traces that could not be started.
+/// Reason why traces could not be started.
 #[derive(Debug, Display, Error)]
 pub enum StartError {
-    /// The exporter does not accept its configuration.
-    #[display("traces: {_0}")]
+    /// The exporter rejected its configuration.
+    #[display("cannot create the trace exporter: {_0}")]
     Exporter(opentelemetry_otlp::ExporterBuildError),
-    /// The process has a subscriber already.
-    #[display("traces: started twice")]
+    /// A global subscriber is already installed.
+    #[display("a trace subscriber is already installed")]
     Twice,
 }
 
-/// Running traces; dropping them sends what waits.
+/// Running trace export; dropping it flushes the queued spans.
 #[derive(Debug)]
 pub struct Traces {
     provider: sdk::SdkTracerProvider,
 }
 
-/// Starts traces if the settings name a collector.
+/// Starts trace export if a collector is configured.
 ///
-/// A failure is logged and the process runs without: spans must not decide about requests.
+/// A failure is logged and the process runs without traces, as they must not affect requests.
 pub fn launch(
     service: &'static str,
     instance: &id::InstanceName,
@@ -170,7 +173,7 @@
     }
 }
 
-/// Starts to send spans to `collector`; the requests run on the current tokio runtime.
+/// Starts the export of spans to `collector`; its requests run on the current tokio runtime.
 pub fn start(
     service: &'static str,
     instance: &id::InstanceName,
@@ -182,7 +185,7 @@
         .with_endpoint(format!("http://{collector}/v1/traces"))
         .build()
         .map_err(StartError::Exporter)?;
-    let provider = provider(service, instance, exporter);
+    let provider = build_provider(service, instance, exporter);
     let layer = tracing_opentelemetry::layer()
         .with_tracer(provider.tracer(service))
         .with_location(false)
@@ -192,7 +195,7 @@
     Ok(Traces { provider })
 }
 
-fn provider(
+fn build_provider(
     service: &'static str,
     instance: &id::InstanceName,
     exporter: opentelemetry_otlp::SpanExporter,
@@ -219,15 +222,15 @@
 
 impl Drop for Traces {
     fn drop(&mut self) {
-        // What could not be sent by now is lost; the process is about to exit.
+        // Spans that cannot be sent now are lost, as the process is about to exit.
         let _ = self.provider.shutdown();
     }
 }
 
-/// Exports on a tokio runtime.
+/// Exporter that runs on a tokio runtime.
 ///
-/// The processor exports from a plain thread, where the HTTP client would panic for want of a
-/// reactor and no span would ever arrive.
+/// The span processor exports from a plain thread, where the HTTP client would panic without a
+/// reactor and no span would be sent.
 #[derive(Debug)]
 struct OnRuntime {
     inner: sync::Arc<opentelemetry_otlp::SpanExporter>,
@@ -237,14 +240,14 @@
 impl sdk::SpanExporter for OnRuntime {
     async fn export(&self, batch: Vec<sdk::SpanData>) -> error::OTelSdkResult {
         let inner = self.inner.clone();
-        let sent = self.runtime.spawn(async move { inner.export(batch).await });
+        let exported = self.runtime.spawn(async move { inner.export(batch).await });
         let failed =
             |e: tokio::task::JoinError| error::OTelSdkError::InternalFailure(e.to_string());
-        sent.await.map_err(failed)?
+        exported.await.map_err(failed)?
     }
 
     fn set_resource(&mut self, resource: &Resource) {
-        // Nothing has been exported yet, so there is no other holder.
+        // Called before the first export, so there is no other reference.
         if let Some(inner) = sync::Arc::get_mut(&mut self.inner) {
             inner.set_resource(resource);
         }
