--- a/laburnumcart_daemon/examples/in_force.rs
+++ b/laburnumcart_daemon/examples/in_force.rs
@@ -1,9 +1,9 @@
-//! Measures the time from the accept of a bundle until it is in force in the last process.
+//! Benchmark: time from the acceptance of a bundle until it is in force in all processes.
 //!
 //! `cargo run --release -p laburnumcart_daemon --example in_force [PROCESSES]`
 //!
-//! All processes share one thread and a paused clock, so that the times are those of the protocol:
-//! waits, pauses and the service's limits, without the processor time of many processes on one
+//! All processes share one thread and a paused clock, so the times are those of the protocol (waits,
+//! backoff and the rate limit of the service), without the processor time of many processes on one
 //! machine.
 
 use std::{
@@ -46,46 +46,48 @@
 
 const ARAYA: &str = include_str!("../../examples/araya/bundle.json");
 
-/// Calls that the object service takes a second.
+/// Rate limit of the object service, in calls per second.
 const RATE: f64 = 2000.0;
 
-/// Time of a call of the object service or of a peer.
+/// Latency of a call of the object service or of a peer.
 const CALL: unit::Period = unit::Period::from_millis(3);
 
-/// Time between two heartbeats, and the peers that one process exchanges them with.
-const BEAT: time::Duration = time::Duration::from_secs(1);
+/// Interval between two heartbeats.
+const HEARTBEAT: time::Duration = time::Duration::from_secs(1);
+
+/// Peers with which one process exchanges heartbeats.
 const LINKS: usize = 8;
 
 #[tokio::main(flavor = "current_thread", start_paused = true)]
 async fn main() {
     let count = env::args().nth(1).and_then(|arg| arg.parse().ok());
     let count: u16 = count.unwrap_or(1020);
-    for (name, scene) in [
-        ("object service up", Scene::Up),
+    for (name, scenario) in [
+        ("object service up", Scenario::Up),
         (
             "object service down after the accept, one process has it",
-            Scene::Down,
+            Scenario::Down,
         ),
     ] {
-        measure(name, scene, count).await;
+        measure(name, scenario, count).await;
     }
 }
 
 #[derive(Clone, Copy, PartialEq)]
-enum Scene {
+enum Scenario {
     Up,
     Down,
 }
 
-async fn measure(name: &str, scene: Scene, count: u16) {
+async fn measure(name: &str, scenario: Scenario, count: u16) {
     let mut fleet = Fleet::new(count);
     fleet.accept("first").await;
     fleet.reached(id::Generation(1)).await;
     tokio::time::sleep(time::Duration::from_secs(60)).await;
     let before = fleet.store.calls.load(Ordering::Relaxed);
     let start = Instant::now();
-    if scene == Scene::Down {
-        // The watches end without an answer before the head is moved.
+    if scenario == Scenario::Down {
+        // The open watches must end without an answer before the head is moved.
         fleet.set_down(true);
         fleet.accept_at_one("second").await;
     } else {
@@ -93,7 +95,7 @@
     }
     let mut times = fleet.reached(id::Generation(2)).await;
     times.sort();
-    let at = |part: f64| times[((times.len() - 1) as f64 * part) as usize] - start;
+    let at = |quantile: f64| times[((times.len() - 1) as f64 * quantile) as usize] - start;
     let calls = fleet.store.calls.load(Ordering::Relaxed) - before;
     println!(
         "{name}: {count} processes, median {:?}, 99% {:?}, last {:?}; {calls} calls of the service",
@@ -103,7 +105,7 @@
     );
 }
 
-/// Processes, and the links over which heartbeats tell them of generations.
+/// Processes that exchange generations by heartbeats.
 struct Fleet {
     store: Limited,
     key: signing::SecretKey,
@@ -125,11 +127,11 @@
         let network = Network(sync::Arc::new(feeds.clone()));
         let mut tasks = Vec::new();
         for (number, feed) in feeds.iter().enumerate() {
-            // Two entries are named in each process's settings.
+            // The settings of each process name two peers.
             let options = bundle::Options::new(trust.clone()).peers([addr(0), addr(1)]);
             let run = bundle::run(feed.clone(), store.clone(), network.clone(), options);
             tasks.push(task::spawn(run));
-            tasks.push(task::spawn(beat(number, feeds.clone())));
+            tasks.push(task::spawn(send_heartbeats(number, feeds.clone())));
         }
         Self {
             store,
@@ -176,7 +178,7 @@
             .expect("accepted");
     }
 
-    /// Lets the last process have the new bundle as if it alone had read the service in time.
+    /// Gives the new bundle to the last process only, as if it alone had read it from the service.
     async fn accept_at_one(&mut self, title: &str) {
         let envelope = self.envelope(title);
         let head = self.next(&envelope);
@@ -199,14 +201,14 @@
         self.tasks.push(task::spawn(run));
     }
 
-    /// Waits until all processes have a generation, and returns when each got it.
+    /// Waits until a generation is in force in all processes; returns the time for each.
     async fn reached(&self, generation: id::Generation) -> Vec<Instant> {
         let mut waits = task::JoinSet::new();
         for feed in &self.feeds {
             let mut changes = feed.changes();
             waits.spawn(async move {
                 let reached = changes.wait_for(|now| *now >= generation).await;
-                reached.map(drop).expect("the feed lives");
+                reached.map(drop).expect("the feed is not dropped");
                 Instant::now()
             });
         }
@@ -220,10 +222,10 @@
     }
 }
 
-/// Exchanges heartbeats with some peers, whose generations are heard with them.
-async fn beat(number: usize, feeds: Vec<bundle::Feed>) {
+/// Exchanges heartbeats, which carry the generation, with random peers.
+async fn send_heartbeats(number: usize, feeds: Vec<bundle::Feed>) {
     let phase = rand::rng().random_range(0.0..1.0);
-    tokio::time::sleep(BEAT.mul_f64(phase)).await;
+    tokio::time::sleep(HEARTBEAT.mul_f64(phase)).await;
     let links: Vec<usize> = (0..LINKS)
         .map(|_| rand::rng().random_range(0..feeds.len()))
         .collect();
@@ -232,7 +234,7 @@
             feeds[*link].record_peer_generation(feeds[number].generation(), addr(number));
             feeds[number].record_peer_generation(feeds[*link].generation(), addr(*link));
         }
-        tokio::time::sleep(BEAT).await;
+        tokio::time::sleep(HEARTBEAT).await;
     }
 }
 
@@ -255,7 +257,7 @@
     }
 }
 
-/// An object service that refuses calls beyond its rate.
+/// Object service with a rate limit.
 #[derive(Clone)]
 struct Limited {
     store: memory::Memory,
@@ -280,7 +282,7 @@
         });
     }
 
-    fn enter(&self) -> Result<(), store::Failure> {
+    fn limit_rate(&self) -> Result<(), store::Failure> {
         self.calls.fetch_add(1, Ordering::Relaxed);
         let mut bucket = self.bucket.lock().expect("not poisoned");
         let now = Instant::now();
@@ -297,7 +299,7 @@
 
 impl Store for Limited {
     async fn get(&self, key: &str) -> Result<Option<store::Object>, store::Failure> {
-        self.enter()?;
+        self.limit_rate()?;
         self.store.get(key).await
     }
 
@@ -307,17 +309,17 @@
         expect: store::Expect,
         value: &str,
     ) -> Result<store::Version, store::Failure> {
-        self.enter()?;
+        self.limit_rate()?;
         self.store.put(key, expect, value).await
     }
 
     async fn delete(&self, key: &str, version: store::Version) -> Result<(), store::Failure> {
-        self.enter()?;
+        self.limit_rate()?;
         self.store.delete(key, version).await
     }
 
     async fn list(&self, prefix: &str) -> Result<store::Listing, store::Failure> {
-        self.enter()?;
+        self.limit_rate()?;
         self.store.list(prefix).await
     }
 
@@ -327,7 +329,7 @@
         after: store::Revision,
         wait: time::Duration,
     ) -> Result<store::Changes, store::Failure> {
-        self.enter()?;
+        self.limit_rate()?;
         self.store.watch(prefix, after, wait).await
     }
 }
--- a/laburnumcart_daemon/tests/bounded.rs
+++ b/laburnumcart_daemon/tests/bounded.rs
@@ -1,4 +1,4 @@
-//! The log's writer under readers that stop.
+//! Bounded log writer with a stalled reader.
 
 use std::{
     io::{
@@ -15,14 +15,14 @@
 
 use laburnumcart_daemon::logs::bounded;
 
-/// An output whose reader stands still until it is told to go on.
-struct Gate {
+/// An output that blocks until the test opens it.
+struct Blocked {
     open: mpsc::Receiver<()>,
     passed: bool,
     text: Arc<Mutex<Vec<u8>>>,
 }
 
-impl Write for Gate {
+impl Write for Blocked {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
         if !self.passed {
             self.passed = self.open.recv().is_ok();
@@ -36,13 +36,13 @@
     }
 }
 
-// Whoever reads the log stops to read while the process is busy. Requests go on: no line waits for
-// the reader. Later the reader sees that lines are missing, and the failures are there.
+/// A stalled reader of the log must not block requests; failures and the number of dropped lines are
+/// written when it resumes.
 #[test]
-fn a_reader_that_stops_holds_up_nothing() {
+fn stalled_reader_does_not_block_writes() {
     let text = Arc::new(Mutex::new(Vec::new()));
     let (open, gate) = mpsc::channel();
-    let out = Gate {
+    let out = Blocked {
         open: gate,
         passed: false,
         text: text.clone(),
@@ -56,7 +56,10 @@
     let end = time::Instant::now() + time::Duration::from_secs(20);
     let has = |mark: &str| String::from_utf8_lossy(&text.lock().unwrap()).contains(mark);
     while !(has("event=failure") && has("event=log-dropped")) {
-        assert!(time::Instant::now() < end, "neither written nor told");
+        assert!(
+            time::Instant::now() < end,
+            "failure or number of dropped lines not written"
+        );
         std::thread::sleep(time::Duration::from_millis(5));
     }
     let kept = text.lock().unwrap().iter().filter(|b| **b == b'\n').count();
@@ -64,11 +67,11 @@
 }
 
 #[test]
-fn a_long_line_is_cut() {
+fn long_line_is_truncated() {
     let text = Arc::new(Mutex::new(Vec::new()));
     let (open, gate) = mpsc::channel();
     open.send(()).unwrap();
-    let out = Gate {
+    let out = Blocked {
         open: gate,
         passed: false,
         text: text.clone(),
--- a/laburnumcart_daemon/tests/bundle.rs
+++ b/laburnumcart_daemon/tests/bundle.rs
@@ -1,4 +1,4 @@
-//! Bundles come into force, spread between processes and never revert.
+//! Bundle synchronisation: bundles come into force, spread between processes and never revert.
 
 use std::{
     collections,
@@ -34,14 +34,14 @@
 
 const ARAYA: &str = include_str!("../../examples/araya/bundle.json");
 
-/// Longest time that a bundle may take to come into force, on the paused clock.
+/// Maximum time for a bundle to come into force, on the paused clock.
 const SOON: time::Duration = time::Duration::from_secs(8);
 
 fn key() -> signing::SecretKey {
     signing::SecretKey::generate().expect("random numbers")
 }
 
-/// A fleet that shares an object service and in which any process can ask any other.
+/// A fleet with a shared object service, in which any process can fetch from any other.
 struct Fleet {
     store: memory::Memory,
     key: signing::SecretKey,
@@ -71,7 +71,7 @@
         envelope.to_text()
     }
 
-    /// Writes an envelope and moves the head to it, without the checks of an operator's tool.
+    /// Writes an envelope and moves the head to it, without the checks of the operator's tool.
     async fn accept(&mut self, envelope: &str) -> id::Generation {
         let digest = signing::Digest::of(envelope.as_bytes());
         self.accept_as(digest, envelope).await
@@ -101,7 +101,7 @@
         self.accept(&envelope).await
     }
 
-    /// Starts a process that knows the given peers.
+    /// Starts a process with the given peers in its settings.
     fn start(&self, number: u16, peers: &[u16]) -> Process {
         let feed = bundle::Feed::new(&metrics::Metrics::new());
         self.network.lock().insert(addr(number), feed.clone());
@@ -145,7 +145,7 @@
         );
     }
 
-    /// Waits until a failure was counted and met again.
+    /// Waits until a failure was counted three times.
     async fn counted(&self, reason: bundle::Failure) {
         let counted = async {
             while self.feed.failure_count(reason) < 3 {
@@ -184,7 +184,7 @@
 
 type Feeds = collections::HashMap<net::SocketAddr, bundle::Feed>;
 
-/// Feeds of all processes by address, in place of connections.
+/// Feeds of all processes by address, which replace connections.
 #[derive(Clone, Default)]
 struct Network(sync::Arc<sync::Mutex<Feeds>>);
 
@@ -208,10 +208,10 @@
     }
 }
 
-/// Peers that show what the test says.
-struct Showing(agent::SignedBundle);
+/// Peers that always return the same bundle.
+struct Fixed(agent::SignedBundle);
 
-impl bundle::Peers for Showing {
+impl bundle::Peers for Fixed {
     fn fetch(
         &self,
         _: net::SocketAddr,
@@ -222,7 +222,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn an_accepted_bundle_comes_into_force_everywhere() {
+async fn accepted_bundle_comes_into_force_in_all_processes() {
     let mut fleet = Fleet::new();
     let processes: Vec<_> = (0..20).map(|number| fleet.start(number, &[])).collect();
     for title in ["one", "two", "three"] {
@@ -234,9 +234,9 @@
     }
 }
 
-/// Generation 2 is rolled back: generation 3 brings the bundle of generation 1 back into force.
+/// Generation 3 restores the bundle of generation 1.
 #[tokio::test(start_paused = true)]
-async fn rolling_back_is_a_step_forward() {
+async fn rollback_is_a_new_generation() {
     let mut fleet = Fleet::new();
     let process = fleet.start(1, &[]);
     let good = fleet.sign(&titled("good"));
@@ -283,7 +283,7 @@
     assert_eq!(process.title(), "better");
 }
 
-/// The stored envelope was changed after it was accepted: its name no longer is its digest.
+/// The stored envelope was replaced after it was accepted and no longer matches its digest.
 #[tokio::test(start_paused = true)]
 async fn tampered_content_is_never_in_force() {
     let mut fleet = Fleet::new();
@@ -331,7 +331,7 @@
     assert_eq!(watcher.await.expect("only up"), last);
 }
 
-/// The object service gives the head of an older generation again, as a restored copy would.
+/// The object service returns an older head again, as after a restore from a backup.
 #[tokio::test(start_paused = true)]
 async fn a_replayed_head_takes_nobody_back() {
     let mut fleet = Fleet::new();
@@ -346,7 +346,7 @@
     assert_eq!(process.title(), "new");
 }
 
-/// A peer replays an older bundle to whoever asks. It is never taken in.
+/// A peer replays an older bundle, which must not come into force.
 #[tokio::test(start_paused = true)]
 async fn a_replayed_message_takes_nobody_back() {
     let mut fleet = Fleet::new();
@@ -361,7 +361,7 @@
 
     let feed = bundle::Feed::new(&metrics::Metrics::new());
     let options = bundle::Options::new(fleet.trust());
-    let run = bundle::run(feed.clone(), fleet.store.clone(), Showing(old), options);
+    let run = bundle::run(feed.clone(), fleet.store.clone(), Fixed(old), options);
     let process = Process {
         feed,
         task: task::spawn(run),
@@ -378,12 +378,12 @@
     }
 }
 
-/// A peer shows a signed bundle under a head that names another one, or a head that is none.
+/// A peer returns a signed bundle with a head that names another one, or with a malformed head.
 #[rstest]
 #[case::other_digest(true, bundle::Failure::Signature)]
 #[case::no_head(false, bundle::Failure::Head)]
 #[tokio::test(start_paused = true)]
-async fn a_peer_cannot_show_what_was_not_accepted(
+async fn bundle_that_was_not_accepted_is_rejected_from_a_peer(
     #[case] parses: bool,
     #[case] reason: bundle::Failure,
 ) {
@@ -393,14 +393,14 @@
     let head = head::Head::after(None, digest, id::Nonce::random()).to_text();
     let head = if parses { head } else { "{}".into() };
     let raw = |text| value::RawValue::from_string(text).expect("JSON");
-    let shown = agent::SignedBundle {
+    let signed = agent::SignedBundle {
         generation: id::Generation(1),
         head: raw(head),
         envelope: raw(fleet.sign(&titled("x"))),
     };
     let feed = bundle::Feed::new(&metrics::Metrics::new());
     let options = bundle::Options::new(fleet.trust()).peers([addr(9)]);
-    let run = bundle::run(feed.clone(), fleet.store.clone(), Showing(shown), options);
+    let run = bundle::run(feed.clone(), fleet.store.clone(), Fixed(signed), options);
     let process = Process {
         feed,
         task: task::spawn(run),
@@ -409,9 +409,8 @@
     assert!(process.feed.current().is_none());
 }
 
-/// The object service goes down right after the accept, when one process has the new bundle. The others
-/// hear of its generation by the messages between processes and fetch the bundle from it, and from
-/// each other.
+/// The object service goes down when only one process has the new bundle. The others learn of its
+/// generation from messages between processes and fetch the bundle from each other.
 #[tokio::test(start_paused = true)]
 async fn a_bundle_spreads_while_the_object_service_is_down() {
     let mut fleet = Fleet::new();
@@ -423,17 +422,17 @@
     fleet.set_down(true);
     tokio::time::sleep(time::Duration::from_secs(1)).await;
     fleet.set_down(false);
-    // Only the process with number 20 reads the service before it is down for good.
+    // Only process 20 reads the service before it goes down for good.
     let second = fleet.accept_title("second").await;
-    let lucky = fleet.start(20, &[]);
+    let source_process = fleet.start(20, &[]);
     for process in &processes {
         process.task.abort();
     }
-    lucky.until(second).await;
+    source_process.until(second).await;
     fleet.set_down(true);
     let others: Vec<_> = (0..10).map(|number| fleet.start(number, &[])).collect();
 
-    // Each process hears of the generation from the one before it, as messages carry it.
+    // Each process learns of the generation from the one before it, as in gossip.
     let mut source = addr(20);
     for (number, process) in others.iter().enumerate() {
         process.feed.record_peer_generation(second, source);
@@ -443,8 +442,8 @@
     }
 }
 
-/// A process starts during an outage of the object service. It asks the peers in its settings, of which
-/// some are gone, and comes under the bundle that they have.
+/// A process that starts while the object service is down must get the bundle from the peers in its
+/// settings, although some of them are unreachable.
 #[tokio::test(start_paused = true)]
 async fn a_process_that_starts_during_an_outage_asks_its_peers() {
     let mut fleet = Fleet::new();
@@ -457,39 +456,38 @@
     assert_eq!(started.title(), "x");
 }
 
-/// The same outage, and a newer bundle that a peer gets: a process that nobody tells of it finds it
-/// by asking its peers regularly.
+/// A process that receives no messages must find a newer bundle by polling its peers.
 #[tokio::test(start_paused = true)]
-async fn peers_are_asked_again_while_the_object_service_is_down() {
+async fn peers_are_polled_while_the_object_service_is_down() {
     let mut fleet = Fleet::new();
     let first = fleet.accept_title("first").await;
-    let asking = fleet.start(1, &[2]);
-    asking.until(first).await;
+    let polling = fleet.start(1, &[2]);
+    polling.until(first).await;
     let second = fleet.accept_title("second").await;
     let envelope = fleet.sign(&titled("second"));
     fleet.set_down(true);
     let head = fleet.head.as_ref().expect("accepted").to_text();
     let raw = |text| value::RawValue::from_string(text).expect("JSON");
-    let shown = agent::SignedBundle {
+    let signed = agent::SignedBundle {
         generation: second,
         head: raw(head),
         envelope: raw(envelope),
     };
     let feed = bundle::Feed::new(&metrics::Metrics::new());
     let options = bundle::Options::new(fleet.trust()).peers([addr(1)]);
-    let run = bundle::run(feed.clone(), fleet.store.clone(), Showing(shown), options);
+    let run = bundle::run(feed.clone(), fleet.store.clone(), Fixed(signed), options);
     fleet.network.lock().insert(addr(2), feed.clone());
     let peer = Process {
         feed,
         task: task::spawn(run),
     };
     peer.until(second).await;
-    asking.until(second).await;
-    assert_eq!(asking.title(), "second");
+    polling.until(second).await;
+    assert_eq!(polling.title(), "second");
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_feed_shows_only_what_is_new_enough() {
+async fn signed_bundle_is_returned_only_if_new_enough() {
     let mut fleet = Fleet::new();
     let process = fleet.start(1, &[]);
     assert!(process.feed.signed_bundle(id::Generation(0)).is_none());
--- a/laburnumcart_daemon/tests/peers.rs
+++ b/laburnumcart_daemon/tests/peers.rs
@@ -1,4 +1,4 @@
-//! Bundles over real connections between processes.
+//! Fetches of bundles over real connections.
 
 use std::net;
 
@@ -27,12 +27,12 @@
     text.parse().expect("a secret")
 }
 
-/// An envelope whose text differs from what a reader of JSON would write again.
+/// An envelope whose text changes if its JSON is parsed and serialised again.
 fn envelope() -> String {
     signing::Envelope::new("{ \"z\": 1.50, \"a\": \"\\u00e9 é\" }").to_text()
 }
 
-fn shown() -> agent::SignedBundle {
+fn signed() -> agent::SignedBundle {
     let digest = signing::Digest::of(envelope().as_bytes());
     let head = head::Head::after(None, digest, id::Nonce(5));
     let raw = |text| value::RawValue::from_string(text).expect("JSON");
@@ -43,28 +43,28 @@
     }
 }
 
-/// Serves only the method that shows the bundle.
+/// Serves only the given method, which returns the bundle.
 fn serve(method: &'static str) -> peer::Handle {
     let mut module = RpcModule::new(());
-    let show = |params: jsonrpsee::types::Params<'static>, _, _| async move {
+    let fetch = |params: jsonrpsee::types::Params<'static>, _, _| async move {
         let least: id::Generation = params.one()?;
-        let shown = shown();
-        Ok::<_, jsonrpsee::types::ErrorObjectOwned>((shown.generation >= least).then_some(shown))
+        let signed = signed();
+        Ok::<_, jsonrpsee::types::ErrorObjectOwned>((signed.generation >= least).then_some(signed))
     };
     module
-        .register_async_method(method, show)
+        .register_async_method(method, fetch)
         .expect("a new name");
     let listener = net::TcpListener::bind("127.0.0.1:0").expect("a port");
     let limits = peer::Limits::default();
     peer::serve(listener, &[secret(SECRET)], module, &limits).expect("served")
 }
 
-/// An envelope keeps its digest, and so every byte, on its way from either kind of process.
+/// The digest covers every byte of the envelope, so it must not be reformatted on its way.
 #[rstest]
 #[case::entry("entry_bundle")]
 #[case::agent("agent_bundle")]
 #[tokio::test]
-async fn an_envelope_arrives_as_it_was_stored(#[case] method: &'static str) {
+async fn envelope_is_transferred_unchanged(#[case] method: &'static str) {
     let server = serve(method);
     let peers = bundle::RpcPeers::new(secret(SECRET));
     let answer = peers.fetch(server.addr(), id::Generation(1)).await;
@@ -81,7 +81,7 @@
 }
 
 #[tokio::test]
-async fn a_stranger_is_shown_nothing() {
+async fn wrong_secret_is_refused() {
     let server = serve("entry_bundle");
     let peers = bundle::RpcPeers::new(secret("fedcba9876543210"));
     let answer = peers.fetch(server.addr(), id::Generation(1)).await;
@@ -89,7 +89,7 @@
 }
 
 #[tokio::test]
-async fn a_peer_that_is_gone_is_an_error() {
+async fn unreachable_peer_is_an_error() {
     let listener = net::TcpListener::bind("127.0.0.1:0").expect("a port");
     let addr = listener.local_addr().expect("an address");
     drop(listener);
--- a/laburnumcart_daemon/tests/settings.rs
+++ b/laburnumcart_daemon/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings: every fault in one run, by path, with nothing secret.
+//! Settings: all faults are reported at once, with their paths and without secrets.
 
 use laburnumcart_daemon::{
     logs,
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn valid_settings_are_read() {
+fn valid_settings_are_parsed() {
     let sample: Sample = settings::parse(&valid().to_string()).unwrap();
     assert_eq!(sample.telemetry.level, logs::Level::Warn);
     assert_eq!(sample.fleet.signers, 1);
@@ -61,14 +61,14 @@
 }
 
 #[test]
-fn several_keys_of_a_signer_are_read() {
+fn several_keys_of_a_signer_are_parsed() {
     let mut value = valid();
     value["fleet"]["keys"]["ana"] = format!("{KEY},{SECOND}").into();
     let sample: Sample = settings::parse(&value.to_string()).unwrap();
     assert_eq!(sample.fleet.keys[&"ana".parse().unwrap()].iter().count(), 2);
 }
 
-/// An operator has made five slips in one file; one run names them all, each with its path.
+/// All five faults of a file are reported at once, each with its path.
 #[test]
 fn every_fault_is_reported_in_one_run() {
     let mut value = valid();
@@ -137,19 +137,19 @@
 }
 
 #[test]
-fn absent_file_is_named() {
+fn error_names_the_missing_file() {
     let error = settings::load::<Sample>("absent/settings.json").unwrap_err();
     assert!(error.to_string().contains("absent/settings.json"));
 }
 
 proptest! {
     #[test]
-    fn any_text_is_answered(text in ".{0,200}") {
+    fn parsing_any_text_does_not_panic(text in ".{0,200}") {
         let _ = settings::parse::<Sample>(&text);
     }
 
     #[test]
-    fn one_wrong_byte_is_answered(place: usize, byte in 32u8..127) {
+    fn parsing_with_one_changed_byte_does_not_panic(place: usize, byte in 32u8..127) {
         let mut text = valid().to_string().into_bytes();
         let place = place % text.len();
         text[place] = byte;
--- a/laburnumcart_daemon/tests/start.rs
+++ b/laburnumcart_daemon/tests/start.rs
@@ -1,4 +1,4 @@
-//! Command line, start and logs.
+//! Command line, launch and logs.
 
 use std::{
     cell,
@@ -52,7 +52,7 @@
 #[rstest]
 #[case("--help", "Usage: laburnum-sample --settings FILE")]
 #[case("--version", "laburnum-sample 1.2.3\n")]
-fn text_is_printed(#[case] line: &str, #[case] part: &str) {
+fn help_and_version_are_printed(#[case] line: &str, #[case] part: &str) {
     match parse(line).unwrap() {
         args::Command::Print(text) => assert!(text.contains(part), "{text}"),
         other => panic!("{other:?}"),
@@ -65,12 +65,12 @@
 #[case("--settings a.json more", "unexpected argument: \"more\"")]
 #[case("--setings a.json", "setings")]
 #[case("--settings a.json --settings b.json", "settings")]
-fn wrong_line_is_refused(#[case] line: &str, #[case] part: &str) {
+fn invalid_command_line_is_rejected(#[case] line: &str, #[case] part: &str) {
     let error = parse(line).unwrap_err().to_string();
     assert!(error.contains(part), "{error}");
 }
 
-/// A file of settings that is deleted with the value.
+/// A temporary settings file, deleted on drop.
 struct File(std::path::PathBuf);
 
 impl File {
@@ -94,7 +94,12 @@
 #[case::wrong(r#"{"telemtry":{}}"#, false, false, 2)]
 #[case::wrong_checked(r#"{"telemtry":{}}"#, true, false, 2)]
 #[case::no_json("{", false, false, 2)]
-fn exit_code_tells(#[case] text: &str, #[case] check: bool, #[case] runs: bool, #[case] code: u8) {
+fn exit_code_reports_validity(
+    #[case] text: &str,
+    #[case] check: bool,
+    #[case] runs: bool,
+    #[case] code: u8,
+) {
     let file = File::new(text);
     let mut line = vec!["--settings".into(), file.0.display().to_string()];
     line.extend(check.then(|| "--check".into()));
@@ -134,7 +139,7 @@
 }
 
 #[test]
-fn line_is_keys_and_values() {
+fn line_has_time_level_and_keys() {
     let line = line(
         log::Level::Info,
         "laburnumcart_entry::run",
@@ -146,7 +151,7 @@
 }
 
 #[test]
-fn line_of_a_library_is_one_value() {
+fn line_of_a_library_is_quoted() {
     let line = line(log::Level::Warn, "hyper", "a \"b\"\nc");
     let rest = line.split_once(' ').unwrap().1;
     assert_eq!(
@@ -156,7 +161,7 @@
 }
 
 #[test]
-fn details_of_a_library_are_left_out() {
+fn info_of_a_library_is_not_logged() {
     assert_eq!(line(log::Level::Info, "hyper", "details"), "");
 }
 
@@ -166,6 +171,6 @@
 #[case("two words", "\"two words\"")]
 #[case("a=b", "\"a=b\"")]
 #[case("line\nbreak", "\"line\\nbreak\"")]
-fn value_stays_one_word(#[case] value: &str, #[case] written: &str) {
+fn value_is_quoted_if_needed(#[case] value: &str, #[case] written: &str) {
     assert_eq!(logs::Quoted(value).to_string(), written);
 }
--- a/laburnumcart_daemon/tests/stop.rs
+++ b/laburnumcart_daemon/tests/stop.rs
@@ -15,8 +15,7 @@
 
 const LIMIT: unit::Period = unit::Period::from_secs(30);
 
-/// A request is in flight when the process is told to stop. The caller still gets its answer: the
-/// process waits for it, and refuses what comes in the meantime.
+/// A request in flight at shutdown must still be answered, while new ones are refused.
 #[tokio::test(start_paused = true)]
 async fn work_in_flight_is_finished() {
     let running = stop::Running::new();
@@ -35,7 +34,7 @@
     assert_eq!(start.elapsed(), time::Duration::from_secs(10));
 }
 
-/// A request hangs for good. The process still ends, after its bound, and says what it left.
+/// A request that hangs must not keep the process from stopping at the limit.
 #[tokio::test(start_paused = true)]
 async fn wait_is_bounded() {
     let running = stop::Running::new();
@@ -56,10 +55,9 @@
     assert_eq!(start.elapsed(), time::Duration::ZERO);
 }
 
-/// Threads enter while another one drains. Each piece of work is either refused or waited for; none
-/// is let in and then cut off.
+/// Threads enter while another one drains: all work is either refused or waited for, never cut off.
 #[test]
-fn no_work_slips_through_the_gate() {
+fn work_admitted_during_drain_is_waited_for() {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_time()
         .build()
@@ -104,7 +102,7 @@
 }
 
 #[test]
-fn panic_of_the_control_thread_is_seen() {
+fn panic_of_the_control_thread_is_reported() {
     let control = control::spawn(|| async { panic!("on purpose") });
     assert_eq!(control.unwrap().join(), Err::<(), _>(control::Panicked));
 }
--- a/laburnumcart_daemon/tests/telemetry.rs
+++ b/laburnumcart_daemon/tests/telemetry.rs
@@ -1,4 +1,4 @@
-//! Metrics, the admin pages and traces.
+//! Metrics, admin pages and the `traceparent` header.
 
 use std::{
     io::{
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn own_usage_is_shown() {
+fn process_usage_is_exported() {
     let metrics = metrics::Metrics::new();
     process::register(&metrics);
     let text = metrics.encode().unwrap();
@@ -74,7 +74,7 @@
     assert!(value("process_open_fds ") >= 3.0);
 }
 
-/// Reads one page; the answer's status and its text.
+/// Requests a page; returns the status and the text of the response.
 fn get(addr: net::SocketAddr, path: &str) -> (u16, String) {
     let mut stream = net::TcpStream::connect(addr).unwrap();
     stream
@@ -91,8 +91,7 @@
     (status, text)
 }
 
-/// A process that drains stays alive for its requests but must get no new ones: it is healthy and not
-/// ready, and the balancer reads the latter.
+/// A draining process must be healthy but not ready, so that the load balancer sends no new requests.
 #[test]
 fn admin_pages_are_served() {
     let ready = sync::Arc::new(atomic::AtomicBool::new(true));
@@ -134,7 +133,7 @@
 #[case::bad_version("ff-0af7651916cd43dd8448eb211c80319c-b7ad6b7169203331-01", false)]
 #[case::short("00-0af7651916cd43dd8448eb211c80319c-b7ad6b7169203331", false)]
 #[case::empty("", false)]
-fn traceparent_is_checked(#[case] text: &str, #[case] valid: bool) {
+fn traceparent_is_validated(#[case] text: &str, #[case] valid: bool) {
     assert_eq!(text.parse::<traces::Traceparent>().is_ok(), valid);
 }
 
@@ -147,7 +146,7 @@
     }
 
     #[test]
-    fn any_traceparent_is_answered(text in ".{0,80}") {
+    fn parsing_any_traceparent_does_not_panic(text in ".{0,80}") {
         let _ = text.parse::<traces::Traceparent>();
     }
 }
--- a/laburnumcart_daemon/tests/traces.rs
+++ b/laburnumcart_daemon/tests/traces.rs
@@ -1,4 +1,4 @@
-//! Spans that reach a collector; alone in its process, as the subscriber is global.
+//! Export of spans to a collector; the only test in its process, as the subscriber is global.
 
 use std::{
     io::{
@@ -13,7 +13,7 @@
 
 use laburnumcart_daemon::traces;
 
-const CAME: &str = "00-0af7651916cd43dd8448eb211c80319c-b7ad6b7169203331-01";
+const INCOMING: &str = "00-0af7651916cd43dd8448eb211c80319c-b7ad6b7169203331-01";
 
 /// Reads one HTTP request and answers it; returns its first line and its body.
 fn collect(listener: &net::TcpListener) -> (String, String) {
@@ -40,17 +40,16 @@
     (first, String::from_utf8(body).unwrap())
 }
 
-/// A caller's trace goes through a process: the span of this hop is a child of the caller's, the next
-/// hop is told of this span, and the collector gets it. Before the start nothing is recorded and
-/// the caller's own position is passed on.
+/// The span of a hop is a child of the caller's and the parent of the next hop's. Before the start,
+/// spans are disabled and the caller's parent is forwarded.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn span_of_a_hop_reaches_the_collector() {
-    let came: traces::Traceparent = CAME.parse().unwrap();
+    let incoming: traces::Traceparent = INCOMING.parse().unwrap();
     let off = tracing::info_span!("stage");
     assert!(off.is_disabled());
     assert_eq!(
-        traces::outgoing_parent(&off, Some(&came)),
-        Some(came.clone())
+        traces::outgoing_parent(&off, Some(&incoming)),
+        Some(incoming.clone())
     );
 
     let listener = net::TcpListener::bind("127.0.0.1:0").unwrap();
@@ -59,12 +58,12 @@
     let instance = "agent-1".parse().unwrap();
     let running = traces::start("laburnum-sample", &instance, addr).unwrap();
     let span = tracing::info_span!("stage", stage = "encode");
-    traces::set_parent(&span, Some(&came));
-    let goes = traces::outgoing_parent(&span, Some(&came))
+    traces::set_parent(&span, Some(&incoming));
+    let outgoing = traces::outgoing_parent(&span, Some(&incoming))
         .unwrap()
         .to_string();
     drop(span);
-    // The end of the process sends what waits.
+    // Dropping the traces flushes the queued spans.
     tokio::task::spawn_blocking(move || drop(running))
         .await
         .unwrap();
@@ -73,7 +72,7 @@
         .await
         .unwrap();
     assert_eq!(first.trim(), "POST /v1/traces HTTP/1.1");
-    let fields: Vec<&str> = goes.split('-').collect();
+    let fields: Vec<&str> = outgoing.split('-').collect();
     assert_eq!(fields[1], "0af7651916cd43dd8448eb211c80319c");
     assert_ne!(fields[2], "b7ad6b7169203331");
     for part in [
