--- a/laburnumcart_agent/src/agent.rs
+++ b/laburnumcart_agent/src/agent.rs
@@ -110,7 +110,7 @@
             .refuse_queued(verdict::Reason::Leaving, now);
         let stopped = draining.wait(self.shared.settings.stop_limit).await;
         self.peers.stop();
-        stopped.left
+        stopped.unfinished
     }
 
     /// Reports whether the control thread has ended.
--- a/laburnumcart_agent/src/execute.rs
+++ b/laburnumcart_agent/src/execute.rs
@@ -49,7 +49,7 @@
         pipeline = %call.pipeline,
         stage = %call.stage,
     );
-    traces::join(&span, caller_span.as_ref());
+    traces::set_parent(&span, caller_span.as_ref());
     let started = time::Instant::now();
     let outcome = run_on_target(&shared, &job, caller_span)
         .instrument(span)
@@ -120,7 +120,7 @@
     let span = tracing::info_span!("target", otel.kind = "client", target = target);
     let hop = run::Hop {
         remaining: unit::Period(job.deadline - time::Instant::now()),
-        parent: traces::parent(&span, caller_span.as_ref()),
+        parent: traces::outgoing_parent(&span, caller_span.as_ref()),
     };
     let mut sink = Sink {
         shared,
--- a/laburnumcart_agent/src/shared.rs
+++ b/laburnumcart_agent/src/shared.rs
@@ -151,7 +151,7 @@
     /// first, the target would execute content that has already crashed two others.
     pub async fn merge_facts(&self, facts: facts::Facts, peer: Option<net::SocketAddr>) {
         if let Some(peer) = peer {
-            self.feed.hear(facts.generation, peer);
+            self.feed.record_peer_generation(facts.generation, peer);
         }
         if facts == facts::Facts::default() {
             return;
--- a/laburnumcart_daemon/tests/stop.rs
+++ b/laburnumcart_daemon/tests/stop.rs
@@ -15,8 +15,7 @@
 
 const LIMIT: unit::Period = unit::Period::from_secs(30);
 
-/// A request is in flight when the process is told to stop. The caller still gets its answer: the
-/// process waits for it, and refuses what comes in the meantime.
+/// A request in flight at shutdown must still be answered, while new ones are refused.
 #[tokio::test(start_paused = true)]
 async fn work_in_flight_is_finished() {
     let running = stop::Running::new();
@@ -25,23 +24,26 @@
     let draining = running.drain();
     assert!(gate.enter().is_none());
     assert!(gate.is_closed());
-    assert_eq!(draining.count(), 1);
+    assert_eq!(draining.in_flight(), 1);
     tokio::spawn(async move {
         tokio::time::sleep(time::Duration::from_secs(10)).await;
         drop(work);
     });
     let start = tokio::time::Instant::now();
-    assert_eq!(draining.wait(LIMIT).await, stop::Stopped { left: 0 });
+    assert_eq!(draining.wait(LIMIT).await, stop::Stopped { unfinished: 0 });
     assert_eq!(start.elapsed(), time::Duration::from_secs(10));
 }
 
-/// A request hangs for good. The process still ends, after its bound, and says what it left.
+/// A request that hangs must not keep the process from stopping at the limit.
 #[tokio::test(start_paused = true)]
 async fn wait_is_bounded() {
     let running = stop::Running::new();
     let _work = running.gate().enter();
     let start = tokio::time::Instant::now();
-    assert_eq!(running.drain().wait(LIMIT).await, stop::Stopped { left: 1 });
+    assert_eq!(
+        running.drain().wait(LIMIT).await,
+        stop::Stopped { unfinished: 1 }
+    );
     assert_eq!(start.elapsed(), LIMIT.0);
 }
 
@@ -49,14 +51,13 @@
 async fn idle_process_stops_at_once() {
     let start = tokio::time::Instant::now();
     let stopped = stop::Running::new().drain().wait(LIMIT).await;
-    assert_eq!(stopped, stop::Stopped { left: 0 });
+    assert_eq!(stopped, stop::Stopped { unfinished: 0 });
     assert_eq!(start.elapsed(), time::Duration::ZERO);
 }
 
-/// Threads enter while another one drains. Each piece of work is either refused or waited for; none
-/// is let in and then cut off.
+/// Threads enter while another one drains: all work is either refused or waited for, never cut off.
 #[test]
-fn no_work_slips_through_the_gate() {
+fn work_admitted_during_drain_is_waited_for() {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_time()
         .build()
@@ -85,7 +86,7 @@
         let stopped = runtime.block_on(draining.wait(LIMIT));
         let finished = done.load(sync::atomic::Ordering::SeqCst);
         let entered: usize = threads.into_iter().map(|t| t.join().unwrap()).sum();
-        assert_eq!(stopped.left, 0);
+        assert_eq!(stopped.unfinished, 0);
         assert_eq!(finished, entered);
     }
 }
@@ -101,7 +102,7 @@
 }
 
 #[test]
-fn panic_of_the_control_thread_is_seen() {
+fn panic_of_the_control_thread_is_reported() {
     let control = control::spawn(|| async { panic!("on purpose") });
     assert_eq!(control.unwrap().join(), Err::<(), _>(control::Panicked));
 }
--- a/laburnumcart_entry/src/run.rs
+++ b/laburnumcart_entry/src/run.rs
@@ -132,7 +132,7 @@
     }
     entry.leave();
     let stopped = running.drain().wait(settings.stop_limit).await;
-    event!(Info, "stopped", left = stopped.left);
+    event!(Info, "stopped", left = stopped.unfinished);
     if let Some(claims) = entry.claims() {
         // Lets other entries take the shards over without a timeout.
         let _ = tokio::time::timeout(SHUTDOWN_TIMEOUT, claims.drain()).await;
@@ -141,7 +141,7 @@
     // Callers may keep idle connections open, so the wait is bounded.
     let _ = tokio::time::timeout(SHUTDOWN_TIMEOUT, server).await;
     peers.stop();
-    Ok(match stopped.left {
+    Ok(match stopped.unfinished {
         0 => process::ExitCode::SUCCESS,
         _ => process::ExitCode::FAILURE,
     })
--- a/laburnumcart_entry/tests/it/claims.rs
+++ b/laburnumcart_entry/tests/it/claims.rs
@@ -111,5 +111,5 @@
         .drain()
         .wait(unit::Period(fixture::LIMIT))
         .await;
-    assert_eq!(stopped.left, 0);
+    assert_eq!(stopped.unfinished, 0);
 }
--- a/laburnumcart_entry/tests/it/requests.rs
+++ b/laburnumcart_entry/tests/it/requests.rs
@@ -161,12 +161,12 @@
     assert_eq!(refused.status, 503);
     assert!(refused.head.contains("retry-after: 1"));
     assert!(refused.body.contains("\"not-run\"") && refused.body.contains("\"leaving\""));
-    assert_eq!(draining.count(), 1);
+    assert_eq!(draining.in_flight(), 1);
     pool.fake.gate.add_permits(9);
     let reply = fixture::within_limit(running).await.unwrap();
     assert_eq!(reply.status, 200);
     let stopped = draining.wait(unit::Period(fixture::LIMIT)).await;
-    assert_eq!(stopped.left, 0);
+    assert_eq!(stopped.unfinished, 0);
 }
 
 // A refusal that proves that nothing was executed is retried, also for a non-idempotent request.
