--- a/laburnumcart/src/quota/advertised.rs
+++ b/laburnumcart/src/quota/advertised.rs
@@ -14,7 +14,7 @@
     None,
     /// Requests per second that the target accepts from all processes together.
     #[display("{_0}")]
-    Named(unit::Rate),
+    Advertised(unit::Rate),
     /// The response advertises a limit that cannot be parsed.
     #[display("unreadable")]
     Unreadable,
@@ -54,7 +54,7 @@
 ///
 /// let now = Instant::now();
 /// let mut target = quota::TargetLimit::default();
-/// let limit = quota::Limit::Named(unit::Rate(2.0));
+/// let limit = quota::Limit::Advertised(unit::Rate(2.0));
 /// let observation = quota::Observation { limit, trusted: true, sent: now };
 /// target.record_answer(observation, 0.5, now + Duration::from_millis(80));
 /// // The request of this response was sent before the limit was seen.
@@ -81,7 +81,7 @@
     /// Returns the current limit in the form of a response.
     pub fn limit(&self) -> Limit {
         match self.advertised {
-            Some(limit) => Limit::Named(limit.rate),
+            Some(limit) => Limit::Advertised(limit.rate),
             None if self.unreadable => Limit::Unreadable,
             None => Limit::None,
         }
@@ -114,7 +114,7 @@
     /// if its request was sent after the limit was last confirmed and the response is trusted.
     pub fn record_answer(&mut self, observation: Observation, jitter: f64, now: Instant) -> bool {
         match observation.limit {
-            Limit::Named(rate) => self.set_limit(rate, jitter, now),
+            Limit::Advertised(rate) => self.set_limit(rate, jitter, now),
             Limit::Unreadable => !std::mem::replace(&mut self.unreadable, true),
             Limit::None => {
                 let is_newer = |limit: Advertised| observation.sent > limit.confirmed;
--- a/laburnumcart/tests/quota.rs
+++ b/laburnumcart/tests/quota.rs
@@ -347,7 +347,7 @@
             let (limit, since) = match event {
                 Event::Answer { limit, trusted, round_trip } => {
                     let sent = now - time::Duration::from_millis(round_trip);
-                    let rate = |limit| quota::Limit::Named(unit::Rate(f64::from(limit)));
+                    let rate = |limit| quota::Limit::Advertised(unit::Rate(f64::from(limit)));
                     let limit = limit.map_or(quota::Limit::None, rate);
                     target.record_answer(quota::Observation { limit, trusted, sent }, 0.5, now);
                     let is_kept = target.advertised().is_some() || before.advertised().is_none();
@@ -358,7 +358,7 @@
                     let at = now - time::Duration::from_millis(age);
                     let rate = limit.map(|limit| unit::Rate(f64::from(limit)));
                     target.merge(rate, at, 0.5);
-                    (rate.map_or(quota::Limit::None, quota::Limit::Named), at)
+                    (rate.map_or(quota::Limit::None, quota::Limit::Advertised), at)
                 }
             };
             if let (Some(ended), None) = (before.advertised(), target.advertised()) {
--- a/laburnumcart_agent/src/shared.rs
+++ b/laburnumcart_agent/src/shared.rs
@@ -150,7 +150,7 @@
     /// the target would execute content that has crashed two others.
     pub async fn hear(&self, facts: facts::Facts, peer: Option<net::SocketAddr>) {
         if let Some(peer) = peer {
-            self.feed.hear(facts.generation, peer);
+            self.feed.record_generation(facts.generation, peer);
         }
         if facts == facts::Facts::default() {
             return;
--- a/laburnumcart_daemon/examples/in_force.rs
+++ b/laburnumcart_daemon/examples/in_force.rs
@@ -229,8 +229,8 @@
         .collect();
     loop {
         for link in &links {
-            feeds[*link].hear(feeds[number].generation(), addr(number));
-            feeds[number].hear(feeds[*link].generation(), addr(*link));
+            feeds[*link].record_generation(feeds[number].generation(), addr(number));
+            feeds[number].record_generation(feeds[*link].generation(), addr(*link));
         }
         tokio::time::sleep(BEAT).await;
     }
--- a/laburnumcart_daemon/src/bundle/counters.rs
+++ b/laburnumcart_daemon/src/bundle/counters.rs
@@ -28,7 +28,7 @@
     Content,
 }
 
-impl metrics::Closed for Failure {}
+impl metrics::LabelValue for Failure {}
 
 #[derive(Clone, Debug, EncodeLabelSet, Eq, Hash, PartialEq)]
 struct Labels {
--- a/laburnumcart_daemon/src/bundle/feed.rs
+++ b/laburnumcart_daemon/src/bundle/feed.rs
@@ -100,8 +100,8 @@
         self.0.counters.failures(reason)
     }
 
-    /// Takes note that a peer has shown a generation.
-    pub fn hear(&self, generation: id::Generation, peer: net::SocketAddr) {
+    /// Records that a peer advertises a generation.
+    pub fn record_generation(&self, generation: id::Generation, peer: net::SocketAddr) {
         let mut state = self.lock();
         if generation <= state.view.generation() {
             return;
--- a/laburnumcart_daemon/src/metrics.rs
+++ b/laburnumcart_daemon/src/metrics.rs
@@ -92,19 +92,19 @@
     }
 }
 
-/// Types with few values, fit for a label.
-pub trait Closed: fmt::Display {}
+/// Type with a small, fixed set of values, which can be the value of a label.
+pub trait LabelValue: fmt::Display {}
 
-impl Closed for verdict::Verdict {}
-impl Closed for verdict::Reason {}
-impl Closed for bundle::Priority {}
-impl Closed for bool {}
+impl LabelValue for verdict::Verdict {}
+impl LabelValue for verdict::Reason {}
+impl LabelValue for bundle::Priority {}
+impl LabelValue for bool {}
 
 /// Value of a label, from a closed set.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub struct Label<T>(pub T);
 
-impl<T: Closed> encoding::EncodeLabelValue for Label<T> {
+impl<T: LabelValue> encoding::EncodeLabelValue for Label<T> {
     fn encode(&self, encoder: &mut encoding::LabelValueEncoder<'_>) -> Result<(), fmt::Error> {
         fmt::Write::write_fmt(encoder, format_args!("{}", self.0))
     }
--- a/laburnumcart_daemon/tests/bundle.rs
+++ b/laburnumcart_daemon/tests/bundle.rs
@@ -369,7 +369,9 @@
     process.until(new).await;
     fleet.set_down(true);
     for number in 0..10 {
-        process.feed.hear(id::Generation(9), addr(number));
+        process
+            .feed
+            .record_generation(id::Generation(9), addr(number));
         tokio::time::sleep(time::Duration::from_secs(1)).await;
         assert_eq!(process.feed.generation(), new);
         assert_eq!(process.title(), "new");
@@ -434,7 +436,7 @@
     // Each process hears of the generation from the one before it, as messages carry it.
     let mut source = addr(20);
     for (number, process) in others.iter().enumerate() {
-        process.feed.hear(second, source);
+        process.feed.record_generation(second, source);
         process.until(second).await;
         assert_eq!(process.title(), "second");
         source = addr(number as u16);
--- a/laburnumcart_entry/src/gossip.rs
+++ b/laburnumcart_entry/src/gossip.rs
@@ -65,7 +65,7 @@
     /// Merges the facts of a process, which serves its bundle at `peer`.
     pub fn merge(&self, facts: &facts::Facts, peer: net::SocketAddr) {
         if facts.generation > self.feed.generation() {
-            self.feed.hear(facts.generation, peer);
+            self.feed.record_generation(facts.generation, peer);
         }
         // The own generation is advertised only once its bundle is in force here.
         let others = facts::Facts {
--- a/laburnumcart_gateway/src/budgets.rs
+++ b/laburnumcart_gateway/src/budgets.rs
@@ -47,7 +47,7 @@
     Stage,
 }
 
-impl registry::Closed for RepeatKind {}
+impl registry::LabelValue for RepeatKind {}
 
 /// Decision on a repeat.
 #[derive(Clone, Copy, Debug, Display, Eq, Hash, PartialEq)]
@@ -59,7 +59,7 @@
     Denied,
 }
 
-impl registry::Closed for Outcome {}
+impl registry::LabelValue for Outcome {}
 
 /// Labels of the counter of repeats.
 #[derive(Clone, Debug, EncodeLabelSet, Eq, Hash, PartialEq)]
--- a/laburnumcart_gateway/src/state.rs
+++ b/laburnumcart_gateway/src/state.rs
@@ -105,7 +105,7 @@
         causes.push(wire::Cause::Cold(rounded(until - now)));
     }
     let quotas = &gateway.outbound.quotas;
-    if let quota::Limit::Named(rate) = quotas.signals.get(&target.key()).limit() {
+    if let quota::Limit::Advertised(rate) = quotas.signals.get(&target.key()).limit() {
         causes.push(wire::Cause::Limit(rate));
     }
     let limiters = quotas.limiters(target);
