--- a/laburnumcart/src/balancer/table.rs
+++ b/laburnumcart/src/balancer/table.rs
@@ -30,7 +30,7 @@
         }
     }
 
-    /// Returns the targets in the order of their positions.
+    /// Returns the targets, local ones first; a request refers to them by their index here.
     pub fn targets(&self) -> &[balancer::Target] {
         &self.targets
     }
@@ -40,7 +40,8 @@
         self.local_count
     }
 
-    /// Returns the mean load by other senders, in attempts relative to a target's concurrency.
+    /// Returns the mean load of the ready targets by other processes: their attempts at a target
+    /// divided by its concurrency limit.
     pub(super) fn mean_load(&self) -> f64 {
         self.mean_load
     }
--- a/laburnumcart/src/batch/precheck.rs
+++ b/laburnumcart/src/batch/precheck.rs
@@ -14,9 +14,10 @@
 };
 
 impl Queue {
-    /// Reports whether some target may get a call; if not, none can.
+    /// Reports whether some target may get a call.
     ///
-    /// Where room is the bottleneck, targets are idle but have no room for the first job. Sorting a
+    /// The answer `false` is exact; `true` is confirmed only by sorting the jobs. If memory for
+    /// results is the bottleneck, targets are idle but have no room for the first job. Sorting a
     /// long queue in vain on each message would starve its owner of processor time.
     pub(super) fn can_call(&self, now: Instant) -> bool {
         let horizon = self.horizon(now);
@@ -33,8 +34,8 @@
         horizon: Instant,
         now: Instant,
     ) -> bool {
-        let mut blocked = None;
-        while let Some(key) = self.first_job(target, blocked, horizon) {
+        let mut blocked_size = None;
+        while let Some(key) = self.first_job(target, blocked_size, horizon) {
             let job = &self.jobs[key];
             let is_skipped = !self.targets.is_allowed(target, &job.spec);
             if is_skipped || self.has_nearer_target(target, &job.spec, now) {
@@ -46,12 +47,13 @@
             if !builder.into_jobs().is_empty() {
                 return true;
             }
-            blocked = Some(job.spec.size);
+            blocked_size = Some(job.spec.size);
         }
         false
     }
 
-    /// Returns the first job at a target among those with results smaller than `below`.
+    /// Returns the first job at a target among those with results smaller than `below`; `horizon` is
+    /// the earliest due time that can still be met.
     fn first_job(
         &self,
         target: TargetKey,
--- a/laburnumcart/src/claim/limiter.rs
+++ b/laburnumcart/src/claim/limiter.rs
@@ -1,4 +1,6 @@
 //! Rate limiter of appends to the claim log, which leaves capacity for other writes.
+//!
+//! The claim log makes claims of idempotency keys durable in the object service, by shard.
 
 use std::time;
 
--- a/laburnumcart/src/evacuation.rs
+++ b/laburnumcart/src/evacuation.rs
@@ -9,22 +9,23 @@
 
 use crate::id;
 
-/// Time after the end of an evacuation for which the targets of a data centre count as cold.
+/// Time after the end of an evacuation for which the targets of a data centre count as cold, and so
+/// get work only at the low rate of targets that are warming up.
 ///
-/// Targets can become cold while they get no work, and report it only with their next entry. Until
-/// that entry arrives, full load could crash them.
+/// Targets can become cold while they get no work, and report it only when they next update their
+/// entry in the store. Until then, full load could crash them.
 const COLD_TIME: time::Duration = time::Duration::from_secs(4);
 
 /// Names of the evacuated data centres.
 pub type Evacuated = collections::BTreeSet<id::DataCentre>;
 
-/// Tracks the evacuated data centres and those that came back recently.
+/// Tracks the evacuated data centres and those whose evacuation has ended recently.
 #[derive(Clone, Debug, Default)]
 pub struct Tracker {
     evacuated: Option<Evacuated>,
     /// When this process learned of each current evacuation.
     since: collections::BTreeMap<id::DataCentre, Instant>,
-    /// Until when the targets of data centres that came back count as cold.
+    /// Until when the targets of data centres whose evacuation has ended count as cold.
     cold: collections::BTreeMap<id::DataCentre, Instant>,
 }
 
--- a/laburnumcart/src/fair.rs
+++ b/laburnumcart/src/fair.rs
@@ -1,9 +1,9 @@
 //! Weighted fair queueing of the teams at one target.
 //!
 //! Each team has a virtual time: the cost of its served work divided by its weight. The team with
-//! the least virtual time is served next. Each step of priority below the highest adds a fixed lead
-//! in this comparison. Urgent work therefore goes first, but only by that lead: a team that floods
-//! the target with urgent work falls back to its share, and no team starves.
+//! the least virtual time is served next. Each step of priority below the highest adds a fixed
+//! penalty in this comparison. Urgent work therefore goes first, but only within that penalty: a
+//! team that floods the target with urgent work falls back to its share, and no team starves.
 
 use std::{
     collections,
@@ -33,13 +33,14 @@
 /// Virtual time of one unit of cost at weight 1.
 const UNIT: u128 = 1 << 20;
 
-/// Lead of each step of priority, in requests of unit cost for a team of mean weight.
-const LEAD_REQUESTS: u128 = 8;
+/// Penalty of each step of priority, in requests of unit cost for a team of mean weight.
+const PENALTY_REQUESTS: u128 = 8;
 
 /// Number of priorities.
 const PRIORITIES: usize = 3;
 
-/// Delay of the deadline, within one team, for each step of priority below the highest.
+/// Time added to the deadline for each step of priority below the highest, where the entries of one
+/// team are sorted by deadline.
 const PRIORITY_DELAY: time::Duration = time::Duration::from_secs(1);
 
 /// Request to be queued.
@@ -135,8 +136,8 @@
 struct Clock {
     /// Least virtual time.
     time: u128,
-    /// Least virtual time including the lead of priorities.
-    rank: u128,
+    /// Least virtual time including the penalty of priorities.
+    penalized_time: u128,
 }
 
 impl<T> Queue<T> {
@@ -193,6 +194,7 @@
     /// Removes a team and returns its entries.
     pub fn remove_team(&mut self, key: TeamKey) -> Vec<Dropped<T>> {
         let keys = self.teams.get(key).map(Team::keys).unwrap_or_default();
+        // No reason stands for a removed team; its pipelines are gone with it.
         let reason = verdict::Reason::UnknownPipeline;
         let dropped = keys.iter().filter_map(|k| self.drop_entry(*k, reason));
         let dropped = dropped.collect();
@@ -226,8 +228,8 @@
     /// Takes the entry to serve next; expired entries are returned by [`Queue::take_expired`].
     pub fn pop(&mut self, now: Instant) -> Option<Popped<T>> {
         self.expire(now);
-        let (rank, team) = self.next_team()?;
-        self.advance_clock(rank);
+        let (penalized_time, team) = self.next_team()?;
+        self.advance_clock(penalized_time);
         let key = self.teams[team].next_served()?;
         let entry = self.remove_entry(key)?;
         let cost = u128::from(entry.request.cost.max(1));
@@ -308,48 +310,51 @@
         let Some(team) = self.teams.get_mut(key) else {
             return;
         };
-        if let Some(ranks) = team.ranks() {
-            self.by_priority[ranks.priority].remove(&(ranks.time, key));
-            self.by_excess.remove(&(ranks.excess, key));
+        if let Some(keys) = team.index_keys() {
+            self.by_priority[keys.priority].remove(&(keys.time, key));
+            self.by_excess.remove(&(keys.excess, key));
         }
         change(team);
-        if let Some(ranks) = team.ranks() {
-            self.by_priority[ranks.priority].insert((ranks.time, key));
-            self.by_excess.insert((ranks.excess, key));
+        if let Some(keys) = team.index_keys() {
+            self.by_priority[keys.priority].insert((keys.time, key));
+            self.by_excess.insert((keys.excess, key));
         }
     }
 
-    /// Returns the virtual time of one step of priority.
-    fn lead(&self) -> u128 {
-        LEAD_REQUESTS * UNIT * self.teams.len() as u128 / self.weights.max(1)
+    /// Returns the virtual time that each step of priority adds.
+    fn priority_penalty(&self) -> u128 {
+        PENALTY_REQUESTS * UNIT * self.teams.len() as u128 / self.weights.max(1)
     }
 
-    /// Returns the team to serve next, with its rank.
+    /// Returns the team to serve next, with its virtual time including the penalty.
     fn next_team(&self) -> Option<(u128, TeamKey)> {
-        let lead = self.lead();
+        let penalty = self.priority_penalty();
         let levels = self.by_priority.iter().zip(0..);
-        let ranks = levels.filter_map(|(level, step)| {
+        let candidates = levels.filter_map(|(level, step)| {
             let (time, key) = *level.first()?;
-            Some((time + lead * step, key))
+            Some((time + penalty * step, key))
         });
-        ranks.min()
+        candidates.min()
     }
 
     /// Advances the clock to the least virtual times.
-    fn advance_clock(&mut self, rank: u128) {
+    fn advance_clock(&mut self, penalized_time: u128) {
         let heads = self.by_priority.iter().filter_map(|level| level.first());
         let time = heads.map(|(time, _)| *time).min().unwrap_or(0);
         self.clock.time = self.clock.time.max(time);
-        self.clock.rank = self.clock.rank.max(rank);
+        self.clock.penalized_time = self.clock.penalized_time.max(penalized_time);
     }
 
-    /// Returns the least virtual time of a team that was idle and has new work of a priority.
+    /// Returns the lower bound of the virtual time of a team that was idle and has new work of a
+    /// priority.
     ///
     /// An idle team accumulates no credit, which would let it block the others on its return. But
-    /// it keeps the lag caused by the lead of more urgent teams: a team with a single request at a
+    /// it keeps the lag caused by the penalty of its priority: a team with a single request at a
     /// time would otherwise lose that lag again and again.
     fn start_time(&self, priority: bundle::Priority) -> u128 {
-        let lead = self.lead() * priority as u128;
-        self.clock.time.min(self.clock.rank.saturating_sub(lead))
+        let penalty = self.priority_penalty() * priority as u128;
+        self.clock
+            .time
+            .min(self.clock.penalized_time.saturating_sub(penalty))
     }
 }
--- a/laburnumcart/src/fair/team.rs
+++ b/laburnumcart/src/fair/team.rs
@@ -32,8 +32,8 @@
     }
 }
 
-/// Sort keys of a team in the indices of its queue.
-pub(super) struct Ranks {
+/// Keys of a team in the indices over the teams of its queue.
+pub(super) struct IndexKeys {
     /// Priority of the next entry to serve.
     pub(super) priority: usize,
     /// Virtual time.
@@ -95,10 +95,10 @@
         self.shed_order.last().map(|(_, _, key)| *key)
     }
 
-    /// Returns the sort keys of the team, if it has entries.
-    pub(super) fn ranks(&self) -> Option<Ranks> {
+    /// Returns the keys of the team in the indices, if it has entries.
+    pub(super) fn index_keys(&self) -> Option<IndexKeys> {
         let (_, priority) = self.serve_order.first_key_value()?;
-        Some(Ranks {
+        Some(IndexKeys {
             priority: *priority as usize,
             time: self.time,
             excess: self.waiting_cost * fair::UNIT / u128::from(self.weight),
--- a/laburnumcart/src/lanes.rs
+++ b/laburnumcart/src/lanes.rs
@@ -1,7 +1,8 @@
 //! Lanes and sessions at an agent, with the verdict on attempts that the agent does not know.
 //!
-//! A lane is the series of connections from one process. Each connection opens a session with the
-//! next number, and only the newest session may start work.
+//! A lane is the series of connections from one process, and is identified by the incarnation of
+//! that process. Each connection opens a session with the next number, by a `hello` call, and only
+//! the newest session may start work.
 //!
 //! ```
 //! use laburnumcart::{id, lanes, verdict};
@@ -30,9 +31,10 @@
 /// that a few suffice.
 const PROVABLE_MAX: usize = 16;
 
-/// Newest session of each lane.
+/// Known lanes with their newest sessions.
 #[derive(Debug)]
 pub struct Lanes {
+    /// Lanes by the incarnation of the process that connects.
     lanes: collections::HashMap<id::Incarnation, Lane>,
     idle_timeout: time::Duration,
 }
@@ -42,8 +44,8 @@
     /// Newest session; older ones are fenced.
     newest: u64,
     /// Sessions whose unknown attempts are proven not to have run; in order, at most
-    /// [`PROVABLE_MAX`]. They were opened here, and none of their attempts that may have run
-    /// expired before it was settled.
+    /// [`PROVABLE_MAX`]. They were opened here, and each of their attempts that may have
+    /// run either is still in the table of attempts or was settled before it left the table.
     provable: Vec<u64>,
     last_used: time::Instant,
 }
@@ -78,8 +80,8 @@
         known.last_used = now;
         // Nothing is proven for sessions that were not opened here. Their attempts may have run and
         // been dropped with the lane, or have run at another agent at the same address. A lower
-        // bound in place of the list would be wrong: once the lane was dropped, an old `hello` that
-        // was still in flight could set it too low.
+        // bound in place of the list would be wrong: once the lane was dropped, a delayed `hello`
+        // of an older session could set it too low.
         known.provable.push(number);
         if known.provable.len() > PROVABLE_MAX {
             known.provable.remove(0);
--- a/laburnumcart/src/orders.rs
+++ b/laburnumcart/src/orders.rs
@@ -69,7 +69,7 @@
     Send(Order),
 }
 
-/// Phase of an order.
+/// Phase of the next order, with the reads of the term before and after it.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum Phase {
     /// The term must be read before an order.
@@ -85,6 +85,7 @@
 /// Decides which orders one agent sends, by the difference of the wanted and the loaded models.
 #[derive(Debug)]
 pub struct Reconciler {
+    /// How the target treats fencing numbers.
     fencing: bundle::Orders,
     wanted: collections::BTreeSet<String>,
     loaded: Option<collections::BTreeSet<String>>,
@@ -149,7 +150,7 @@
         self.phase = Phase::Unconfirmed;
     }
 
-    /// Records the term in the object service, which was read after `now`.
+    /// Updates the state by the term that was found in the object service by a read begun at `now`.
     ///
     /// If the term is another process's, this one sends no more orders. Its successor waits for
     /// those in flight and restores the wanted state if one took effect late.
--- a/laburnumcart/src/suspects.rs
+++ b/laburnumcart/src/suspects.rs
@@ -19,13 +19,17 @@
     verdict, //
 };
 
-/// Crashes after which content is quarantined if no other content explains one of them.
+/// Number of crashes for which content is quarantined, if it is the only such content that is
+/// suspected of one of them.
 const CRASHES: usize = 2;
 
-/// Time by which a clearance outlives its crash, so that the suspicion does not return.
+/// Time for which a clearance is kept after the record of its crash has expired, so that the
+/// suspicion does not return.
 const CLEARANCE_MARGIN: time::Duration = time::Duration::from_secs(60);
 
-/// Crashes of which each content is suspected, with the expiry of the facts.
+/// Crashes of which each content is suspected, with the expiry of their records.
+///
+/// A crash is identified by a random number, which has the type of an incarnation.
 type CrashesByContent = collections::HashMap<id::Fingerprint, Vec<(id::Incarnation, Instant)>>;
 
 /// Status of content.
@@ -39,7 +43,10 @@
     Quarantined(Instant),
 }
 
-/// Immutable snapshot of the suspects in a table of facts.
+/// Immutable snapshot of the suspects.
+///
+/// They follow from the crashes and clearances in a [`facts::Table`], which holds what processes
+/// tell each other by gossip.
 ///
 /// ```
 /// use laburnumcart::{facts, id, suspects, unit};
@@ -113,7 +120,9 @@
         }
     }
 
-    /// Returns the refusal, as not run, of a request with quarantined content; `None` otherwise.
+    /// Returns the refusal of a request whose content is quarantined, or `None` if it is not.
+    ///
+    /// The refusal states that the request was not executed, and when to retry it.
     pub fn refusal(&self, content: id::Fingerprint, now: Instant) -> Option<verdict::Refusal> {
         let Status::Quarantined(until) = self.status(content, now) else {
             return None;
--- a/laburnumcart_entry/src/callers/problem.rs
+++ b/laburnumcart_entry/src/callers/problem.rs
@@ -90,6 +90,8 @@
 }
 
 /// Creates the response for a refusal.
+///
+/// `work` counts the request as in flight until the body is dropped.
 pub(super) fn response(
     refusal: verdict::Refusal,
     request: Option<id::RequestId>,
--- a/laburnumcart_entry/src/control/thread.rs
+++ b/laburnumcart_entry/src/control/thread.rs
@@ -42,7 +42,7 @@
     /// Object service.
     pub store: S,
     /// Identity and resources for lanes to agents.
-    pub caller: links::Config,
+    pub lane_config: links::Config,
     /// Secret for connections to peers.
     pub secret: secret::Secret,
     /// Options for following the bundle.
@@ -62,7 +62,7 @@
     tokio::task::spawn_local(bundle::run(feed, start.store, rpc, start.options));
     let control = Control {
         members: members::Members::new(
-            start.caller,
+            start.lane_config,
             start.entry.identity.data_centre.clone(),
             start.entry.traffic.clone(),
         ),
--- a/laburnumcart_entry/src/entry.rs
+++ b/laburnumcart_entry/src/entry.rs
@@ -1,4 +1,4 @@
-//! State shared by the threads of an entry.
+//! State shared by the threads of an entry, the process that accepts requests of callers.
 
 use std::{
     net,
@@ -50,11 +50,11 @@
 pub struct Entry {
     /// Identity of this process.
     pub identity: Identity,
-    /// View last published by the control thread; traffic threads only read it.
+    /// Rules and routes, last published by the control thread; traffic threads only read them.
     pub view: ArcSwap<control::View>,
     /// Final answers of claimed requests.
     pub answers: Arc<answers::Answers>,
-    /// Facts replicated by gossip on heartbeats.
+    /// Crashes, cleared content and leaving processes, replicated by gossip on heartbeats.
     pub gossip: Arc<gossip::Gossip>,
     /// Admission, routing and retry decisions.
     pub policy: Arc<policy::Policy>,
@@ -62,14 +62,14 @@
     pub metrics: metrics::Metrics,
     /// Counts requests in flight, and admits none after it was closed.
     pub gate: stop::Gate,
-    /// Runtime of drivers and lanes.
+    /// Runtime of the tasks that execute requests and serve the lanes to agents.
     pub traffic: runtime::Handle,
     claims: OnceLock<Arc<dyn at_most_once::Claims>>,
     leave: watch::Sender<bool>,
 }
 
 impl Entry {
-    /// Creates the state of an entry without a bundle.
+    /// Creates the state of an entry; `feed` holds the bundle, the signed configuration in force.
     pub fn new(
         identity: Identity,
         feed: bundle::Feed,
--- a/laburnumcart_entry/src/gossip.rs
+++ b/laburnumcart_entry/src/gossip.rs
@@ -1,4 +1,5 @@
-//! Facts replicated by gossip on heartbeats, and the bundle generation among them.
+//! Gossip on heartbeats: the facts that processes replicate (crashes of targets, cleared content,
+//! processes that are leaving) and the generation of the bundle, the signed configuration in force.
 
 use std::{
     net,
@@ -19,7 +20,8 @@
 };
 use laburnumcart_daemon::bundle;
 
-/// Table of facts of this process, shared by its lanes.
+/// Facts known to this process, shared by its lanes: the connections to agents, on whose heartbeats
+/// facts are exchanged.
 #[derive(Debug)]
 pub struct Gossip {
     state: Mutex<State>,
@@ -36,7 +38,7 @@
 }
 
 impl Gossip {
-    /// Creates an empty table that uses a feed of bundles.
+    /// Creates an empty table; `feed` holds the bundle in force and fetches newer ones from peers.
     pub fn new(feed: bundle::Feed) -> Self {
         Self {
             state: Mutex::default(),
@@ -44,12 +46,13 @@
         }
     }
 
-    /// Returns the feed of bundles.
+    /// Returns the feed, which holds the bundle in force.
     pub fn feed(&self) -> &bundle::Feed {
         &self.feed
     }
 
-    /// Returns the changes since a version, and the version of a peer that has merged them.
+    /// Returns the changes since a version, and the version up to which a peer is current once it has
+    /// merged them.
     pub fn changes(&self, since: facts::Version) -> (Option<facts::Facts>, facts::Version) {
         let table = &self.lock().table;
         (table.changes(since, time::Instant::now()), table.version())
@@ -67,7 +70,7 @@
         if facts.generation > self.feed.generation() {
             self.feed.record_generation(facts.generation, peer);
         }
-        // The own generation is advertised only once its bundle is in force here.
+        // A generation received from a peer is advertised only once its bundle is in force here.
         let others = facts::Facts {
             generation: id::Generation::default(),
             ..facts.clone()
--- a/laburnumcart_entry/src/links.rs
+++ b/laburnumcart_entry/src/links.rs
@@ -84,9 +84,9 @@
     /// Facts that are exchanged on heartbeats.
     pub gossip: Arc<gossip::Gossip>,
     /// Counter of connections that ended.
-    pub breaks: Counter,
+    pub closed_connections: Counter,
     /// Counter of queries about attempts whose state is unknown.
-    pub doubts: Counter,
+    pub outcome_queries: Counter,
     /// Secret that authenticates this process to agents.
     pub secret: secret::Secret,
     /// Intervals and timeouts.
@@ -153,7 +153,7 @@
     /// Time of receipt.
     pub received_at: time::Instant,
     /// Number of attempts that this process had in flight there.
-    pub own: u32,
+    pub own_in_flight: u32,
     /// Recent minimum round-trip time; `None` until a heartbeat was answered on the connection.
     pub min_rtt: Option<time::Duration>,
 }
@@ -166,7 +166,7 @@
     /// Number of attempts that this process has in flight there.
     pub in_flight: Arc<AtomicU32>,
     /// Counter of queries about attempts whose state is unknown.
-    pub doubts: Counter,
+    pub outcome_queries: Counter,
     monitor: Arc<heartbeat::Monitor>,
     /// Heartbeat interval without attempts in flight, in milliseconds.
     idle_millis: Arc<AtomicU64>,
@@ -186,7 +186,7 @@
             last_report: ArcSwapOption::empty(),
             in_flight: Arc::default(),
         });
-        let doubts = config.doubts.clone();
+        let outcome_queries = config.outcome_queries.clone();
         let keeper = Keeper {
             addr,
             idle_millis: Arc::new(AtomicU64::new(millis(config.timing.idle_period))),
@@ -199,7 +199,7 @@
         Arc::new(Self {
             addr,
             in_flight: monitor.in_flight.clone(),
-            doubts,
+            outcome_queries,
             monitor,
             idle_millis: idle,
             link,
@@ -329,7 +329,7 @@
         let connection = Arc::new(connection);
         self.link.send_replace(Link::Up(connection.clone()));
         self.send_heartbeats(&connection).await;
-        self.config.breaks.inc();
+        self.config.closed_connections.inc();
         self.link.send_replace(Link::Down { refused: false });
         connection.closed.send_replace(true);
     }
--- a/laburnumcart_entry/src/links/heartbeat.rs
+++ b/laburnumcart_entry/src/links/heartbeat.rs
@@ -53,15 +53,15 @@
         self.last_report.store(Some(Arc::new(links::ReceivedReport {
             report,
             received_at: time::Instant::now(),
-            own: self.in_flight.load(Ordering::Relaxed),
+            own_in_flight: self.in_flight.load(Ordering::Relaxed),
             min_rtt,
         })));
     }
 
     /// Sends a heartbeat and records the report in its answer, even if the answer is late.
     ///
-    /// An agent sends each fact only once per connection, so that the facts in a dropped answer
-    /// would be missing here until the next connection.
+    /// An agent sends each fact of the gossip only once per connection. The facts in a dropped
+    /// answer would thus be missing here until the next connection.
     pub(super) async fn send(
         self: &Arc<Self>,
         connection: &Arc<links::Connection>,
@@ -72,7 +72,7 @@
             let sent_at = time::Instant::now();
             let answer = tokio::select! {
                 answer = connection.client.beat(beat) => answer,
-                // A pending heartbeat must not keep a connection open that the lane gave up.
+                // A pending heartbeat must not keep a connection open that the lane has closed.
                 () = connection.closed() => return Outcome::Ended,
             };
             match answer {
--- a/laburnumcart_entry/src/links/pull.rs
+++ b/laburnumcart_entry/src/links/pull.rs
@@ -294,7 +294,7 @@
             attempt: self.sent.id,
             from: self.assembler.next_number(),
         };
-        self.lane.doubts.inc();
+        self.lane.outcome_queries.inc();
         let client = self.connection.client();
         let progress = call_until_closed(&self.connection, client.query(query)).await?;
         // If this connection was replaced meanwhile, the agent refuses the query itself as fenced.
--- a/laburnumcart_entry/src/metrics.rs
+++ b/laburnumcart_entry/src/metrics.rs
@@ -103,9 +103,9 @@
     /// Hedged attempts.
     pub hedges: Counter,
     /// Connections to agents that were closed as broken.
-    pub breaks: Counter,
+    pub closed_connections: Counter,
     /// Queries on a new connection about attempts whose outcome is unknown.
-    pub doubts: Counter,
+    pub outcome_queries: Counter,
     /// Working connections to agents.
     pub lanes: Gauge,
     /// Requests in flight.
@@ -127,8 +127,8 @@
             busy: Family::default(),
             queued: Family::default(),
             hedges: Counter::default(),
-            breaks: Counter::default(),
-            doubts: Counter::default(),
+            closed_connections: Counter::default(),
+            outcome_queries: Counter::default(),
             lanes: Gauge::default(),
             running: Gauge::default(),
         }
@@ -162,12 +162,12 @@
             r.register(
                 "lane_breaks",
                 "Connections to agents closed as broken",
-                self.breaks.clone(),
+                self.closed_connections.clone(),
             );
             r.register(
                 "doubts",
                 "Queries about attempts with unknown outcome",
-                self.doubts.clone(),
+                self.outcome_queries.clone(),
             );
             r.register("lanes", "Working connections to agents", self.lanes.clone());
             r.register("running", "Requests in flight", self.running.clone());
--- a/laburnumcart_entry/src/routes.rs
+++ b/laburnumcart_entry/src/routes.rs
@@ -1,4 +1,5 @@
-//! Routing table of one service: its targets and the lanes to their agents.
+//! Routing table of one service: its targets and the lanes (connections that are reopened when they
+//! fail) to their agents.
 
 use std::{
     sync::{
@@ -32,7 +33,7 @@
     pub lane: Arc<links::Lane>,
     /// Whether its agent is in this process's data centre.
     pub local: bool,
-    /// Latency in excess of a call within the own data centre.
+    /// Additional latency of a call compared to one within this process's data centre.
     pub extra_latency: time::Duration,
     /// Whether its agent is known to refuse new work because it is shutting down.
     pub leaving: bool,
@@ -58,6 +59,9 @@
     }
 
     /// Chooses a lane whose agent accepts work; agents in `tried` are used only if no other does.
+    ///
+    /// `prefix` is the key of the prompt's prefix, by which requests go to a target that has it
+    /// cached; `None` for services without a prefix cache.
     pub fn choose(&self, tried: &[std::net::SocketAddr], prefix: Option<u64>) -> Option<Chosen> {
         let is_tried = |i: &usize| tried.contains(&self.lanes[*i].addr);
         let mut excluded: Vec<usize> = (0..self.lanes.len()).filter(is_tried).collect();
@@ -67,7 +71,8 @@
             .or_else(|| self.choose_excluding(&mut Vec::new(), prefix))
     }
 
-    /// Chooses the target for suspect content by its fingerprint, the same one in all entries.
+    /// Chooses the target for suspect content by its fingerprint, so that all processes choose the
+    /// same one.
     ///
     /// The agent runs one suspect at a time. On different targets, two attempts with the same
     /// content could crash both before either crash is known elsewhere.
@@ -89,12 +94,12 @@
     }
 
     fn choose_excluding(&self, excluded: &mut Vec<usize>, prefix: Option<u64>) -> Option<Chosen> {
-        let own = |i: usize| self.lanes[i].in_flight.load(Ordering::Relaxed);
+        let in_flight = |i: usize| self.lanes[i].in_flight.load(Ordering::Relaxed);
         loop {
             let request = balancer::Request {
                 tried: excluded,
                 prefix,
-                in_flight: &own,
+                in_flight: &in_flight,
                 now: Instant::now(),
             };
             let chosen = self.table.choose(&request, &mut rand::rng())?;
@@ -114,9 +119,9 @@
     /// Returns whether an attempt sent now would start without queueing, by the latest report.
     fn is_free(&self, i: usize) -> bool {
         let load = &self.table.targets()[i].load;
-        let own = self.lanes[i].in_flight.load(Ordering::Relaxed);
+        let in_flight = self.lanes[i].in_flight.load(Ordering::Relaxed);
         let others = load.pending.saturating_sub(load.own_pending);
-        own + others < load.limit.max(1)
+        in_flight + others < load.limit.max(1)
     }
 
     /// Returns the names of the targets.
@@ -160,7 +165,7 @@
         state,
         load: balancer::Load {
             pending: report.load.running + report.load.queued,
-            own_pending: received.own,
+            own_pending: received.own_in_flight,
             limit: report.load.limit,
             service_time: report.load.service.0,
             at: received.received_at,
--- a/laburnumcart_entry/src/run.rs
+++ b/laburnumcart_entry/src/run.rs
@@ -1,4 +1,4 @@
-//! Start of an entry from its settings, and its graceful shutdown.
+//! Start of an entry, the process that accepts requests of callers, and its graceful shutdown.
 
 use std::{
     io,
@@ -19,7 +19,7 @@
     event,
     metrics,
     peer,
-    process as usage,
+    process as process_metrics,
     stop,
     traces, //
 };
@@ -48,7 +48,7 @@
 
 /// Default rate limits of calls to the object service, per second.
 ///
-/// Most calls are for claims: the log of a shard takes up to two writes per batch.
+/// Most calls are appends to the claim log, with up to two writes per batch of a shard.
 const STORE_RATES: budget::Rates = budget::Rates {
     reads: unit::Rate(100.0),
     writes: unit::Rate(150.0),
@@ -82,8 +82,10 @@
         .build()?;
     let callers = net::TcpListener::bind(settings.callers)?;
     let peer = net::TcpListener::bind(settings.peer)?;
+    // Counts the requests in flight, on which the shutdown waits.
     let running = stop::Running::new();
     let metrics = metrics::Metrics::new();
+    // Holds the signed configuration in force, called the bundle.
     let feed = bundle::Feed::new(&metrics);
     let identity = entry::Identity {
         instance: settings.instance.clone(),
@@ -109,7 +111,7 @@
 ) -> io::Result<process::ExitCode> {
     let mut signals = stop::Signals::listen()?;
     let _traces = traces::launch("laburnum-entry", &settings.instance, &settings.telemetry);
-    usage::register(&metrics);
+    process_metrics::register(&metrics);
     entry.metrics.register(&metrics);
     start_control(&settings, &entry, &metrics)?;
     let methods = peers::Server::new(entry.clone()).into_rpc();
@@ -169,13 +171,13 @@
         .metrics(counters)
         .start(Arc::new(store.clone()), peers.clone());
     entry.set_claims(Arc::new(at_most_once::ClaimService { service, peers }));
-    let caller = links::Config {
+    let lane_config = links::Config {
         instance: settings.instance.clone(),
         incarnation: entry.identity.incarnation,
         peer: settings.peer,
         gossip: entry.gossip.clone(),
-        breaks: entry.metrics.breaks.clone(),
-        doubts: entry.metrics.doubts.clone(),
+        closed_connections: entry.metrics.closed_connections.clone(),
+        outcome_queries: entry.metrics.outcome_queries.clone(),
         secret: secret.clone(),
         timing: links::Timing::default(),
     };
@@ -183,7 +185,7 @@
     let start = control::thread::Start {
         entry: entry.clone(),
         store,
-        caller,
+        lane_config,
         secret,
         options: bundle::Options::new(trust).peers(settings.fleet.peers.clone()),
     };
--- a/laburnumcart_entry/tests/it/fixture.rs
+++ b/laburnumcart_entry/tests/it/fixture.rs
@@ -134,8 +134,8 @@
             incarnation: identity.incarnation,
             peer: identity.peer,
             gossip: entry.gossip.clone(),
-            breaks: entry.metrics.breaks.clone(),
-            doubts: entry.metrics.doubts.clone(),
+            closed_connections: entry.metrics.closed_connections.clone(),
+            outcome_queries: entry.metrics.outcome_queries.clone(),
             secret: SECRET.parse().unwrap(),
             timing: timing(),
         };
--- a/laburnumcart_entry/tests/it/members.rs
+++ b/laburnumcart_entry/tests/it/members.rs
@@ -38,8 +38,8 @@
             incarnation: identity.incarnation,
             peer: identity.peer,
             gossip: fixture.entry.gossip.clone(),
-            breaks: fixture.entry.metrics.breaks.clone(),
-            doubts: fixture.entry.metrics.doubts.clone(),
+            closed_connections: fixture.entry.metrics.closed_connections.clone(),
+            outcome_queries: fixture.entry.metrics.outcome_queries.clone(),
             secret: fixture::SECRET.parse().unwrap(),
             timing: fixture::timing(),
         };
--- a/laburnumcart_entry/tests/members.rs
+++ b/laburnumcart_entry/tests/members.rs
@@ -24,8 +24,8 @@
         incarnation: id::Incarnation::random(),
         peer: ([127, 0, 0, 1], 1).into(),
         gossip: Arc::new(gossip::Gossip::new(feed)),
-        breaks: Default::default(),
-        doubts: Default::default(),
+        closed_connections: Default::default(),
+        outcome_queries: Default::default(),
         secret: "secret-of-the-fleet".parse().unwrap(),
         timing: links::Timing::default(),
     }
--- a/laburnumcart_gateway/src/budgets.rs
+++ b/laburnumcart_gateway/src/budgets.rs
@@ -24,7 +24,7 @@
     id,
     retry, //
 };
-use laburnumcart_daemon::metrics as registry;
+use laburnumcart_daemon::metrics as labels;
 
 use crate::{
     clock,
@@ -47,7 +47,7 @@
     Stage,
 }
 
-impl registry::LabelValue for RepeatKind {}
+impl labels::LabelValue for RepeatKind {}
 
 /// Decision on a repeat.
 #[derive(Clone, Copy, Debug, Display, Eq, Hash, PartialEq)]
@@ -59,22 +59,22 @@
     Denied,
 }
 
-impl registry::LabelValue for Outcome {}
+impl labels::LabelValue for Outcome {}
 
 /// Labels of the counter of repeats.
 #[derive(Clone, Debug, EncodeLabelSet, Eq, Hash, PartialEq)]
 pub struct Labels {
-    /// Kind of the repeat.
-    pub way: registry::Label<RepeatKind>,
+    /// Kind of the repeat; this is the name of the label.
+    pub way: labels::Label<RepeatKind>,
     /// Decision.
-    pub outcome: registry::Label<Outcome>,
+    pub outcome: labels::Label<Outcome>,
 }
 
 /// Work that would be sent to a target again.
 #[derive(Clone, Copy, Debug)]
 pub struct Repeat<'a> {
     /// Identifier of the caller's attempt.
-    pub request: &'a str,
+    pub attempt: &'a str,
     /// Service of the target.
     pub service: &'a id::ServiceName,
     /// Kind of the repeat.
@@ -132,17 +132,18 @@
 
     /// Logs and counts a decision on a repeat.
     pub fn record_decision(&self, repeat: &Repeat<'_>, outcome: Outcome, cause: retry::Cause) {
-        let labels = Labels {
-            way: registry::Label(repeat.kind),
-            outcome: registry::Label(outcome),
+        let key = Labels {
+            way: labels::Label(repeat.kind),
+            outcome: labels::Label(outcome),
         };
-        let counter = self.metrics.repeats.get_or_create(&labels).clone();
+        let counter = self.metrics.repeats.get_or_create(&key).clone();
         counter.inc_by(repeat.count.into());
         let usage = self.with_budget(repeat.service, |budget, now| budget.usage(now));
+        // `shut` tells that the budget is suspended, `part` this process's fraction of it.
         event!(
             Info,
             "repeat",
-            request = repeat.request,
+            request = repeat.attempt,
             service = repeat.service,
             way = repeat.kind,
             count = repeat.count,
--- a/laburnumcart_gateway/src/dispatcher.rs
+++ b/laburnumcart_gateway/src/dispatcher.rs
@@ -326,7 +326,7 @@
             Arrival::Further => {}
             Arrival::Repeated => {
                 let repeat = budgets::Repeat {
-                    request: &job.attempt,
+                    attempt: &job.attempt,
                     service: &job.service,
                     kind: budgets::RepeatKind::Stage,
                     count: job.pieces,
--- a/laburnumcart_gateway/src/dispatcher/call.rs
+++ b/laburnumcart_gateway/src/dispatcher/call.rs
@@ -215,7 +215,7 @@
                 continue;
             };
             let repeat = budgets::Repeat {
-                request: &waiter.attempt,
+                attempt: &waiter.attempt,
                 service,
                 kind: budgets::RepeatKind::Pieces,
                 count: *count,
--- a/laburnumcart_gateway/src/dispatcher/job.rs
+++ b/laburnumcart_gateway/src/dispatcher/job.rs
@@ -14,7 +14,10 @@
 
 use crate::dialect;
 
-/// How a job counts in the retry budget of its service.
+/// Kind of arrival of a request at a service by a job.
+///
+/// A first arrival adds to the retry budget of the service, a repeated one is charged to it, and a
+/// further one does neither.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Arrival {
@@ -44,9 +47,9 @@
     pub size: unit::Size,
     /// Input of each piece.
     pub input: dialect::Input,
-    /// Time left until the objective of the results.
+    /// Time left in which the results count as on time.
     pub due: unit::Period,
-    /// Time left until the results are useless.
+    /// Time left after which the results are useless.
     pub deadline: unit::Period,
     /// Rank in the queue.
     pub rank: batch::Rank,
@@ -56,11 +59,12 @@
     pub moved: unit::Size,
     /// Data centres where the job may be executed; `None` allows all.
     pub places: Option<Vec<id::DataCentre>>,
-    /// Whether no other stage reads the inputs.
+    /// Whether this job is the only reader of its inputs, which are freed once it has read them.
     pub consumes: bool,
-    /// Whether the owner accepts the job even while it is leaving, as no other process accepts it.
+    /// Whether this is the last resort: all preferred owners were tried, so the receiver accepts
+    /// the job even while it is leaving.
     pub last: bool,
-    /// How the job counts in the retry budget.
+    /// Kind of arrival, which decides how the job counts in the retry budget.
     #[serde(default)]
     pub arrival: Arrival,
 }
@@ -87,9 +91,9 @@
     pub pieces: u32,
     /// Approximate size of one result.
     pub size: unit::Size,
-    /// Time left until the objective of the results.
+    /// Time left in which the results count as on time.
     pub due: unit::Period,
-    /// Time left until the results are useless.
+    /// Time left after which the results are useless.
     pub deadline: unit::Period,
     /// Rank in the queue.
     pub rank: batch::Rank,
--- a/laburnumcart_gateway/src/forward.rs
+++ b/laburnumcart_gateway/src/forward.rs
@@ -286,7 +286,7 @@
             _ => budgets::Outcome::Granted,
         };
         let repeat = budgets::Repeat {
-            request: &self.request.call.attempt,
+            attempt: &self.request.call.attempt,
             service: &self.service,
             kind,
             count: 1,
--- a/laburnumcart_gateway/src/pool.rs
+++ b/laburnumcart_gateway/src/pool.rs
@@ -77,7 +77,7 @@
     /// All connections that this process may open to the target are in use.
     #[display("connection limit reached")]
     Exhausted,
-    /// The target asked for no requests while the connection was opened.
+    /// The target announced that it accepts no requests, while the connection was opened.
     #[display("target accepts no requests")]
     Closed,
     /// The connection failed after the request may have been sent.
@@ -153,12 +153,14 @@
 #[derive(Debug, Default)]
 struct TargetConnections {
     idle: Vec<Connection>,
+    /// Counts the open connections, idle or in use: each holds a clone.
     open: Arc<()>,
 }
 
 /// Connections to all targets.
 #[derive(Debug, Default)]
 pub struct Pool {
+    /// Connections by target and its start time, as a restarted target has none of the earlier ones.
     targets: Mutex<collections::HashMap<id::TargetLife, TargetConnections>>,
     /// Counters of all targets.
     pub counters: Counters,
@@ -177,7 +179,8 @@
         self.send_if(target, request, bounds, || true).await
     }
 
-    /// Sends a request like [`Pool::send`], unless `is_open` is false once there is a connection.
+    /// Sends a request like [`Pool::send`], but only if `can_send` still holds once there is a
+    /// connection; fails with [`Failure::Closed`] otherwise.
     ///
     /// An overloaded target takes long to accept a connection, and may have asked for a backoff in
     /// its response to another request meanwhile.
@@ -186,12 +189,12 @@
         target: &view::Target,
         request: Request<Bytes>,
         bounds: &Bounds,
-        is_open: impl Fn() -> bool,
+        can_send: impl Fn() -> bool,
     ) -> Result<Response, Failure> {
         let mut request = request.map(Full::new);
         for _ in 0..ATTEMPTS_MAX {
             let mut lease = self.acquire(target, bounds).await?;
-            if !is_open() {
+            if !can_send() {
                 lease.release(None);
                 return Err(Failure::Closed);
             }
--- a/laburnumcart_gateway/src/relay/cache.rs
+++ b/laburnumcart_gateway/src/relay/cache.rs
@@ -1,4 +1,5 @@
-//! Cache of store data that this process serves to its peers.
+//! Cache of store data that this process serves to its peers if it is a reader, one of the few
+//! processes that read the store.
 
 use std::{
     sync::Arc,
@@ -42,10 +43,11 @@
 /// Maximum size of the values in an answer, unless the request allows any size.
 ///
 /// A change is sent to all waiting processes at once. 16 KiB to 40 processes take half a second on
-/// a link of 10 Mbit/s; any longer, and they would time out and mark this reader as down.
+/// a link of 10 Mbit/s; any longer, and they would time out and treat this process as down.
 const ANSWER_BYTES_MAX: usize = 16 << 10;
 
-/// Time without a read after which the next one wakes requests that wait for fresh data.
+/// Gap between two reads of the store from which the second one wakes the requests that wait for
+/// fresh data, even if it finds no changes.
 const READ_GAP_MIN: time::Duration = time::Duration::from_millis(1600);
 
 /// A topic as of the last read.
@@ -158,8 +160,9 @@
 /// Cached topics and target signals.
 #[derive(Debug, Default)]
 pub struct Cache {
-    /// Signals received from targets.
+    /// Rate limits, shutdowns and failed requests of targets, as observed here or by peers.
     pub signals: Arc<signals::Signals>,
+    /// Configuration, with the routing table.
     table: watch::Sender<CachedTopic>,
     targets: watch::Sender<CachedTopic>,
     members: watch::Sender<CachedTopic>,
@@ -240,7 +243,7 @@
     }
 }
 
-/// Observer that copies what another observer of a topic reads into the cache.
+/// Observer that passes each read of a topic to another observer and copies it into the cache.
 pub struct Publisher<O> {
     observer: O,
     topic: Topic,
--- a/laburnumcart_platform/src/client.rs
+++ b/laburnumcart_platform/src/client.rs
@@ -168,15 +168,15 @@
     ) -> Result<breaker::Admission, store::Failure> {
         loop {
             let now = Instant::now();
-            let retry = match self.admit(cost, now) {
+            let retry_after = match self.admit(cost, now) {
                 Ok(admission) => return Ok(admission),
-                Err(Refused::Breaker(retry)) => return Err(unavailable(retry)),
-                Err(Refused::Budget(retry)) => retry,
+                Err(Refused::Breaker(retry_after)) => return Err(unavailable(retry_after)),
+                Err(Refused::Budget(retry_after)) => retry_after,
             };
-            if now + retry.0 > start + self.budget_wait || self.control().breaker.is_open() {
-                return Err(unavailable(retry));
+            if now + retry_after.0 > start + self.budget_wait || self.control().breaker.is_open() {
+                return Err(unavailable(retry_after));
             }
-            tokio::time::sleep(retry.0).await;
+            tokio::time::sleep(retry_after.0).await;
         }
     }
 
--- a/laburnumcart_wire/src/entry.rs
+++ b/laburnumcart_wire/src/entry.rs
@@ -1,4 +1,5 @@
-//! Remote interface of an entry for other entries, agents and operators.
+//! Remote interface of an entry, the process that accepts requests of callers, for other entries,
+//! agents and operators.
 
 use jsonrpsee::{
     core::RpcResult,
@@ -29,7 +30,7 @@
     pub data_centre: id::DataCentre,
     /// Incarnation of the entry.
     pub incarnation: id::Incarnation,
-    /// Generation of the bundle in force.
+    /// Generation of the bundle, the signed configuration in force.
     pub generation: id::Generation,
     /// Whether the entry refuses new requests because it is draining.
     pub leaving: bool,
@@ -37,7 +38,7 @@
     pub running: u32,
     /// Number of agents with a live connection.
     pub agents: u32,
-    /// Facts known to the entry.
+    /// Crashes, cleared content and leaving processes known to the entry by gossip.
     pub facts: facts::Facts,
 }
 
--- a/laburnumcart_wire/src/gateway.rs
+++ b/laburnumcart_wire/src/gateway.rs
@@ -36,7 +36,7 @@
     pub evacuated: Option<Vec<Evacuated>>,
     /// Queues of pieces, one for each service with batching.
     pub queues: Vec<Queue>,
-    /// Targets with restricted traffic.
+    /// Targets to which traffic is restricted or stopped.
     pub held: Vec<Restricted>,
     /// Number of known targets.
     pub targets: usize,
@@ -47,7 +47,7 @@
 pub struct Evacuated {
     /// Name of the data centre.
     pub data_centre: id::DataCentre,
-    /// Time since the gateway learned of the evacuation.
+    /// Time for which the gateway has known of the evacuation.
     pub known: unit::Period,
 }
 
@@ -73,7 +73,7 @@
     pub data_centre: id::DataCentre,
     /// Reasons for the restriction.
     pub causes: Vec<Cause>,
-    /// Requests per second that this gateway may send to the target; unlimited if `None`.
+    /// This gateway's part of the target's rate, in requests per second; unlimited if `None`.
     pub part: Option<unit::Rate>,
 }
 
