--- a/laburnumcart/src/batch/precheck.rs
+++ b/laburnumcart/src/batch/precheck.rs
@@ -52,8 +52,9 @@
         false
     }
 
-    /// Returns the first job at a target among those with results smaller than `below`; `horizon` is
-    /// the earliest due time that can still be met.
+    /// Returns the first job at a target among those with results smaller than `below`.
+    ///
+    /// `horizon` is the earliest due time that can still be met.
     fn first_job(
         &self,
         target: TargetKey,
--- a/laburnumcart_entry/src/gossip.rs
+++ b/laburnumcart_entry/src/gossip.rs
@@ -51,8 +51,8 @@
         &self.feed
     }
 
-    /// Returns the changes since a version, and the version up to which a peer is current once it has
-    /// merged them.
+    /// Returns the changes since a version, and the version up to which a peer is current once it
+    /// has merged them.
     pub fn changes(&self, since: facts::Version) -> (Option<facts::Facts>, facts::Version) {
         let table = &self.lock().table;
         (table.changes(since, time::Instant::now()), table.version())
--- a/laburnumcart_gateway/src/dispatcher/call.rs
+++ b/laburnumcart_gateway/src/dispatcher/call.rs
@@ -265,32 +265,29 @@
             .outbound
             .send(target, request, bounds, Some(label))
             .await;
-        let outbound::Received {
-            response: answer,
-            head: reply,
-        } = sent.map_err(|failure| match failure {
+        let outbound::Received { response, head } = sent.map_err(|failure| match failure {
             pool::Failure::Unreached | pool::Failure::Exhausted => CallError::Unsent("unreached"),
             pool::Failure::Closed => CallError::Unsent("closed"),
             failure => CallError::Lost(failure),
         })?;
-        let answer = match reply.attempt.as_deref() {
-            Some(echoed) if echoed == label => answer,
-            // Dropping the answer closes the connection, on which the response to this call may
+        let response = match head.attempt.as_deref() {
+            Some(echoed) if echoed == label => response,
+            // Dropping the response closes the connection, on which the response to this call may
             // still arrive.
             Some(_) => return Err(CallError::Lost(pool::Failure::Malformed)),
             // Without an echo, a late duplicate of this response would pass for the response to
             // the next call and give a request the results of another. The connection is not
             // used again.
-            None => answer.close_after(),
+            None => response.close_after(),
         };
-        let (head, body) = answer
-            .read_all(reply.idle_timeout)
+        let (parts, body) = response
+            .read_all(head.idle_timeout)
             .await
             .map_err(CallError::Lost)?;
-        if reply.not_run || reply.misdirected {
+        if head.not_run || head.misdirected {
             return Err(CallError::NotRun("refused"));
         }
-        if head.status != StatusCode::OK {
+        if parts.status != StatusCode::OK {
             return Err(CallError::Lost(pool::Failure::Malformed));
         }
         let outcomes = self.dialect.decode_batch(&body, count, target.life);
--- a/laburnumcart_gateway/src/dispatcher/free.rs
+++ b/laburnumcart_gateway/src/dispatcher/free.rs
@@ -99,11 +99,8 @@
             .outbound
             .send(&target, request, &bounds, None)
             .await;
-        let outbound::Received {
-            response: answer,
-            head: reply,
-        } = sent?;
-        answer.read_all(reply.idle_timeout).await
+        let outbound::Received { response, head } = sent?;
+        response.read_all(head.idle_timeout).await
     };
     let result = tokio::time::timeout(FREE_TIMEOUT, exchange).await;
     if !matches!(result, Ok(Ok(_))) {
--- a/laburnumcart_gateway/src/forward.rs
+++ b/laburnumcart_gateway/src/forward.rs
@@ -39,11 +39,11 @@
 /// Response of a target, of which the head has been received.
 pub struct TargetResponse {
     /// The request's assignment to the target.
-    pub seat: gateway::Assignment,
+    pub assignment: gateway::Assignment,
     /// Head, body and connection.
-    pub answer: pool::Response,
+    pub response: pool::Response,
     /// Parsed header fields.
-    pub reply: dialect::ResponseHead,
+    pub head: dialect::ResponseHead,
 }
 
 /// Why an attempt brought no response.
@@ -152,19 +152,19 @@
             return Err(Failure::InputsGone);
         }
         let locations = inputs.map_or(&[][..], |inputs| &inputs.locations);
-        let seat = self
-            .gateway
-            .assign_target(&request, &self.service, locations, &self.tried);
-        let Some(mut seat) = seat else {
+        let assignment =
+            self.gateway
+                .assign_target(&request, &self.service, locations, &self.tried);
+        let Some(mut assignment) = assignment else {
             self.exhausted = true;
             return Err(Failure::Refused(not_run(verdict::Reason::NoTarget)));
         };
-        self.tried.push(seat.target.name.clone());
+        self.tried.push(assignment.target.name.clone());
         self.sent += 1;
         let bounds = self.gateway.bounds(&request, &self.service);
-        let forwarded = self.build_request(&seat, inputs, after);
+        let forwarded = self.build_request(&assignment, inputs, after);
         let outbound = self.gateway.outbound.clone();
-        let target = seat.target.clone();
+        let target = assignment.target.clone();
         event!(
             Info,
             "sent",
@@ -186,7 +186,7 @@
         let is_unsent = |failure: &pool::Failure| failure.verdict() == verdict::Verdict::NotRun;
         self.reached |= !result.as_ref().is_err_and(is_unsent);
         match result {
-            Ok(received) => self.check_response(seat, received, start),
+            Ok(received) => self.check_response(assignment, received, start),
             Err(failure) => {
                 if failure.verdict() == verdict::Verdict::NotRun {
                     // The target did not receive the request.
@@ -195,7 +195,7 @@
                 }
                 let is_local = [pool::Failure::Exhausted, pool::Failure::Closed].contains(&failure);
                 if !is_local {
-                    seat.record_failure();
+                    assignment.record_failure();
                 }
                 let verdict = failure.verdict();
                 if verdict == verdict::Verdict::MayHaveRun {
@@ -209,7 +209,7 @@
                     other => other.reason(),
                 };
                 Err(self.send_failure(
-                    &seat,
+                    &assignment,
                     verdict::Refusal {
                         verdict,
                         reason,
@@ -299,7 +299,7 @@
 
     fn build_request(
         &self,
-        seat: &gateway::Assignment,
+        assignment: &gateway::Assignment,
         inputs: Option<&Inputs>,
         after: Option<u64>,
     ) -> Request<bytes::Bytes> {
@@ -312,7 +312,7 @@
             .expect("the path was parsed from a valid URI");
         *forwarded.headers_mut() = request.headers.clone();
         let fields = dialect::TargetHeaders {
-            target: &seat.target.name,
+            target: &assignment.target.name,
             team: request.team.as_ref(),
             remaining: request.remaining(),
             inputs: inputs.map(|i| i.handles.as_slice()),
@@ -328,44 +328,41 @@
     /// Returns the response of a target, or a failure if the target refused or failed.
     fn check_response(
         &mut self,
-        mut seat: gateway::Assignment,
+        mut assignment: gateway::Assignment,
         received: outbound::Received,
         start: Instant,
     ) -> Result<TargetResponse, Failure> {
-        let outbound::Received {
-            response: answer,
-            head: reply,
-        } = received;
-        let status = answer.head.status;
+        let outbound::Received { response, head } = received;
+        let status = response.head.status;
         event!(
             Info,
             "head",
             request = self.request.call.attempt,
-            target = seat.target.name,
+            target = assignment.target.name,
             status = status.as_u16(),
-            not_run = reply.not_run,
+            not_run = head.not_run,
             taken_ms = start.elapsed().as_millis()
         );
-        let is_echoed = reply.attempt.as_ref() == Some(&self.request.call.attempt);
+        let is_echoed = head.attempt.as_ref() == Some(&self.request.call.attempt);
         // A response to an earlier request on this connection, or one that lacks the target's
         // stamp, must not reach the caller, and a refusal in it proves nothing about this request.
         // Whether this request has run is unknown.
-        if !is_echoed || status.is_success() && !reply.stamped {
-            seat.record_failure();
-            return Err(self.send_failure(&seat, may_have_run(verdict::Reason::Corrupt)));
+        if !is_echoed || status.is_success() && !head.stamped {
+            assignment.record_failure();
+            return Err(self.send_failure(&assignment, may_have_run(verdict::Reason::Corrupt)));
         }
-        seat.record_load(&reply);
-        if reply.misdirected {
+        assignment.record_load(&head);
+        if head.misdirected {
             self.sent -= 1;
             self.refused += 1;
-            return Err(self.send_failure(&seat, not_run(verdict::Reason::WrongIncarnation)));
+            return Err(self.send_failure(&assignment, not_run(verdict::Reason::WrongIncarnation)));
         }
-        if reply.not_run {
+        if head.not_run {
             self.refused += 1;
             if status == StatusCode::CONFLICT {
                 return Err(Failure::InputsGone);
             }
-            return Err(self.send_failure(&seat, not_run(verdict::Reason::Overloaded)));
+            return Err(self.send_failure(&assignment, not_run(verdict::Reason::Overloaded)));
         }
         // A caller takes these statuses as proof that the request has not run, which this response
         // does not give.
@@ -376,22 +373,22 @@
             StatusCode::SERVICE_UNAVAILABLE,
         ];
         if not_run_statuses.contains(&status) {
-            seat.record_failure();
-            return Err(self.send_failure(&seat, may_have_run(verdict::Reason::TargetFailed)));
+            assignment.record_failure();
+            return Err(self.send_failure(&assignment, may_have_run(verdict::Reason::TargetFailed)));
         }
         Ok(TargetResponse {
-            seat,
-            answer,
-            reply,
+            assignment,
+            response,
+            head,
         })
     }
 
-    fn send_failure(&self, seat: &gateway::Assignment, refusal: verdict::Refusal) -> Failure {
+    fn send_failure(&self, assignment: &gateway::Assignment, refusal: verdict::Refusal) -> Failure {
         event!(
             Info,
             "send-failed",
             request = self.request.call.attempt,
-            target = seat.target.name,
+            target = assignment.target.name,
             reason = refusal.reason,
             verdict = refusal.verdict
         );
--- a/laburnumcart_gateway/src/pool.rs
+++ b/laburnumcart_gateway/src/pool.rs
@@ -160,7 +160,7 @@
 /// Connections to all targets.
 #[derive(Debug, Default)]
 pub struct Pool {
-    /// Connections by target and its start time, as a restarted target has none of the earlier ones.
+    /// Connections by target and its start time; a restarted target has none of the earlier ones.
     targets: Mutex<collections::HashMap<id::TargetLife, TargetConnections>>,
     /// Counters of all targets.
     pub counters: Counters,
--- a/laburnumcart_gateway/src/request.rs
+++ b/laburnumcart_gateway/src/request.rs
@@ -316,11 +316,11 @@
 /// Reads a complete response and records the outcome of the target.
 async fn read_response(
     request: &admission::Request,
-    mut response: forward::TargetResponse,
+    mut received: forward::TargetResponse,
     limit: time::Duration,
 ) -> Result<(response::Parts, Bytes), verdict::Refusal> {
-    response.seat.record_first_byte();
-    let body = response.answer.read_all(response.reply.idle_timeout);
+    received.assignment.record_first_byte();
+    let body = received.response.read_all(received.head.idle_timeout);
     let result = match tokio::time::timeout(limit.min(request.remaining()), body).await {
         Ok(result) => result,
         Err(_) => Err(crate::pool::Failure::Timeout),
@@ -328,13 +328,13 @@
     match result {
         Ok((head, body)) => {
             match head.status.is_server_error() {
-                true => response.seat.record_failure(),
-                false => response.seat.record_success(),
+                true => received.assignment.record_failure(),
+                false => received.assignment.record_success(),
             }
             Ok((head, body))
         }
         Err(_) => {
-            response.seat.record_failure();
+            received.assignment.record_failure();
             Err(verdict::Refusal::may_have_run(verdict::Reason::Corrupt))
         }
     }
--- a/laburnumcart_gateway/src/stream.rs
+++ b/laburnumcart_gateway/src/stream.rs
@@ -193,22 +193,22 @@
             .forwarder
             .send_next(self.inputs.as_ref(), after, limit)
             .await;
-        let mut response = response.map_err(|failure| match failure {
+        let mut received = response.map_err(|failure| match failure {
             forward::Failure::InputsGone => {
                 self.inputs = None;
                 verdict::Refusal::not_run(verdict::Reason::TargetFailed)
             }
             forward::Failure::Refused(refusal) => refusal,
         })?;
-        if !response.answer.head.status.is_success() {
-            response.seat.record_failure();
-            let whole = response.answer.read_all(response.reply.idle_timeout).await;
+        if !received.response.head.status.is_success() {
+            received.assignment.record_failure();
+            let whole = received.response.read_all(received.head.idle_timeout).await;
             let corrupt = verdict::Refusal::may_have_run(verdict::Reason::Corrupt);
             let (head, body) = whole.map_err(|_| corrupt)?;
             return Ok(Opening::Whole(Box::new(head), body));
         }
-        let head = Box::new(response.answer.head.clone());
-        let mut target_stream = TargetStream::new(response);
+        let head = Box::new(received.response.head.clone());
+        let mut target_stream = TargetStream::new(received);
         match target_stream.next_chunk(limit, self.last_event).await {
             Chunk::Events(bytes, last) => {
                 target_stream.begin();
--- a/laburnumcart_gateway/src/stream/target_stream.rs
+++ b/laburnumcart_gateway/src/stream/target_stream.rs
@@ -26,7 +26,7 @@
 
 /// Event stream from one target; dropping it closes the connection, which stops the target.
 pub(super) struct TargetStream {
-    seat: gateway::Assignment,
+    assignment: gateway::Assignment,
     body: Incoming,
     lease: pool::Lease,
     idle: Option<time::Duration>,
@@ -34,12 +34,12 @@
 }
 
 impl TargetStream {
-    pub(super) fn new(response: forward::TargetResponse) -> Self {
+    pub(super) fn new(received: forward::TargetResponse) -> Self {
         Self {
-            seat: response.seat,
-            body: response.answer.body,
-            lease: response.answer.lease,
-            idle: response.reply.idle_timeout,
+            assignment: received.assignment,
+            body: received.response.body,
+            lease: received.response.lease,
+            idle: received.head.idle_timeout,
             splitter: sse::Splitter::default(),
         }
     }
@@ -85,17 +85,17 @@
 
     /// Records that the target has begun to answer.
     pub(super) fn begin(&mut self) {
-        self.seat.record_first_byte();
+        self.assignment.record_first_byte();
     }
 
     /// Records a failure of the target.
     pub(super) fn fail(&mut self) {
-        self.seat.record_failure();
+        self.assignment.record_failure();
     }
 
     /// Records a complete stream and gives its connection back.
     pub(super) fn finish(mut self) {
-        self.seat.record_success();
+        self.assignment.record_success();
         self.lease.release(self.idle);
     }
 }
