--- a/laburnumcart_daemon/src/metrics.rs
+++ b/laburnumcart_daemon/src/metrics.rs
@@ -94,7 +94,7 @@
     }
 }
 
-/// Types with a small, fixed set of values that can be used as a label.
+/// Type with a small, fixed set of values that can be used as a label.
 pub trait ClosedSet: fmt::Display {}
 
 impl ClosedSet for verdict::Verdict {}
