--- a/laburnumcart_gateway/src/dispatcher/job.rs
+++ b/laburnumcart_gateway/src/dispatcher/job.rs
@@ -61,8 +61,8 @@
     pub places: Option<Vec<id::DataCentre>>,
     /// Whether this job is the only reader of its inputs, which are freed once it has read them.
     pub consumes: bool,
-    /// Whether this is the last resort: all preferred owners were tried, so the receiver accepts
-    /// the job even while it is leaving.
+    /// Whether this is the last resort: all processes that are not leaving were tried, so that
+    /// the receiver accepts the job even while it is leaving.
     pub last: bool,
     /// Kind of arrival, which decides how the job counts in the retry budget.
     #[serde(default)]
