--- a/laburnumcart/tests/admission.rs
+++ b/laburnumcart/tests/admission.rs
@@ -80,8 +80,7 @@
     assert_eq!(fill(&mut admission, calm, Priority::Low, now), 192);
 }
 
-/// Refusals of one flooding team must not reduce the capacity for others, and must not outlast the
-/// flood.
+/// Refusals of a flooding team must neither reduce the capacity for others nor outlast the flood.
 #[test]
 fn refusals_for_share_limit_only_their_team() {
     let mut now = Instant::now();
@@ -110,6 +109,7 @@
     for _ in 0..limited {
         admission.finish(flood, admission::Outcome::Done, now);
     }
+    // Once the flood has ended, the team is admitted again.
     for _ in 0..100_000 {
         if admission
             .admit(flood, Priority::High, now, &mut rng())
@@ -122,8 +122,7 @@
     assert!(fill(&mut admission, flood, Priority::High, now) >= before / 2);
 }
 
-/// The capacity falls once per burst of overload refusals, down to its minimum, and grows again at
-/// saturation.
+/// Each burst of overload refusals lowers the capacity once; saturation raises it again.
 #[test]
 fn capacity_follows_overload() {
     let mut now = Instant::now();
@@ -131,10 +130,12 @@
     let team = admission.add_team(1);
     let overload = admission::Outcome::Refused(Reason::Overloaded);
     fill(&mut admission, team, Priority::High, now);
+    // Refusals at the same time are one burst.
     for _ in 0..100 {
         admission.finish(team, overload, now);
     }
     assert_eq!(admission.capacity(), 204);
+    // One burst per second lowers the capacity to its minimum.
     for _ in 0..100 {
         now += time::Duration::from_secs(1);
         fill(&mut admission, team, Priority::High, now);
--- a/laburnumcart/tests/attempts.rs
+++ b/laburnumcart/tests/attempts.rs
@@ -104,13 +104,13 @@
     );
 }
 
-/// A queued attempt ends as not run whatever the refusal says; a running one can only be refused if
-/// the target has reported that it did not start.
+/// A running attempt that is refused without proof from its target could be executed twice.
 #[tokio::test(start_paused = true)]
 async fn only_a_proof_refuses_a_running_attempt() {
     let mut table = table();
     table.admit(descriptor(ID), ()).unwrap();
     assert!(!table.fail(ID, Reason::TargetFailed, Instant::now()));
+    // A queued attempt ends as not run, whatever the refusal says.
     let wrong = Refusal::may_have_run(Reason::Leaving);
     assert!(table.refuse(ID, wrong, false, Instant::now()));
     let proven = Refusal::not_run(Reason::Leaving);
@@ -235,8 +235,7 @@
 }
 
 proptest! {
-    /// Whatever is lost or late, the reader gets each chunk once and in order, with a matching end
-    /// mark, and the bytes in use return to zero.
+    /// Whatever is lost or late, the reader gets each chunk once and in order, and memory is freed.
     #[test]
     fn any_sequence_reads_the_whole(steps in proptest::collection::vec(step(), 0..60)) {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_time().build().unwrap();
--- a/laburnumcart/tests/balancer.rs
+++ b/laburnumcart/tests/balancer.rs
@@ -58,12 +58,12 @@
     }
 }
 
-/// Processes with different loads, data centres and orders of the targets must agree on the
-/// ranking.
+/// Processes that disagree on the ranking would send requests with one key to different targets.
 #[test]
 fn ranking_of_a_key_is_the_same_in_all_processes() {
     let now = Instant::now();
     let one = balancer::Table::new((0..8).map(|i| target(i, 0, i < 3, now)).collect());
+    // This process sees other loads, data centres and another order of the targets.
     let other = (0..8).rev().map(|i| target(i, i as u32, i > 4, now));
     let other = balancer::Table::new(other.collect());
     let name = |table: &balancer::Table, i: usize| table.targets()[i].name.clone();
@@ -83,8 +83,7 @@
     assert_eq!(one.find_by_key(0, |_| false), None);
 }
 
-// If the only other target leaves or goes down, an ejected target must serve the callers, as
-// refusing all of them is worse than a slow target.
+// Without another ready target, refusing all requests is worse than using a slow target.
 #[rstest]
 #[case::left(balancer::State::Leaving)]
 #[case::down(balancer::State::Down)]
--- a/laburnumcart/tests/batch/admission.rs
+++ b/laburnumcart/tests/batch/admission.rs
@@ -5,8 +5,7 @@
     capacity, //
 };
 
-// If requests were admitted until the queue is as long as their objective, half of them would end
-// just after it, and the work done for them would be lost.
+// With a queue as long as the objective, half of the requests would end late, their work lost.
 #[test]
 fn most_requests_admitted_in_a_burst_end_on_time() {
     for seed in 0..5 {
--- a/laburnumcart/tests/batch/calls.rs
+++ b/laburnumcart/tests/batch/calls.rs
@@ -138,8 +138,7 @@
     assert_eq!(queue.targets.used_bytes(call.target), unit::Size(0));
 }
 
-// Results of an earlier queue owner occupy room that this one does not know of; sending as many
-// pieces again at once would fail again.
+// Unknown results of an earlier owner occupy room; as many pieces at once would fail again.
 #[test]
 fn a_target_without_room_gets_fewer_pieces_for_a_while() {
     let now = Instant::now();
@@ -339,8 +338,7 @@
     }
 }
 
-// Behind a call that was given up, the next one reads its inputs much later; they must not be freed
-// by then.
+// The call after an abandoned one reads its inputs late; they must not be freed before that.
 #[test]
 fn input_read_time_is_known_only_after_an_answered_call() {
     let now = Instant::now();
--- a/laburnumcart/tests/batch/estimate.rs
+++ b/laburnumcart/tests/batch/estimate.rs
@@ -1,4 +1,4 @@
-//! Completion estimates of jobs, and early failure of hopeless ones.
+//! Completion estimates of jobs, and early failure of those that cannot be on time.
 
 use std::time;
 
@@ -35,8 +35,7 @@
     assert_eq!(none.estimate_time(&spec(1000), now), time::Duration::MAX);
 }
 
-// Jobs still in earlier stages do not wait yet. If they were ignored, twice as many requests as the
-// queue can serve would be admitted, and all would be late.
+// If jobs in earlier stages were ignored, twice the capacity would be admitted, and all be late.
 #[test]
 fn announced_jobs_count() {
     let now = Instant::now();
@@ -58,8 +57,7 @@
     assert_eq!(queue.estimate_future(&later, now + 1000 * MS), empty);
 }
 
-// Jobs on time use the whole throughput. An estimate by the present queue alone would make a late
-// job wait forever behind those that arrive later.
+// By the present queue alone, a late job would wait forever behind jobs that arrive later.
 #[test]
 fn estimates_of_late_jobs_count_arriving_jobs() {
     let mut now = Instant::now();
@@ -67,6 +65,7 @@
     let spec = |now| batch::Spec::new(2, SIZE, now);
     push(&mut queue, 8, 1000 * MS, now);
     let idle = queue.estimate_time(&spec(now), now);
+    // Jobs on time use the whole throughput.
     for _ in 0..20 {
         push(&mut queue, 8, 1000 * MS, now);
         let call = queue.next_call(now).unwrap();
@@ -85,8 +84,7 @@
     assert!(queue.estimate_time(&spec(now + 2000 * MS), now) < loaded / 2);
 }
 
-// After a loss of all instances, callers retry with ten seconds left for one second of work. If the
-// preceding seconds of full load decided alone, they would be refused permanently.
+// If full load before an outage were extrapolated, all retries would be refused permanently.
 #[test]
 fn past_full_load_is_not_extrapolated_to_the_deadline() {
     let mut now = Instant::now();
@@ -116,6 +114,7 @@
     for _ in 0..10 {
         push(&mut queue, 8, time::Duration::ZERO, now);
     }
+    // A retry after the loss of all instances has ten seconds left for one second of work.
     let retry = batch::Spec::new(4, SIZE, now).deadline(now + 10_000 * MS);
     let estimate = queue.estimate_time(&retry, now);
     assert!(estimate < 10_000 * MS, "{estimate:?}");
--- a/laburnumcart/tests/batch/locality.rs
+++ b/laburnumcart/tests/batch/locality.rs
@@ -62,7 +62,7 @@
     now: Instant,
     calls: Vec<(Instant, batch::Call)>,
     frees: Vec<(Instant, batch::Handle)>,
-    /// Jobs with the zone of their inputs and their due time.
+    /// Jobs with the data centre of their inputs and their due time.
     jobs: Vec<(batch::JobKey, &'static str, Instant)>,
     tally: Tally,
 }
@@ -160,8 +160,7 @@
     simulation.tally
 }
 
-// Each piece reads all results of the previous stage. Jobs that go to any idle target would move
-// half of these bytes between data centres.
+// Jobs that go to any idle target would move half of their inputs between data centres.
 #[test]
 fn jobs_with_slack_move_few_bytes_between_data_centres() {
     for (rate, most) in [(26.0, 0.05), (45.0, 0.12)] {
--- a/laburnumcart/tests/claim.rs
+++ b/laburnumcart/tests/claim.rs
@@ -68,8 +68,7 @@
     assert_eq!((second.number, record_count(&second)), (1, 4));
 }
 
-/// A second request under a key must not be answered with "taken" before the first claim is
-/// settled, as that one may still be refused as not run.
+/// A pending claim may still be refused as not run, so a second request must not get "taken" yet.
 #[test]
 fn claim_of_a_pending_key_waits() {
     let (mut log, now) = new_log(100, 256);
@@ -150,8 +149,7 @@
     assert_eq!(table.get(id::Fingerprint(9)).is_some(), unfinished);
 }
 
-/// A replayed claim keeps the age that its owner measured: it must not expire before its retention
-/// time after the grant, nor only after a full retention time after the replay.
+/// A replayed claim must expire after its retention time from the grant, not from the replay.
 #[test]
 fn replay_keeps_ages() {
     let now = Instant::now();
@@ -161,6 +159,7 @@
     };
     let mut table = table::Table::default();
     log::replay(&mut table, &[batch(0, 1), batch(60, 2)], now);
+    // The first claim is 60 s old at the replay and is kept for 100 s.
     table.expire(now + 39 * SECOND);
     assert_eq!(table.len(), 2);
     table.expire(now + 40 * SECOND);
@@ -265,13 +264,13 @@
     assert_eq!(ownership::preferred_owner(0, &[]), None);
 }
 
-/// An owner is replaced after a time of silence, not at the first failure; after each change of
-/// owner the next one has to wait longer.
+/// Entries that cannot reach each other must not take a shard from one another again and again.
 #[test]
 fn takeover_waits_longer_after_each_change_of_owner() {
     let limits = ownership::Limits::default();
     let mut detector = ownership::Detector::new(limits);
     let mut now = Instant::now();
+    // The first failure is not enough, also after a success.
     assert_eq!(
         detector.record_failure(now),
         ownership::Action::Retry(limits.silence)
@@ -298,14 +297,14 @@
     assert_eq!(waits, [first, first * 2, first * 4, first * 8]);
 }
 
-/// A paused owner accepts connections but does not answer, so that calls fail only after a timeout
-/// of two seconds. Two such failures replace it; a failure from a minute ago does not count.
+/// Calls to a paused owner fail only by timeout; two such failures must suffice to replace it.
 #[test]
 fn owner_whose_calls_time_out_is_replaced() {
     let limits = ownership::Limits::default();
     let mut detector = ownership::Detector::new(limits);
     let timeout = time::Duration::from_secs(2);
     let mut now = Instant::now();
+    // A failure from a minute ago does not count.
     detector.record_failure(now);
     now += time::Duration::from_secs(60);
     assert_eq!(
@@ -316,8 +315,7 @@
     assert_eq!(detector.record_failure(now), ownership::Action::TakeOver);
 }
 
-/// A release whose append was rejected moves to the next batch. Without it the key would stay
-/// claimed and each resend would be answered with "may have run".
+/// Without its release, the key would stay claimed, and each resend would get "may have run".
 #[test]
 fn release_is_kept_after_a_rejected_append() {
     let now = Instant::now();
@@ -337,14 +335,14 @@
     ));
 }
 
-/// Appends start at once after an idle time and keep to the rate otherwise; a process that owns a
-/// quarter of the shards has a quarter of the rate.
+/// Appends start at once after an idle time and otherwise keep to the process's part of the rate.
 #[test]
 fn limiter_keeps_to_the_rate() {
     let mut limiter = limiter::Limiter::new(unit::Rate(200.0), 16, 8);
     (0..4).for_each(|_| limiter.add_shard());
     let start = Instant::now() + 10 * SECOND;
     assert_eq!(limiter.reserve_slot(start), start);
+    // A process with 4 of 16 shards has a quarter of the rate, 50 appends per second.
     let last = (0..500)
         .map(|_| limiter.reserve_slot(start))
         .last()
--- a/laburnumcart/tests/concurrency.rs
+++ b/laburnumcart/tests/concurrency.rs
@@ -90,8 +90,7 @@
     }
 }
 
-/// Slow calls that were sent before a decrease must not lower the limit again for the same
-/// congestion.
+/// Slow calls sent before a decrease must not lower the limit again for the same congestion.
 #[test]
 fn calls_sent_under_a_higher_limit_are_ignored() {
     let (mut limit, mut now) = (concurrency::Limit::new(), Instant::now());
@@ -106,8 +105,7 @@
     assert_eq!(limit.get(), after);
 }
 
-/// Repeating the search in each window would reduce the capacity of a slow target by a quarter for
-/// seconds, so that a queue builds up and callers are late.
+/// A search in each window would cut a slow target's capacity by a quarter and make callers late.
 #[test]
 fn search_is_not_repeated_while_its_result_is_kept() {
     let base = time::Duration::from_millis(500);
--- a/laburnumcart/tests/concurrency_spread.rs
+++ b/laburnumcart/tests/concurrency_spread.rs
@@ -54,8 +54,7 @@
     )
 }
 
-/// If the minimum of small batches counted as the usual latency, all others would look congested
-/// and the target would be nearly idle.
+/// If the minimum of small batches were the usual latency, all others would look congested.
 #[rstest]
 fn capacity_is_used_with_exponential_service_times(
     #[values(1, 4, 16, 64)] servers: usize,
--- a/laburnumcart/tests/estimate.rs
+++ b/laburnumcart/tests/estimate.rs
@@ -92,8 +92,7 @@
     }
 }
 
-/// With too low an assumed rate, callers of a process that has just started would stay away for
-/// most of a minute while its queue is empty.
+/// With too low an assumed rate, callers would avoid an idle process for most of a minute.
 #[test]
 fn refused_callers_of_a_new_process_return_soon() {
     let now = Instant::now();
--- a/laburnumcart/tests/facts.rs
+++ b/laburnumcart/tests/facts.rs
@@ -90,8 +90,7 @@
     }
 }
 
-/// The latency of the messages by which two peers exchange a crash again and again must not prolong
-/// its time to live.
+/// The latency of repeated exchanges between peers must not prolong a crash's time to live.
 #[test]
 fn circulating_facts_expire_on_time() {
     let mut now = Instant::now();
--- a/laburnumcart/tests/fair.rs
+++ b/laburnumcart/tests/fair.rs
@@ -101,8 +101,7 @@
     assert!(position.unwrap() <= 17, "{position:?}");
 }
 
-// A team with one request at a time lags by the lead of an urgent team; if it lost that lag each
-// time it has no entry, it would not get its share.
+// A team with one request at a time must keep its lag behind an urgent team while it has no entry.
 #[test]
 fn a_team_with_single_requests_gets_its_share() {
     let now = Instant::now();
--- a/laburnumcart/tests/forecast.rs
+++ b/laburnumcart/tests/forecast.rs
@@ -29,8 +29,7 @@
     is_repeat: false,
 };
 
-// Queues shrink during the earlier stages; adding up their waits would refuse requests that could
-// be on time. A margin of a fifth is added to each wait.
+// Queues shrink during earlier stages; the sum of all waits would refuse requests that are on time.
 #[rstest]
 #[case(&[300, 300, 300], true)]
 #[case(&[300, 550, 300], true)]
@@ -45,6 +44,7 @@
         .zip(turns)
         .map(|(a, t)| stage(a, *t, *t))
         .collect();
+    // A margin of a fifth is added to each wait.
     let judged = forecast::judge(&stages, TIME) == forecast::Judgement::OnTime;
     assert_eq!(judged, on_time);
 }
--- a/laburnumcart/tests/head.rs
+++ b/laburnumcart/tests/head.rs
@@ -52,8 +52,7 @@
     assert_eq!(publish.step(), head::Step::Done(Ok(head)));
 }
 
-/// The response to the write is lost. The change took effect if its nonce is in the head, be it as
-/// the accepted generation or as an earlier one.
+/// If the response is lost, the nonce in the head proves the change, also as an earlier generation.
 #[test]
 fn lost_response_is_settled_by_the_nonce() {
     for others in 0..3_u128 {
@@ -72,8 +71,7 @@
     }
 }
 
-/// If the head is unchanged after a lost response, the same write is repeated. If the first one
-/// arrives after all, the conflict of the repeated one is not a failure.
+/// The first write may still arrive; the conflict of the repeated one is then not a failure.
 #[test]
 fn lost_write_is_repeated_with_the_same_version() {
     let base = head_of(&["a"]);
@@ -95,14 +93,14 @@
     assert!(!publish.is_in_doubt());
 }
 
-/// Two operators have read the same head. The second one to write gets an error with the generation
-/// that the first one accepted.
+/// The loser of two concurrent changes must learn the generation that the winner accepted.
 #[test]
 fn conflict_reports_the_winner() {
     let base = head_of(&["a"]);
     let mut loser = accept("b", 100);
     loser.record_read(Some((1, base.clone())));
     let winner = head::Head::after(Some(&base), digest("c"), id::Nonce(200));
+    // A third change is accepted before the loser reads the head again.
     let later = head::Head::after(Some(&winner), digest("d"), id::Nonce(300));
     loser.record_write(head::WriteOutcome::Conflict);
     loser.record_read(Some((3, later)));
@@ -111,8 +109,7 @@
     assert_eq!(loser.step(), head::Step::Done(Err(error)));
 }
 
-/// After a lost response, a read that returns an older head than before proves nothing; the head is
-/// read again.
+/// An older head than the one read before the write does not prove that the write failed.
 #[test]
 fn stale_read_settles_nothing() {
     let old = head_of(&["a"]);
--- a/laburnumcart/tests/lanes.rs
+++ b/laburnumcart/tests/lanes.rs
@@ -70,8 +70,7 @@
     assert_eq!(lanes(sessions).unknown_verdict(LANE, session), verdict);
 }
 
-/// A result that expires before its sender asks for it must not be reported as not run, or the
-/// request would execute twice.
+/// If an expired result were reported as not run, the request would be executed twice.
 #[tokio::test(start_paused = true)]
 async fn expired_attempt_may_have_run() {
     let mut lanes = lanes(&[1, 2, 3]);
@@ -82,8 +81,7 @@
     assert_eq!(lanes.unknown_verdict(LANE, 3), Verdict::NotRun);
 }
 
-/// After an idle lane is dropped, its old calls stay refused, and attempts from before the next
-/// `hello` are not reported as not run.
+/// Attempts of a dropped lane may have run, so they must not be reported as not run.
 #[tokio::test(start_paused = true)]
 async fn dropped_lane_proves_nothing() {
     let mut lanes = lanes(&[1, 2]);
@@ -94,18 +92,20 @@
     time::advance(IDLE).await;
     lanes.expire(Instant::now());
     assert!(lanes.is_empty());
+    // Its old calls stay refused.
     assert!(lanes.check(LANE, 2, Instant::now()).is_err());
     lanes.open(LANE, 3, Instant::now()).unwrap();
     assert_eq!(lanes.unknown_verdict(LANE, 2), Verdict::MayHaveRun);
 }
 
-/// Session 2 ran a stage and was dropped with its idle lane; then a delayed `hello` reopens the lane
-/// at 1. If all sessions from 1 on counted as known, the stage would be reported as not run.
+/// If a delayed `hello` proved all later sessions, a stage that ran would be reported as not run.
 #[tokio::test(start_paused = true)]
 async fn late_hello_proves_nothing_about_a_dropped_lane() {
+    // Session 2 runs a stage, and its lane is dropped as idle.
     let mut lanes = lanes(&[2]);
     time::advance(IDLE).await;
     lanes.expire(Instant::now());
+    // The delayed `hello` reopens the lane.
     lanes.open(LANE, 1, Instant::now()).unwrap();
     lanes.open(LANE, 3, Instant::now()).unwrap();
     assert_eq!(lanes.unknown_verdict(LANE, 2), Verdict::MayHaveRun);
--- a/laburnumcart/tests/orders.rs
+++ b/laburnumcart/tests/orders.rs
@@ -63,8 +63,7 @@
     );
 }
 
-/// A predecessor may be paused during an order. One that was sent before the takeover has timed out
-/// by the end of the order limit.
+/// An order of a paused predecessor may still be in flight until it times out with the order limit.
 #[tokio::test(start_paused = true)]
 async fn unfenced_target_gets_no_order_within_the_order_limit() {
     let mut orders = orders(Fencing::Unfenced);
@@ -77,8 +76,7 @@
     assert_eq!(send_order(&mut orders, Term(2), Instant::now()).0, 1);
 }
 
-/// An agent that was paused after reading its term must read it again, as another agent may have
-/// acquired the target since.
+/// While an agent is paused, another one may acquire its target; its next order would be outdated.
 #[tokio::test(start_paused = true)]
 async fn paused_agent_confirms_its_term_again() {
     let mut orders = orders(Fencing::Unfenced);
@@ -93,8 +91,7 @@
     assert!(orders.is_superseded());
 }
 
-/// An order of the previous agent takes effect after the successor's own; the successor restores
-/// the wanted models.
+/// If an order of the previous agent takes effect late, the wanted models must be loaded again.
 #[tokio::test(start_paused = true)]
 async fn late_order_is_reverted() {
     let mut orders = orders(Fencing::Unfenced);
@@ -107,6 +104,7 @@
     orders.set_loaded(["new".into()]);
     assert!(orders.is_settled());
     assert_eq!(orders.step(Instant::now()), Step::Idle);
+    // The late order takes effect.
     orders.set_loaded(["old".into()]);
     let (sequence, load) = send_order(&mut orders, Term(3), Instant::now());
     assert_eq!((sequence, load), (2, vec!["new".to_owned()]));
--- a/laburnumcart/tests/owners.rs
+++ b/laburnumcart/tests/owners.rs
@@ -56,8 +56,7 @@
     counts.into_values().max().unwrap_or(0)
 }
 
-// One gateway that owns all queues stays overloaded after a short burst while its targets idle. By
-// random choice, two of three queues would share one of 15 gateways in one fleet out of five.
+// A gateway that owns all queues stays overloaded after a short burst while its targets idle.
 #[rstest]
 #[case(15, 88, 3)]
 #[case(6, 21, 3)]
@@ -69,6 +68,7 @@
     #[case] count: usize,
 ) {
     let services = services(count);
+    // By random choice, one of 15 gateways would own two of three queues in a fifth of all fleets.
     for salt in 0..50 {
         let fleet = Fleet::new(strong, weak, salt);
         let members = fleet.members();
--- a/laburnumcart/tests/patience.rs
+++ b/laburnumcart/tests/patience.rs
@@ -14,8 +14,7 @@
     callers
 }
 
-// If the difference to the longest patience counted as time spent, first attempts of less patient
-// callers would be delayed or refused although they could be on time.
+// If a shorter patience counted as time spent, first attempts would be delayed or refused.
 #[rstest]
 fn first_attempts_have_spent_nothing(#[values(5100, 5400, 5700, 6000)] patience: u32) {
     assert_eq!(
--- a/laburnumcart/tests/placement.rs
+++ b/laburnumcart/tests/placement.rs
@@ -65,8 +65,7 @@
     );
 }
 
-// If all requests of a popular session went to one engine, they would queue there for seconds while
-// other engines are idle.
+// If one engine got a whole popular session, requests would queue there while others are idle.
 #[test]
 fn a_popular_session_spreads() {
     let now = Instant::now();
@@ -81,8 +80,7 @@
     assert!(used.len() >= 3, "{}", used.len());
 }
 
-// A session that moves from its busy affinity engine has its prefix prefilled elsewhere, and again
-// when it moves back.
+// A session that leaves its busy engine has its prefix prefilled elsewhere, and again on return.
 #[test]
 fn a_session_stays_at_its_affinity_engine_while_it_has_slack() {
     let now = Instant::now();
@@ -110,8 +108,7 @@
     assert_ne!(urgent.unwrap().engine, affine.engine);
 }
 
-// The failed engine would still have affinity for the session. It is better than none if it is the
-// only one left.
+// Without the pause, affinity would send the session to the failed engine again.
 #[test]
 fn failed_engines_are_paused() {
     let now = Instant::now();
@@ -121,6 +118,7 @@
     engines.record_failure(assignment.engine, now);
     let other = engines.choose(&request(&parts), now).unwrap();
     assert_ne!(other.engine, assignment.engine);
+    // A paused engine is better than none.
     for key in keys.iter().filter(|key| **key != assignment.engine) {
         engines.remove(*key);
     }
@@ -181,8 +179,7 @@
     );
 }
 
-// After a crash of all engines, requests beyond the quota of a cold engine would crash it again; a
-// paused engine must not be used beyond its quota either.
+// After a crash of all engines, requests beyond the quota of a cold engine would crash it again.
 #[tokio::test(start_paused = true)]
 async fn cold_engines_get_no_more_than_their_part() {
     let (mut engines, keys) = engines();
@@ -199,6 +196,7 @@
             ..quota::Bounds::default()
         });
         engines.set_limiter(*key, limiter);
+        // A paused engine must not be used beyond its quota either.
         engines.record_failure(*key, start);
     }
     let (mut served, mut refused) = (0, 0);
--- a/laburnumcart/tests/quota.rs
+++ b/laburnumcart/tests/quota.rs
@@ -56,22 +56,21 @@
     }
 }
 
-// With more gateways than requests per second, the quotas of all engines must not go to the same
-// few gateways, or callers of the others would be refused while engines have capacity.
+// If a few gateways held all quotas, the others would refuse callers while engines have capacity.
 #[test]
 fn quotas_of_different_targets_go_to_different_members() {
     let members = names(27);
     let all: Vec<_> = members.iter().collect();
     for own in &members {
         let senders = quota::Senders { own, members: &all };
+        // There are more gateways than requests per second to a target.
         let quotas = (0..49).map(|i| senders.quota(&target(i), unit::Rate(13.0)).count);
         let open: u32 = quotas.sum();
         assert!((10..40).contains(&open), "{own} may use {open} of 49");
     }
 }
 
-// While gateways differ by one in the members that they know, together they may exceed the rate a
-// little, far less than the half that a target tolerates.
+// Members with different lists may use the same quota; the sum must not overload the target.
 #[test]
 fn different_member_lists_exceed_the_rate_only_a_little() {
     let (old, new) = (names(26), names(27));
@@ -87,6 +86,7 @@
             false => quota(own, &new).count,
         });
         let sum: u32 = counts.sum();
+        // A target tolerates an excess of half its rate.
         assert!(sum <= 14, "{sum}");
     }
 }
@@ -334,8 +334,7 @@
 }
 
 proptest! {
-    // Responses overtake each other and reports arrive late. A limit must not be ended by anything
-    // older than its last confirmation.
+    // Responses and reports arrive out of order; none older than the confirmation may end a limit.
     #[test]
     fn what_was_true_last_is_known(events in prop::collection::vec(event(), 1..40)) {
         let start = Instant::now() + time::Duration::from_secs(10);
--- a/laburnumcart/tests/retry.rs
+++ b/laburnumcart/tests/retry.rs
@@ -63,8 +63,7 @@
     assert_eq!(decision == retry::Decision::Retry, retried, "{decision:?}");
 }
 
-/// The caller must not be told "not run" because the last of several attempts was refused, as an
-/// earlier attempt may have been executed.
+/// An earlier attempt may have run, so the refusal of the last one must not be reported as not run.
 #[test]
 fn verdict_covers_all_attempts() {
     let now = Instant::now();
--- a/laburnumcart/tests/signing.rs
+++ b/laburnumcart/tests/signing.rs
@@ -64,7 +64,7 @@
     );
 }
 
-/// Neither a foreign key under a trusted name nor a signature of another text counts.
+/// An unknown key under a trusted name or a signature of another text must not be accepted.
 #[test]
 fn forged_signatures_do_not_count() {
     let (ana, bob) = (key(), key());
@@ -95,8 +95,7 @@
     assert_eq!(trust.verify(&envelope.to_text(), None), Err(refused));
 }
 
-/// During a key rotation, processes with the old, the new or both keys in their settings accept
-/// signatures by a key that they know.
+/// During a rotation, processes with the old, the new or both keys accept signatures by their keys.
 #[test]
 fn keys_are_rotated_without_a_gap() {
     let (old, new) = (key(), key());
--- a/laburnumcart/tests/sse.rs
+++ b/laburnumcart/tests/sse.rs
@@ -1,4 +1,4 @@
-//! Splitting of event streams into whole events.
+//! Splitting of event streams into complete events.
 
 use laburnumcart::sse;
 use rstest::rstest;
@@ -31,8 +31,7 @@
     }
 }
 
-/// If a target stops in the middle of an event and its part is forwarded, the caller gets the
-/// beginning of the event twice once the stream is resumed.
+/// If part of an event were forwarded, the caller would get it twice once the stream is resumed.
 #[test]
 fn incomplete_event_is_held_back() {
     let mut splitter = sse::Splitter::default();
--- a/laburnumcart/tests/subset.rs
+++ b/laburnumcart/tests/subset.rs
@@ -78,8 +78,7 @@
     assert!(*counts.values().min().unwrap() >= 33 / 3, "{counts:?}");
 }
 
-/// With equal parts of the rate for all services, a target of a large service could be in no
-/// entry's subset and stay idle while callers were refused.
+/// With equal rates per service, targets of a large one could be in no entry's subset and idle.
 #[rstest]
 #[case(&[10, 3, 4, 5, 5, 3, 3, 3], 10)]
 #[case(&[3, 3, 10, 10], 10)]
--- a/laburnumcart/tests/suspects.rs
+++ b/laburnumcart/tests/suspects.rs
@@ -1,4 +1,4 @@
-//! Poison content among innocent content at targets that crash.
+//! Poison content beside other content at targets that crash.
 
 use std::time;
 
@@ -27,8 +27,7 @@
     }
 }
 
-/// Poison content is resent under new ids and crashes two targets, each running other content. It
-/// must be quarantined for a limited time, and the innocent content cleared as it completes.
+/// Poison content is resent under new ids, so it would crash one target after another.
 #[test]
 fn poison_crashes_two_targets_and_is_refused_for_a_while() {
     let now = Instant::now();
@@ -40,8 +39,10 @@
     assert!(!known.can_run(POISON, [POISON], now));
     assert!(known.can_run(POISON, [id::Fingerprint(7), id::Fingerprint(8)], now));
 
+    // The poison crashes a second target, which runs other content.
     let later = now + time::Duration::from_secs(500);
     crash(&mut table, &[0, 7, 8], later);
+    // The other content completes elsewhere and is cleared.
     for content in [1, 2, 3, 7, 8] {
         clear(&mut table, content, later);
     }
@@ -64,8 +65,7 @@
     assert!(suspects::Suspects::new(&table, end).is_empty());
 }
 
-/// The fact of the first crash arrives late, so innocent content runs with the poison twice and the
-/// two crashes do not tell them apart.
+/// Before the first crash is known, content may run beside the poison again and look like it.
 #[test]
 fn innocent_beside_poison_twice_is_not_quarantined() {
     let now = Instant::now();
@@ -88,8 +88,7 @@
     );
 }
 
-/// Innocent content that ran with two different poisons is refused like a poison, but only until
-/// further crashes by both poisons explain its own.
+/// Content beside two poisons looks like a third until further crashes by both explain its own.
 #[test]
 fn innocent_beside_two_poisons_is_refused_until_both_are_known() {
     let now = Instant::now();
@@ -111,8 +110,7 @@
     assert!(known.can_run(innocent, [], now));
 }
 
-/// Facts arrive at each process in a different order. If the result depended on it, content refused
-/// by one entry would be admitted by another.
+/// If the order of facts mattered, one entry would refuse content that another one admits.
 #[rstest]
 #[case([0, 1, 2])]
 #[case([2, 1, 0])]
