--- a/laburnumcart_ctl/tests/gateways.rs
+++ b/laburnumcart_ctl/tests/gateways.rs
@@ -94,8 +94,7 @@
     );
 }
 
-// One gateway returns an error or a malformed state: the exit code shows a script that the view is
-// partial.
+// A script must notice by the exit code that a gateway returned an error or a malformed state.
 #[rstest]
 #[case("503 Service Unavailable", "{}", "503")]
 #[case("200 OK", "nonsense", "cannot be parsed")]
--- a/laburnumcart_ctl/tests/publish.rs
+++ b/laburnumcart_ctl/tests/publish.rs
@@ -41,8 +41,7 @@
     head::Head::parse(&object.value).expect("a head")
 }
 
-/// Concurrent changes over a service that loses calls and responses: exactly the changes in the
-/// history of the head are reported as accepted, and each other one reports the winner.
+/// After lost calls, an accepted change could be reported as rejected, or the reverse.
 #[rstest]
 #[tokio::test(start_paused = true)]
 async fn every_racing_operator_is_told_the_truth(#[values(0, 1, 3)] losses: u32) {
@@ -70,6 +69,7 @@
             Err(error) => panic!("{error}"),
         }
     }
+    // The accepted changes are exactly those in the history; each other one reports its winner.
     let head = stored_head(&store).await;
     let mut history: Vec<_> = head.history().copied().collect();
     history.reverse();
@@ -83,12 +83,12 @@
     assert!(lost.iter().all(|winner| history.contains(winner)));
 }
 
-/// Two writes take effect but their responses are lost: the existing object and the nonce in the
-/// head prove the success, and nothing is accepted twice.
+/// After lost responses, the existing object and the nonce in the head must count as success.
 #[tokio::test(start_paused = true)]
 async fn lost_answers_do_not_accept_twice() {
     let store = memory::Memory::new();
     store.set_faults(memory::Faults {
+        // The writes of the object and of the head.
         lose_answers: 2,
         ..Default::default()
     });
@@ -108,8 +108,7 @@
     assert_eq!(stored_head(&store).await, head);
 }
 
-/// Restoring the bundle of generation 1 makes it generation 3, so that every process switches to
-/// it; generation 2 can then be restored in the same way.
+/// A restored bundle needs a new generation, so that every process switches to it.
 #[tokio::test(start_paused = true)]
 async fn rollback_creates_a_new_generation() {
     let store = memory::Memory::new();
@@ -118,6 +117,7 @@
     let third = restore(&store, 1).await.expect("accepted");
     assert_eq!(third.accepted.generation, id::Generation(3));
     assert_eq!(third.accepted.digest, first.accepted.digest);
+    // The replaced generation 2 can be restored in the same way.
     let fourth = restore(&store, 2).await.expect("accepted");
     assert_eq!(fourth.accepted.generation, id::Generation(4));
     assert_eq!(fourth.accepted.digest, second.accepted.digest);
@@ -146,8 +146,7 @@
     assert!(matches!(error, error::Error::Unavailable), "{error}");
 }
 
-/// The service goes down after it applied the write of the head, whose response is lost: the error
-/// must not state that nothing was changed, as the bundle may be in force.
+/// The bundle may be in force after a lost response; the error must not say that nothing changed.
 #[tokio::test(start_paused = true)]
 async fn an_outage_after_a_lost_answer_leaves_doubt() {
     let store = FailingStore(memory::Memory::new());
--- a/laburnumcart_ctl/tests/schema.rs
+++ b/laburnumcart_ctl/tests/schema.rs
@@ -9,11 +9,11 @@
 };
 use laburnumcart_ctl::settings;
 
+// Updated by `laburnumctl schema bundle > docs/schema/bundle.json`.
 const BUNDLE: &str = include_str!("../../docs/schema/bundle.json");
+// Updated by `laburnumctl schema settings > docs/schema/laburnumctl.json`.
 const SETTINGS: &str = include_str!("../../docs/schema/laburnumctl.json");
 
-/// To update the schemas, run `laburnumctl schema bundle > docs/schema/bundle.json` and
-/// `laburnumctl schema settings > docs/schema/laburnumctl.json`.
 #[rstest]
 #[case::bundle(BUNDLE, document::schema::<bundle::Bundle>())]
 #[case::settings(SETTINGS, document::schema::<settings::Settings>())]
