--- a/laburnumcart_gateway/tests/balancer.rs
+++ b/laburnumcart_gateway/tests/balancer.rs
@@ -25,8 +25,7 @@
     })
 }
 
-// A target restarts, and late responses and load reports from before the restart arrive. If they
-// counted for the new run, it would be ejected or taken for full for seconds.
+// If late reports counted for the new run, it would be ejected or taken for full for seconds.
 #[tokio::test(start_paused = true)]
 async fn late_reports_from_before_a_restart_do_not_affect_the_new_run() {
     let start = Instant::now();
--- a/laburnumcart_gateway/tests/peers.rs
+++ b/laburnumcart_gateway/tests/peers.rs
@@ -237,8 +237,7 @@
     waited.expect("the condition holds in time");
 }
 
-// In a rolling restart, an old job finds its next owner among the members as of its submission. If
-// it replaced the link to a restarted process by one to the earlier run, all jobs there would fail.
+// Replacing the link to a restarted process by one to its earlier run would fail all jobs there.
 #[tokio::test]
 async fn an_old_job_does_not_close_the_connection_to_a_restarted_process() {
     let caller = Caller::new();
@@ -264,13 +263,13 @@
         !kept.is_empty(),
         "some services are owned by the later incarnation"
     );
+    // The old jobs look for their next owner among the members as of their submission.
     stopping.stop();
     wait_for(|| moving.iter().all(|id| second.count(*id) > 0)).await;
     assert!(kept.iter().all(|id| second.count(*id) == 1), "sent once");
 }
 
-// A queue owner that shuts down still answers calls, but jobs go to the next owner. If the first
-// one freed their results, the next one would count them as used capacity until they expire.
+// If the leaving owner freed them, results would use capacity of the next one until they expire.
 #[tokio::test]
 async fn results_are_freed_where_their_job_was_executed() {
     let caller = Caller::new();
--- a/laburnumcart_gateway/tests/relay.rs
+++ b/laburnumcart_gateway/tests/relay.rs
@@ -82,8 +82,7 @@
     assert_eq!(older, Some(Answer::Compacted));
 }
 
-// A reader that lost the store misses the revocation of a key. Its answer must be stale, so that
-// other processes ask elsewhere instead of accepting the key further.
+// A reader that lost the store misses revocations of keys, so others must ask elsewhere.
 #[rstest]
 #[case(1200, true)]
 #[case(1201, false)]
@@ -128,8 +127,7 @@
     );
 }
 
-// A large configuration sent to all waiting processes at once would fill the reader's link for
-// seconds, and they would mark the reader as down.
+// Sent to all processes at once, a large change would fill the reader's link until it seems down.
 #[test]
 fn large_changes_are_left_to_the_store() {
     let mut copy = copy(6, 900);
@@ -147,13 +145,13 @@
 }
 
 proptest! {
-    /// Data passes through a chain of processes with pauses anywhere. If it ever seemed younger
-    /// than the read that it comes from, revoked keys would be accepted beyond the bound.
+    /// If data seemed younger than the read it comes from, revoked keys would be accepted too long.
     #[test]
     fn ages_never_shrink(pauses in prop::collection::vec(prop::array::uniform4(0u64..3000), 1..6)) {
         let read = 10_000;
         let mut now = read;
         let mut known = read;
+        // Each process gets the data from the one before, with pauses anywhere.
         for [before, request, held, response] in pauses {
             let mut copy = cache::CachedTopic::default();
             copy.update(&snapshot(7, "{}"), at(known), at(now));
--- a/laburnumcart_gateway/tests/settings.rs
+++ b/laburnumcart_gateway/tests/settings.rs
@@ -25,8 +25,7 @@
     daemon::parse(text)
 }
 
-// Bounds that are computed from those of another deployment have fractions. A gateway that rejected
-// them would not start.
+// Bounds computed from another deployment have fractions; a gateway that rejects them cannot start.
 #[rstest]
 #[case("retry_extra", "36.2")]
 #[case("retry_extra", "36")]
