--- a/laburnumcart_wire/tests/peer.rs
+++ b/laburnumcart_wire/tests/peer.rs
@@ -126,8 +126,7 @@
     assert_eq!(count.load(atomic::Ordering::Relaxed), 1);
 }
 
-/// The peer accepts the connection and then stays silent, as behind a failed switch. The caller
-/// must get an error after the timeout, so that it can try another peer.
+/// Behind a failed switch, a peer never answers; the caller needs an error to try another one.
 #[tokio::test]
 async fn connecting_to_a_silent_peer_times_out() {
     let listener = listener();
@@ -142,8 +141,7 @@
     ));
 }
 
-/// A call over the size limit must fail without being sent, and must not close the connection on
-/// which another call waits for its answer.
+/// A call over the size limit must not close the connection on which another call waits.
 #[tokio::test]
 async fn oversized_call_affects_no_other_call() {
     let limits = peer::Limits::default().message(unit::Size(4096));
@@ -158,6 +156,7 @@
             matches!(error, jsonrpsee::core::ClientError::Call(_)),
             "{error:?}"
         );
+        // It was not sent.
         assert_eq!(peer::verdict(&error), verdict::Verdict::NotRun);
         assert_eq!(echo(&client, "small").await.unwrap(), "small");
         gate.notify_one();
@@ -227,8 +226,7 @@
     }
 }
 
-/// A malformed frame is answered with its own error code, and a call that waits on the same
-/// connection still gets its answer.
+/// A malformed frame must not close the connection on which another call waits.
 #[rstest]
 #[case::no_json("{", -32700)]
 #[case::no_call(r#"{"id":9}"#, -32600)]
@@ -275,8 +273,7 @@
     assert!(peer::connect(addr, &secret(SECRET), &limits).await.is_err());
 }
 
-/// A timeout, an internal error or an answer too large to send does not prove that a call was not
-/// executed; the verdict must be that it may have run.
+/// After a timeout, an internal error or an answer too large to send, a call may have run.
 #[tokio::test]
 async fn doubt_is_not_taken_for_proof() {
     let short = peer::Limits::default().request(unit::Period::from_millis(20));
@@ -299,6 +296,7 @@
         peer::verdict(&absent.unwrap_err()),
         verdict::Verdict::NotRun
     );
+    // Internal error, oversized response, failed execution and an unknown code.
     for code in [-32603, -32008, -32000, 7] {
         let object = jsonrpsee::types::ErrorObject::owned(code, "", None::<()>);
         let error = jsonrpsee::core::ClientError::Call(object);
@@ -326,8 +324,7 @@
     assert_eq!(echo(&client, "in").await.unwrap(), "in");
 }
 
-/// A silent connection, as behind a switch that dropped its state, must be closed after the idle
-/// time, or such connections would exhaust the server's limit forever.
+/// Connections behind a switch that dropped its state would exhaust the server's limit forever.
 #[tokio::test]
 async fn silent_connection_is_closed() {
     let limits = peer::Limits::default()
