--- a/laburnumcart_agent/tests/agent/doubt.rs
+++ b/laburnumcart_agent/tests/agent/doubt.rs
@@ -36,8 +36,7 @@
     },
 };
 
-/// A query over a new session is answered "not run", then the delayed call arrives over the old
-/// session. It must be refused: the sender may have retried elsewhere, and the stage would run twice.
+/// If a delayed call started after a query was answered "not run", the stage would run twice.
 #[tokio::test(flavor = "multi_thread")]
 async fn late_call_never_starts() {
     let target = Target::start(Mode::Status(200, "")).await;
@@ -54,6 +53,7 @@
         (proof.verdict, proof.reason),
         (Verdict::NotRun, Reason::Lost)
     );
+    // The call arrives over the old session; the sender may have retried elsewhere by now.
     let (_, state) = bounded(old.run(&call)).await;
     let late = refusal(&state);
     assert_eq!(
@@ -63,8 +63,7 @@
     assert!(target.seen().is_empty());
 }
 
-/// A query over a fenced session, or over the session that sent the attempt, gets an error: the
-/// attempt may still arrive, so "not run" would be false.
+/// "Not run" would be false over a fenced session or the sending one: the attempt may still arrive.
 #[tokio::test(flavor = "multi_thread")]
 async fn query_proves_nothing_over_a_wrong_session() {
     let target = Target::start(Mode::Status(200, "")).await;
@@ -87,8 +86,7 @@
     assert_eq!(code(bounded(first.client.beat(beat)).await), agent::FENCED);
 }
 
-/// The connection is lost in the middle of a stream. The sender resumes from the first missing piece
-/// over a new connection, and gets each piece once.
+/// A stream whose connection is lost must resume at the first missing piece and repeat no piece.
 #[tokio::test(flavor = "multi_thread")]
 async fn stream_resumes_over_a_new_connection() {
     let target = Target::start(Mode::Stream(vec!["a", "b", "c"], Finish::Whole)).await;
@@ -141,8 +139,7 @@
     assert_eq!(target.seen().len(), 1);
 }
 
-/// A call repeated with the same attempt id over a new session joins the running attempt, and the
-/// target executes once.
+/// A call repeated over a new session must join its running attempt, or the stage would run twice.
 #[tokio::test(flavor = "multi_thread")]
 async fn repeated_call_joins_running_attempt() {
     let target = Target::start(Mode::Hold).await;
@@ -164,8 +161,7 @@
     assert_eq!(target.seen().len(), 1);
 }
 
-/// An agent is replaced at the same address. The new process does not know the attempt, which proves
-/// nothing: may have executed. A late call to the old incarnation is refused.
+/// A new agent process does not know its predecessor's attempts, which does not prove "not run".
 #[tokio::test(flavor = "multi_thread")]
 async fn replaced_agent_proves_nothing() {
     let target = Target::start(Mode::Status(200, "")).await;
@@ -192,6 +188,7 @@
         (doubt.verdict, doubt.reason),
         (Verdict::MayHaveRun, Reason::WrongIncarnation)
     );
+    // A late call to the old incarnation is refused.
     let mut late = call.clone();
     late.session = new.session;
     let (_, state) = bounded(new.run(&late)).await;
--- a/laburnumcart_agent/tests/agent/phases.rs
+++ b/laburnumcart_agent/tests/agent/phases.rs
@@ -45,8 +45,7 @@
     assert_eq!(target.seen().len(), 1);
 }
 
-/// Only the statuses by which a target states that it did not start are proven not executed; any
-/// other status may have executed.
+/// Only a status by which the target states that it did not start proves "not run".
 #[rstest]
 #[case(400, Verdict::NotRun, Reason::TargetRefused)]
 #[case(429, Verdict::NotRun, Reason::Overloaded)]
@@ -89,8 +88,7 @@
     );
 }
 
-/// The target dies after it executed the stage and before it answers. The agent cannot tell this
-/// from a death before the execution: may have executed.
+/// The agent cannot tell a target's death after the execution from one before it: may have run.
 #[tokio::test(flavor = "multi_thread")]
 async fn fails_after_send() {
     let target = Target::start(Mode::Close).await;
@@ -105,8 +103,7 @@
     assert_eq!(target.seen().len(), 1, "the stage was not sent again");
 }
 
-/// A stream that is cut off, or ends cleanly without its end mark, may have executed. It would pass
-/// for complete if the end of the connection counted as the end of the stream.
+/// If the end of the connection counted as the end of the stream, a cut stream would seem complete.
 #[rstest]
 #[case(Finish::Cut)]
 #[case(Finish::NoEndMark)]
@@ -143,8 +140,7 @@
     assert_eq!(target.seen()[0].body["received"], "before");
 }
 
-/// A call is cancelled before its answer. If its connection were reused, that answer would be read
-/// as the answer to the next stage.
+/// On a reused connection the cancelled call's answer would be read as the next stage's answer.
 #[tokio::test(flavor = "multi_thread")]
 async fn cancelled_connection_is_not_reused() {
     let target = Target::start(Mode::Hold).await;
@@ -173,8 +169,7 @@
     assert_ne!(seen[0].connection, seen[1].connection);
 }
 
-/// A stream's body ends cleanly but without the end mark. The target may have lost track of the
-/// connection, so the next call uses a new one.
+/// A target that ends a stream without its end mark may have lost track of the connection.
 #[tokio::test(flavor = "multi_thread")]
 async fn connection_without_end_mark_is_not_reused() {
     let target = Target::start(Mode::Status(200, "")).await;
@@ -190,8 +185,7 @@
     assert_ne!(seen[0].connection, seen[1].connection);
 }
 
-/// A stream is cancelled in the middle. If its connection were reused, the rest of the stream would
-/// be read as the answer to the next stage.
+/// On a reused connection the rest of the cancelled stream would be read as the next answer.
 #[tokio::test(flavor = "multi_thread")]
 async fn untidy_connection_is_not_reused() {
     let target = Target::start(Mode::Stream(vec!["a"], Finish::Whole)).await;
--- a/laburnumcart_agent/tests/agent/stopping.rs
+++ b/laburnumcart_agent/tests/agent/stopping.rs
@@ -87,8 +87,7 @@
     assert_eq!(target.seen().len(), slots);
 }
 
-/// A drain in the middle of a stream lets the stream finish, refuses new work as "not run", and shows
-/// in every report.
+/// A drain must not cut off a running stream, must refuse new work as "not run" and be reported.
 #[tokio::test(flavor = "multi_thread")]
 async fn drain_finishes_a_stream() {
     let target = Target::start(Mode::Stream(vec!["a", "b"], Finish::Whole)).await;
@@ -135,8 +134,7 @@
     assert_eq!(bounded(stopping).await.unwrap(), 0);
 }
 
-/// The target restarts while two attempts run: both may have executed, and the crash fact names the
-/// content of both as suspects.
+/// All attempts that run when the target restarts may have run, and the content of each is suspect.
 #[tokio::test(flavor = "multi_thread")]
 async fn crash_names_what_ran() {
     let target = Target::start(Mode::Hold).await;
@@ -218,8 +216,7 @@
     assert!(refused.retry.is_some() && target.seen().is_empty());
 }
 
-/// The agent that holds the term orders the target to load the bundle's models; after another agent
-/// took the term it sends no further order.
+/// Only the agent that holds the term may order the target to load the bundle's models.
 #[tokio::test(flavor = "multi_thread")]
 async fn orders_follow_the_bundle() {
     let target = Target::start(Mode::Status(200, "")).await;
@@ -242,6 +239,7 @@
     target.set_models(&["old@1"]);
     assert_eq!(bounded(target.wait_orders(2)).await[1]["sequence"], 2);
     let held = store.get("agents/pool-1").await.unwrap().unwrap();
+    // Another agent takes the term; this one must send no further order.
     let successor = json!({"term": 2, "incarnation": id::Incarnation(9)}).to_string();
     let expect = Expect::Version(held.version);
     store.put(&held.key, expect, &successor).await.unwrap();
--- a/laburnumcart_agent/tests/agent/suspects.rs
+++ b/laburnumcart_agent/tests/agent/suspects.rs
@@ -88,8 +88,7 @@
     .await;
 }
 
-/// Two suspects of one crash run one after the other, so that a second crash identifies the culprit;
-/// other content does not wait. Content that completes is cleared by a fact.
+/// If two suspects of one crash ran concurrently, a second crash would not identify the culprit.
 #[tokio::test(flavor = "multi_thread")]
 async fn suspects_run_one_at_a_time_and_are_cleared() {
     let target = Target::start(Mode::Hold).await;
@@ -127,8 +126,7 @@
     assert!(cleared.await.iter().all(|cleared| cleared.crash == fact.id));
 }
 
-/// A held suspect becomes quarantined by a second crash fact. It must be refused as "not run" when
-/// the running suspect ends, not at its deadline.
+/// A suspect that is quarantined while it waits must be refused as "not run" before its deadline.
 #[tokio::test(flavor = "multi_thread")]
 async fn held_suspect_is_refused_once_it_is_quarantined() {
     let target = Target::start(Mode::Hold).await;
@@ -140,6 +138,7 @@
         target.wait_seen(1).await;
         wait_queued(&agent, 1).await;
         send_crashes(&lane, vec![crash(&[2])]).await;
+        // The running suspect ends, and the waiting one must be refused now.
         target.release();
     };
     let one = lane.run(&first);
@@ -161,8 +160,7 @@
     assert_eq!(target.seen().len(), 1);
 }
 
-/// The crash fact must exist when the sender learns that its attempt failed: it retries at another
-/// target at once, and would send the content there without the fact.
+/// A sender retries elsewhere as soon as its attempt fails, and must have the crash fact by then.
 #[tokio::test(flavor = "multi_thread")]
 async fn crash_is_recorded_before_its_attempt_fails() {
     let target = Target::start(Mode::Hold).await;
@@ -181,8 +179,7 @@
     assert!(!report.ready);
 }
 
-/// A crash is detected while the target is down, then the target is back under a new boot. The
-/// restart must not count as a second crash, which would end and suspect the new attempts.
+/// The restart after a crash must not count as a second crash, which would suspect new attempts.
 #[tokio::test(flavor = "multi_thread")]
 async fn one_crash_counts_once() {
     let target = Target::start(Mode::Hold).await;
