--- a/laburnumcart_daemon/tests/bounded.rs
+++ b/laburnumcart_daemon/tests/bounded.rs
@@ -36,8 +36,7 @@
     }
 }
 
-/// A stalled reader of the log must not block requests; failures and the number of dropped lines are
-/// written when it resumes.
+/// A stalled log reader must not block requests; it gets failures and the drop count on resuming.
 #[test]
 fn stalled_reader_does_not_block_writes() {
     let text = Arc::new(Mutex::new(Vec::new()));
--- a/laburnumcart_daemon/tests/bundle.rs
+++ b/laburnumcart_daemon/tests/bundle.rs
@@ -409,8 +409,7 @@
     assert!(process.feed.current().is_none());
 }
 
-/// The object service goes down when only one process has the new bundle. The others learn of its
-/// generation from messages between processes and fetch the bundle from each other.
+/// A bundle that only one process has read must reach the others through their peers.
 #[tokio::test(start_paused = true)]
 async fn a_bundle_spreads_while_the_object_service_is_down() {
     let mut fleet = Fleet::new();
@@ -442,8 +441,7 @@
     }
 }
 
-/// A process that starts while the object service is down must get the bundle from the peers in its
-/// settings, although some of them are unreachable.
+/// A process that starts during an outage must get the bundle although some of its peers are down.
 #[tokio::test(start_paused = true)]
 async fn a_process_that_starts_during_an_outage_asks_its_peers() {
     let mut fleet = Fleet::new();
@@ -451,6 +449,7 @@
     let running = fleet.start(1, &[]);
     running.until(generation).await;
     fleet.set_down(true);
+    // Peers 7 and 8 are unreachable.
     let started = fleet.start(2, &[7, 8, 1]);
     started.until(generation).await;
     assert_eq!(started.title(), "x");
--- a/laburnumcart_daemon/tests/traces.rs
+++ b/laburnumcart_daemon/tests/traces.rs
@@ -40,11 +40,11 @@
     (first, String::from_utf8(body).unwrap())
 }
 
-/// The span of a hop is a child of the caller's and the parent of the next hop's. Before the start,
-/// spans are disabled and the caller's parent is forwarded.
+/// The span of a hop must be a child of the caller's span and the parent of the next hop's.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn span_of_a_hop_reaches_the_collector() {
     let incoming: traces::Traceparent = INCOMING.parse().unwrap();
+    // Before the start, spans are disabled and the caller's parent is forwarded.
     let off = tracing::info_span!("stage");
     assert!(off.is_disabled());
     assert_eq!(
