--- a/laburnumcart_entry/tests/claims.rs
+++ b/laburnumcart_entry/tests/claims.rs
@@ -40,8 +40,7 @@
     }
 }
 
-/// A resend reaches another entry, which must fetch the answer from the holder of the key instead
-/// of executing the request. A request with other content under the same key is refused.
+/// A resend to another entry must fetch the answer from the key's holder and not execute again.
 #[tokio::test(start_paused = true)]
 async fn resend_through_other_entry_gets_the_answer() {
     let mut cluster = Cluster::new();
@@ -59,6 +58,7 @@
     let wait = unit::Period::from_secs(1);
     let body = resend::join(&cluster.net, holder, request, wait).await;
     assert_eq!(body, Ok(id::RequestId(1).to_string()));
+    // A request with other content under the same key is refused.
     let other = claims::ClaimRequest {
         content: id::Fingerprint(8),
         ..params(7, 3)
@@ -67,8 +67,7 @@
     assert_eq!(refusal(&claim(&a, other).await), reused);
 }
 
-/// The owner is paused during an append while another entry takes the shard over and grants the
-/// key. When the owner resumes, its append must fail at the seal.
+/// An owner that resumes after a takeover must not grant a key that the new owner has granted.
 #[tokio::test(start_paused = true)]
 async fn owner_paused_across_takeover() {
     let mut cluster = Cluster::new();
@@ -77,6 +76,7 @@
     assert_eq!(claim(&a, params(1, 1)).await, Decision::Granted);
     store.hold(Some("claims/"));
     cluster.net.set_cut(&a, true);
+    // This append is paused until after the takeover and must then fail at the seal.
     let late = tokio::spawn({
         let a = a.clone();
         async move { claim(&a, params(7, 2)).await }
@@ -94,14 +94,15 @@
     assert_eq!(taken_by(&late.await.unwrap()), Some(id::RequestId(3)));
 }
 
-/// The response to an append is lost at a time that is not a whole millisecond. The owner must
-/// recognise its own segment, whose periods are rounded, and not take it for a seal.
+/// An owner must not take its own segment for a seal because the stored periods are rounded.
 #[tokio::test(start_paused = true)]
 async fn owner_recognises_its_own_append() {
     let mut cluster = Cluster::new();
     let (a, _) = cluster.start(1);
     assert_eq!(claim(&a, params(1, 1)).await, Decision::Granted);
+    // The time is not a whole millisecond, so the periods in the segment are rounded.
     clock::advance(time::Duration::from_nanos(3_456_789)).await;
+    // The append succeeds, but its response is lost.
     cluster.memory.set_faults(memory::Faults {
         lose_answers: 1,
         ..memory::Faults::default()
@@ -111,14 +112,14 @@
     assert!(head.value.contains("\"epoch\":1,"), "{}", head.value);
 }
 
-/// The response to a granted claim is lost, and the claim is then refused as not run since the
-/// store is down. The claim must be released, so that the caller's retry is granted.
+/// A claim whose grant is lost, then refused as not run, must be released for the caller's retry.
 #[tokio::test(start_paused = true)]
 async fn refusal_after_a_lost_response_releases_the_claim() {
     let mut cluster = Cluster::new();
     let (a, _) = cluster.start(1);
     let (b, _) = cluster.start(2);
     assert_eq!(claim(&a, params(1, 1)).await, Decision::Granted);
+    // The response to the granted claim is lost.
     cluster.net.set_mute(&a, true);
     let refused = tokio::spawn({
         let b = b.clone();
@@ -137,8 +138,7 @@
     assert_eq!(claim(&b, params(7, 3)).await, Decision::Granted);
 }
 
-/// The table of a replaced owner is stale: its claim was released and the key granted to another
-/// request. A resend through the old owner must be directed to the new holder.
+/// A replaced owner must not direct a resend to a holder whose claim was released in the meantime.
 #[tokio::test(start_paused = true)]
 async fn replaced_owner_does_not_answer_from_its_stale_table() {
     let mut cluster = Cluster::new();
@@ -153,8 +153,7 @@
     assert_eq!(taken_by(&resend), Some(id::RequestId(3)));
 }
 
-/// The call or the response of an append is lost. The caller must get one grant, a resend must find
-/// the key taken, and the log must hold the batch once.
+/// An append whose call or response is lost must grant once and put its batch into the log once.
 #[rstest]
 #[case::answer(1, 0)]
 #[case::call(0, 1)]
@@ -179,8 +178,7 @@
     assert_eq!(log.objects.len(), 4);
 }
 
-/// Two entries detect the loss of the owner at the same time, each with a request under the same
-/// key. One of them must lose the conditional update of the epoch and use the other as the owner.
+/// Two entries that detect the loss of the owner at once must not both grant the same key.
 #[tokio::test(start_paused = true)]
 async fn two_takers_at_once() {
     let mut cluster = Cluster::new();
@@ -189,6 +187,7 @@
     let (c, _) = cluster.start(3);
     assert_eq!(claim(&a, params(1, 1)).await, Decision::Granted);
     cluster.net.set_cut(&a, true);
+    // One loses the conditional update of the epoch and uses the other as the owner.
     let (left, right) = tokio::join!(claim(&b, params(7, 2)), claim(&c, params(7, 3)));
     let granted = [&left, &right].map(|decision| *decision == Decision::Granted);
     assert_eq!(
@@ -199,14 +198,14 @@
     assert!(taken_by(&left).or(taken_by(&right)).is_some());
 }
 
-/// The holder of a claim dies before or after it executed the request. Each resend must be refused
-/// as "may have run" without waiting for its deadline.
+/// If the holder of the claim is dead, resends must be refused as "may have run" without waiting.
 #[tokio::test(start_paused = true)]
 async fn holder_dead_after_the_claim() {
     let mut cluster = Cluster::new();
     let (a, _) = cluster.start(1);
     let (b, _) = cluster.start(2);
     assert_eq!(claim(&a, params(7, 1)).await, Decision::Granted);
+    // The holder may have died before or after it executed the request.
     cluster.net.set_cut(&a, true);
     for request in 2..4 {
         let start = clock::Instant::now();
@@ -224,8 +223,7 @@
     }
 }
 
-/// While the object service is down, claims must be refused immediately as not run, with a retry
-/// delay. Afterwards the same key is granted.
+/// While the object service is down, claims must be refused as not run at once, with a retry delay.
 #[tokio::test(start_paused = true)]
 async fn store_down_refuses_at_once() {
     let mut cluster = Cluster::new();
@@ -249,8 +247,7 @@
     assert_eq!(claim(&b, params(7, 3)).await, Decision::Granted);
 }
 
-/// The object service responds after the caller's deadline, and the claim is refused as not run.
-/// When it becomes durable later, it must be released, so that a resend is granted.
+/// A claim refused at its deadline and durable later must be released, or no resend is granted.
 #[tokio::test(start_paused = true)]
 async fn store_slow_past_the_deadline() {
     let mut cluster = Cluster::new();
@@ -269,8 +266,7 @@
     assert_eq!(claim(&a, params(7, 3)).await, Decision::Granted);
 }
 
-/// The object service stops responding during an append. Claims queued behind it must be refused as
-/// not run long before their deadlines, and later ones immediately.
+/// Claims queued behind a stalled append must be refused as not run long before their deadlines.
 #[tokio::test(start_paused = true)]
 async fn claims_behind_a_silent_append_are_refused() {
     let mut cluster = Cluster::new();
@@ -282,10 +278,12 @@
         async move { claim(&a, params(2, 2)).await }
     });
     clock::sleep(SECOND / 10).await;
+    // A claim queued behind the append.
     let start = clock::Instant::now();
     let unavailable = verdict::Reason::ClaimUnavailable;
     assert_eq!(refusal(&claim(&a, params(3, 3)).await).reason, unavailable);
     assert!(start.elapsed() < 3 * SECOND);
+    // Later claims are refused immediately.
     let start = clock::Instant::now();
     assert_eq!(refusal(&claim(&a, params(4, 4)).await).reason, unavailable);
     assert!(start.elapsed() < SECOND / 20);
@@ -294,8 +292,7 @@
     assert_eq!(claim(&a, params(3, 5)).await, Decision::Granted);
 }
 
-/// The caller disconnects during the append of its claim. The claim must be released, or each
-/// resend within the retention time would be refused as "may have run".
+/// A claim kept for its retention time would have every resend refused as "may have run".
 #[rstest]
 #[case::at_the_owner(1)]
 #[case::elsewhere(2)]
@@ -317,8 +314,7 @@
     assert_eq!(claim(&a, params(7, 3)).await, Decision::Granted);
 }
 
-/// A release by the holder must free the key for the next request; a release by any other request
-/// must have no effect.
+/// A release by the holder must free the key; one by any other request must have no effect.
 #[tokio::test(start_paused = true)]
 async fn release_frees_the_key_for_its_holder_only() {
     let mut cluster = Cluster::new();
@@ -331,8 +327,7 @@
     assert_eq!(claim(&a, params(7, 3)).await, Decision::Granted);
 }
 
-/// A claim must survive takeovers for its retention time and then expire. The log carries its age,
-/// so that a takeover does not restart the time.
+/// A takeover must neither lose a claim nor restart its retention time; the log carries its age.
 #[tokio::test(start_paused = true)]
 async fn retention_across_takeovers() {
     let mut cluster = Cluster::new();
@@ -364,8 +359,7 @@
     assert_eq!(claim(last, short(9)).await, Decision::Granted);
 }
 
-/// When the table of claims is full, new keys must be refused as not run with a retry delay, and
-/// claimed keys still recognised.
+/// A full table must refuse new keys as not run with a retry delay, and still know claimed keys.
 #[tokio::test(start_paused = true)]
 async fn full_table_refuses() {
     let mut cluster = Cluster::with_limit(2);
@@ -379,9 +373,7 @@
     assert!(taken_by(&claim(&a, params(1, 4)).await).is_some());
 }
 
-/// A taker is paused between its listing and its seal, while the owner takes a snapshot, deletes
-/// the segment under the number to be sealed and continues behind it. The taker must not lose the
-/// grants behind its seal.
+/// A taker paused between its listing and its seal must not lose grants appended in the meantime.
 #[tokio::test(start_paused = true)]
 async fn taker_paused_before_its_seal() {
     let mut cluster = Cluster::with_segments(8);
@@ -396,6 +388,7 @@
         async move { b.claim(params(7, 1), deadline).await.decision }
     });
     clock::sleep(SECOND / 2).await;
+    // The owner takes a snapshot, deletes the segment to be sealed, and appends behind it.
     for number in 0..20 {
         let decision = claim(&a, params(2000 + number, 2000 + number)).await;
         assert_eq!(decision, Decision::Granted);
@@ -420,8 +413,7 @@
     );
 }
 
-/// After a graceful shutdown of the owner, another entry must take over without the wait for an
-/// unreachable owner, and the old one must refuse claims as not run.
+/// A drained owner must refuse claims as not run, and not delay a takeover like an unreachable one.
 #[tokio::test(start_paused = true)]
 async fn drained_shard_is_taken_over_without_waiting() {
     let mut cluster = Cluster::new();
@@ -441,8 +433,7 @@
     );
 }
 
-/// Two entries with constant claims reach the object service but not each other. The shard must not
-/// change its owner with every claim, as each takeover costs a replay.
+/// Entries that reach the store but not each other must not take the shard over with every claim.
 #[tokio::test(start_paused = true)]
 async fn partitioned_entries_do_not_alternate_ownership() {
     let mut cluster = Cluster::new();
@@ -461,5 +452,6 @@
     }
     let head = cluster.memory.get("claims/0/head").await.unwrap().unwrap();
     let head: laburnumcart::claim::record::Head = serde_json::from_str(&head.value).unwrap();
+    // Each takeover costs a replay.
     assert!(head.epoch < 20, "{head:?}");
 }
--- a/laburnumcart_entry/tests/claims/interleaved.rs
+++ b/laburnumcart_entry/tests/claims/interleaved.rs
@@ -128,8 +128,7 @@
 }
 
 proptest! {
-    /// Two entries claim few keys while processes pause, connections break and the store loses
-    /// responses. A key must be granted to at most one request, and be taken for all later ones.
+    /// Pauses, broken connections and lost store responses must not let two requests hold one key.
     #[test]
     fn at_most_one_grant_a_key(steps in proptest::collection::vec(step(), 1..40)) {
         let runtime = tokio::runtime::Builder::new_current_thread()
--- a/laburnumcart_entry/tests/it/claims.rs
+++ b/laburnumcart_entry/tests/it/claims.rs
@@ -24,8 +24,7 @@
     answer["request"].as_str().unwrap().to_owned()
 }
 
-// Resends through another entry, during and after the execution, get the one answer from the entry
-// that holds the claim.
+// A resend to another entry, during or after the execution, must get the first request's answer.
 #[tokio::test]
 async fn resend_joins() {
     let pool = agent::start("pool", gated()).await;
@@ -59,8 +58,7 @@
     assert_eq!(pool.fake.calls().len(), 1);
 }
 
-// While the store is down no claim is durable, so that a non-idempotent request is refused as not
-// run, with a retry delay, and nothing reaches a target.
+// Without a durable claim, a non-idempotent request must be refused as not run and reach no target.
 #[tokio::test]
 async fn store_down_is_refused() {
     let pool = agent::start("pool", agent::Behaviour::default()).await;
@@ -77,8 +75,7 @@
     assert!(pool.fake.calls().is_empty());
 }
 
-// A claimed request is refused as not run. Its claim must be released, so that a resend with the
-// same key is executed.
+// A request refused as not run must release its claim, or a resend with its key is not executed.
 #[tokio::test]
 async fn claim_of_a_refused_request_is_released() {
     let behaviour = agent::Behaviour {
@@ -94,8 +91,7 @@
     assert_eq!(pool.fake.calls().len(), 1);
 }
 
-// A non-idempotent request is completed after its caller disconnects, so that a resend gets the
-// answer.
+// If the disconnect stopped a non-idempotent request, a resend could not get its answer.
 #[tokio::test]
 async fn disconnect_does_not_stop_a_claimed_request() {
     let pool = agent::start("pool", gated()).await;
--- a/laburnumcart_entry/tests/it/doubt.rs
+++ b/laburnumcart_entry/tests/it/doubt.rs
@@ -40,8 +40,7 @@
     BeforeEnd,
 }
 
-// After a missed heartbeat the entry reconnects, which fences the old connection, and queries the
-// attempt: it either continues or is proven not executed, and the stage never executes twice.
+// After a silence the attempt must continue, or be proven not executed: no stage may execute twice.
 #[rstest]
 #[tokio::test]
 async fn silence_resolves(
@@ -75,6 +74,7 @@
         fixture::within_limit(fake.wait_chunks(steps)).await;
         relay.silence(silence);
     }
+    // After a missed heartbeat the entry reconnects, which fences the old connection, and queries.
     fixture::within_limit(relay.wait_connections(2)).await;
     fake.gate.add_permits(20);
     let (pieces, outcome) = fixture::collect(execution).await;
@@ -84,8 +84,7 @@
     assert_eq!(fake.calls().len(), 1, "executions");
 }
 
-// The agent dies in the middle of a stream of an idempotent request. Another engine resumes after
-// the text received so far, and no piece is sent twice or contradicted.
+// If an agent dies in mid-stream, another engine must resume after the text already received.
 #[tokio::test]
 async fn stream_resumes_elsewhere() {
     let pool = agent::start("pool", agent::Behaviour::default()).await;
@@ -117,8 +116,7 @@
     assert_eq!(second.fake.calls()[0].received.as_deref(), Some("one two "));
 }
 
-// The agent dies after a non-idempotent call was sent. The caller gets "may have run" at once, not
-// at its deadline, and the agent's successor gets no call, as that could be a second execution.
+// A sent non-idempotent call must not go to the dead agent's successor: it could execute twice.
 #[tokio::test]
 async fn lost_agent_is_final() {
     let behaviour = agent::Behaviour {
@@ -132,6 +130,7 @@
     let addr = first.addr;
     first.kill().await;
     let second = agent::start_at("pool", behaviour, addr).await;
+    // The caller gets "may have run" at once, not at its deadline.
     let begun = tokio::time::Instant::now();
     let (_, outcome) = fixture::collect(execution).await;
     let refusal = outcome.unwrap_err();
@@ -145,8 +144,7 @@
     assert!(second.fake.calls().is_empty());
 }
 
-// A non-idempotent call whose connection goes silent executes once: an attempt unknown after the
-// old session was fenced is proven not executed and sent again, a known one continues.
+// A non-idempotent call whose connection goes silent must execute once, also if it never arrived.
 #[rstest]
 #[tokio::test]
 async fn silence_runs_once(
@@ -168,6 +166,7 @@
         fixture::within_limit(pool.fake.wait_started(1)).await;
         relay.silence(silence);
     }
+    // Once fenced, an unknown attempt is proven not executed and repeated; a known one continues.
     fixture::within_limit(relay.wait_connections(2)).await;
     pool.fake.gate.add_permits(9);
     let (_, outcome) = fixture::collect(execution).await;
@@ -175,8 +174,7 @@
     assert_eq!(pool.fake.calls().len(), 1, "executions");
 }
 
-// Another process answers at the agent's address. That it does not know the attempt proves nothing,
-// as its predecessor may have executed it: the caller gets "may have run" at once.
+// A new process at the agent's address cannot prove that its predecessor did not execute the call.
 #[tokio::test]
 async fn replaced_agent_is_final() {
     let behaviour = agent::Behaviour {
@@ -192,6 +190,7 @@
     relay.redirect(second.addr);
     relay.silence(BOTH);
     second.fake.gate.add_permits(9);
+    // The caller gets "may have run" at once.
     let (_, outcome) = fixture::collect(execution).await;
     let refusal = outcome.unwrap_err();
     assert_eq!(refusal.verdict, laburnumcart::verdict::Verdict::MayHaveRun);
@@ -199,8 +198,7 @@
     assert!(second.fake.calls().is_empty());
 }
 
-// One of two machines is partitioned, so that no old or new connection to it answers. Idempotent
-// attempts in flight there are repeated at the other target, long before their deadline.
+// Idempotent attempts at a partitioned machine must be repeated long before their deadline.
 #[tokio::test]
 async fn idempotent_requests_fail_over_in_a_partition() {
     let gated = agent::Behaviour {
@@ -216,6 +214,7 @@
         running.push(fixture.start_request("echo", serde_json::json!(running.len())));
         tokio::time::sleep(time::Duration::from_millis(5)).await;
     }
+    // No old or new connection to this machine answers any more.
     relay.cut_off();
     for (number, execution) in running.into_iter().enumerate() {
         let (_, outcome) = fixture::collect(execution).await;
--- a/laburnumcart_entry/tests/it/members.rs
+++ b/laburnumcart_entry/tests/it/members.rs
@@ -100,8 +100,7 @@
     }
 }
 
-// All agents of the subset die and the list still names them. Without lanes to other agents every
-// request would be refused until the list is updated.
+// If all agents of a subset die but stay listed, requests would be refused until a list update.
 #[tokio::test]
 async fn lost_subset_is_replaced() {
     let mut setup = Setup::start().await;
@@ -134,8 +133,7 @@
     setup.wait_until(fits).await;
 }
 
-// Each failure of a flapping lane would open and drop one more lane, so that the subset stays wide
-// until its agents have worked for a while.
+// If the subset narrowed at once, each failure of a flapping lane would open and drop a lane.
 #[tokio::test(start_paused = true)]
 async fn subset_narrows_only_after_a_stable_period() {
     let mut width = subset_size::SubsetSize::default();
@@ -161,8 +159,7 @@
     assert_eq!(subset_size::wanted_size(8, 64, 1), 71);
 }
 
-// The round-trip time to a remote agent, which routing adds to its completion estimate, is measured
-// on heartbeats.
+// Without the measured time, routing's estimate for a remote agent would lack the round trip.
 #[tokio::test]
 async fn heartbeats_measure_the_round_trip() {
     let far = time::Duration::from_millis(20);
--- a/laburnumcart_entry/tests/it/requests.rs
+++ b/laburnumcart_entry/tests/it/requests.rs
@@ -109,8 +109,7 @@
     assert!(agents.iter().all(|agent| agent.fake.calls().is_empty()));
 }
 
-// The entry must notice the closed connection while it writes nothing to it. Otherwise the target
-// would work on the abandoned request until the deadline.
+// If the disconnect went unnoticed, the target would work on the request until its deadline.
 #[rstest]
 #[tokio::test]
 async fn disconnect_cancels_an_idempotent_request(
@@ -130,13 +129,13 @@
     );
     stream.write_all(head.as_bytes()).await.unwrap();
     fixture::within_limit(pool.fake.wait_started(1)).await;
+    // The entry writes nothing to this connection, so no write error shows that it is closed.
     drop(stream);
     fixture::within_limit(pool.fake.wait_cancelled()).await;
     fixture::within_limit(fixture.running.drain().wait(unit::Period(fixture::LIMIT))).await;
 }
 
-// A draining entry refuses new requests as not run, with a retry delay, and completes the requests
-// in flight before its drain ends.
+// A draining entry must refuse new requests as not run and complete the requests in flight.
 #[tokio::test]
 async fn leaving_finishes_first() {
     let behaviour = agent::Behaviour {
@@ -183,8 +182,7 @@
     assert_eq!(pool.fake.calls().len(), 1);
 }
 
-// A target that fails during execution ends a non-idempotent request with "may have run"; an
-// idempotent one is retried.
+// A request whose target fails during execution may have run: only an idempotent one is retried.
 #[rstest]
 #[case::once("post", 1)]
 #[case::again("echo", 2)]
@@ -206,8 +204,7 @@
     assert_eq!(pool.fake.calls().len(), calls);
 }
 
-// Engines have small prefix caches: requests that share a prefix must go to one engine while it has
-// room, and other prefixes to the other engines.
+// Prefix caches of engines are small: each prefix must stay at one engine, and all engines be used.
 #[tokio::test]
 async fn requests_with_one_prefix_go_to_one_engine() {
     let pool = agent::start("pool", agent::Behaviour::default()).await;
@@ -223,6 +220,7 @@
     let mut agents = vec![("pool", pool.addr)];
     agents.extend(engines.iter().map(|engine| ("engine", engine.addr)));
     let fixture = fixture::Fixture::start(&agents).await;
+    // Each engine has room, as the requests are sent one at a time.
     for prefix in 0..64 {
         for n in 0..2 {
             let input = serde_json::json!({ "prefix": format!("terms {prefix}"), "n": n });
@@ -244,8 +242,7 @@
     }
 }
 
-// Requests that admission control refuses must count in the team's attainment, or operators would
-// see an objective as met that is not.
+// Without the refusals of admission control, operators would see an objective as met that is not.
 #[tokio::test]
 async fn refusals_at_admission_count_for_the_team() {
     let (fixture, addr, _agents) = start().await;
--- a/laburnumcart_entry/tests/listing.rs
+++ b/laburnumcart_entry/tests/listing.rs
@@ -86,9 +86,7 @@
     drop(found.expect("the list was followed").unwrap());
 }
 
-// If each entry lists all instances at every watch, the traffic of the fleet grows with the square
-// of its size, until it exhausts the rate limits of the object service and the bandwidth of the
-// nodes.
+// Listing all instances at every watch would make the traffic grow with the square of the fleet.
 #[tokio::test(start_paused = true)]
 async fn list_is_read_once_and_then_watched() {
     let store = Counting::default();
@@ -103,12 +101,12 @@
     store.delete(&key, version).await.unwrap();
     wait_count(&mut list, 1).await;
     assert_eq!(list.borrow()[0].name.as_str(), "entry-2");
+    // More listings would exhaust the service's rate limits and the nodes' bandwidth.
     assert_eq!(store.lists.load(Ordering::Relaxed), 1);
     task.abort();
 }
 
-// The object service compacts its history (410), so changes can no longer be fetched one by one. An
-// entry that only applied changes would route to stopped instances.
+// An entry that only applied changes would miss the compacted ones and route to stopped instances.
 #[tokio::test(start_paused = true)]
 async fn compacted_history_causes_a_new_listing() {
     let store = Counting::default();
@@ -123,6 +121,7 @@
     tokio::time::sleep(time::Duration::from_secs(60)).await;
     store.inner.set_faults(memory::Faults::default());
     store.add("entry-2").await;
+    // Changes before this cannot be fetched one by one any more (410).
     store.inner.compact();
     wait_count(&mut list, 2).await;
     assert!(store.lists.load(Ordering::Relaxed) > 1);
--- a/laburnumcart_entry/tests/members.rs
+++ b/laburnumcart_entry/tests/members.rs
@@ -52,8 +52,7 @@
     entries.chain(agents).collect()
 }
 
-// All entries keep lanes to all agents of a service with few targets, so with a fixed period the
-// heartbeats of a large fleet would saturate those agents' network.
+// With a fixed period, a large fleet's heartbeats would saturate the network of a few targets.
 #[rstest]
 #[case::small_fleet(5, 5, 4, 2_000)]
 #[case::many_entries_few_targets(350, 2, 5, 14_186)]
@@ -70,6 +69,7 @@
     let data_centre = "dc-1".parse().unwrap();
     let runtime = tokio::runtime::Handle::current();
     let mut members = members::Members::new(caller(), data_centre, runtime);
+    // All entries keep lanes to all agents of a service with few targets.
     members.apply(&list(entries, services, targets));
     assert!(members.agents().count() > 0);
     for member in members.agents() {
--- a/laburnumcart_entry/tests/process.rs
+++ b/laburnumcart_entry/tests/process.rs
@@ -91,8 +91,7 @@
     }
 }
 
-// Without the object service the entry has no bundle. It must be alive but not ready, refuse
-// callers as not run with a retry delay, and exit with code 0 on SIGTERM.
+// An entry without a bundle must be alive but not ready, refuse callers, and exit 0 on SIGTERM.
 #[test]
 fn starts_and_stops_without_object_service() {
     let mut entry = start("secret-of-the-fleet");
