--- a/laburnumcart_platform/tests/breaker.rs
+++ b/laburnumcart_platform/tests/breaker.rs
@@ -88,13 +88,13 @@
     assert_eq!(breaker.admit(now + MS * 100), breaker::Admission::Probe);
 }
 
-// The task of a probe was dropped, so its outcome is never recorded. After the probe's time limit
-// another probe must be admitted, or every call would be refused after the service has recovered.
+// If a lost probe were not replaced, every call would be refused after the service has recovered.
 #[test]
 fn lost_probe_is_replaced() {
     let now = Instant::now();
     let mut breaker = open_breaker(now, 1.0);
     let first = now + MS * 100;
+    // The task of this probe is dropped, so its outcome is never recorded.
     assert_eq!(breaker.admit(first), breaker::Admission::Probe);
     let waiting = breaker.admit(first + MS * 1999);
     assert!(matches!(waiting, breaker::Admission::Refuse(_)));
--- a/laburnumcart_platform/tests/follow.rs
+++ b/laburnumcart_platform/tests/follow.rs
@@ -118,8 +118,7 @@
     wait_for_values(&mut mirror, &[("p/b", "2")]).await;
 }
 
-// Changes are missed during an outage and their history is compacted, so no watch can return them.
-// The follower must list again and remove the deleted object.
+// After a compaction no watch returns the missed changes: only a listing shows a deletion.
 #[tokio::test(start_paused = true)]
 async fn mirror_catches_up_after_outage_and_compaction() {
     let memory = memory::Memory::new();
@@ -149,8 +148,7 @@
     wait_for_values(&mut mirror, &[("p/a", "1")]).await;
 }
 
-// A watch fails as compacted, and the listings that follow are stale and still contain a deleted
-// object. It must not reappear in the mirror.
+// Stale listings after a watch that failed as compacted must not restore a deleted object.
 #[tokio::test(start_paused = true)]
 async fn stale_listing_never_reverts_the_mirror() {
     let store = sync::Arc::new(StaleStore::default());
@@ -200,8 +198,7 @@
     assert!(watches <= 12, "{watches} watches");
 }
 
-// With continuous changes, as when all targets register, each watch would return only one or two of
-// them. The interval between watches must grow.
+// Unless the interval grows, each watch under continuous changes returns only one or two of them.
 #[tokio::test(start_paused = true)]
 async fn continuous_changes_are_fetched_in_fewer_calls() {
     let store = sync::Arc::new(StaleStore::default());
@@ -212,6 +209,7 @@
     };
     let (follower, mut mirror) = follow::follower(store.clone(), "p/", settings);
     tokio::spawn(follower.run());
+    // A change every 50 ms, as when all targets register.
     for number in 0..200 {
         create(&store.memory, &format!("p/{number:04}"), "0").await;
         tokio::time::sleep(SECOND / 20).await;
@@ -224,8 +222,7 @@
     assert!(watches <= 16, "{watches} watches");
 }
 
-// During a long outage one follower retries often and the other rarely. When the first one gets an
-// answer, the other must not stay in its backoff with a stale snapshot.
+// When one follower gets an answer, another must not stay in its backoff with a stale snapshot.
 #[tokio::test(start_paused = true)]
 async fn recovery_is_shared() {
     let memory = memory::Memory::new();
--- a/laburnumcart_platform/tests/recovery.rs
+++ b/laburnumcart_platform/tests/recovery.rs
@@ -83,8 +83,7 @@
 /// Time after which an unanswered call is duplicated.
 const DUPLICATE_AFTER: unit::Period = unit::Period::from_millis(300);
 
-// Calls sent before a silent service recovers wait for their timeouts and delay the discovery of
-// the recovery, unless they are duplicated and the signal is shared.
+// Without duplicates and a shared signal, calls from before a recovery delay its discovery.
 #[rstest]
 #[case(5000)]
 #[case(5150)]
@@ -186,8 +185,7 @@
     }
 }
 
-// All connections go silent. A follower with a short watch notices it; another one must not miss
-// changes until its own long watch times out.
+// After all connections went silent, a follower must not miss changes until its long watch ends.
 #[tokio::test(start_paused = true)]
 async fn a_long_watch_is_asked_again_when_a_short_one_has_failed() {
     let start = Instant::now();
@@ -227,8 +225,7 @@
     assert!(elapsed <= SECOND * 5 / 2, "{elapsed:?}");
 }
 
-// One follower sees the service recover again and again. If each recovery restarted the watch of
-// the other, that watch would never complete.
+// A watch restarted by each recovery that another follower sees would never complete.
 #[tokio::test(start_paused = true)]
 async fn a_short_watch_is_not_cut_off_by_each_return_of_another() {
     let memory = memory::Memory::new();
--- a/laburnumcart_platform/tests/replica.rs
+++ b/laburnumcart_platform/tests/replica.rs
@@ -127,15 +127,14 @@
     prop_oneof![
         (0u8..4).prop_map(Step::Write),
         (0u8..4).prop_map(Step::Delete),
+        // Only two of the four processes read the service.
         (0usize..2).prop_map(Step::ReadService),
         (0usize..4, 0usize..4).prop_map(|(to, from)| Step::ReadFrom(to, from)),
     ]
 }
 
 proptest! {
-    /// Two processes read the service, and all four read from any other, in any order and at any
-    /// delay. No process ever reverts to an older version or restores an object that it knew to be
-    /// deleted, and after a last round all have the state of the service.
+    /// Reads in any order and at any delay must neither revert a version nor restore an object.
     #[test]
     fn processes_converge_to_the_service(steps in prop::collection::vec(step(), 1..120)) {
         let mut service = Service::default();
@@ -159,6 +158,7 @@
                 Step::ReadFrom(..) => {}
             }
         }
+        // After a last round all processes have the state of the service.
         processes[0].read_service(&service);
         let first = processes[0].replica.clone();
         for process in &mut processes[1..] {
@@ -168,9 +168,7 @@
     }
 }
 
-// An object is deleted between two pages of a reader's listing, so the reader never knows it. A
-// process that does know it reads from the reader. If the deletion weren't forwarded, the process
-// would keep the object, such as a target that has left, forever.
+// Without the deletion a process would keep the object, such as a target that has left, forever.
 #[test]
 fn deletion_between_two_pages_is_forwarded() {
     let mut service = Service::default();
@@ -181,6 +179,7 @@
     let mut reader = Process::default();
     reader
         .snapshot
+        // `b` is deleted between two pages of this listing, so the reader never knows it.
         .apply(service.list_during_deletion("b"))
         .unwrap();
     reader.replica.apply(&reader.snapshot);
@@ -191,8 +190,7 @@
     assert_eq!(follower.versions(), service.objects);
 }
 
-// A process was paused while thousands of objects were deleted, and the replica has dropped the
-// first of these deletions. Given only the later ones, the process would keep a deleted object.
+// A paused process that is given only the later deletions would keep an object deleted before them.
 #[test]
 fn watch_from_before_the_kept_deletions_is_compacted() {
     let mut service = Service::default();
@@ -203,6 +201,7 @@
     reader.read_service(&service);
     service.delete("a");
     reader.read_service(&service);
+    // The replica drops the first deletion, that of `a`.
     for i in 0..3000 {
         let key = i.to_string();
         service.write(&key);
--- a/laburnumcart_platform/tests/settle.rs
+++ b/laburnumcart_platform/tests/settle.rs
@@ -35,8 +35,7 @@
     (object.version, object.value)
 }
 
-// The write takes effect but its answer is lost. The object, read again, has the caller's own value
-// and must not be written twice, even if the read is stale at first.
+// A write whose answer is lost must not be repeated, even if the read after it is stale at first.
 #[rstest]
 #[case::fresh(0)]
 #[case::stale(5)]
@@ -55,8 +54,7 @@
     assert_eq!(memory.revision(), store::Revision(1));
 }
 
-// The write is lost on its way. The unchanged object does not prove that, as the write may still be
-// in flight, so the same conditional write is sent again.
+// An unchanged object does not prove that the write is lost: it may be in flight and is sent again.
 #[tokio::test(start_paused = true)]
 async fn lost_call_is_sent_again() {
     let memory = memory::Memory::new();
@@ -80,8 +78,7 @@
     assert_eq!(value(&memory).await.1, "2");
 }
 
-// The write may have taken effect and been overwritten before the object was read again, so "not
-// written" would be a guess; only a judge that knows the values can decide.
+// The write may have taken effect before it was overwritten, so "not written" would be a guess.
 #[tokio::test(start_paused = true)]
 async fn overwritten_object_is_unclear_unless_the_judge_can_tell() {
     let memory = memory::Memory::new();
@@ -91,13 +88,13 @@
     memory.put("a", expect, "{\"nonce\":2}").await.unwrap();
     let outcome = settle::resolve(&memory, write, deadline(), settle::judge_replaced(write)).await;
     assert_eq!(outcome, settle::Outcome::Unclear);
+    // Only a judge that knows the values can decide.
     let judge = |_: &store::Object| settle::Judgement::NotOurs;
     let outcome = settle::resolve(&memory, write, deadline(), judge).await;
     assert_eq!(outcome, settle::Outcome::NotWritten);
 }
 
-// The answer is lost and the service goes down before the object is read again. The caller must
-// get a result by its deadline.
+// The caller must get a result by its deadline although the object cannot be read again.
 #[tokio::test(start_paused = true)]
 async fn outage_until_the_deadline_leaves_the_outcome_unclear() {
     let memory = memory::Memory::new();
