--- a/laburnumcart_agent/tests/agent/doubt.rs
+++ b/laburnumcart_agent/tests/agent/doubt.rs
@@ -197,8 +197,7 @@
         (late.verdict, late.reason),
         (Verdict::NotRun, Reason::WrongIncarnation)
     );
-    // A query that names the new incarnation by mistake gets no "not run" either: the attempt's
-    // session is older than any that the new agent knows of the lane.
+    // The new incarnation proves nothing either: it knows no session of the lane that is this old.
     let mut query = new.query(&call, 0);
     query.incarnation = new.report.incarnation;
     let answer = bounded(new.client.query(query)).await.unwrap();
