--- a/laburnumcart_entry/tests/process.rs
+++ b/laburnumcart_entry/tests/process.rs
@@ -40,18 +40,18 @@
         "instance": "entry-1",
         "data_centre": "dc-1",
         "callers": callers.to_string(),
-        "peer": port::free().to_string(),
+        "peer": port::reserve_addr().to_string(),
         "fleet": { "secrets": [secret], "keys": { "ops": KEY }, "signers": 1 },
-        "platform": { "address": port::free().to_string() },
+        "platform": { "address": port::reserve_addr().to_string() },
         "stop_limit": "5s",
     })
     .to_string()
 }
 
 fn start(secret: &str) -> Entry {
-    let dir = std::env::temp_dir().join(format!("laburnum-entry-{}", port::free().port()));
+    let dir = std::env::temp_dir().join(format!("laburnum-entry-{}", port::reserve_addr().port()));
     fs::create_dir_all(&dir).unwrap();
-    let callers = port::free();
+    let callers = port::reserve_addr();
     let file = dir.join("entry.json");
     fs::write(&file, settings(callers, secret)).unwrap();
     let child = process::Command::new(env!("CARGO_BIN_EXE_laburnum-entry"))
--- a/laburnumcart_fakes/src/bin/laburnum-fake-target.rs
+++ b/laburnumcart_fakes/src/bin/laburnum-fake-target.rs
@@ -71,16 +71,16 @@
         let period = matches.opt_get::<unit::Period>(name)?;
         Ok(period.map_or(default, |period| period.0))
     };
-    settings.service = period("service-time", settings.service)?;
-    settings.token = period("token-time", settings.token)?;
-    settings.prefill = period("prefill-time", settings.prefill)?;
+    settings.service_time = period("service-time", settings.service_time)?;
+    settings.token_time = period("token-time", settings.token_time)?;
+    settings.prefill_time = period("prefill-time", settings.prefill_time)?;
     settings.load_lag = period("load-lag", settings.load_lag)?;
     settings.cache_lag = period("cache-lag", settings.cache_lag)?;
-    settings.restart = period("restart", settings.restart)?;
+    settings.restart_time = period("restart", settings.restart_time)?;
     settings.slots = matches.opt_get_default("slots", settings.slots)?.max(1);
-    settings.queue = matches.opt_get_default("queue", settings.queue)?;
+    settings.queue_limit = matches.opt_get_default("queue", settings.queue_limit)?;
     settings.tokens = matches.opt_get_default("tokens", settings.tokens)?;
-    settings.prefixes = matches.opt_get_default("prefixes", settings.prefixes)?;
+    settings.cached_prefixes = matches.opt_get_default("prefixes", settings.cached_prefixes)?;
     if let Some(unit::Share(spread)) = matches.opt_get("spread")? {
         settings.spread = spread;
     }
--- a/laburnumcart_fakes/src/bin/laburnum-load.rs
+++ b/laburnumcart_fakes/src/bin/laburnum-load.rs
@@ -73,7 +73,7 @@
     let matches = options.parse(arguments)?;
     let path = matches.opt_str("plan").unwrap_or_default();
     let plan: plan::Plan = serde_json::from_str(&fs::read_to_string(&path)?)?;
-    let mut faults = plan.check();
+    let mut faults = plan.validate();
     let settings = settings(&matches)?;
     let baseline = matches!(settings.route, run::Route::Baseline(_));
     if plan.entries.is_empty() && !baseline {
@@ -126,7 +126,7 @@
         .worker_threads(2)
         .enable_all()
         .build()?;
-    let report = runtime.block_on(run::run(arguments.plan, arguments.settings));
+    let report = runtime.block_on(run::run_load(arguments.plan, arguments.settings));
     if let Some(path) = arguments.json {
         fs::write(path, serde_json::to_vec_pretty(&report)?)?;
     }
--- a/laburnumcart_fakes/src/bin/laburnum-measure.rs
+++ b/laburnumcart_fakes/src/bin/laburnum-measure.rs
@@ -18,7 +18,7 @@
     measure::{
         case,
         plot,
-        series,
+        runner,
         table, //
     },
     program,
@@ -35,7 +35,7 @@
     plan: plan::Plan,
     cases: Vec<case::Case>,
     sweep: Vec<case::Case>,
-    series: series::Series,
+    runner: runner::Runner,
     out: path::PathBuf,
 }
 
@@ -68,7 +68,7 @@
     let matches = options.parse(arguments)?;
     let path = matches.opt_str("plan").unwrap_or_default();
     let plan: plan::Plan = serde_json::from_str(&fs::read_to_string(&path)?)?;
-    let faults = plan.check();
+    let faults = plan.validate();
     if !faults.is_empty() {
         return Err(faults.join("\n").into());
     }
@@ -82,7 +82,7 @@
         false => case::sweep(&plan, duration, &POINTS),
     };
     Ok(Arguments {
-        series: series(&matches)?,
+        runner: runner(&matches)?,
         out: matches.opt_str("out").unwrap_or_default().into(),
         plan,
         cases,
@@ -90,11 +90,11 @@
     })
 }
 
-fn series(matches: &Matches) -> program::Result<series::Series> {
+fn runner(matches: &Matches) -> program::Result<runner::Runner> {
     let store: net::SocketAddr = matches.opt_str("store").unwrap_or_default().parse()?;
     let repetitions = matches.opt_get_default("repetitions", 3)?;
     let pages = matches.opt_str("pages").map(path::PathBuf::from);
-    Ok(series::Series::new(store, repetitions, pages))
+    Ok(runner::Runner::new(store, repetitions, pages))
 }
 
 fn run(arguments: Arguments) -> program::Result<()> {
@@ -111,21 +111,21 @@
 async fn measure(arguments: Arguments) -> program::Result<()> {
     let mut outcomes = Vec::new();
     for case in &arguments.cases {
-        outcomes.push(arguments.series.run(case).await);
+        outcomes.push(arguments.runner.run_case(case).await);
         write(&arguments, &outcomes)?;
     }
     let first = outcomes.len();
     for case in &arguments.sweep {
-        outcomes.push(arguments.series.run(case).await);
+        outcomes.push(arguments.runner.run_case(case).await);
         write(&arguments, &outcomes)?;
         plot::write(&outcomes[first..], arguments.out.with_extension("svg"))?;
     }
     Ok(())
 }
 
-fn write(arguments: &Arguments, outcomes: &[series::Outcome]) -> program::Result<()> {
+fn write(arguments: &Arguments, outcomes: &[runner::Outcome]) -> program::Result<()> {
     let teams = arguments.plan.teams.iter();
-    let page = table::Page {
+    let page = table::Tables {
         outcomes,
         weights: teams
             .map(|(name, team)| (name.clone(), team.weight))
--- a/laburnumcart_fakes/src/client.rs
+++ b/laburnumcart_fakes/src/client.rs
@@ -16,10 +16,10 @@
 
 /// A call without a whole answer.
 #[derive(Clone, Copy, Debug, Display, Error, Eq, PartialEq)]
-pub enum Failure {
+pub enum CallError {
     /// No connection was made, so that nothing was sent.
     #[display("not connected")]
-    Unconnected,
+    NotConnected,
     /// The connection ended before the answer's end.
     #[display("connection lost")]
     Lost,
@@ -30,16 +30,16 @@
 
 /// A whole answer.
 #[derive(Clone, Debug)]
-pub struct Answer {
+pub struct Response {
     /// HTTP status.
     pub status: u16,
     /// Seconds of `Retry-After`, if any.
-    pub retry: Option<u64>,
+    pub retry_after: Option<u64>,
     /// Body.
     pub body: Bytes,
 }
 
-impl Answer {
+impl Response {
     /// Reads the body as JSON; `None` if it is not valid.
     pub fn json(&self) -> Option<serde_json::Value> {
         serde_json::from_slice(&self.body).ok()
@@ -65,7 +65,7 @@
 
 impl Client {
     /// Sends a GET call.
-    pub async fn get(&self, url: &str) -> Result<Answer, Failure> {
+    pub async fn get(&self, url: &str) -> Result<Response, CallError> {
         self.send(http::Request::get(url), Bytes::new()).await
     }
 
@@ -75,7 +75,7 @@
         url: &str,
         headers: &[(&str, &str)],
         body: impl Into<Bytes>,
-    ) -> Result<Answer, Failure> {
+    ) -> Result<Response, CallError> {
         let start = http::Request::post(url).header("content-type", "application/json");
         let call = headers
             .iter()
@@ -83,26 +83,28 @@
         self.send(call, body.into()).await
     }
 
-    async fn send(&self, call: http::request::Builder, body: Bytes) -> Result<Answer, Failure> {
-        let call = call.body(Full::new(body)).map_err(|_| Failure::Malformed)?;
+    async fn send(&self, call: http::request::Builder, body: Bytes) -> Result<Response, CallError> {
+        let call = call
+            .body(Full::new(body))
+            .map_err(|_| CallError::Malformed)?;
         let answer = self.inner.request(call).await.map_err(failure)?;
         let status = answer.status().as_u16();
         let retry = answer.headers().get("retry-after");
         let retry = retry.and_then(|value| value.to_str().ok()?.parse().ok());
         let body = answer.into_body().collect().await;
-        Ok(Answer {
+        Ok(Response {
             status,
-            retry,
-            body: body.map_err(|_| Failure::Lost)?.to_bytes(),
+            retry_after: retry,
+            body: body.map_err(|_| CallError::Lost)?.to_bytes(),
         })
     }
 }
 
-fn failure(error: legacy::Error) -> Failure {
+fn failure(error: legacy::Error) -> CallError {
     if error.is_connect() {
-        Failure::Unconnected
+        CallError::NotConnected
     } else {
-        Failure::Lost
+        CallError::Lost
     }
 }
 
@@ -116,7 +118,7 @@
 }
 
 /// Reads the whole events of a stream; what comes after the last blank line is not one.
-pub fn events(text: &str) -> Vec<Event> {
+pub fn parse_events(text: &str) -> Vec<Event> {
     let Some((whole, _)) = text.rsplit_once("\n\n") else {
         return Vec::new();
     };
@@ -140,8 +142,8 @@
 }
 
 /// Joins the text of an engine's stream; `None` unless it has its end event.
-pub fn generated(body: &[u8]) -> Option<String> {
-    let events = events(std::str::from_utf8(body).ok()?);
+pub fn join_stream(body: &[u8]) -> Option<String> {
+    let events = parse_events(std::str::from_utf8(body).ok()?);
     let (end, pieces) = events.split_last()?;
     if end.name != "end" {
         return None;
--- a/laburnumcart_fakes/src/demo/documents.rs
+++ b/laburnumcart_fakes/src/demo/documents.rs
@@ -200,7 +200,7 @@
 
 fn sender(user: &shape::User, team: &shape::Team) -> Value {
     let stream = |pipeline: &shape::Pipeline| {
-        let rate = RATE * f64::from(team.weight * pipeline.part) / 100.0;
+        let rate = RATE * f64::from(team.weight * pipeline.percent) / 100.0;
         json!({
             "pipeline": pipeline.name,
             "rate": format!("{rate:.3}/s"),
--- a/laburnumcart_fakes/src/demo/files.rs
+++ b/laburnumcart_fakes/src/demo/files.rs
@@ -74,7 +74,7 @@
              --orders {orders}",
             service.name,
             targets.collect::<Vec<_>>().join(" "),
-            unit::Period(service.step(layout.pace)),
+            unit::Period(service.step_time(layout.pace)),
             unit::Period(shape::PREFILL * layout.pace),
             layout::SLOTS,
             shape::TOKENS,
--- a/laburnumcart_fakes/src/demo/layout.rs
+++ b/laburnumcart_fakes/src/demo/layout.rs
@@ -80,7 +80,7 @@
         let entries = entries.collect();
         let mut nodes = Vec::new();
         for service in shape.services() {
-            for number in 0..service.targets(size) {
+            for number in 0..service.target_count(size) {
                 // Services start in different data centres, so that none holds all first targets.
                 let data_centre = DATA_CENTRES[nodes.len() % DATA_CENTRES.len()];
                 nodes.push(node(service, number, data_centre, &mut ports));
@@ -103,7 +103,9 @@
         let bounds = services.map(|service| {
             let targets = self.targets(service.name).count() as f64;
             let slots = f64::from(SLOTS);
-            targets * slots / service.call(self.pace).as_secs_f64() / self.shape.part(service.name)
+            targets * slots
+                / service.call_time(self.pace).as_secs_f64()
+                / self.shape.call_share(service.name)
         });
         bounds.fold(f64::INFINITY, f64::min)
     }
--- a/laburnumcart_fakes/src/demo/shape.rs
+++ b/laburnumcart_fakes/src/demo/shape.rs
@@ -43,37 +43,38 @@
     /// One to three targets for each service.
     Small,
     /// As many as the users run today.
-    Brief,
+    #[display("brief")]
+    Full,
 }
 
 /// A text that names no shape or size.
 #[derive(Clone, Copy, Debug, Display, Error)]
 #[display("unknown {kind}")]
-pub struct Unknown {
+pub struct ParseError {
     kind: &'static str,
 }
 
 impl str::FromStr for Shape {
-    type Err = Unknown;
+    type Err = ParseError;
 
-    fn from_str(text: &str) -> Result<Self, Unknown> {
+    fn from_str(text: &str) -> Result<Self, ParseError> {
         match text {
             "araya" => Ok(Self::Araya),
             "quetzal" => Ok(Self::Quetzal),
             "both" => Ok(Self::Both),
-            _ => Err(Unknown { kind: "shape" }),
+            _ => Err(ParseError { kind: "shape" }),
         }
     }
 }
 
 impl str::FromStr for Size {
-    type Err = Unknown;
+    type Err = ParseError;
 
-    fn from_str(text: &str) -> Result<Self, Unknown> {
+    fn from_str(text: &str) -> Result<Self, ParseError> {
         match text {
             "small" => Ok(Self::Small),
-            "brief" => Ok(Self::Brief),
-            _ => Err(Unknown { kind: "size" }),
+            "brief" => Ok(Self::Full),
+            _ => Err(ParseError { kind: "size" }),
         }
     }
 }
@@ -95,13 +96,13 @@
     }
 
     /// Returns the part of all requests that call a service.
-    pub fn part(self, service: &str) -> f64 {
+    pub fn call_share(self, service: &str) -> f64 {
         let users = self.users();
         let load = |user: &User| user.teams.iter().map(|team| team.weight).sum::<u32>();
         let calls = |user: &User| {
             let pipelines = user.pipelines.iter();
             let calling = pipelines.filter(|p| p.stages.iter().any(|(_, s)| *s == service));
-            calling.map(|p| p.part).sum::<u32>() * load(user)
+            calling.map(|p| p.percent).sum::<u32>() * load(user)
         };
         let called: u32 = users.iter().map(|user| calls(user)).sum();
         let all: u32 = users.iter().map(|user| load(user)).sum();
@@ -134,21 +135,21 @@
     /// Targets in a small demo.
     pub small: usize,
     /// Targets that the users run today.
-    pub brief: usize,
+    pub full: usize,
     /// Mean time of a pool's call, or of an engine's token.
     pub time: &'static str,
 }
 
 impl Service {
     /// Returns the mean time of a pool's call, or of an engine's token.
-    pub fn step(&self, pace: u32) -> time::Duration {
+    pub fn step_time(&self, pace: u32) -> time::Duration {
         let step: Result<unit::Period, _> = self.time.parse();
         step.map_or(time::Duration::ZERO, |step| step.0 * pace)
     }
 
     /// Returns the mean time of a call at full speed, with its prefix in the cache.
-    pub fn call(&self, pace: u32) -> time::Duration {
-        let step = self.step(pace);
+    pub fn call_time(&self, pace: u32) -> time::Duration {
+        let step = self.step_time(pace);
         match self.kind {
             bundle::Kind::Pool => step,
             bundle::Kind::Engine => step * TOKENS + PREFILL * pace / 10,
@@ -156,10 +157,10 @@
     }
 
     /// Returns the number of targets.
-    pub fn targets(&self, size: Size) -> usize {
+    pub fn target_count(&self, size: Size) -> usize {
         match size {
             Size::Small => self.small,
-            Size::Brief => self.brief,
+            Size::Full => self.full,
         }
     }
 }
@@ -178,7 +179,7 @@
     /// Priority.
     pub priority: bundle::Priority,
     /// Part of a team's requests, in hundredths.
-    pub part: u32,
+    pub percent: u32,
 }
 
 /// A team.
--- a/laburnumcart_fakes/src/demo/shape/araya.rs
+++ b/laburnumcart_fakes/src/demo/shape/araya.rs
@@ -32,7 +32,7 @@
             idempotent: true,
             deadline: "2s",
             priority: bundle::Priority::High,
-            part: 50,
+            percent: 50,
         },
         Pipeline {
             name: "record-search",
@@ -40,7 +40,7 @@
             idempotent: true,
             deadline: "2s",
             priority: bundle::Priority::Normal,
-            part: 20,
+            percent: 20,
         },
         Pipeline {
             name: "open-case",
@@ -48,7 +48,7 @@
             idempotent: false,
             deadline: "3s",
             priority: bundle::Priority::High,
-            part: 10,
+            percent: 10,
         },
         Pipeline {
             name: "schedule-hearing",
@@ -56,7 +56,7 @@
             idempotent: false,
             deadline: "3s",
             priority: bundle::Priority::Normal,
-            part: 10,
+            percent: 10,
         },
         Pipeline {
             name: "notify-family",
@@ -64,7 +64,7 @@
             idempotent: false,
             deadline: "5s",
             priority: bundle::Priority::Low,
-            part: 10,
+            percent: 10,
         },
     ],
     teams: &[
--- a/laburnumcart_fakes/src/demo/shape/common.rs
+++ b/laburnumcart_fakes/src/demo/shape/common.rs
@@ -10,7 +10,7 @@
 pub(super) const fn pool(
     name: &'static str,
     small: usize,
-    brief: usize,
+    full: usize,
     time: &'static str,
 ) -> Service {
     Service {
@@ -19,7 +19,7 @@
         orders: bundle::Orders::None,
         models: &[],
         small,
-        brief,
+        full,
         time,
     }
 }
@@ -28,7 +28,7 @@
     name: &'static str,
     orders: bundle::Orders,
     models: &'static [&'static str],
-    brief: usize,
+    full: usize,
 ) -> Service {
     Service {
         name,
@@ -36,7 +36,7 @@
         orders,
         models,
         small: 3,
-        brief,
+        full,
         time: "2ms",
     }
 }
--- a/laburnumcart_fakes/src/demo/shape/quetzal.rs
+++ b/laburnumcart_fakes/src/demo/shape/quetzal.rs
@@ -32,7 +32,7 @@
             idempotent: true,
             deadline: "3s",
             priority: bundle::Priority::Normal,
-            part: 30,
+            percent: 30,
         },
         Pipeline {
             name: "live-commentary",
@@ -40,7 +40,7 @@
             idempotent: true,
             deadline: "1s",
             priority: bundle::Priority::High,
-            part: 30,
+            percent: 30,
         },
         Pipeline {
             name: "post-finish",
@@ -48,7 +48,7 @@
             idempotent: false,
             deadline: "3s",
             priority: bundle::Priority::High,
-            part: 10,
+            percent: 10,
         },
         Pipeline {
             name: "register-athlete",
@@ -56,7 +56,7 @@
             idempotent: false,
             deadline: "3s",
             priority: bundle::Priority::Normal,
-            part: 10,
+            percent: 10,
         },
         Pipeline {
             name: "feed-sponsors",
@@ -64,7 +64,7 @@
             idempotent: true,
             deadline: "5s",
             priority: bundle::Priority::Low,
-            part: 10,
+            percent: 10,
         },
         Pipeline {
             name: "sync-federation",
@@ -72,7 +72,7 @@
             idempotent: false,
             deadline: "5s",
             priority: bundle::Priority::Low,
-            part: 10,
+            percent: 10,
         },
     ],
     teams: &[
--- a/laburnumcart_fakes/src/expected.rs
+++ b/laburnumcart_fakes/src/expected.rs
@@ -16,7 +16,7 @@
 const DIGEST_LEN: usize = 8;
 
 /// Returns the output of a pool or plain service.
-pub fn pool(stage: &str, input: &Value, previous: &Value) -> Value {
+pub fn pool_output(stage: &str, input: &Value, previous: &Value) -> Value {
     json!({
         "stage": stage,
         "input": digest(&input.to_string()),
@@ -25,14 +25,14 @@
 }
 
 /// Returns the whole text that an engine generates in `tokens` pieces.
-pub fn engine(stage: &str, input: &Value, previous: &Value, tokens: u32) -> String {
-    pieces(stage, input, previous, tokens).concat()
+pub fn engine_text(stage: &str, input: &Value, previous: &Value, tokens: u32) -> String {
+    engine_pieces(stage, input, previous, tokens).concat()
 }
 
 /// Returns the pieces of text that an engine streams, one a token.
 ///
 /// The first piece is the digest of the input, so that an answer shows whose it is.
-pub fn pieces(stage: &str, input: &Value, previous: &Value, tokens: u32) -> Vec<String> {
+pub fn engine_pieces(stage: &str, input: &Value, previous: &Value, tokens: u32) -> Vec<String> {
     let input = digest(&input.to_string());
     let seed = format!("{stage} {input} {}", digest(&previous.to_string()));
     let word = |n| match n {
@@ -43,12 +43,12 @@
 }
 
 /// Returns the stage result of an engine: its text as the next stage sees it.
-pub fn generated(stage: &str, input: &Value, previous: &Value, tokens: u32) -> Value {
-    json!({ "text": engine(stage, input, previous, tokens) })
+pub fn engine_output(stage: &str, input: &Value, previous: &Value, tokens: u32) -> Value {
+    json!({ "text": engine_text(stage, input, previous, tokens) })
 }
 
 /// Returns the tokens to generate: the input's number `tokens`, else `default`.
-pub fn tokens(input: &Value, default: u32) -> u32 {
+pub fn token_count(input: &Value, default: u32) -> u32 {
     let wanted = input.get("tokens").and_then(Value::as_u64);
     wanted.and_then(|n| n.try_into().ok()).unwrap_or(default)
 }
@@ -57,7 +57,7 @@
 ///
 /// The prefix is the input's text `prefix`, else the start of its JSON text; the key is the first
 /// 16 hexadecimal digits of the prefix's SHA-256.
-pub fn prefix(input: &Value) -> String {
+pub fn prefix_key(input: &Value) -> String {
     if let Some(text) = input.get("prefix").and_then(Value::as_str) {
         return digest(text);
     }
--- a/laburnumcart_fakes/src/load/baseline.rs
+++ b/laburnumcart_fakes/src/load/baseline.rs
@@ -131,8 +131,8 @@
                 None => return refusal("target-failed"),
             }
         }
-        report::Outcome::Whole {
-            right: previous == case.output(),
+        report::Outcome::Answered {
+            correct: previous == case.output(),
             request,
         }
     }
@@ -212,7 +212,7 @@
         match step.kind {
             bundle::Kind::Pool => answer.json(),
             bundle::Kind::Engine => {
-                client::generated(&answer.body).map(|text| json!({ "text": text }))
+                client::join_stream(&answer.body).map(|text| json!({ "text": text }))
             }
         }
     }
--- a/laburnumcart_fakes/src/load/case.rs
+++ b/laburnumcart_fakes/src/load/case.rs
@@ -88,10 +88,10 @@
     pub(super) fn output(&self, input: &Value, previous: &Value) -> Value {
         let name = self.name.as_str();
         match self.kind {
-            bundle::Kind::Pool => expected::pool(name, input, previous),
+            bundle::Kind::Pool => expected::pool_output(name, input, previous),
             bundle::Kind::Engine => {
-                let tokens = expected::tokens(input, self.tokens);
-                expected::generated(name, input, previous, tokens)
+                let tokens = expected::token_count(input, self.tokens);
+                expected::engine_output(name, input, previous, tokens)
             }
         }
     }
--- a/laburnumcart_fakes/src/load/cost.rs
+++ b/laburnumcart_fakes/src/load/cost.rs
@@ -62,13 +62,13 @@
 }
 
 /// Waits for a bounded time until nothing is executing, as what goes on is still to be charged.
-pub async fn settle(client: &client::Client, plan: &plan::Plan) {
+pub async fn wait_idle(client: &client::Client, plan: &plan::Plan) {
     for (_, address) in plan.targets() {
         let url = format!("http://{address}/admin/executions");
         for _ in 0..READS {
-            let book = read(client, &url).await.unwrap_or_default();
+            let record = read(client, &url).await.unwrap_or_default();
             let running = |e: &ledger::Execution| e.outcome == ledger::Outcome::Running;
-            if !book.executions.iter().any(running) {
+            if !record.executions.iter().any(running) {
                 break;
             }
             tokio::time::sleep(READ_PAUSE).await;
@@ -86,7 +86,7 @@
     let mut unreachable = Vec::new();
     for (name, address) in plan.targets() {
         match read(client, &format!("http://{address}/admin/executions")).await {
-            Some(book) => executions.extend(book.executions),
+            Some(record) => executions.extend(record.executions),
             None => unreachable.push(name.clone()),
         }
     }
--- a/laburnumcart_fakes/src/load/plan.rs
+++ b/laburnumcart_fakes/src/load/plan.rs
@@ -150,13 +150,13 @@
     }
 
     /// Returns the sum of all rates in requests a second.
-    pub fn rate(&self) -> f64 {
+    pub fn total_rate(&self) -> f64 {
         let streams = self.teams.values().flat_map(|team| &team.streams);
         streams.map(|stream| stream.rate.0).sum()
     }
 
     /// Returns every fault of the plan: names that are used but not given.
-    pub fn check(&self) -> Vec<String> {
+    pub fn validate(&self) -> Vec<String> {
         let mut faults = Vec::new();
         for (name, pipeline) in &self.pipelines {
             for stage in &pipeline.stages {
--- a/laburnumcart_fakes/src/load/report.rs
+++ b/laburnumcart_fakes/src/load/report.rs
@@ -16,11 +16,11 @@
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Outcome {
     /// The whole answer came.
-    Whole {
+    Answered {
         /// Id under which the targets know the request.
         request: String,
         /// Whether it is the answer that the request alone must yield.
-        right: bool,
+        correct: bool,
     },
     /// It was refused.
     Refused {
@@ -43,7 +43,7 @@
     /// Whether it went straight to the targets.
     pub direct: bool,
     /// Whether it was non-idempotent.
-    pub single: bool,
+    pub non_idempotent: bool,
     /// Time from its scheduled arrival to its end.
     pub latency: time::Duration,
     /// Time that it was allowed.
@@ -57,8 +57,8 @@
 impl Sample {
     /// Reports whether the right answer came whole and in time.
     pub fn attained(&self) -> bool {
-        let right = matches!(self.outcome, Outcome::Whole { right: true, .. });
-        right && self.latency <= self.deadline
+        let correct = matches!(self.outcome, Outcome::Answered { correct: true, .. });
+        correct && self.latency <= self.deadline
     }
 }
 
@@ -106,16 +106,16 @@
         self.offered += 1;
         self.resent += u64::from(sample.resent);
         match &sample.outcome {
-            Outcome::Whole { right: false, .. } => self.wrong += 1,
-            Outcome::Whole { .. } if sample.attained() => self.attained += 1,
-            Outcome::Whole { .. } => self.late += 1,
+            Outcome::Answered { correct: false, .. } => self.wrong += 1,
+            Outcome::Answered { .. } if sample.attained() => self.attained += 1,
+            Outcome::Answered { .. } => self.late += 1,
             Outcome::Refused { verdict, reason } => {
                 let key = format!("{verdict} {reason}");
                 *self.refused.entry(key).or_default() += 1;
             }
             Outcome::Lost => self.lost += 1,
         }
-        if matches!(sample.outcome, Outcome::Whole { .. }) {
+        if matches!(sample.outcome, Outcome::Answered { .. }) {
             let micros = sample.latency.as_micros() as u64;
             self.micros
                 .get_or_insert_with(histogram)
@@ -203,11 +203,11 @@
 }
 
 impl Report {
-    /// Counts a request; `aside` ones only serve the comparison.
-    pub fn add(&mut self, sample: &Sample, aside: bool) {
-        if !aside {
+    /// Counts a request; `for_comparison` ones only serve the comparison.
+    pub fn add(&mut self, sample: &Sample, for_comparison: bool) {
+        if !for_comparison {
             self.all.add(sample);
-            if !sample.single {
+            if !sample.non_idempotent {
                 self.idempotent.add(sample);
             }
             self.teams
@@ -216,11 +216,11 @@
                 .add(sample);
         }
         // A non-idempotent request is claimed first, which a direct call has no part of.
-        if !sample.single {
+        if !sample.non_idempotent {
             let key = (sample.stages, sample.direct);
             self.compared.entry(key).or_default().add(sample);
         }
-        if let Outcome::Whole { request, .. } = &sample.outcome
+        if let Outcome::Answered { request, .. } = &sample.outcome
             && sample.attained()
         {
             self.completed.insert(request.clone());
--- a/laburnumcart_fakes/src/load/run.rs
+++ b/laburnumcart_fakes/src/load/run.rs
@@ -80,7 +80,7 @@
 }
 
 /// Offers the load and returns the counts when every request has ended.
-pub async fn run(plan: plan::Plan, settings: Settings) -> report::Report {
+pub async fn run_load(plan: plan::Plan, settings: Settings) -> report::Report {
     let client = client::Client::default();
     let plan = sync::Arc::new(plan);
     let unreachable = cost::reset(&client, &plan).await;
@@ -98,7 +98,7 @@
     poll.abort();
     fault.abort();
     report.finish(settings.duration.as_secs_f64());
-    cost::settle(&client, &plan).await;
+    cost::wait_idle(&client, &plan).await;
     report.cost = cost::collect(&client, &plan, report.completed()).await;
     report
 }
@@ -200,8 +200,8 @@
         }
     }
 
-    async fn send(self: sync::Arc<Self>, case: case::Case, aside: bool) {
-        let direct = aside || matches!(self.route, Route::Baseline(_));
+    async fn send(self: sync::Arc<Self>, case: case::Case, for_comparison: bool) {
+        let direct = for_comparison || matches!(self.route, Route::Baseline(_));
         let (outcome, resent) = match direct {
             true => (self.baseline.send(&case).await, 0),
             false => self.system.send(&case).await,
@@ -209,7 +209,7 @@
         let sample = report::Sample {
             stages: case.stages.len(),
             direct,
-            single: case.key.is_some(),
+            non_idempotent: case.key.is_some(),
             latency: case.due.elapsed(),
             deadline: case.deadline,
             team: case.team,
@@ -232,8 +232,8 @@
         tokio::select! {
             sample = samples.recv() => match sample {
                 Some(sample) => {
-                    let aside = sample.direct && settings.route == Route::Compare;
-                    report.add(&sample, aside);
+                    let for_comparison = sample.direct && settings.route == Route::Compare;
+                    report.add(&sample, for_comparison);
                 }
                 None => return report,
             },
--- a/laburnumcart_fakes/src/load/system.rs
+++ b/laburnumcart_fakes/src/load/system.rs
@@ -73,7 +73,7 @@
             let answer = match self.call(case).await {
                 Ok(answer) => answer,
                 // Nothing was sent: the balancer would try the next entry.
-                Err(client::Failure::Unconnected) if !case.remaining().is_zero() => {
+                Err(client::CallError::NotConnected) if !case.remaining().is_zero() => {
                     tokio::time::sleep(CONNECT_PAUSE).await;
                     continue;
                 }
@@ -87,7 +87,7 @@
         }
     }
 
-    async fn call(&self, case: &case::Case) -> Result<client::Answer, client::Failure> {
+    async fn call(&self, case: &case::Case) -> Result<client::Response, client::CallError> {
         let turn = self.turn.fetch_add(1, atomic::Ordering::Relaxed);
         let entry = self.entries[turn % self.entries.len()];
         let url = format!("http://{entry}/v1/pipelines/{}", case.pipeline);
@@ -112,14 +112,17 @@
 }
 
 /// Reads an answer; also returns the pause after which it is worth to send again.
-fn judge(case: &case::Case, answer: &client::Answer) -> (report::Outcome, Option<time::Duration>) {
+fn judge(
+    case: &case::Case,
+    answer: &client::Response,
+) -> (report::Outcome, Option<time::Duration>) {
     if answer.status != 200 {
-        return refused(&answer.body, answer.retry);
+        return refused(&answer.body, answer.retry_after);
     }
     if !case.events {
         return (whole(case, &answer.body), None);
     }
-    let events = client::events(&String::from_utf8_lossy(&answer.body));
+    let events = client::parse_events(&String::from_utf8_lossy(&answer.body));
     let Some((last, chunks)) = events.split_last() else {
         return (report::Outcome::Lost, None);
     };
@@ -132,8 +135,8 @@
 
 fn whole(case: &case::Case, body: &[u8]) -> report::Outcome {
     match serde_json::from_slice::<Whole>(body) {
-        Ok(whole) => report::Outcome::Whole {
-            right: whole.output == case.output(),
+        Ok(whole) => report::Outcome::Answered {
+            correct: whole.output == case.output(),
             request: whole.request,
         },
         Err(_) => report::Outcome::Lost,
@@ -145,9 +148,9 @@
     let mut outcome = whole(case, end.as_bytes());
     let piece = |event: &client::Event| serde_json::from_str::<Piece>(&event.data).ok();
     let text: Option<String> = chunks.iter().map(|e| piece(e).map(|p| p.text)).collect();
-    if let report::Outcome::Whole { right, .. } = &mut outcome {
+    if let report::Outcome::Answered { correct, .. } = &mut outcome {
         let output = case.output();
-        *right &= match output.get("text").and_then(Value::as_str) {
+        *correct &= match output.get("text").and_then(Value::as_str) {
             Some(wanted) => text.as_deref() == Some(wanted),
             None => text.is_some(),
         };
--- a/laburnumcart_fakes/src/measure.rs
+++ b/laburnumcart_fakes/src/measure.rs
@@ -3,5 +3,5 @@
 pub mod case;
 pub mod figures;
 pub mod plot;
-pub mod series;
+pub mod runner;
 pub mod table;
--- a/laburnumcart_fakes/src/measure/figures.rs
+++ b/laburnumcart_fakes/src/measure/figures.rs
@@ -1,4 +1,4 @@
-//! Figures of the runs of one case by one way, with median and spread.
+//! Figures of the runs of one case by one strategy, with median and spread.
 
 use std::collections;
 
@@ -34,7 +34,7 @@
     }
 
     /// Returns it with all values multiplied.
-    pub fn times(self, factor: f64) -> Self {
+    pub fn scale(self, factor: f64) -> Self {
         Self {
             low: self.low * factor,
             mid: self.mid * factor,
--- a/laburnumcart_fakes/src/measure/plot.rs
+++ b/laburnumcart_fakes/src/measure/plot.rs
@@ -12,7 +12,7 @@
 
 use crate::measure::{
     figures,
-    series, //
+    runner, //
 };
 
 /// Width and height in pixels.
@@ -20,7 +20,7 @@
 
 const FONT: (&str, u32) = ("sans-serif", 15);
 
-/// Colours of the ways, in their order.
+/// Colours of the strategies, in their order.
 const COLOURS: [draw::RGBColor; 3] = [draw::BLUE, draw::RED, draw::BLACK];
 
 type Result<T> = std::result::Result<T, Box<dyn error::Error>>;
@@ -34,14 +34,14 @@
 }
 
 /// Writes the plot of a sweep as SVG.
-pub fn write(outcomes: &[series::Outcome], path: impl AsRef<path::Path>) -> Result<()> {
+pub fn write(outcomes: &[runner::Outcome], path: impl AsRef<path::Path>) -> Result<()> {
     let path = path.as_ref();
     let root = draw::SVGBackend::new(path, SIZE).into_drawing_area();
     root.fill(&draw::WHITE)?;
     let charts = [
         Chart {
             title: "attainment, %",
-            value: |figures| figures.attainment.times(100.0),
+            value: |figures| figures.attainment.scale(100.0),
         },
         Chart {
             title: "goodput, requests/s",
@@ -55,8 +55,8 @@
     Ok(())
 }
 
-fn panel(area: &Area<'_>, chart: &Chart, outcomes: &[series::Outcome]) -> Result<()> {
-    let figures = outcomes.iter().flat_map(|outcome| &outcome.ways);
+fn panel(area: &Area<'_>, chart: &Chart, outcomes: &[runner::Outcome]) -> Result<()> {
+    let figures = outcomes.iter().flat_map(|outcome| &outcome.strategies);
     let values = figures.map(|(_, figures)| (chart.value)(figures).high);
     let top = values.fold(0.0, f64::max) * 1.1;
     let right = outcomes.iter().map(|o| o.load).fold(0.0, f64::max) * 1.05;
@@ -72,19 +72,19 @@
         .x_desc("offered load / capacity")
         .draw()?;
     for (index, colour) in COLOURS.into_iter().enumerate() {
-        let ways = outcomes
+        let strategies = outcomes
             .iter()
-            .filter_map(|o| Some((o.load, o.ways.get(index)?)));
-        let points: Vec<_> = ways
-            .map(|(load, (way, figures))| (*way, load, (chart.value)(figures)))
+            .filter_map(|o| Some((o.load, o.strategies.get(index)?)));
+        let points: Vec<_> = strategies
+            .map(|(load, (strategy, figures))| (*strategy, load, (chart.value)(figures)))
             .collect();
-        let Some((way, ..)) = points.first() else {
+        let Some((strategy, ..)) = points.first() else {
             continue;
         };
         let line = points.iter().map(|(_, load, spread)| (*load, spread.mid));
         context
             .draw_series(draw::LineSeries::new(line, colour).point_size(3))?
-            .label(way.to_string())
+            .label(strategy.to_string())
             .legend(move |(x, y)| draw::PathElement::new([(x, y), (x + 20, y)], colour));
         let bars = points
             .iter()
--- a/laburnumcart_fakes/src/measure/series.rs
+++ b/laburnumcart_fakes/src/measure/runner.rs
@@ -1,4 +1,4 @@
-//! Runs a case by each way in turn, again and again, and puts everything back between.
+//! Runs a case by each strategy in turn, again and again, and puts everything back between.
 
 use std::{
     net,
@@ -35,10 +35,11 @@
 
 /// How requests reach the targets.
 #[derive(Clone, Copy, Debug, Display, Eq, PartialEq, Serialize)]
-pub enum Way {
+pub enum Strategy {
     /// Through the entries.
     #[display("ours")]
-    Ours,
+    #[serde(rename = "Ours")]
+    System,
     /// In turn, without retries.
     #[display("round robin")]
     RoundRobin,
@@ -47,8 +48,12 @@
     LeastLoaded,
 }
 
-/// All ways, in the order in which they take turns.
-pub const WAYS: [Way; 3] = [Way::Ours, Way::RoundRobin, Way::LeastLoaded];
+/// All strategies, in the order in which they take turns.
+pub const STRATEGIES: [Strategy; 3] = [
+    Strategy::System,
+    Strategy::RoundRobin,
+    Strategy::LeastLoaded,
+];
 
 /// Result of one case.
 #[derive(Clone, Debug, Serialize)]
@@ -59,20 +64,21 @@
     pub load: f64,
     /// Load average of the machine during the runs.
     pub machine: figures::Spread,
-    /// Figures by way.
-    pub ways: Vec<(Way, figures::Figures)>,
+    /// Figures by strategy.
+    #[serde(rename = "ways")]
+    pub strategies: Vec<(Strategy, figures::Figures)>,
 }
 
 /// Runs cases against one fleet.
 #[derive(Debug)]
-pub struct Series {
+pub struct Runner {
     client: client::Client,
     store: net::SocketAddr,
     repetitions: u64,
     pages: Option<path::PathBuf>,
 }
 
-impl Series {
+impl Runner {
     /// Creates a series; the entries' metrics after each of our runs go to the folder `pages`.
     pub fn new(store: net::SocketAddr, repetitions: u64, pages: Option<path::PathBuf>) -> Self {
         Self {
@@ -83,13 +89,13 @@
         }
     }
 
-    /// Runs a case by all ways, alternated.
-    pub async fn run(&self, case: &case::Case) -> Outcome {
-        let mut reports = WAYS.map(|_| Vec::new());
+    /// Runs a case by all strategies, alternated.
+    pub async fn run_case(&self, case: &case::Case) -> Outcome {
+        let mut reports = STRATEGIES.map(|_| Vec::new());
         let mut machine = Vec::new();
         for seed in 1..=self.repetitions {
-            for (way, reports) in WAYS.iter().zip(&mut reports) {
-                reports.push(self.once(case, *way, seed).await);
+            for (strategy, reports) in STRATEGIES.iter().zip(&mut reports) {
+                reports.push(self.once(case, *strategy, seed).await);
                 machine.extend(load_average());
             }
         }
@@ -98,24 +104,27 @@
             case: case.name.clone(),
             load: case.load,
             machine: figures::Spread::of(machine),
-            ways: WAYS.into_iter().zip(figures).collect(),
+            strategies: STRATEGIES.into_iter().zip(figures).collect(),
         }
     }
 
-    async fn once(&self, case: &case::Case, way: Way, seed: u64) -> report::Report {
+    async fn once(&self, case: &case::Case, strategy: Strategy, seed: u64) -> report::Report {
         self.outage(case.outage).await;
         let plan = &case.plan;
-        let capacity = plan.capacity.map_or(plan.rate(), |rate| rate.0);
+        let capacity = plan.capacity.map_or(plan.total_rate(), |rate| rate.0);
         let settings = run::Settings {
-            route: route(way),
+            route: route(strategy),
             duration: case.duration,
-            scale: case.load * capacity / plan.rate(),
+            scale: case.load * capacity / plan.total_rate(),
             seed,
             ..Default::default()
         };
-        let report = run::run(plan.clone(), settings).await;
-        eprintln!("case={:?} way={way} seed={seed} {}", case.name, report.all);
-        if way == Way::Ours {
+        let report = run::run_load(plan.clone(), settings).await;
+        eprintln!(
+            "case={:?} way={strategy} seed={seed} {}",
+            case.name, report.all
+        );
+        if strategy == Strategy::System {
             self.keep(case, seed).await;
         }
         self.reset(plan).await;
@@ -168,11 +177,11 @@
     }
 }
 
-fn route(way: Way) -> run::Route {
-    match way {
-        Way::Ours => run::Route::System,
-        Way::RoundRobin => run::Route::Baseline(run::Policy::RoundRobin),
-        Way::LeastLoaded => run::Route::Baseline(run::Policy::LeastLoaded),
+fn route(strategy: Strategy) -> run::Route {
+    match strategy {
+        Strategy::System => run::Route::System,
+        Strategy::RoundRobin => run::Route::Baseline(run::Policy::RoundRobin),
+        Strategy::LeastLoaded => run::Route::Baseline(run::Policy::LeastLoaded),
     }
 }
 
--- a/laburnumcart_fakes/src/measure/table.rs
+++ b/laburnumcart_fakes/src/measure/table.rs
@@ -10,19 +10,19 @@
 
 use crate::measure::{
     figures,
-    series, //
+    runner, //
 };
 
 /// Results with what their tables need besides.
 #[derive(Debug)]
-pub struct Page<'a> {
+pub struct Tables<'a> {
     /// Results, in order.
-    pub outcomes: &'a [series::Outcome],
+    pub outcomes: &'a [runner::Outcome],
     /// Weights of the teams.
     pub weights: collections::BTreeMap<id::TeamName, u32>,
 }
 
-impl fmt::Display for Page<'_> {
+impl fmt::Display for Tables<'_> {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         self.overall(f)?;
         self.stages(f)?;
@@ -31,7 +31,7 @@
     }
 }
 
-impl Page<'_> {
+impl Tables<'_> {
     fn overall(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         writeln!(f, "### In all\n")?;
         writeln!(
@@ -41,19 +41,19 @@
         )?;
         writeln!(f, "|---|---|---|---|---|---|---|---|---|---|---|---|")?;
         for outcome in self.outcomes {
-            for (way, figures) in &outcome.ways {
+            for (strategy, figures) in &outcome.strategies {
                 writeln!(
                     f,
-                    "| {} ({:.0}) | {way} | {} | {} | {} | {} | {} | {} | {} | {} | {} | {} |",
+                    "| {} ({:.0}) | {strategy} | {} | {} | {} | {} | {} | {} | {} | {} | {} | {} |",
                     outcome.case,
                     outcome.machine.mid,
-                    cell(figures.attainment.times(100.0), 1),
-                    cell(figures.idempotent.times(100.0), 1),
+                    cell(figures.attainment.scale(100.0), 1),
+                    cell(figures.idempotent.scale(100.0), 1),
                     cell(figures.p50, 0),
                     cell(figures.p99, 0),
                     cell(figures.goodput, 0),
-                    cell(figures.useful.times(1e3), 0),
-                    cell(figures.wasted.times(1e3), 1),
+                    cell(figures.useful.scale(1e3), 0),
+                    cell(figures.wasted.scale(1e3), 1),
                     figures.wrong,
                     figures.lost,
                     figures.repeated,
@@ -64,7 +64,7 @@
     }
 
     fn stages(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let names = self.outcomes.iter().flat_map(|o| &o.ways);
+        let names = self.outcomes.iter().flat_map(|o| &o.strategies);
         let names = names.flat_map(|(_, figures)| figures.stages.keys());
         let names: collections::BTreeSet<_> = names.collect();
         writeln!(f, "### Cost by stage: useful + wasted, ms\n")?;
@@ -72,8 +72,8 @@
         writeln!(f, "| case | way |{titles}")?;
         writeln!(f, "|---|---|{}", "---|".repeat(names.len()))?;
         for outcome in self.outcomes {
-            for (way, figures) in &outcome.ways {
-                write!(f, "| {} | {way} |", outcome.case)?;
+            for (strategy, figures) in &outcome.strategies {
+                write!(f, "| {} | {strategy} |", outcome.case)?;
                 for name in &names {
                     let cost = figures.stages.get(*name).copied().unwrap_or_default();
                     let (useful, wasted) = (cost.useful.mid * 1e3, cost.wasted.mid * 1e3);
@@ -88,28 +88,35 @@
     fn teams(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let all: u32 = self.weights.values().sum();
         writeln!(f, "### By team\n")?;
-        let ways: Vec<_> = series::WAYS.iter().map(|way| format!("{way}")).collect();
-        let titles: Vec<_> = ways
+        let strategies: Vec<_> = runner::STRATEGIES
             .iter()
-            .map(|way| format!("{way}: attainment, % | share, %"))
+            .map(|strategy| format!("{strategy}"))
+            .collect();
+        let titles: Vec<_> = strategies
+            .iter()
+            .map(|strategy| format!("{strategy}: attainment, % | share, %"))
             .collect();
         writeln!(
             f,
             "| case | team | promised share, % | offered, /s | {} |",
             titles.join(" | ")
         )?;
-        writeln!(f, "|---|---|---|---|{}", "---|---|".repeat(ways.len()))?;
+        writeln!(
+            f,
+            "|---|---|---|---|{}",
+            "---|---|".repeat(strategies.len())
+        )?;
         for outcome in self.outcomes {
             for (team, weight) in &self.weights {
                 let promised = 100.0 * f64::from(*weight) / f64::from(all.max(1));
                 let mut row = String::new();
                 let mut offered = 0.0;
-                for (_, figures) in &outcome.ways {
+                for (_, figures) in &outcome.strategies {
                     let own = figures.teams.get(team).copied().unwrap_or_default();
                     let sum: f64 = figures.teams.values().map(|t| t.goodput.mid).sum();
                     offered = own.offered.mid;
                     let share = 100.0 * own.goodput.mid / sum.max(f64::MIN_POSITIVE);
-                    let attainment = cell(own.attainment.times(100.0), 1);
+                    let attainment = cell(own.attainment.scale(100.0), 1);
                     write!(row, " {attainment} | {share:.0} |")?;
                 }
                 let case = &outcome.case;
@@ -124,11 +131,16 @@
         writeln!(f, "| case | way | verdict, reason and count |")?;
         writeln!(f, "|---|---|---|")?;
         for outcome in self.outcomes {
-            for (way, figures) in &outcome.ways {
+            for (strategy, figures) in &outcome.strategies {
                 let causes = figures.refused.iter();
                 let causes: Vec<_> = causes.map(|(c, n)| format!("{c}: {n}")).collect();
                 if !causes.is_empty() {
-                    writeln!(f, "| {} | {way} | {} |", outcome.case, causes.join("; "))?;
+                    writeln!(
+                        f,
+                        "| {} | {strategy} | {} |",
+                        outcome.case,
+                        causes.join("; ")
+                    )?;
                 }
             }
         }
--- a/laburnumcart_fakes/src/port.rs
+++ b/laburnumcart_fakes/src/port.rs
@@ -25,7 +25,7 @@
 /// one. It is not tried by listening on it: a process that another thread is just starting has a
 /// copy of the socket until it runs its program, and would go on listening for that moment. The
 /// port would be in use for whoever binds it next.
-pub fn free() -> net::SocketAddr {
+pub fn reserve_addr() -> net::SocketAddr {
     let _ = NEXT.compare_exchange(
         0,
         rand::random_range(FIRST..LAST),
--- a/laburnumcart_fakes/src/scripted.rs
+++ b/laburnumcart_fakes/src/scripted.rs
@@ -42,7 +42,7 @@
 
 /// A request as it came.
 #[derive(Clone, Debug, Default)]
-pub struct Seen {
+pub struct ReceivedRequest {
     /// Method, path and protocol.
     pub line: String,
     /// Names in lower case, and values.
@@ -51,7 +51,7 @@
     pub body: Vec<u8>,
 }
 
-impl Seen {
+impl ReceivedRequest {
     /// Returns the value of a header; `name` is in lower case.
     pub fn header(&self, name: &str) -> Option<&str> {
         let found = self.headers.iter().find(|(known, _)| known == name);
@@ -64,13 +64,13 @@
     }
 }
 
-type Script = dyn Fn(&Seen, usize) -> Vec<Step> + Send + Sync;
+type Script = dyn Fn(&ReceivedRequest, usize) -> Vec<Step> + Send + Sync;
 
 struct Shared {
     script: Box<Script>,
-    seen: Mutex<Vec<Seen>>,
+    requests: Mutex<Vec<ReceivedRequest>>,
     connections: atomic::AtomicUsize,
-    left: atomic::AtomicUsize,
+    closed_by_caller: atomic::AtomicUsize,
 }
 
 /// A running target.
@@ -83,16 +83,16 @@
 impl Target {
     /// Starts a target on loopback; the script gets each request and the number of those before.
     pub async fn start(
-        script: impl Fn(&Seen, usize) -> Vec<Step> + Send + Sync + 'static,
+        script: impl Fn(&ReceivedRequest, usize) -> Vec<Step> + Send + Sync + 'static,
     ) -> io::Result<Self> {
         let listener = TcpListener::bind((net::Ipv4Addr::LOCALHOST, 0)).await?;
         let target = Self {
             addr: listener.local_addr()?,
             shared: Arc::new(Shared {
                 script: Box::new(script),
-                seen: Mutex::default(),
+                requests: Mutex::default(),
                 connections: atomic::AtomicUsize::new(0),
-                left: atomic::AtomicUsize::new(0),
+                closed_by_caller: atomic::AtomicUsize::new(0),
             }),
         };
         tokio::spawn(accept(listener, target.shared.clone()));
@@ -105,7 +105,7 @@
     }
 
     /// Returns the requests that came, in order.
-    pub fn seen(&self) -> Vec<Seen> {
+    pub fn requests(&self) -> Vec<ReceivedRequest> {
         lock(&self.shared).clone()
     }
 
@@ -115,13 +115,16 @@
     }
 
     /// Returns how many connections the caller closed during a [`Step::Hang`].
-    pub fn left(&self) -> usize {
-        self.shared.left.load(atomic::Ordering::Acquire)
+    pub fn closed_by_caller(&self) -> usize {
+        self.shared.closed_by_caller.load(atomic::Ordering::Acquire)
     }
 }
 
-fn lock(shared: &Shared) -> MutexGuard<'_, Vec<Seen>> {
-    shared.seen.lock().unwrap_or_else(PoisonError::into_inner)
+fn lock(shared: &Shared) -> MutexGuard<'_, Vec<ReceivedRequest>> {
+    shared
+        .requests
+        .lock()
+        .unwrap_or_else(PoisonError::into_inner)
 }
 
 async fn accept(listener: TcpListener, shared: Arc<Shared>) {
@@ -137,20 +140,22 @@
 
 async fn serve(mut stream: TcpStream, shared: &Shared) -> io::Result<()> {
     let mut buffer = Vec::new();
-    while let Some(seen) = read(&mut stream, &mut buffer).await? {
+    while let Some(request) = read(&mut stream, &mut buffer).await? {
         let number = {
             let mut all = lock(shared);
-            all.push(seen.clone());
+            all.push(request.clone());
             all.len() - 1
         };
-        for step in (shared.script)(&seen, number) {
+        for step in (shared.script)(&request, number) {
             match step {
                 Step::Send(bytes) => stream.write_all(&bytes).await?,
                 Step::Pause(period) => tokio::time::sleep(period).await,
                 Step::Hang => {
                     let mut byte = [0];
                     if matches!(stream.read(&mut byte).await, Ok(0) | Err(_)) {
-                        shared.left.fetch_add(1, atomic::Ordering::AcqRel);
+                        shared
+                            .closed_by_caller
+                            .fetch_add(1, atomic::Ordering::AcqRel);
                         return Ok(());
                     }
                 }
@@ -166,7 +171,7 @@
 }
 
 /// Reads a request; `None` at the end of the connection.
-async fn read(stream: &mut TcpStream, buffer: &mut Vec<u8>) -> io::Result<Option<Seen>> {
+async fn read(stream: &mut TcpStream, buffer: &mut Vec<u8>) -> io::Result<Option<ReceivedRequest>> {
     let end = loop {
         if let Some(at) = buffer.windows(4).position(|w| w == b"\r\n\r\n") {
             break at;
@@ -178,20 +183,22 @@
     let head = String::from_utf8_lossy(&buffer[..end]).into_owned();
     buffer.drain(..end + 4);
     let mut lines = head.split("\r\n");
-    let mut seen = Seen {
+    let mut request = ReceivedRequest {
         line: lines.next().unwrap_or_default().into(),
-        ..Seen::default()
+        ..ReceivedRequest::default()
     };
     let pairs = lines.filter_map(|line| line.split_once(':'));
     let pair = |(name, value): (&str, &str)| (name.to_ascii_lowercase(), value.trim().to_owned());
-    seen.headers.extend(pairs.map(pair));
-    let length = seen.header("content-length").and_then(|l| l.parse().ok());
+    request.headers.extend(pairs.map(pair));
+    let length = request
+        .header("content-length")
+        .and_then(|l| l.parse().ok());
     let length: usize = length.unwrap_or(0);
     while buffer.len() < length {
         if stream.read_buf(buffer).await? == 0 {
             return Ok(None);
         }
     }
-    seen.body = buffer.drain(..length).collect();
-    Ok(Some(seen))
+    request.body = buffer.drain(..length).collect();
+    Ok(Some(request))
 }
--- a/laburnumcart_fakes/src/store.rs
+++ b/laburnumcart_fakes/src/store.rs
@@ -32,7 +32,7 @@
 mod handle;
 
 /// Prefix of the platform's own list, which may lag.
-pub const INSTANCES: &str = "platform/instances/";
+pub const INSTANCES_PREFIX: &str = "platform/instances/";
 
 /// Longest time that a watch waits.
 const WAIT_MAX: time::Duration = time::Duration::from_secs(60);
@@ -87,7 +87,7 @@
         self
     }
 
-    /// Sets the lag of [`INSTANCES`]; none unless set.
+    /// Sets the lag of [`INSTANCES_PREFIX`]; none unless set.
     pub fn list_lag(mut self, lag: unit::Period) -> Self {
         self.lag = lag;
         self
@@ -100,7 +100,7 @@
         let addr = listener.local_addr()?;
         let memory = memory::Memory::builder()
             .start(first_revision())
-            .lag(INSTANCES, self.lag)
+            .lag(INSTANCES_PREFIX, self.lag)
             .build();
         let shared = sync::Arc::new(Shared {
             memory: memory.clone(),
--- a/laburnumcart_fakes/src/target/core.rs
+++ b/laburnumcart_fakes/src/target/core.rs
@@ -49,11 +49,11 @@
             bundle::Kind::Engine => settings.slots * BATCH_FACTOR,
             bundle::Kind::Pool => settings.slots,
         };
-        let gate = gate::Gate::new(slots, settings.queue, settings.load_lag);
+        let gate = gate::Gate::new(slots, settings.queue_limit, settings.load_lag);
         Self {
             boot: rand::random::<u32>().into(),
             gate: sync::Arc::new(gate),
-            cache: cache::Cache::new(settings.prefixes, settings.cache_lag),
+            cache: cache::Cache::new(settings.cached_prefixes, settings.cache_lag),
             orders: orders::Orders::new(settings.orders == bundle::Orders::Fenced),
             calls: collections::HashMap::new(),
         }
@@ -97,7 +97,7 @@
     }
 
     fn fall(&self) {
-        self.ledger.lock().unwrap().crash();
+        self.ledger.lock().unwrap().crash_running();
         (self.crash)();
     }
 
@@ -118,7 +118,7 @@
     /// Returns how long the target stays down after a crash; an ordered time counts once.
     pub(super) fn downtime(&self) -> time::Duration {
         let ordered = self.down.lock().unwrap().take();
-        ordered.unwrap_or(self.settings.restart)
+        ordered.unwrap_or(self.settings.restart_time)
     }
 
     /// Forgets what a crash loses; no handler of the old life may be left.
--- a/laburnumcart_fakes/src/target/engine.rs
+++ b/laburnumcart_fakes/src/target/engine.rs
@@ -88,7 +88,7 @@
 /// An execution in the ledger; settled as cancelled if it is dropped before its end.
 pub(super) struct Running {
     core: sync::Arc<core::Core>,
-    number: ledger::Number,
+    number: ledger::Id,
 }
 
 impl Running {
@@ -104,7 +104,7 @@
             traceparent: call.traceparent.clone(),
             cached: false,
         };
-        let number = core.ledger.lock().unwrap().enter(execution);
+        let number = core.ledger.lock().unwrap().begin(execution);
         Self {
             core: core.clone(),
             number,
@@ -112,11 +112,11 @@
     }
 
     pub(super) fn charge(&self, busy: time::Duration) {
-        self.core.ledger.lock().unwrap().charge(self.number, busy);
+        self.core.ledger.lock().unwrap().add_busy(self.number, busy);
     }
 
     pub(super) fn hit(&self) {
-        self.core.ledger.lock().unwrap().hit(self.number);
+        self.core.ledger.lock().unwrap().mark_cached(self.number);
     }
 
     pub(super) fn settle(&self, outcome: ledger::Outcome) {
@@ -124,7 +124,7 @@
             .ledger
             .lock()
             .unwrap()
-            .settle(self.number, outcome);
+            .finish(self.number, outcome);
     }
 }
 
@@ -179,7 +179,7 @@
     let hit = core
         .memory()
         .cache
-        .touch(&expected::prefix(&call.body.input));
+        .touch(&expected::prefix_key(&call.body.input));
     if hit {
         running.hit();
     }
@@ -193,15 +193,15 @@
         tokens: pieces.len(),
         fails_after: fails.then_some(pieces.len() / 2),
         pieces: pieces.into_iter(),
-        prefill: Some(core.settings.prefill.mul_f64(factor)),
+        prefill: Some(core.settings.prefill_time.mul_f64(factor)),
         ended: false,
     })
 }
 
 /// Returns the pieces after the text that was received, `None` if that is not a start of it.
 fn rest(body: &Body, default: u32) -> Option<Vec<String>> {
-    let tokens = expected::tokens(&body.input, default);
-    let pieces = expected::pieces(&body.stage, &body.input, &body.previous, tokens);
+    let tokens = expected::token_count(&body.input, default);
+    let pieces = expected::engine_pieces(&body.stage, &body.input, &body.previous, tokens);
     let mut received = body.received.as_deref().unwrap_or_default();
     let mut rest = Vec::new();
     for piece in pieces {
@@ -244,7 +244,7 @@
             let end = serde_json::json!({ "tokens": self.tokens });
             return Some(format!("event: end\ndata: {end}\n\n"));
         };
-        if !self.step(self.core.settings.token).await {
+        if !self.step(self.core.settings.token_time).await {
             return None;
         }
         let data = serde_json::json!({ "text": piece });
--- a/laburnumcart_fakes/src/target/ledger.rs
+++ b/laburnumcart_fakes/src/target/ledger.rs
@@ -81,39 +81,39 @@
 /// Record of executions.
 #[derive(Debug, Default)]
 pub struct Ledger {
-    book: Executions,
-    /// Number of the oldest entry; grows when the record is cleared.
+    record: Executions,
+    /// Id of the oldest entry; grows when the record is cleared.
     base: usize,
 }
 
-/// Number of an execution in its ledger.
+/// Id of an execution in its ledger.
 #[derive(Clone, Copy, Debug)]
-pub struct Number(usize);
+pub struct Id(usize);
 
 impl Ledger {
     /// Enters an execution that starts.
-    pub fn enter(&mut self, execution: Execution) -> Number {
-        self.book.executions.push(execution);
-        Number(self.base + self.book.executions.len() - 1)
+    pub fn begin(&mut self, execution: Execution) -> Id {
+        self.record.executions.push(execution);
+        Id(self.base + self.record.executions.len() - 1)
     }
 
     /// Notes that the prefix of an execution was in the cache.
-    pub fn hit(&mut self, number: Number) {
-        if let Some(execution) = self.find(number) {
+    pub fn mark_cached(&mut self, id: Id) {
+        if let Some(execution) = self.find(id) {
             execution.cached = true;
         }
     }
 
     /// Charges time of the target to an execution.
-    pub fn charge(&mut self, number: Number, busy: time::Duration) {
-        if let Some(execution) = self.find(number) {
+    pub fn add_busy(&mut self, id: Id, busy: time::Duration) {
+        if let Some(execution) = self.find(id) {
             execution.busy += busy.as_secs_f64();
         }
     }
 
     /// Settles an execution unless it is settled already.
-    pub fn settle(&mut self, number: Number, outcome: Outcome) {
-        if let Some(execution) = self.find(number)
+    pub fn finish(&mut self, id: Id, outcome: Outcome) {
+        if let Some(execution) = self.find(id)
             && execution.outcome == Outcome::Running
         {
             execution.outcome = outcome;
@@ -121,37 +121,37 @@
     }
 
     /// Settles all that runs as crashed.
-    pub fn crash(&mut self) {
+    pub fn crash_running(&mut self) {
         let running = |e: &&mut Execution| e.outcome == Outcome::Running;
-        for execution in self.book.executions.iter_mut().filter(running) {
+        for execution in self.record.executions.iter_mut().filter(running) {
             execution.outcome = Outcome::Crashed;
         }
     }
 
     /// Forgets all executions.
     pub fn clear(&mut self) {
-        self.base += self.book.executions.len();
-        self.book.executions.clear();
+        self.base += self.record.executions.len();
+        self.record.executions.clear();
     }
 
     /// Returns all executions.
     pub fn executions(&self) -> &Executions {
-        &self.book
+        &self.record
     }
 
     /// Sums the time by stage.
     pub fn cost(&self) -> Cost {
-        cost(&self.book.executions)
+        sum_costs(&self.record.executions)
     }
 
-    fn find(&mut self, number: Number) -> Option<&mut Execution> {
-        let index = number.0.checked_sub(self.base)?;
-        self.book.executions.get_mut(index)
+    fn find(&mut self, id: Id) -> Option<&mut Execution> {
+        let index = id.0.checked_sub(self.base)?;
+        self.record.executions.get_mut(index)
     }
 }
 
 /// Sums the time of executions by stage.
-pub fn cost(executions: &[Execution]) -> Cost {
+pub fn sum_costs(executions: &[Execution]) -> Cost {
     let mut cost = Cost::default();
     let mut done = collections::HashSet::new();
     let mut ran = collections::HashSet::new();
--- a/laburnumcart_fakes/src/target/pool.rs
+++ b/laburnumcart_fakes/src/target/pool.rs
@@ -45,8 +45,8 @@
     let fails = core.fails();
     let mean = match fails {
         true if core.behaviour.borrow().fail_fast => time::Duration::ZERO,
-        true => core.settings.service / 2,
-        false => core.settings.service,
+        true => core.settings.service_time / 2,
+        false => core.settings.service_time,
     };
     let cancelled = tokio::select! {
         () = core.pass(mean) => false,
@@ -63,5 +63,9 @@
     }
     running.settle(ledger::Outcome::Done);
     let body = &call.body;
-    End::Done(expected::pool(&body.stage, &body.input, &body.previous))
+    End::Done(expected::pool_output(
+        &body.stage,
+        &body.input,
+        &body.previous,
+    ))
 }
--- a/laburnumcart_fakes/src/target/settings.rs
+++ b/laburnumcart_fakes/src/target/settings.rs
@@ -23,13 +23,13 @@
     /// Calls that run side by side at full speed.
     pub slots: u32,
     /// Calls that wait for a slot before it answers 503.
-    pub queue: u32,
+    pub queue_limit: u32,
     /// Mean time of a pool's call.
-    pub service: time::Duration,
+    pub service_time: time::Duration,
     /// Time of one token while the batch fits the slots.
-    pub token: time::Duration,
+    pub token_time: time::Duration,
     /// Time to read a prompt whose prefix is not cached.
-    pub prefill: time::Duration,
+    pub prefill_time: time::Duration,
     /// Tokens that an engine generates if the input names no number.
     pub tokens: u32,
     /// Part by which times vary both ways, 0 to 1.
@@ -37,13 +37,13 @@
     /// Whether orders with an old number are refused.
     pub orders: bundle::Orders,
     /// Prompt prefixes that fit in the cache.
-    pub prefixes: usize,
+    pub cached_prefixes: usize,
     /// Age of the load that is reported.
     pub load_lag: time::Duration,
     /// Delay of cache events.
     pub cache_lag: time::Duration,
     /// Time for which connections are refused after a crash.
-    pub restart: time::Duration,
+    pub restart_time: time::Duration,
     /// Whether a crash ends the process.
     pub exit_on_crash: bool,
 }
@@ -56,17 +56,17 @@
             kind,
             address,
             slots: 4,
-            queue: 64,
-            service: time::Duration::from_millis(20),
-            token: time::Duration::from_millis(2),
-            prefill: time::Duration::from_millis(20),
+            queue_limit: 64,
+            service_time: time::Duration::from_millis(20),
+            token_time: time::Duration::from_millis(2),
+            prefill_time: time::Duration::from_millis(20),
             tokens: 20,
             spread: 0.2,
             orders: bundle::Orders::Fenced,
-            prefixes: 64,
+            cached_prefixes: 64,
             load_lag: time::Duration::from_millis(500),
             cache_lag: time::Duration::from_secs(1),
-            restart: time::Duration::from_millis(500),
+            restart_time: time::Duration::from_millis(500),
             exit_on_crash: false,
         }
     }
--- a/laburnumcart_fakes/tests/demo.rs
+++ b/laburnumcart_fakes/tests/demo.rs
@@ -46,14 +46,14 @@
 #[rstest]
 fn documents_agree(
     #[values(shape::Shape::Araya, shape::Shape::Quetzal, shape::Shape::Both)] shape: shape::Shape,
-    #[values(shape::Size::Small, shape::Size::Brief)] size: shape::Size,
+    #[values(shape::Size::Small, shape::Size::Full)] size: shape::Size,
 ) {
     let folder = Folder::new();
     let layout = layout::Layout::new(shape, size, 20_000);
     demo::write(&layout, &folder.0, &[("ops".into(), "AAAA".into())]).unwrap();
     let bundle: bundle::Bundle = serde_json::from_value(folder.json("bundle.json")).unwrap();
     let load: plan::Plan = serde_json::from_value(folder.json("load.json")).unwrap();
-    assert_eq!(load.check(), Vec::<String>::new());
+    assert_eq!(load.validate(), Vec::<String>::new());
     assert_eq!(load.entries.len(), 2);
     assert!(load.teams.keys().eq(bundle.teams.keys()));
     assert!(load.pipelines.keys().eq(bundle.pipelines.keys()));
@@ -85,7 +85,7 @@
 
 #[test]
 fn ports_differ_and_data_centres_are_three() {
-    let layout = layout::Layout::new(shape::Shape::Both, shape::Size::Brief, 20_000);
+    let layout = layout::Layout::new(shape::Shape::Both, shape::Size::Full, 20_000);
     let mut ports: Vec<_> = vec![layout.store];
     for entry in &layout.entries {
         ports.extend([entry.callers, entry.peer]);
--- a/laburnumcart_fakes/tests/load.rs
+++ b/laburnumcart_fakes/tests/load.rs
@@ -70,8 +70,8 @@
     }
     let events = request.headers().contains_key("accept");
     script.events += u64::from(events);
-    let encoded = expected::pool("encode", &body, &Value::Null);
-    let output = expected::generated("generate", &body, &encoded, 3);
+    let encoded = expected::pool_output("encode", &body, &Value::Null);
+    let output = expected::engine_output("generate", &body, &encoded, 3);
     let text = output["text"].as_str().unwrap();
     let whole = json!({ "request": "r", "generation": 1, "output": output, "stages": [] });
     match body["n"].as_u64().unwrap() % 8 {
@@ -155,7 +155,7 @@
         "services": targets,
     });
     let plan: plan::Plan = serde_json::from_value(value).unwrap();
-    assert_eq!(plan.check(), Vec::<String>::new());
+    assert_eq!(plan.validate(), Vec::<String>::new());
     plan
 }
 
@@ -174,11 +174,11 @@
 fn start(kind: bundle::Kind) -> target::Target {
     let address = "127.0.0.1:0".parse().unwrap();
     let mut settings = settings::Settings::new("t".parse().unwrap(), kind, address);
-    settings.service = Duration::from_millis(1);
-    settings.token = Duration::from_millis(1);
-    settings.prefill = Duration::from_millis(1);
+    settings.service_time = Duration::from_millis(1);
+    settings.token_time = Duration::from_millis(1);
+    settings.prefill_time = Duration::from_millis(1);
     settings.slots = 64;
-    settings.queue = 1000;
+    settings.queue_limit = 1000;
     settings.tokens = 3;
     target::start(settings).unwrap()
 }
@@ -195,7 +195,7 @@
 async fn report_counts_what_the_entry_did() {
     let script = Shared::default();
     let plan = plan(&[entry(&script)], services(&[], &[]));
-    let report = run::run(plan, second(run::Route::System)).await;
+    let report = run::run_load(plan, second(run::Route::System)).await;
     let script = script.lock().unwrap();
     let all = &report.all;
     assert!(script.right > 0 && script.wrong > 0 && script.refused > 0 && script.cut > 0);
@@ -229,7 +229,7 @@
     team.streams[0].events = "0%".parse().unwrap();
     let mut settings = second(run::Route::System);
     settings.resend = true;
-    let report = run::run(plan, settings).await;
+    let report = run::run_load(plan, settings).await;
     let script = script.lock().unwrap();
     assert!(report.all.resent > 0);
     assert_eq!(
@@ -249,7 +249,7 @@
 async fn baseline_reaches_the_targets_and_costs_are_theirs(#[case] policy: run::Policy) {
     let (pool, engine) = (start(bundle::Kind::Pool), start(bundle::Kind::Engine));
     let plan = plan(&[], services(&[&pool], &[&engine]));
-    let report = run::run(plan, second(run::Route::Baseline(policy))).await;
+    let report = run::run_load(plan, second(run::Route::Baseline(policy))).await;
     let all = &report.all;
     assert!(all.offered > 0);
     assert_eq!((all.attained, all.wrong, all.lost), (all.offered, 0, 0));
@@ -285,11 +285,11 @@
     });
     // The engine is named t0, so that only the second pool fails.
     let route = |policy| second(run::Route::Baseline(policy));
-    let turns = run::run(plan.clone(), route(run::Policy::RoundRobin)).await;
+    let turns = run::run_load(plan.clone(), route(run::Policy::RoundRobin)).await;
     assert!(turns.all.refusals() > 0);
     assert_eq!(turns.cost.repeated, 0);
     assert!(turns.cost.stages["encode"].wasted > 0.0);
-    let blind = run::run(plan, route(run::Policy::LeastLoaded)).await;
+    let blind = run::run_load(plan, route(run::Policy::LeastLoaded)).await;
     assert!(blind.all.attained > 0);
     assert!(blind.cost.repeated > 0);
 }
@@ -299,7 +299,7 @@
     let script = Shared::default();
     let (pool, engine) = (start(bundle::Kind::Pool), start(bundle::Kind::Engine));
     let plan = plan(&[entry(&script)], services(&[&pool], &[&engine]));
-    let report = run::run(plan, second(run::Route::Compare)).await;
+    let report = run::run_load(plan, second(run::Route::Compare)).await;
     let [overhead] = report.overhead.as_slice() else {
         panic!("one length of pipelines: {:?}", report.overhead);
     };
@@ -350,13 +350,13 @@
         team: "clinic".parse().unwrap(),
         stages: 1,
         direct: false,
-        single: false,
+        non_idempotent: false,
         latency: Duration::from_millis(millis),
         deadline: Duration::from_millis(100),
         resent: 0,
-        outcome: report::Outcome::Whole {
+        outcome: report::Outcome::Answered {
             request: format!("r{millis}"),
-            right: true,
+            correct: true,
         },
     };
     let mut report = report::Report::default();
--- a/laburnumcart_fakes/tests/measure.rs
+++ b/laburnumcart_fakes/tests/measure.rs
@@ -18,7 +18,7 @@
         case,
         figures,
         plot,
-        series,
+        runner,
         table, //
     },
     target::{
@@ -34,7 +34,7 @@
 const PATIENCE: Duration = Duration::from_secs(20);
 
 fn layout(shape: shape::Shape, pace: u32) -> layout::Layout {
-    let mut layout = layout::Layout::new(shape, shape::Size::Brief, 20_000);
+    let mut layout = layout::Layout::new(shape, shape::Size::Full, 20_000);
     layout.pace = pace;
     layout
 }
@@ -74,7 +74,7 @@
     let plan = plan(shape);
     let cases = case::all(&plan, Duration::from_secs(5));
     for case in &cases {
-        assert_eq!(case.plan.check(), Vec::<String>::new(), "{}", case.name);
+        assert_eq!(case.plan.validate(), Vec::<String>::new(), "{}", case.name);
     }
     let hit = |text: &str| {
         let case = cases.iter().find(|case| case.name.contains(text)).unwrap();
@@ -89,17 +89,17 @@
 #[test]
 fn results_become_tables_and_a_plot() {
     let plan = plan(shape::Shape::Araya);
-    let outcome = |load| series::Outcome {
+    let outcome = |load| runner::Outcome {
         case: format!("offered {load}x"),
         load,
         machine: figures::Spread::of([7.0]),
-        ways: series::WAYS
-            .map(|way| (way, figures::Figures::default()))
+        strategies: runner::STRATEGIES
+            .map(|strategy| (strategy, figures::Figures::default()))
             .into(),
     };
     let outcomes = [outcome(0.5), outcome(3.0)];
     let teams = plan.teams.iter();
-    let page = table::Page {
+    let page = table::Tables {
         outcomes: &outcomes,
         weights: teams
             .map(|(name, team)| (name.clone(), team.weight))
@@ -126,7 +126,7 @@
     let address = "127.0.0.1:0".parse().unwrap();
     let name = "t-1".parse().unwrap();
     let mut settings = settings::Settings::new(name, bundle::Kind::Pool, address);
-    settings.restart = Duration::ZERO;
+    settings.restart_time = Duration::ZERO;
     let target = target::start(settings).unwrap();
     let client = client::Client::default();
     let url = |path: &str| format!("http://{}{path}", target.address());
--- a/laburnumcart_fakes/tests/ports.rs
+++ b/laburnumcart_fakes/tests/ports.rs
@@ -29,7 +29,7 @@
         }
         let bind = || {
             for _ in 0..PORTS {
-                let addr = port::free();
+                let addr = port::reserve_addr();
                 net::TcpListener::bind(addr).unwrap_or_else(|e| panic!("{addr}: {e}"));
             }
         };
@@ -45,6 +45,6 @@
 
 #[test]
 fn no_port_is_given_twice() {
-    let ports: std::collections::HashSet<_> = (0..200).map(|_| port::free()).collect();
+    let ports: std::collections::HashSet<_> = (0..200).map(|_| port::reserve_addr()).collect();
     assert_eq!(ports.len(), 200);
 }
--- a/laburnumcart_fakes/tests/target.rs
+++ b/laburnumcart_fakes/tests/target.rs
@@ -36,12 +36,12 @@
 fn quick(kind: bundle::Kind) -> settings::Settings {
     let address = "127.0.0.1:0".parse().unwrap();
     let mut settings = settings::Settings::new("t-1".parse().unwrap(), kind, address);
-    settings.service = Duration::from_millis(1);
-    settings.token = Duration::from_millis(1);
-    settings.prefill = Duration::from_millis(1);
+    settings.service_time = Duration::from_millis(1);
+    settings.token_time = Duration::from_millis(1);
+    settings.prefill_time = Duration::from_millis(1);
     settings.load_lag = Duration::ZERO;
     settings.cache_lag = Duration::ZERO;
-    settings.restart = Duration::from_millis(50);
+    settings.restart_time = Duration::from_millis(50);
     settings
 }
 
@@ -57,7 +57,7 @@
         format!("http://{}{path}", self.target.address())
     }
 
-    async fn post(&self, path: &str, body: Value) -> client::Answer {
+    async fn post(&self, path: &str, body: Value) -> client::Response {
         let url = self.url(path);
         let answer = self.client.post(&url, &[], body.to_string()).await;
         answer.unwrap()
@@ -74,7 +74,7 @@
         path: &str,
         attempt: &str,
         body: Value,
-    ) -> Result<client::Answer, client::Failure> {
+    ) -> Result<client::Response, client::CallError> {
         let headers = [
             ("x-request-id", "r1"),
             ("x-attempt-id", attempt),
@@ -90,8 +90,8 @@
     }
 
     async fn executions(&self) -> Vec<ledger::Execution> {
-        let book = self.get("/admin/executions").await;
-        serde_json::from_value::<ledger::Executions>(book)
+        let record = self.get("/admin/executions").await;
+        serde_json::from_value::<ledger::Executions>(record)
             .unwrap()
             .executions
     }
@@ -106,7 +106,7 @@
         tokio::time::timeout(PATIENCE, wait).await.unwrap();
     }
 
-    async fn state(&self) -> Result<Value, client::Failure> {
+    async fn state(&self) -> Result<Value, client::CallError> {
         let answer = self.client.get(&self.url("/v1/state")).await?;
         Ok(answer.json().unwrap())
     }
@@ -132,7 +132,7 @@
         assert_eq!(answer.status, 200);
         assert_eq!(
             answer.json(),
-            Some(expected::pool("s", &input, &Value::Null))
+            Some(expected::pool_output("s", &input, &Value::Null))
         );
     }
     let executions = bench.executions().await;
@@ -153,9 +153,9 @@
         .call("/v1/generate", "a", body(input.clone()))
         .await
         .unwrap();
-    let text = expected::engine("s", &input, &Value::Null, 7);
-    assert_eq!(client::generated(&answer.body), Some(text));
-    let events = client::events(std::str::from_utf8(&answer.body).unwrap());
+    let text = expected::engine_text("s", &input, &Value::Null, 7);
+    assert_eq!(client::join_stream(&answer.body), Some(text));
+    let events = client::parse_events(std::str::from_utf8(&answer.body).unwrap());
     assert_eq!(events.len(), 8);
     assert_eq!(events[7].data, r#"{"tokens":7}"#);
 }
@@ -169,12 +169,12 @@
 async fn engine_resumes_after_what_was_received(#[case] length: usize) {
     let bench = bench(quick(bundle::Kind::Engine));
     let input = json!({ "tokens": 5 });
-    let text = expected::engine("s", &input, &Value::Null, 5);
+    let text = expected::engine_text("s", &input, &Value::Null, 5);
     let (received, rest) = text.split_at(length.min(text.len()));
     let mut call = body(input);
     call["received"] = received.into();
     let answer = bench.call("/v1/generate", "a", call).await.unwrap();
-    assert_eq!(client::generated(&answer.body).as_deref(), Some(rest));
+    assert_eq!(client::join_stream(&answer.body).as_deref(), Some(rest));
 }
 
 #[tokio::test]
@@ -199,7 +199,7 @@
 async fn full_queue_is_refused_and_load_reported() {
     let mut settings = quick(bundle::Kind::Pool);
     settings.slots = 1;
-    settings.queue = 1;
+    settings.queue_limit = 1;
     let bench = bench(settings);
     let frozen = behaviour::Change {
         slow: Some(1e6),
@@ -228,7 +228,7 @@
     let second = run("a2");
     wait(1, 1).await;
     let third = bench.call("/v1/run", "a3", body(json!({}))).await.unwrap();
-    assert_eq!((third.status, third.retry), (503, Some(1)));
+    assert_eq!((third.status, third.retry_after), (503, Some(1)));
     // Cancelled in the queue is a proof that it did not run; cancelled in its slot is not.
     bench.post("/v1/cancel", json!({ "attempt": "a2" })).await;
     assert_eq!(second.await.unwrap().unwrap().status, 503);
@@ -249,7 +249,7 @@
     bench.until(|e| e.len() == 1).await;
     bench.post("/v1/cancel", json!({ "attempt": "a" })).await;
     let answer = call.await.unwrap().unwrap();
-    assert_eq!(client::generated(&answer.body), None);
+    assert_eq!(client::join_stream(&answer.body), None);
     let executions = bench.executions().await;
     assert_eq!(outcomes(&executions), [ledger::Outcome::Cancelled]);
 }
@@ -267,8 +267,8 @@
     #[case] path: &'static str,
 ) {
     let mut settings = quick(kind);
-    settings.service = Duration::from_secs(3600);
-    settings.restart = Duration::from_secs(2);
+    settings.service_time = Duration::from_secs(3600);
+    settings.restart_time = Duration::from_secs(2);
     let bench = Arc::new(bench(settings));
     bench
         .behave(behaviour::Change {
@@ -285,7 +285,7 @@
     let beside = tokio::spawn(async move { beside.call(path, "a1", body(input)).await });
     bench.until(|e| e.len() == 1).await;
     let poison = bench.call(path, "a2", body(json!("poison"))).await;
-    assert_eq!(poison.unwrap_err(), client::Failure::Lost);
+    assert_eq!(poison.unwrap_err(), client::CallError::Lost);
     assert!(beside.await.unwrap().is_err());
     // A connection made while the target goes down may still be lost instead of refused.
     let mut refused = false;
@@ -293,7 +293,7 @@
         loop {
             match bench.state().await {
                 Ok(state) => return state,
-                Err(failure) => refused |= failure == client::Failure::Unconnected,
+                Err(failure) => refused |= failure == client::CallError::NotConnected,
             }
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
@@ -408,7 +408,7 @@
     if kind == bundle::Kind::Pool || fast {
         assert_eq!(answer.status, 500);
     } else {
-        assert_eq!(client::generated(&answer.body), None);
+        assert_eq!(client::join_stream(&answer.body), None);
     }
     let executions = bench.executions().await;
     assert_eq!(outcomes(&executions), [ledger::Outcome::Failed]);
@@ -417,7 +417,7 @@
 #[tokio::test]
 async fn cache_events_tell_of_prefixes_with_gaps() {
     let mut settings = quick(bundle::Kind::Engine);
-    settings.prefixes = 2;
+    settings.cached_prefixes = 2;
     let bench = bench(settings);
     let input = |n| json!({ "tokens": 1, "prefix": format!("p{n}") });
     for n in 0..5 {
@@ -434,12 +434,12 @@
         .map(|e| &e["number"])
         .collect();
     assert_eq!(json!(numbers), json!([1, 2, 3, 4, 5, 6, 8]));
-    assert_eq!(events[0]["prefix"], expected::prefix(&input(0)));
+    assert_eq!(events[0]["prefix"], expected::prefix_key(&input(0)));
     assert_eq!(
         events[3],
         json!({
             "number": 4,
-            "prefix": expected::prefix(&input(0)),
+            "prefix": expected::prefix_key(&input(0)),
             "kept": false,
         })
     );
@@ -457,5 +457,5 @@
 #[case(json!("x"))]
 fn entry_and_engine_agree_on_prefixes(#[case] input: Value) {
     let key = balancer::prefix::key(&input.to_string());
-    assert_eq!(format!("{key:016x}"), expected::prefix(&input));
+    assert_eq!(format!("{key:016x}"), expected::prefix_key(&input));
 }
--- a/laburnumcart_system/src/cases.rs
+++ b/laburnumcart_system/src/cases.rs
@@ -91,7 +91,7 @@
     pub fn output(self) -> Value {
         let body = self.body();
         STAGES.iter().fold(Value::Null, |previous, (_, stage)| {
-            expected::pool(stage, &body, &previous)
+            expected::pool_output(stage, &body, &previous)
         })
     }
 
--- a/laburnumcart_system/src/fleet.rs
+++ b/laburnumcart_system/src/fleet.rs
@@ -107,7 +107,7 @@
     pub async fn launch(plan: Plan) -> Self {
         let dir = directory::Directory::new();
         let http = http::Client::default();
-        let store_addr = port::free();
+        let store_addr = port::reserve_addr();
         let mut args = vec!["--listen".into(), store_addr.to_string()];
         args.extend(plan.store.iter().map(|arg| String::from(*arg)));
         let store = process::Process::start(&dir.0, "store", "laburnum-fake-store", &args);
@@ -146,7 +146,7 @@
     pub async fn add_node(&mut self, service: &Service, number: usize) {
         let name = format!("{}-{number}", service.name);
         let data_centre = DATA_CENTRES[number % DATA_CENTRES.len()];
-        let target_addr = port::free();
+        let target_addr = port::reserve_addr();
         let mut args = vec![
             "--target".into(),
             format!("{name}={}@{target_addr}", service.kind),
@@ -155,7 +155,7 @@
         let target_name = format!("target-{name}");
         let target =
             process::Process::start(&self.dir.0, &target_name, "laburnum-fake-target", &args);
-        let (peer, admin) = (port::free(), port::free());
+        let (peer, admin) = (port::reserve_addr(), port::reserve_addr());
         let settings = json!({
             "instance": format!("agent-{name}"),
             "data_centre": data_centre,
@@ -173,7 +173,7 @@
         });
         let agent = self.daemon(&format!("agent-{name}"), "laburnum-agent", &settings);
         let relay = match self.plan.relays {
-            true => relay::Relay::start(port::free(), peer).await.ok(),
+            true => relay::Relay::start(port::reserve_addr(), peer).await.ok(),
             false => None,
         };
         let listed = relay.as_ref().map_or(peer, relay::Relay::addr);
@@ -196,7 +196,7 @@
     pub async fn add_entry(&mut self, number: usize) {
         let name = format!("entry-{number}");
         let data_centre = DATA_CENTRES[number % DATA_CENTRES.len()];
-        let (callers, peer) = (port::free(), port::free());
+        let (callers, peer) = (port::reserve_addr(), port::reserve_addr());
         let peers: Vec<_> = self.entries.iter().map(|entry| entry.peer).collect();
         let settings = json!({
             "instance": name,
--- a/laburnumcart_system/src/fleet/faults.rs
+++ b/laburnumcart_system/src/fleet/faults.rs
@@ -64,11 +64,11 @@
     pub fn succeed(&self, node: usize) -> Successor {
         let old = &self.nodes[node];
         let name = format!("successor-{}", old.name);
-        let admin = port::free();
+        let admin = port::reserve_addr();
         let settings = json!({
             "instance": name,
             "data_centre": "dc-a",
-            "peer": port::free().to_string(),
+            "peer": port::reserve_addr().to_string(),
             "admin": admin.to_string(),
             "target": {
                 "name": old.name,
--- a/laburnumcart_system/src/letters.rs
+++ b/laburnumcart_system/src/letters.rs
@@ -99,7 +99,7 @@
         Self {
             entry: 0,
             pipeline,
-            expected: expected::generated(STAGE, &body, &Value::Null, tokens),
+            expected: expected::engine_output(STAGE, &body, &Value::Null, tokens),
             body,
             key: format!("letter-{name}"),
             events: false,
--- a/laburnumcart_system/src/slopes/gossip.rs
+++ b/laburnumcart_system/src/slopes/gossip.rs
@@ -62,7 +62,7 @@
         let name = format!("{service}-{number}");
         fakes.push(agents::Fake::start(&name, service, rig::ZONE).expect("agent"));
     }
-    let relay = relay::Relay::start(port::free(), fakes[0].addr()).await;
+    let relay = relay::Relay::start(port::reserve_addr(), fakes[0].addr()).await;
     let relay = relay.expect("relay to an agent");
     for (number, fake) in fakes.iter().enumerate() {
         let addr = if number == 0 {
--- a/laburnumcart_system/src/slopes/idle.rs
+++ b/laburnumcart_system/src/slopes/idle.rs
@@ -106,7 +106,7 @@
         let fake = agents::Fake::start(&name, service, rig::ZONE).expect("agent");
         let mut addr = fake.addr();
         if number == 0 {
-            let relay = relay::Relay::start(port::free(), addr).await;
+            let relay = relay::Relay::start(port::reserve_addr(), addr).await;
             let relay = lane.insert(relay.expect("relay to an agent"));
             addr = relay.addr();
         }
@@ -117,7 +117,7 @@
     }
     for number in 1..entries {
         // Nothing listens there: entries call each other only for claims.
-        let (name, addr) = (format!("entry-{number}"), port::free());
+        let (name, addr) = (format!("entry-{number}"), port::reserve_addr());
         rig.fleet.list(&name, rig::ZONE, "entry", None, addr).await;
     }
     rig.fleet.add_entry(0).await;
@@ -135,7 +135,7 @@
     rig.fleet.add_node(&service, 0).await;
     rig.fleet.wait_ready().await;
     let peer = rig.fleet.nodes[0].peer;
-    let relay = relay::Relay::start(port::free(), peer).await;
+    let relay = relay::Relay::start(port::reserve_addr(), peer).await;
     let relay = relay.expect("relay to the agent");
     let mut open = lanes::Lanes::default();
     open.open(relay.addr(), 0).await;
--- a/laburnumcart_system/src/slopes/rig.rs
+++ b/laburnumcart_system/src/slopes/rig.rs
@@ -61,7 +61,7 @@
         let plan = fleet::Plan::new(Vec::new(), bundle);
         let mut fleet = fleet::Fleet::start(plan.entries(0).store(&rates)).await;
         let store = fleet.store_addr;
-        let relay = relay::Relay::start(port::free(), store).await;
+        let relay = relay::Relay::start(port::reserve_addr(), store).await;
         let relay = relay.expect("relay to the object service");
         fleet.store_addr = relay.addr();
         Self {
--- a/laburnumcart_system/src/soak.rs
+++ b/laburnumcart_system/src/soak.rs
@@ -119,10 +119,10 @@
 impl Site {
     async fn start(plan: Plan, dir: &path::Path) -> std::io::Result<Self> {
         let store = memory::Memory::new();
-        let behind = port::free();
+        let behind = port::reserve_addr();
         // The task ends with the runtime.
         objects::serve(behind, store.clone()).await?;
-        let store_relay = relay::Relay::start(port::free(), behind).await?;
+        let store_relay = relay::Relay::start(port::reserve_addr(), behind).await?;
         let ledger = Arc::new(ledger::Ledger::default());
         ledger.lock().gateways = plan.gateways;
         let cold = plan.needs.then_some(needs::COLD);
--- a/laburnumcart_system/src/soak/gateways.rs
+++ b/laburnumcart_system/src/soak/gateways.rs
@@ -40,7 +40,11 @@
         let mut all = Vec::new();
         for number in 0..count {
             let name = format!("gateway-{number}");
-            let (callers, admin, peer) = (port::free(), port::free(), port::free());
+            let (callers, admin, peer) = (
+                port::reserve_addr(),
+                port::reserve_addr(),
+                port::reserve_addr(),
+            );
             let settings = json!({
                 "instance": name, "data_centre": "north", "callers": callers.to_string(),
                 "admin": admin.to_string(), "peer": peer.to_string(), "store": store.to_string(),
--- a/laburnumcart_system/src/soak/targets.rs
+++ b/laburnumcart_system/src/soak/targets.rs
@@ -18,7 +18,7 @@
 
 use laburnumcart_fakes::scripted::{
     self,
-    Seen,
+    ReceivedRequest,
     Step, //
 };
 use laburnumcart_platform::{
@@ -191,7 +191,7 @@
         let mode = Arc::new(Mutex::new(Mode::Good));
         let limit = Arc::new(Mutex::new(None));
         let leaving = Arc::new(atomic::AtomicBool::new(false));
-        let addr = port::free();
+        let addr = port::reserve_addr();
         let script = Script {
             name: name.clone(),
             host: addr.to_string(),
@@ -261,7 +261,7 @@
 }
 
 /// Returns what of a request must come once: its attempt, or each piece of a call.
-fn keys(seen: &Seen) -> Vec<String> {
+fn keys(seen: &ReceivedRequest) -> Vec<String> {
     match seen.path() {
         "/api/stage-free" => Vec::new(),
         "/api/stage-run" => {
@@ -292,7 +292,7 @@
 }
 
 impl Script {
-    fn steps(&self, seen: &Seen) -> Vec<Step> {
+    fn steps(&self, seen: &ReceivedRequest) -> Vec<Step> {
         // Held while the answer is made, so that the limit it names is the one that is counted.
         let limit = self.limit.lock().unwrap_or_else(PoisonError::into_inner);
         let mut steps = self.answer(seen);
@@ -315,7 +315,7 @@
         steps
     }
 
-    fn answer(&self, seen: &Seen) -> Vec<Step> {
+    fn answer(&self, seen: &ReceivedRequest) -> Vec<Step> {
         let mode = *self.mode.lock().unwrap_or_else(PoisonError::into_inner);
         self.ledger.reached(self.service, keys(seen));
         if mode == Mode::Dead {
@@ -344,14 +344,14 @@
         spoil(whole, mode)
     }
 
-    fn desk(&self, seen: &Seen) -> Vec<Step> {
+    fn desk(&self, seen: &ReceivedRequest) -> Vec<Step> {
         let attempt = seen.header("x-laburnumcart-attempt-id").unwrap_or_default();
         self.ledger.ran(attempt, &self.name);
         let work = Step::Pause(time::Duration::from_millis(5));
         vec![work, signed(seen, &format!("answer to {attempt}"))]
     }
 
-    fn tale(&self, seen: &Seen) -> Vec<Step> {
+    fn tale(&self, seen: &ReceivedRequest) -> Vec<Step> {
         let attempt = seen.header("x-laburnumcart-attempt-id").unwrap_or_default();
         let inputs = seen.header("x-laburnumcart-inputs").unwrap_or_default();
         let own = format!("/{attempt}-0-");
@@ -387,7 +387,7 @@
         steps
     }
 
-    fn encode(&self, seen: &Seen) -> Vec<Step> {
+    fn encode(&self, seen: &ReceivedRequest) -> Vec<Step> {
         let body: Value = serde_json::from_slice(&seen.body).unwrap_or(Value::Null);
         let items = body["items"].as_array().cloned().unwrap_or_default();
         let result = |item: &Value| {
@@ -405,7 +405,7 @@
     }
 }
 
-fn head(seen: &Seen, status: &str, extra: &str, body: &str) -> Step {
+fn head(seen: &ReceivedRequest, status: &str, extra: &str, body: &str) -> Step {
     let attempt = seen.header("x-laburnumcart-attempt-id").unwrap_or_default();
     Step::Send(
         format!(
@@ -417,7 +417,7 @@
     )
 }
 
-fn signed(seen: &Seen, body: &str) -> Step {
+fn signed(seen: &ReceivedRequest, body: &str) -> Step {
     head(seen, "200 OK", "x-laburnumcart-server-stamp: s\r\n", body)
 }
 
--- a/laburnumcart_system/tests/operator.rs
+++ b/laburnumcart_system/tests/operator.rs
@@ -95,7 +95,7 @@
     let plan = fleet::Plan::new(Vec::new(), Value::Null).entries(1);
     let fleet = fleet::Fleet::launch(plan).await;
     let lives = fleet.peers()[0].to_string();
-    let silent = port::free().to_string();
+    let silent = port::reserve_addr().to_string();
     let (code, text) = fleet.ctl(&["status", &lives]);
     assert_eq!(code, 0, "{text}");
     let (code, text) = fleet.ctl(&["status", &lives, &silent]);
--- a/laburnumcart_system/tests/poison.rs
+++ b/laburnumcart_system/tests/poison.rs
@@ -118,7 +118,7 @@
         let body = Self::body(number);
         let call = fleet::Call::new("check", sample::FEDERATION, body.clone());
         let answer = fleet.call(entry, &call).await;
-        let right = expected::pool("encode", &body, &Value::Null);
+        let right = expected::pool_output("encode", &body, &Value::Null);
         match answer {
             Ok(answer) if answer.status == 200 && answer.json()["output"] == right => {
                 self.done.fetch_add(1, Ordering::Relaxed);
--- a/laburnumcart_system/tests/slopes.rs
+++ b/laburnumcart_system/tests/slopes.rs
@@ -93,7 +93,9 @@
 async fn relay_counts_bytes() {
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
     let dest = listener.local_addr().unwrap();
-    let relay = relay::Relay::start(port::free(), dest).await.unwrap();
+    let relay = relay::Relay::start(port::reserve_addr(), dest)
+        .await
+        .unwrap();
     let mut near = tokio::net::TcpStream::connect(relay.addr()).await.unwrap();
     let (mut far, _) = listener.accept().await.unwrap();
     near.write_all(&[1; 3]).await.unwrap();
--- a/laburnumcart_system/tests/whole_path.rs
+++ b/laburnumcart_system/tests/whole_path.rs
@@ -32,16 +32,16 @@
     ["encode", "retrieve", "rerank"]
         .iter()
         .fold(Value::Null, |previous, stage| {
-            expected::pool(stage, input, &previous)
+            expected::pool_output(stage, input, &previous)
         })
 }
 
 fn check_output(input: &Value) -> Value {
-    expected::generated("generate", input, &front(input), TOKENS)
+    expected::engine_output("generate", input, &front(input), TOKENS)
 }
 
 fn open_output(input: &Value) -> Value {
-    expected::pool("open", input, &front(input))
+    expected::pool_output("open", input, &front(input))
 }
 
 /// Returns the answer's JSON, whether it came as one body or as the end of a stream of events.
