--- a/laburnumcart_fakes/src/bin/laburnum-fake-store.rs
+++ b/laburnumcart_fakes/src/bin/laburnum-fake-store.rs
@@ -1,4 +1,4 @@
-//! Stand-in for the platform's object service.
+//! Runs a fake of the platform's object service.
 
 use std::{
     env,
--- a/laburnumcart_fakes/src/bin/laburnum-fake-target.rs
+++ b/laburnumcart_fakes/src/bin/laburnum-fake-target.rs
@@ -1,4 +1,4 @@
-//! Serves stand-in targets.
+//! Runs fake targets.
 
 use std::process;
 
@@ -42,30 +42,30 @@
         .optopt(
             "",
             "orders",
-            "what old orders meet (fenced)",
+            "handling of orders with an old number (fenced)",
             "fenced|unfenced",
         )
         .optopt("", "prefixes", "prompt prefixes in the cache (64)", "N")
         .optopt("", "load-lag", "age of the load report (500ms)", "PERIOD")
         .optopt("", "cache-lag", "delay of cache events (1s)", "PERIOD")
         .optopt("", "restart", "time down after a crash (500ms)", "PERIOD")
-        .optflag("", "exit-on-crash", "let a crash end the process")
+        .optflag("", "exit-on-crash", "exit the process on a crash")
         .optflag("h", "help", "show this text");
     options
 }
 
-/// Reads the arguments into the settings of each target.
+/// Parses the arguments into the settings of each target.
 fn parse(options: &Options, arguments: &[String]) -> program::Result<Vec<settings::Settings>> {
     let matches = options.parse(arguments)?;
     let names = matches.opt_strs("target");
     if names.is_empty() {
         return Err("no --target given".into());
     }
-    let targets = names.iter().map(|name| settings(&matches, name));
+    let targets = names.iter().map(|name| parse_settings(&matches, name));
     targets.collect()
 }
 
-fn settings(matches: &Matches, name: &str) -> program::Result<settings::Settings> {
+fn parse_settings(matches: &Matches, name: &str) -> program::Result<settings::Settings> {
     let mut settings: settings::Settings = name.parse()?;
     let period = |name: &str, default| -> program::Result<_> {
         let period = matches.opt_get::<unit::Period>(name)?;
@@ -106,10 +106,11 @@
     tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()?
-        .block_on(stopped())
+        .block_on(wait_signal())
 }
 
-async fn stopped() -> program::Result<()> {
+/// Waits for SIGTERM or SIGINT.
+async fn wait_signal() -> program::Result<()> {
     let mut terminate = unix::signal(unix::SignalKind::terminate())?;
     let mut interrupt = unix::signal(unix::SignalKind::interrupt())?;
     tokio::select! {
--- a/laburnumcart_fakes/src/bin/laburnum-load.rs
+++ b/laburnumcart_fakes/src/bin/laburnum-load.rs
@@ -1,4 +1,4 @@
-//! Offers load to the system or, as a baseline, straight to its targets.
+//! Offers load to the system or, as a baseline, directly to its targets.
 
 use std::{
     fs,
@@ -18,7 +18,7 @@
     program,
 };
 
-/// What the arguments ask for.
+/// Parsed arguments.
 struct Arguments {
     plan: plan::Plan,
     settings: run::Settings,
@@ -46,22 +46,22 @@
         .optflag(
             "",
             "resend",
-            "send a refused request again after its Retry-After",
+            "resend refused requests after their Retry-After",
         )
         .optflag(
             "",
             "direct",
-            "straight to the targets, in turn, without retries",
+            "directly to the targets, round robin without retries",
         )
         .optflag(
             "",
             "compare",
-            "half of the idempotent requests straight to the targets",
+            "half of the idempotent requests directly to the targets",
         )
         .optopt(
             "",
             "baseline",
-            "straight to the targets",
+            "directly to the targets",
             "round-robin|least-loaded",
         )
         .optflag("", "quiet", "no progress lines")
@@ -73,14 +73,14 @@
     let matches = options.parse(arguments)?;
     let path = matches.opt_str("plan").unwrap_or_default();
     let plan: plan::Plan = serde_json::from_str(&fs::read_to_string(&path)?)?;
-    let mut faults = plan.validate();
-    let settings = settings(&matches)?;
+    let mut errors = plan.validate();
+    let settings = parse_settings(&matches)?;
     let baseline = matches!(settings.route, run::Route::Baseline(_));
     if plan.entries.is_empty() && !baseline {
-        faults.push("entries: none".into());
+        errors.push("entries: none".into());
     }
-    if !faults.is_empty() {
-        return Err(faults.join("\n").into());
+    if !errors.is_empty() {
+        return Err(errors.join("\n").into());
     }
     Ok(Arguments {
         plan,
@@ -89,9 +89,9 @@
     })
 }
 
-fn settings(matches: &Matches) -> program::Result<run::Settings> {
+fn parse_settings(matches: &Matches) -> program::Result<run::Settings> {
     let mut settings = run::Settings {
-        route: route(matches)?,
+        route: parse_route(matches)?,
         resend: matches.opt_present("resend"),
         progress: !matches.opt_present("quiet"),
         ..Default::default()
@@ -104,7 +104,7 @@
     Ok(settings)
 }
 
-fn route(matches: &Matches) -> program::Result<run::Route> {
+fn parse_route(matches: &Matches) -> program::Result<run::Route> {
     if matches.opt_present("direct") {
         return Ok(run::Route::Baseline(run::Policy::RoundRobin));
     }
--- a/laburnumcart_fakes/src/bin/laburnum-measure.rs
+++ b/laburnumcart_fakes/src/bin/laburnum-measure.rs
@@ -1,4 +1,4 @@
-//! Measures cases on a running fleet and writes their tables and plot.
+//! Measures cases on a running system and writes tables and a plot.
 
 use std::{
     fs,
@@ -24,13 +24,13 @@
     program,
 };
 
-/// Time of each run.
-const DURATION: time::Duration = time::Duration::from_secs(5);
+/// Default duration of each run.
+const DEFAULT_DURATION: time::Duration = time::Duration::from_secs(5);
 
-/// Parts of capacity that are offered for the plot.
-const POINTS: [f64; 6] = [0.5, 0.9, 1.2, 1.6, 2.2, 3.0];
+/// Offered loads of the plot, relative to capacity.
+const SWEEP_LOADS: [f64; 6] = [0.5, 0.9, 1.2, 1.6, 2.2, 3.0];
 
-/// What the arguments ask for.
+/// Parsed arguments.
 struct Arguments {
     plan: plan::Plan,
     cases: Vec<case::Case>,
@@ -57,8 +57,8 @@
         .reqopt("", "out", "tables; .json and .svg beside", "FILE.md")
         .optopt("", "duration", "time of each run (5s)", "PERIOD")
         .optopt("", "repetitions", "runs of each case and way (3)", "N")
-        .optopt("", "cases", "only those whose names hold a text", "TEXT")
-        .optopt("", "pages", "folder for the entries' metrics", "DIR")
+        .optopt("", "cases", "only cases whose names contain a text", "TEXT")
+        .optopt("", "pages", "directory for the entries' metrics", "DIR")
         .optflag("", "no-sweep", "leave out the plot")
         .optflag("h", "help", "show this text");
     options
@@ -68,21 +68,21 @@
     let matches = options.parse(arguments)?;
     let path = matches.opt_str("plan").unwrap_or_default();
     let plan: plan::Plan = serde_json::from_str(&fs::read_to_string(&path)?)?;
-    let faults = plan.validate();
-    if !faults.is_empty() {
-        return Err(faults.join("\n").into());
+    let errors = plan.validate();
+    if !errors.is_empty() {
+        return Err(errors.join("\n").into());
     }
     let period = matches.opt_get::<unit::Period>("duration")?;
-    let duration = period.map_or(DURATION, |period| period.0);
+    let duration = period.map_or(DEFAULT_DURATION, |period| period.0);
     let text = matches.opt_str("cases").unwrap_or_default();
     let mut cases = case::all(&plan, duration);
     cases.retain(|case| case.name.contains(&text));
     let sweep = match matches.opt_present("no-sweep") {
         true => Vec::new(),
-        false => case::sweep(&plan, duration, &POINTS),
+        false => case::sweep(&plan, duration, &SWEEP_LOADS),
     };
     Ok(Arguments {
-        runner: runner(&matches)?,
+        runner: new_runner(&matches)?,
         out: matches.opt_str("out").unwrap_or_default().into(),
         plan,
         cases,
@@ -90,7 +90,7 @@
     })
 }
 
-fn runner(matches: &Matches) -> program::Result<runner::Runner> {
+fn new_runner(matches: &Matches) -> program::Result<runner::Runner> {
     let store: net::SocketAddr = matches.opt_str("store").unwrap_or_default().parse()?;
     let repetitions = matches.opt_get_default("repetitions", 3)?;
     let pages = matches.opt_str("pages").map(path::PathBuf::from);
@@ -107,31 +107,31 @@
     runtime.block_on(measure(arguments))
 }
 
-/// Measures all cases; the files are written again after each, so that a stop loses none.
+/// Measures all cases and rewrites the files after each, so that an abort loses no results.
 async fn measure(arguments: Arguments) -> program::Result<()> {
     let mut outcomes = Vec::new();
     for case in &arguments.cases {
         outcomes.push(arguments.runner.run_case(case).await);
-        write(&arguments, &outcomes)?;
+        write_results(&arguments, &outcomes)?;
     }
     let first = outcomes.len();
     for case in &arguments.sweep {
         outcomes.push(arguments.runner.run_case(case).await);
-        write(&arguments, &outcomes)?;
+        write_results(&arguments, &outcomes)?;
         plot::write(&outcomes[first..], arguments.out.with_extension("svg"))?;
     }
     Ok(())
 }
 
-fn write(arguments: &Arguments, outcomes: &[runner::Outcome]) -> program::Result<()> {
+fn write_results(arguments: &Arguments, outcomes: &[runner::Outcome]) -> program::Result<()> {
     let teams = arguments.plan.teams.iter();
-    let page = table::Tables {
+    let tables = table::Tables {
         outcomes,
         weights: teams
             .map(|(name, team)| (name.clone(), team.weight))
             .collect(),
     };
-    fs::write(&arguments.out, page.to_string())?;
+    fs::write(&arguments.out, tables.to_string())?;
     let json = serde_json::to_vec_pretty(outcomes)?;
     fs::write(arguments.out.with_extension("json"), json)?;
     Ok(())
--- a/laburnumcart_fakes/src/bin/laburnum-plan.rs
+++ b/laburnumcart_fakes/src/bin/laburnum-plan.rs
@@ -1,4 +1,4 @@
-//! Writes the settings of a whole demo into a folder.
+//! Writes the settings of a demo to a directory.
 
 use std::process;
 
@@ -12,10 +12,10 @@
     program,
 };
 
-/// First port unless one is given.
-const BASE_PORT: u16 = 17_000;
+/// Default first port.
+const DEFAULT_BASE_PORT: u16 = 17_000;
 
-/// What the arguments ask for.
+/// Parsed arguments.
 struct Arguments {
     layout: layout::Layout,
     dir: String,
@@ -35,9 +35,14 @@
 fn options() -> Options {
     let mut options = Options::new();
     options
-        .optopt("", "shape", "whose services (both)", "araya|quetzal|both")
+        .optopt(
+            "",
+            "shape",
+            "services and teams (both)",
+            "araya|quetzal|both",
+        )
         .optopt("", "size", "number of targets (small)", "small|brief")
-        .reqopt("", "dir", "folder to write", "DIR")
+        .reqopt("", "dir", "directory to write", "DIR")
         .optopt("", "pace", "factor on the times of targets (1)", "N")
         .optopt("", "base-port", "first port (17000)", "PORT")
         .optmulti("", "key", "public key that signs bundles", "NAME=BASE64")
@@ -49,7 +54,7 @@
     let matches = options.parse(arguments)?;
     let shape = matches.opt_get_default("shape", shape::Shape::Both)?;
     let size = matches.opt_get_default("size", shape::Size::Small)?;
-    let base = matches.opt_get_default("base-port", BASE_PORT)?;
+    let base = matches.opt_get_default("base-port", DEFAULT_BASE_PORT)?;
     let keys = matches.opt_strs("key");
     let key = |text: &String| {
         let pair = text.split_once('=').ok_or("--key is not NAME=BASE64")?;
--- a/laburnumcart_fakes/src/client.rs
+++ b/laburnumcart_fakes/src/client.rs
@@ -1,4 +1,4 @@
-//! HTTP client of the load tool and the tests, and the reading of event streams.
+//! HTTP client of the load tool and the tests, and a parser of event streams.
 
 use bytes::Bytes;
 use derive_more::{
@@ -14,26 +14,26 @@
     rt, //
 };
 
-/// A call without a whole answer.
+/// Error of a call that got no complete response.
 #[derive(Clone, Copy, Debug, Display, Error, Eq, PartialEq)]
 pub enum CallError {
-    /// No connection was made, so that nothing was sent.
+    /// The connection failed, so nothing was sent.
     #[display("not connected")]
     NotConnected,
-    /// The connection ended before the answer's end.
+    /// The connection closed before the end of the response.
     #[display("connection lost")]
     Lost,
-    /// The address or a header is malformed.
+    /// The URL or a header is malformed.
     #[display("malformed call")]
     Malformed,
 }
 
-/// A whole answer.
+/// A complete response.
 #[derive(Clone, Debug)]
 pub struct Response {
     /// HTTP status.
     pub status: u16,
-    /// Seconds of `Retry-After`, if any.
+    /// Value of `Retry-After` in seconds, if any.
     pub retry_after: Option<u64>,
     /// Body.
     pub body: Bytes,
@@ -46,7 +46,7 @@
     }
 }
 
-/// Client with a pool of connections.
+/// HTTP client with a connection pool.
 #[derive(Clone, Debug)]
 pub struct Client {
     inner: legacy::Client<legacy::connect::HttpConnector, Full<Bytes>>,
@@ -76,10 +76,10 @@
         headers: &[(&str, &str)],
         body: impl Into<Bytes>,
     ) -> Result<Response, CallError> {
-        let start = http::Request::post(url).header("content-type", "application/json");
+        let builder = http::Request::post(url).header("content-type", "application/json");
         let call = headers
             .iter()
-            .fold(start, |call, (name, value)| call.header(*name, *value));
+            .fold(builder, |call, (name, value)| call.header(*name, *value));
         self.send(call, body.into()).await
     }
 
@@ -87,20 +87,20 @@
         let call = call
             .body(Full::new(body))
             .map_err(|_| CallError::Malformed)?;
-        let answer = self.inner.request(call).await.map_err(failure)?;
-        let status = answer.status().as_u16();
-        let retry = answer.headers().get("retry-after");
-        let retry = retry.and_then(|value| value.to_str().ok()?.parse().ok());
-        let body = answer.into_body().collect().await;
+        let response = self.inner.request(call).await.map_err(call_error)?;
+        let status = response.status().as_u16();
+        let retry_after = response.headers().get("retry-after");
+        let retry_after = retry_after.and_then(|value| value.to_str().ok()?.parse().ok());
+        let body = response.into_body().collect().await;
         Ok(Response {
             status,
-            retry_after: retry,
+            retry_after,
             body: body.map_err(|_| CallError::Lost)?.to_bytes(),
         })
     }
 }
 
-fn failure(error: legacy::Error) -> CallError {
+fn call_error(error: legacy::Error) -> CallError {
     if error.is_connect() {
         CallError::NotConnected
     } else {
@@ -111,21 +111,21 @@
 /// One server-sent event.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Event {
-    /// Name, `message` if none is given.
+    /// Event name, `message` by default.
     pub name: String,
-    /// Data, lines joined.
+    /// Data lines, joined by line feeds.
     pub data: String,
 }
 
-/// Reads the whole events of a stream; what comes after the last blank line is not one.
+/// Parses the complete events of a stream and ignores the text after the last blank line.
 pub fn parse_events(text: &str) -> Vec<Event> {
-    let Some((whole, _)) = text.rsplit_once("\n\n") else {
+    let Some((complete, _)) = text.rsplit_once("\n\n") else {
         return Vec::new();
     };
-    whole.split("\n\n").map(event).collect()
+    complete.split("\n\n").map(parse_event).collect()
 }
 
-fn event(text: &str) -> Event {
+fn parse_event(text: &str) -> Event {
     let mut name = "message";
     let mut data = Vec::new();
     for line in text.lines() {
@@ -141,7 +141,7 @@
     }
 }
 
-/// Joins the text of an engine's stream; `None` unless it has its end event.
+/// Joins the text of an engine's event stream; `None` if it does not finish with the end event.
 pub fn join_stream(body: &[u8]) -> Option<String> {
     let events = parse_events(std::str::from_utf8(body).ok()?);
     let (end, pieces) = events.split_last()?;
--- a/laburnumcart_fakes/src/demo.rs
+++ b/laburnumcart_fakes/src/demo.rs
@@ -1,4 +1,4 @@
-//! Settings of a whole system on one machine: what each process is given, and its load.
+//! Demo of a complete system on one machine: settings of all processes and a load plan.
 
 pub mod layout;
 pub mod shape;
--- a/laburnumcart_fakes/src/demo/documents.rs
+++ b/laburnumcart_fakes/src/demo/documents.rs
@@ -1,4 +1,4 @@
-//! The JSON documents of a demo.
+//! JSON documents of a demo.
 
 use std::collections;
 
@@ -17,11 +17,11 @@
     shape, //
 };
 
-/// Secret of the demo's processes; a real fleet has its own.
-const SECRET: &str = "laburnumcart-demo-secret";
+/// Shared secret of the demo's processes, not for use in a real system.
+const DEMO_SECRET: &str = "laburnumcart-demo-secret";
 
-/// Requests a second for each unit of a team's weight.
-const RATE: f64 = 3.0;
+/// Requests per second for each unit of a team's weight.
+const RATE_PER_WEIGHT: f64 = 3.0;
 
 /// Public keys by name.
 pub(super) type Keys = collections::BTreeMap<String, String>;
@@ -58,7 +58,7 @@
     let last = pipeline.stages.len() - 1;
     let stage = |(index, (name, service)): (usize, &(&str, &str))| {
         let mut stage = json!({ "name": name, "service": service });
-        // Only the last stage of a non-idempotent request leaves something behind.
+        // Only the last stage of a non-idempotent pipeline has side effects.
         if !pipeline.idempotent && index < last {
             stage["idempotent"] = true.into();
         }
@@ -72,14 +72,14 @@
 }
 
 fn team(user: &shape::User, team: &shape::Team) -> Value {
-    let promise = |p: &shape::Pipeline| {
-        let promise = json!({ "deadline": p.deadline, "priority": p.priority });
-        (p.name, promise)
+    let objectives = |p: &shape::Pipeline| {
+        let objectives = json!({ "deadline": p.deadline, "priority": p.priority });
+        (p.name, objectives)
     };
     json!({
-        "tokens": [hex(&token(team))],
+        "tokens": [sha256_hex(&token(team))],
         "weight": team.weight,
-        "pipelines": user.pipelines.iter().map(promise).collect::<Value>(),
+        "pipelines": user.pipelines.iter().map(objectives).collect::<Value>(),
     })
 }
 
@@ -88,7 +88,7 @@
     format!("demo-token-of-{}", team.name)
 }
 
-fn hex(text: &str) -> String {
+fn sha256_hex(text: &str) -> String {
     let bytes = Sha256::digest(text.as_bytes());
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
@@ -134,10 +134,10 @@
 
 fn fleet(layout: &layout::Layout, keys: &Keys) -> Value {
     let peers: Vec<_> = layout.entries.iter().map(|entry| entry.peer).collect();
-    json!({ "secrets": [SECRET], "keys": keys, "signers": 1, "peers": peers })
+    json!({ "secrets": [DEMO_SECRET], "keys": keys, "signers": 1, "peers": peers })
 }
 
-/// Returns the platform's list of instances by name.
+/// Returns the entries of the platform's instance list by name.
 pub(super) fn instances(layout: &layout::Layout) -> Vec<(String, Value)> {
     let entries = layout.entries.iter().map(|entry| {
         let value = json!({
@@ -164,13 +164,13 @@
     entries.chain(agents).collect()
 }
 
-/// Returns the plan of the load.
+/// Returns the load plan.
 pub(super) fn load(layout: &layout::Layout) -> Value {
     let users = layout.shape.users();
     let entries: Vec<_> = layout.entries.iter().map(|entry| entry.callers).collect();
     let teams = users
         .iter()
-        .flat_map(|user| user.teams.iter().map(|t| (t.name, sender(user, t))));
+        .flat_map(|user| user.teams.iter().map(|t| (t.name, load_team(user, t))));
     let pipelines = users.iter().flat_map(|user| user.pipelines);
     let pipelines = pipelines.map(|p| {
         let stages = p.stages.iter();
@@ -184,7 +184,7 @@
         let targets = targets.map(|node| (node.name.clone(), json!(node.target)));
         let value = json!({
             "kind": service.kind,
-            "tokens": shape::TOKENS,
+            "tokens": shape::OUTPUT_TOKENS,
             "targets": targets.collect::<Value>(),
         });
         (service.name, value)
@@ -198,9 +198,9 @@
     })
 }
 
-fn sender(user: &shape::User, team: &shape::Team) -> Value {
+fn load_team(user: &shape::User, team: &shape::Team) -> Value {
     let stream = |pipeline: &shape::Pipeline| {
-        let rate = RATE * f64::from(team.weight * pipeline.percent) / 100.0;
+        let rate = RATE_PER_WEIGHT * f64::from(team.weight * pipeline.percent) / 100.0;
         json!({
             "pipeline": pipeline.name,
             "rate": format!("{rate:.3}/s"),
--- a/laburnumcart_fakes/src/demo/files.rs
+++ b/laburnumcart_fakes/src/demo/files.rs
@@ -1,4 +1,4 @@
-//! Writes a demo into a folder.
+//! Writes the files of a demo to a directory.
 
 use std::{
     fs,
@@ -20,9 +20,8 @@
 
 /// Writes the documents of a demo and the list of its processes.
 ///
-/// `processes.txt` has one process a line, its name, binary and arguments divided by spaces, in
-/// the order in which they start. `instances/NAME.json` is the value of the object
-/// `platform/instances/NAME`.
+/// `processes.txt` has a line per process with its name, binary and arguments, in start order.
+/// `instances/NAME.json` is the value of the object `platform/instances/NAME`.
 pub fn write(
     layout: &layout::Layout,
     dir: impl AsRef<path::Path>,
@@ -32,28 +31,28 @@
     let keys = keys.iter().cloned().collect();
     fs::create_dir_all(dir.join("instances"))?;
     let dir = dir.canonicalize()?;
-    document(&dir, "bundle", &documents::bundle(layout.shape))?;
-    document(&dir, "load", &documents::load(layout))?;
-    document(&dir, "control", &documents::control(layout, &keys))?;
+    write_document(&dir, "bundle", &documents::bundle(layout.shape))?;
+    write_document(&dir, "load", &documents::load(layout))?;
+    write_document(&dir, "control", &documents::control(layout, &keys))?;
     for entry in &layout.entries {
-        document(&dir, &entry.name, &documents::entry(layout, entry, &keys))?;
+        write_document(&dir, &entry.name, &documents::entry(layout, entry, &keys))?;
     }
     for node in &layout.nodes {
-        document(&dir, &node.agent, &documents::agent(layout, node, &keys))?;
+        write_document(&dir, &node.agent, &documents::agent(layout, node, &keys))?;
     }
     for (name, value) in documents::instances(layout) {
-        document(&dir.join("instances"), &name, &value)?;
+        write_document(&dir.join("instances"), &name, &value)?;
     }
-    fs::write(dir.join("processes.txt"), processes(layout, &dir))?;
-    fs::write(dir.join("ready.txt"), ready(layout))
+    fs::write(dir.join("processes.txt"), process_list(layout, &dir))?;
+    fs::write(dir.join("ready.txt"), ready_list(layout))
 }
 
-fn document(dir: &path::Path, name: &str, value: &Value) -> io::Result<()> {
+fn write_document(dir: &path::Path, name: &str, value: &Value) -> io::Result<()> {
     let text = format!("{value:#}\n");
     fs::write(dir.join(format!("{name}.json")), text)
 }
 
-fn processes(layout: &layout::Layout, dir: &path::Path) -> String {
+fn process_list(layout: &layout::Layout, dir: &path::Path) -> String {
     let mut lines = vec![format!(
         "store laburnum-fake-store --listen {}",
         layout.store
@@ -75,9 +74,9 @@
             service.name,
             targets.collect::<Vec<_>>().join(" "),
             unit::Period(service.step_time(layout.pace)),
-            unit::Period(shape::PREFILL * layout.pace),
+            unit::Period(shape::PREFILL_TIME * layout.pace),
             layout::SLOTS,
-            shape::TOKENS,
+            shape::OUTPUT_TOKENS,
         ));
     }
     let daemon = |name: &str, binary| {
@@ -91,8 +90,8 @@
     lines.join("\n") + "\n"
 }
 
-/// Lists the daemons with the addresses of their pages, one a line.
-fn ready(layout: &layout::Layout) -> String {
+/// Returns a line per daemon with its name and the address of its admin pages.
+fn ready_list(layout: &layout::Layout) -> String {
     let agents = layout.nodes.iter();
     let agents = agents.map(|node| format!("{} {}\n", node.agent, node.admin));
     let entries = layout.entries.iter();
--- a/laburnumcart_fakes/src/demo/layout.rs
+++ b/laburnumcart_fakes/src/demo/layout.rs
@@ -1,24 +1,24 @@
-//! Which processes a demo has, where, and on which ports.
+//! Processes of a demo with their data centres and ports.
 
 use std::net;
 
 use crate::demo::shape;
 
-/// Data centres that instances are spread over.
+/// Data centres of the instances.
 pub const DATA_CENTRES: [&str; 3] = ["dc-a", "dc-b", "dc-c"];
 
-/// Calls that a stand-in runs at full speed.
+/// Slots of each fake target.
 pub(super) const SLOTS: u32 = 4;
 
-/// Entries, each in another data centre.
-const ENTRIES: usize = 2;
+/// Number of entries, each in another data centre.
+const ENTRY_COUNT: usize = 2;
 
 /// All processes of a demo.
 #[derive(Debug)]
 pub struct Layout {
-    /// Whose services it has.
+    /// Selection of services and teams.
     pub shape: shape::Shape,
-    /// Factor on the times of all targets.
+    /// Factor for the times of all targets.
     pub pace: u32,
     /// Address of the object service.
     pub store: net::SocketAddr,
@@ -56,14 +56,14 @@
     pub target: net::SocketAddr,
     /// Address of the agent for peers.
     pub peer: net::SocketAddr,
-    /// Address of the agent's pages.
+    /// Address of the agent's admin pages.
     pub admin: net::SocketAddr,
 }
 
-/// Hands out loopback ports one after another.
-struct Ports(u16);
+/// Allocator of consecutive loopback ports.
+struct PortAllocator(u16);
 
-impl Ports {
+impl PortAllocator {
     fn next(&mut self) -> net::SocketAddr {
         let port = self.0;
         self.0 += 1;
@@ -72,16 +72,16 @@
 }
 
 impl Layout {
-    /// Lays out a demo on the ports from `base` on.
+    /// Creates the layout of a demo with ports from `base`.
     pub fn new(shape: shape::Shape, size: shape::Size, base: u16) -> Self {
-        let mut ports = Ports(base);
+        let mut ports = PortAllocator(base);
         let store = ports.next();
-        let entries = (0..ENTRIES).map(|number| entry(number, &mut ports));
+        let entries = (0..ENTRY_COUNT).map(|number| entry(number, &mut ports));
         let entries = entries.collect();
         let mut nodes = Vec::new();
         for service in shape.services() {
             for number in 0..service.target_count(size) {
-                // Services start in different data centres, so that none holds all first targets.
+                // Continued across services, so that no data centre holds all first targets.
                 let data_centre = DATA_CENTRES[nodes.len() % DATA_CENTRES.len()];
                 nodes.push(node(service, number, data_centre, &mut ports));
             }
@@ -95,9 +95,9 @@
         }
     }
 
-    /// Returns the requests a second that the slowest service can keep up with.
+    /// Returns the highest rate in requests per second that the slowest service sustains.
     ///
-    /// The mixture is that of the load's rates; each engine has the prefixes in its cache.
+    /// The figure assumes the mix of the load plan and cached prefixes at all engines.
     pub fn capacity(&self) -> f64 {
         let services = self.shape.services().into_iter();
         let bounds = services.map(|service| {
@@ -117,7 +117,7 @@
     }
 }
 
-fn entry(number: usize, ports: &mut Ports) -> Entry {
+fn entry(number: usize, ports: &mut PortAllocator) -> Entry {
     Entry {
         name: format!("entry-{}", number + 1),
         data_centre: DATA_CENTRES[number % DATA_CENTRES.len()],
@@ -130,7 +130,7 @@
     service: &'static shape::Service,
     number: usize,
     data_centre: &'static str,
-    ports: &mut Ports,
+    ports: &mut PortAllocator,
 ) -> Node {
     let name = format!("{}-{}", service.name, number + 1);
     Node {
--- a/laburnumcart_fakes/src/demo/shape.rs
+++ b/laburnumcart_fakes/src/demo/shape.rs
@@ -1,4 +1,4 @@
-//! The users' services, pipelines and teams, by size.
+//! Services, pipelines and teams of the demo, with the number of targets by size.
 
 use std::{
     str,
@@ -18,13 +18,13 @@
 mod common;
 mod quetzal;
 
-/// Tokens of an engine's answer.
-pub(super) const TOKENS: u32 = 20;
+/// Output tokens of an engine's call.
+pub(super) const OUTPUT_TOKENS: u32 = 20;
 
-/// Time in which an engine reads a prompt that is not in its cache.
-pub(super) const PREFILL: time::Duration = time::Duration::from_millis(20);
+/// Prefill time of a prompt whose prefix is not cached.
+pub(super) const PREFILL_TIME: time::Duration = time::Duration::from_millis(20);
 
-/// Whose services and teams a demo has.
+/// Selection of the services and teams of a demo.
 #[derive(Clone, Copy, Debug, Display, Eq, PartialEq)]
 #[display(rename_all = "lowercase")]
 pub enum Shape {
@@ -32,22 +32,22 @@
     Araya,
     /// Race timing.
     Quetzal,
-    /// Both users in one system.
+    /// Both in one system.
     Both,
 }
 
-/// How many targets a demo has.
+/// Number of targets of a demo.
 #[derive(Clone, Copy, Debug, Display, Eq, PartialEq)]
 #[display(rename_all = "lowercase")]
 pub enum Size {
     /// One to three targets for each service.
     Small,
-    /// As many as the users run today.
+    /// The number of targets in the described deployments.
     #[display("brief")]
     Full,
 }
 
-/// A text that names no shape or size.
+/// Error of an unknown shape or size.
 #[derive(Clone, Copy, Debug, Display, Error)]
 #[display("unknown {kind}")]
 pub struct ParseError {
@@ -89,13 +89,13 @@
         }
     }
 
-    /// Returns all services, those of every user and the pools that they share.
+    /// Returns the services of all users and the shared pools.
     pub fn services(self) -> Vec<&'static Service> {
         let own = self.users().into_iter().flat_map(|user| user.services);
         own.chain(&common::POOLS).collect()
     }
 
-    /// Returns the part of all requests that call a service.
+    /// Returns the share of all requests that call a service.
     pub fn call_share(self, service: &str) -> f64 {
         let users = self.users();
         let load = |user: &User| user.teams.iter().map(|team| team.weight).sum::<u32>();
@@ -110,53 +110,53 @@
     }
 }
 
-/// One of the users.
+/// Services, pipelines and teams of one user of the system.
 #[derive(Debug)]
 pub struct User {
-    /// Services of its own.
+    /// Services of this user only.
     pub services: &'static [Service],
-    /// Pipelines, each open to all its teams.
+    /// Pipelines that all its teams may call.
     pub pipelines: &'static [Pipeline],
     /// Teams.
     pub teams: &'static [Team],
 }
 
-/// A service and its stand-ins.
+/// A service and its fake targets.
 #[derive(Debug)]
 pub struct Service {
     /// Name.
     pub name: &'static str,
     /// Protocol.
     pub kind: bundle::Kind,
-    /// What its targets do with an order's number.
+    /// Whether its targets fence orders.
     pub orders: bundle::Orders,
     /// Models that its targets load.
     pub models: &'static [&'static str],
-    /// Targets in a small demo.
+    /// Number of targets in a small demo.
     pub small: usize,
-    /// Targets that the users run today.
+    /// Number of targets in a full demo.
     pub full: usize,
-    /// Mean time of a pool's call, or of an engine's token.
+    /// Mean time of a pool's call or an engine's token.
     pub time: &'static str,
 }
 
 impl Service {
-    /// Returns the mean time of a pool's call, or of an engine's token.
+    /// Returns the mean time of a pool's call or an engine's token.
     pub fn step_time(&self, pace: u32) -> time::Duration {
         let step: Result<unit::Period, _> = self.time.parse();
         step.map_or(time::Duration::ZERO, |step| step.0 * pace)
     }
 
-    /// Returns the mean time of a call at full speed, with its prefix in the cache.
+    /// Returns the mean time of a call at full speed with a cached prefix.
     pub fn call_time(&self, pace: u32) -> time::Duration {
         let step = self.step_time(pace);
         match self.kind {
             bundle::Kind::Pool => step,
-            bundle::Kind::Engine => step * TOKENS + PREFILL * pace / 10,
+            bundle::Kind::Engine => step * OUTPUT_TOKENS + PREFILL_TIME * pace / 10,
         }
     }
 
-    /// Returns the number of targets.
+    /// Returns the number of targets for a size.
     pub fn target_count(&self, size: Size) -> usize {
         match size {
             Size::Small => self.small,
@@ -165,20 +165,20 @@
     }
 }
 
-/// A pipeline with its promise and its part of the load.
+/// A pipeline with its objectives and its share of the load.
 #[derive(Debug)]
 pub struct Pipeline {
     /// Name.
     pub name: &'static str,
-    /// Stages with their services.
+    /// Stage names with their services.
     pub stages: &'static [(&'static str, &'static str)],
     /// Whether a request may execute more than once.
     pub idempotent: bool,
-    /// Promised time.
+    /// Deadline.
     pub deadline: &'static str,
     /// Priority.
     pub priority: bundle::Priority,
-    /// Part of a team's requests, in hundredths.
+    /// Share of a team's requests in percent.
     pub percent: u32,
 }
 
@@ -187,6 +187,6 @@
 pub struct Team {
     /// Name.
     pub name: &'static str,
-    /// Weight of its share, also of the offered load.
+    /// Weight of its guaranteed share and of its offered load.
     pub weight: u32,
 }
--- a/laburnumcart_fakes/src/demo/shape/common.rs
+++ b/laburnumcart_fakes/src/demo/shape/common.rs
@@ -1,4 +1,4 @@
-//! What both users' services and pipelines are made of.
+//! Constructors and shared pools for the services of both users.
 
 use laburnumcart::bundle;
 
@@ -41,7 +41,7 @@
     }
 }
 
-/// Pools of the platform that every pipeline's first stages use.
+/// Shared pools of the platform, used by the first stages of pipelines.
 pub(super) const POOLS: [Service; 3] = [
     pool("encoders", 2, 3, "4ms"),
     pool("retrievers", 2, 3, "8ms"),
--- a/laburnumcart_fakes/src/lib.rs
+++ b/laburnumcart_fakes/src/lib.rs
@@ -1,4 +1,4 @@
-//! Stand-ins for the platform, engines and services, and a load tool.
+//! Fakes of the platform, engines and services, and a load tool.
 
 pub mod client;
 pub mod demo;
--- a/laburnumcart_fakes/src/load.rs
+++ b/laburnumcart_fakes/src/load.rs
@@ -1,4 +1,4 @@
-//! Load tool: open-loop load against the system or, as a baseline, straight to the targets.
+//! Load generator: open-loop load on the system or, as a baseline, directly on the targets.
 
 pub mod cost;
 pub mod plan;
--- a/laburnumcart_fakes/src/load/baseline.rs
+++ b/laburnumcart_fakes/src/load/baseline.rs
@@ -1,4 +1,4 @@
-//! Routes requests straight to the targets, the ways that ours is compared with.
+//! Baselines for comparison, which route requests directly to the targets.
 
 use std::{
     collections,
@@ -29,18 +29,18 @@
     },
 };
 
-/// Retries of the least-loaded baseline, whatever failed and however.
-const RETRIES: u32 = 3;
+/// Maximum retries of the least-loaded baseline after any failure.
+const MAX_RETRIES: u32 = 3;
 
-/// Time between two reads of each target's load.
-const POLL: time::Duration = time::Duration::from_millis(100);
+/// Interval between two reads of each target's load.
+const POLL_INTERVAL: time::Duration = time::Duration::from_millis(100);
 
-/// How a baseline picks targets.
+/// Selection of targets by a baseline.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Policy {
-    /// In turn, without retries.
+    /// Round robin without retries.
     RoundRobin,
-    /// The least reported load and own calls in flight, with three blind retries.
+    /// Lowest sum of reported load and own calls in flight, with three blind retries.
     LeastLoaded,
 }
 
@@ -49,21 +49,21 @@
     client: client::Client,
     policy: Policy,
     services: collections::BTreeMap<id::ServiceName, Vec<Target>>,
-    turn: atomic::AtomicUsize,
+    next: atomic::AtomicUsize,
 }
 
 struct Target {
     address: net::SocketAddr,
-    flight: atomic::AtomicU64,
+    in_flight: atomic::AtomicU64,
     reported: atomic::AtomicU64,
 }
 
-/// Counts a call in flight while it lives.
-struct Flight<'a>(&'a Target);
+/// Guard that counts a call in flight until it is dropped.
+struct InFlight<'a>(&'a Target);
 
-impl Drop for Flight<'_> {
+impl Drop for InFlight<'_> {
     fn drop(&mut self) {
-        self.0.flight.fetch_sub(1, atomic::Ordering::Relaxed);
+        self.0.in_flight.fetch_sub(1, atomic::Ordering::Relaxed);
     }
 }
 
@@ -77,7 +77,7 @@
     pub(super) fn new(client: client::Client, plan: &plan::Plan, policy: Policy) -> Self {
         let target = |address: &net::SocketAddr| Target {
             address: *address,
-            flight: atomic::AtomicU64::new(0),
+            in_flight: atomic::AtomicU64::new(0),
             reported: atomic::AtomicU64::new(0),
         };
         let service = |(name, service): (&id::ServiceName, &plan::Service)| {
@@ -87,27 +87,27 @@
             client,
             policy,
             services: plan.services.iter().map(service).collect(),
-            turn: atomic::AtomicUsize::new(0),
+            next: atomic::AtomicUsize::new(0),
         }
     }
 
-    /// Reads the load of all targets again and again.
-    pub(super) async fn poll(self: sync::Arc<Self>) {
+    /// Polls the load of all targets for the least-loaded policy.
+    pub(super) async fn poll_loads(self: sync::Arc<Self>) {
         if self.policy != Policy::LeastLoaded {
             return;
         }
-        let mut ticks = tokio::time::interval(POLL);
+        let mut ticks = tokio::time::interval(POLL_INTERVAL);
         loop {
             ticks.tick().await;
             let targets = self.services.values().flatten();
-            let reads = targets.map(|target| self.read(target));
+            let reads = targets.map(|target| self.read_load(target));
             futures_util::future::join_all(reads).await;
         }
     }
 
-    async fn read(&self, target: &Target) {
+    async fn read_load(&self, target: &Target) {
         let url = format!("http://{}/v1/load", target.address);
-        let read = tokio::time::timeout(POLL, self.client.get(&url)).await;
+        let read = tokio::time::timeout(POLL_INTERVAL, self.client.get(&url)).await;
         let Ok(Ok(answer)) = read else { return };
         if let Ok(load) = serde_json::from_slice::<Load>(&answer.body) {
             let sum = load.running + load.queued;
@@ -115,18 +115,18 @@
         }
     }
 
-    /// Calls the stages of a request one after another.
+    /// Calls the stages of a request in sequence within its deadline.
     pub(super) async fn send(&self, case: &case::Case) -> report::Outcome {
         let left = case.remaining();
-        let run = tokio::time::timeout(left, self.run(case)).await;
-        run.unwrap_or_else(|_| refusal("deadline-exceeded"))
+        let outcome = tokio::time::timeout(left, self.call_stages(case)).await;
+        outcome.unwrap_or_else(|_| refusal("deadline-exceeded"))
     }
 
-    async fn run(&self, case: &case::Case) -> report::Outcome {
+    async fn call_stages(&self, case: &case::Case) -> report::Outcome {
         let request = id::RequestId::random().to_string();
         let mut previous = Value::Null;
-        for step in &case.stages {
-            match self.stage(case, step, &request, &previous).await {
+        for stage in &case.stages {
+            match self.call_stage(case, stage, &request, &previous).await {
                 Some(output) => previous = output,
                 None => return refusal("target-failed"),
             }
@@ -137,22 +137,24 @@
         }
     }
 
-    async fn stage(
+    async fn call_stage(
         &self,
         case: &case::Case,
-        step: &case::Step,
+        stage: &case::StageCall,
         request: &str,
         previous: &Value,
     ) -> Option<Value> {
-        let tries = match self.policy {
+        let attempts = match self.policy {
             Policy::RoundRobin => 1,
-            Policy::LeastLoaded => 1 + RETRIES,
+            Policy::LeastLoaded => 1 + MAX_RETRIES,
         };
-        for _ in 0..tries {
-            let target = self.pick(&step.service)?;
-            target.flight.fetch_add(1, atomic::Ordering::Relaxed);
-            let _flight = Flight(target);
-            let output = self.call(target, case, step, request, previous).await;
+        for _ in 0..attempts {
+            let target = self.pick_target(&stage.service)?;
+            target.in_flight.fetch_add(1, atomic::Ordering::Relaxed);
+            let _guard = InFlight(target);
+            let output = self
+                .call_target(target, case, stage, request, previous)
+                .await;
             if output.is_some() {
                 return output;
             }
@@ -160,29 +162,29 @@
         None
     }
 
-    fn pick(&self, service: &id::ServiceName) -> Option<&Target> {
+    fn pick_target(&self, service: &id::ServiceName) -> Option<&Target> {
         let targets = &self.services[service];
         if targets.is_empty() {
             return None;
         }
-        let turn = self.turn.fetch_add(1, atomic::Ordering::Relaxed) % targets.len();
-        // Ties go to the next in turn.
-        let mut order = targets[turn..].iter().chain(&targets[..turn]);
+        let start = self.next.fetch_add(1, atomic::Ordering::Relaxed) % targets.len();
+        // Of equally loaded targets, the next in round-robin order is picked.
+        let mut order = targets[start..].iter().chain(&targets[..start]);
         match self.policy {
             Policy::RoundRobin => order.next(),
             Policy::LeastLoaded => order.min_by_key(|target| target.load()),
         }
     }
 
-    async fn call(
+    async fn call_target(
         &self,
         target: &Target,
         case: &case::Case,
-        step: &case::Step,
+        stage: &case::StageCall,
         request: &str,
         previous: &Value,
     ) -> Option<Value> {
-        let path = match step.kind {
+        let path = match stage.kind {
             bundle::Kind::Pool => "run",
             bundle::Kind::Engine => "generate",
         };
@@ -200,7 +202,7 @@
             ),
             ("x-deadline-ms", left.as_str()),
         ];
-        let body = json!({ "stage": step.name, "input": case.body, "previous": previous });
+        let body = json!({ "stage": stage.name, "input": case.body, "previous": previous });
         let answer = self
             .client
             .post(&url, &headers, body.to_string())
@@ -209,7 +211,7 @@
         if answer.status != 200 {
             return None;
         }
-        match step.kind {
+        match stage.kind {
             bundle::Kind::Pool => answer.json(),
             bundle::Kind::Engine => {
                 client::join_stream(&answer.body).map(|text| json!({ "text": text }))
@@ -220,12 +222,12 @@
 
 impl Target {
     fn load(&self) -> u64 {
-        let flight = self.flight.load(atomic::Ordering::Relaxed);
-        flight + self.reported.load(atomic::Ordering::Relaxed)
+        let in_flight = self.in_flight.load(atomic::Ordering::Relaxed);
+        in_flight + self.reported.load(atomic::Ordering::Relaxed)
     }
 }
 
-/// A baseline proves nothing: whatever fails may have run.
+/// Returns a refusal; a baseline can never rule out that the request has run.
 fn refusal(reason: &str) -> report::Outcome {
     report::Outcome::Refused {
         verdict: "may-have-run".into(),
--- a/laburnumcart_fakes/src/load/case.rs
+++ b/laburnumcart_fakes/src/load/case.rs
@@ -1,4 +1,4 @@
-//! One request of the load with the answer that it alone must yield.
+//! A request of the load and its expected output.
 
 use std::time;
 
@@ -21,9 +21,9 @@
     pub(super) team: id::TeamName,
     pub(super) token: String,
     pub(super) pipeline: id::PipelineName,
-    pub(super) stages: Vec<Step>,
+    pub(super) stages: Vec<StageCall>,
     pub(super) body: Value,
-    /// Scheduled time of arrival; latency counts from here, sent late or not.
+    /// Scheduled arrival time, from which latency counts even if the request is sent late.
     pub(super) due: Instant,
     pub(super) deadline: time::Duration,
     pub(super) events: bool,
@@ -31,9 +31,9 @@
     pub(super) key: Option<String>,
 }
 
-/// A stage with what is needed to call it without the system.
+/// A stage with the data for calling a target directly.
 #[derive(Clone, Debug)]
-pub(super) struct Step {
+pub(super) struct StageCall {
     pub(super) name: id::StageName,
     pub(super) service: id::ServiceName,
     pub(super) kind: bundle::Kind,
@@ -41,8 +41,8 @@
 }
 
 impl Case {
-    /// Draws a request of a stream.
-    pub(super) fn draw(
+    /// Generates a random request of a stream.
+    pub(super) fn generate(
         plan: &plan::Plan,
         team: &id::TeamName,
         stream: &plan::Stream,
@@ -59,13 +59,17 @@
             team: team.clone(),
             token: plan.teams[team].token.clone(),
             pipeline: stream.pipeline.clone(),
-            stages: pipeline.stages.iter().map(|s| step(plan, s)).collect(),
+            stages: pipeline
+                .stages
+                .iter()
+                .map(|s| stage_call(plan, s))
+                .collect(),
             body: body.into(),
             due,
             deadline: stream.deadline.0,
             events: rng.random::<f64>() < stream.events.0,
-            // Not from the seed: a second run of the same seed would get the kept answers of the
-            // first one's keys, and look as if it cost nothing.
+            // The key does not depend on the seed: with the same keys, a second run would get the
+            // stored responses of the first one and appear to cost nothing.
             key: single.then(|| format!("{:032x}", rand::random::<u128>())),
         }
     }
@@ -75,16 +79,16 @@
         self.deadline.saturating_sub(self.due.elapsed())
     }
 
-    /// Returns the output of the whole pipeline.
+    /// Returns the expected output of the pipeline.
     pub(super) fn output(&self) -> Value {
-        self.stages.iter().fold(Value::Null, |previous, step| {
-            step.output(&self.body, &previous)
+        self.stages.iter().fold(Value::Null, |previous, stage| {
+            stage.output(&self.body, &previous)
         })
     }
 }
 
-impl Step {
-    /// Returns the right output of the stage.
+impl StageCall {
+    /// Returns the expected output of the stage.
     pub(super) fn output(&self, input: &Value, previous: &Value) -> Value {
         let name = self.name.as_str();
         match self.kind {
@@ -97,9 +101,9 @@
     }
 }
 
-fn step(plan: &plan::Plan, stage: &plan::Stage) -> Step {
+fn stage_call(plan: &plan::Plan, stage: &plan::Stage) -> StageCall {
     let service = &plan.services[&stage.service];
-    Step {
+    StageCall {
         name: stage.name.clone(),
         service: stage.service.clone(),
         kind: service.kind,
--- a/laburnumcart_fakes/src/load/cost.rs
+++ b/laburnumcart_fakes/src/load/cost.rs
@@ -1,4 +1,4 @@
-//! Cost by stage, from the targets' own records of what they executed.
+//! Cost by stage, from the execution records of the targets.
 
 use std::{
     collections,
@@ -15,41 +15,41 @@
     target::ledger, //
 };
 
-/// Tries to read a target's record.
-const READS: u32 = 20;
+/// Maximum attempts to read a target's record.
+const READ_ATTEMPTS: u32 = 20;
 
-/// Time between them.
-const READ_PAUSE: time::Duration = time::Duration::from_millis(100);
+/// Interval between these attempts.
+const READ_INTERVAL: time::Duration = time::Duration::from_millis(100);
 
 /// Time of targets spent on one stage.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Stage {
-    /// Target-seconds of executions that a completed request was answered from.
+    /// Target-seconds of executions whose output a completed request used.
     pub useful: f64,
     /// Target-seconds of all other executions.
     pub wasted: f64,
     /// Number of executions.
     pub executions: u64,
-    /// Executions whose prompt's prefix was in the engine's cache.
+    /// Executions whose prompt prefix was in the engine's cache.
     pub cached: u64,
-    /// Requests whose answers used the stage.
+    /// Completed requests that used the stage.
     pub completed: u64,
-    /// Useful target-seconds for each completed request.
+    /// Useful target-seconds per completed request.
     pub each: f64,
 }
 
 /// Cost of a load.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Summary {
-    /// By stage.
+    /// Costs by stage.
     pub stages: collections::BTreeMap<String, Stage>,
-    /// Executions of a non-idempotent request and stage after its first, at any target.
+    /// Executions of a non-idempotent request and stage after the first one, at any target.
     pub repeated: u64,
-    /// Targets that did not show their records; their cost is missing.
+    /// Targets whose records could not be read, so that their cost is missing.
     pub unreachable: Vec<id::TargetName>,
 }
 
-/// Clears the records of all targets; returns those that were not reached.
+/// Clears the records of all targets and returns the unreachable ones.
 pub async fn reset(client: &client::Client, plan: &plan::Plan) -> Vec<id::TargetName> {
     let mut unreachable = Vec::new();
     for (name, address) in plan.targets() {
@@ -61,22 +61,22 @@
     unreachable
 }
 
-/// Waits for a bounded time until nothing is executing, as what goes on is still to be charged.
+/// Waits for a limited time until no call is executing, so that the records are complete.
 pub async fn wait_idle(client: &client::Client, plan: &plan::Plan) {
     for (_, address) in plan.targets() {
         let url = format!("http://{address}/admin/executions");
-        for _ in 0..READS {
-            let record = read(client, &url).await.unwrap_or_default();
+        for _ in 0..READ_ATTEMPTS {
+            let record = read_record(client, &url).await.unwrap_or_default();
             let running = |e: &ledger::Execution| e.outcome == ledger::Outcome::Running;
             if !record.executions.iter().any(running) {
                 break;
             }
-            tokio::time::sleep(READ_PAUSE).await;
+            tokio::time::sleep(READ_INTERVAL).await;
         }
     }
 }
 
-/// Reads the records of all targets and sums them up.
+/// Reads and summarises the records of all targets.
 pub async fn collect(
     client: &client::Client,
     plan: &plan::Plan,
@@ -85,7 +85,7 @@
     let mut executions = Vec::new();
     let mut unreachable = Vec::new();
     for (name, address) in plan.targets() {
-        match read(client, &format!("http://{address}/admin/executions")).await {
+        match read_record(client, &format!("http://{address}/admin/executions")).await {
             Some(record) => executions.extend(record.executions),
             None => unreachable.push(name.clone()),
         }
@@ -95,18 +95,18 @@
     summary
 }
 
-/// Reads a target's record; a target that is down may come back meanwhile.
-async fn read(client: &client::Client, url: &str) -> Option<ledger::Executions> {
-    for _ in 0..READS {
+/// Reads a target's record, with retries for a target that is restarting.
+async fn read_record(client: &client::Client, url: &str) -> Option<ledger::Executions> {
+    for _ in 0..READ_ATTEMPTS {
         if let Ok(answer) = client.get(url).await {
             return serde_json::from_slice(&answer.body).ok();
         }
-        tokio::time::sleep(READ_PAUSE).await;
+        tokio::time::sleep(READ_INTERVAL).await;
     }
     None
 }
 
-/// Sums executions by stage; useful is the first done one of each completed request and stage.
+/// Sums executions by stage; the first complete one of each completed request is useful.
 pub fn summarise(
     executions: &[ledger::Execution],
     completed: &collections::HashSet<String>,
--- a/laburnumcart_fakes/src/load/faults.rs
+++ b/laburnumcart_fakes/src/load/faults.rs
@@ -1,4 +1,4 @@
-//! Lets the faults of a plan happen at their times.
+//! Injects the faults of a plan at their times.
 
 use std::sync;
 
@@ -10,22 +10,22 @@
     load::plan, //
 };
 
-/// Applies the faults in the order of their times, counted from `start`.
-pub(super) async fn happen(client: client::Client, plan: sync::Arc<plan::Plan>, start: Instant) {
+/// Injects the faults in the order of their times, relative to `start`.
+pub(super) async fn inject(client: client::Client, plan: sync::Arc<plan::Plan>, start: Instant) {
     let mut faults: Vec<_> = plan.faults.iter().collect();
     faults.sort_by_key(|fault| fault.at);
     for fault in faults {
         tokio::time::sleep_until(start + fault.at.0).await;
-        apply(&client, &plan, fault).await;
+        inject_fault(&client, &plan, fault).await;
     }
 }
 
-async fn apply(client: &client::Client, plan: &plan::Plan, fault: &plan::Fault) {
+async fn inject_fault(client: &client::Client, plan: &plan::Plan, fault: &plan::Fault) {
     let body = serde_json::to_string(&fault.change).unwrap_or_default();
-    let hit = plan
+    let targets = plan
         .targets()
         .filter(|(name, _)| fault.targets.contains(name));
-    for (name, address) in hit {
+    for (name, address) in targets {
         let url = format!("http://{address}/admin/behave");
         match client.post(&url, &[], body.clone()).await {
             Ok(answer) => {
--- a/laburnumcart_fakes/src/load/plan.rs
+++ b/laburnumcart_fakes/src/load/plan.rs
@@ -1,4 +1,4 @@
-//! What load is offered, and what is known of the targets that serve it.
+//! Description of a load and of the targets that serve it.
 
 use std::{
     collections,
@@ -17,22 +17,22 @@
 
 use crate::target::behaviour;
 
-/// A whole load.
+/// A load.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Plan {
-    /// Callers' addresses of the entries.
+    /// Addresses of the entries for callers.
     pub entries: Vec<net::SocketAddr>,
     /// Teams that send.
     pub teams: collections::BTreeMap<id::TeamName, Team>,
-    /// Pipelines that they call.
+    /// Pipelines that the teams call.
     pub pipelines: collections::BTreeMap<id::PipelineName, Pipeline>,
     /// Targets by service.
     pub services: collections::BTreeMap<id::ServiceName, Service>,
-    /// Requests a second that the slowest service can keep up with, in the mixture of the rates.
+    /// Highest total rate that the slowest service sustains with the given mix of streams.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub capacity: Option<unit::Rate>,
-    /// Faults during the load.
+    /// Faults to inject during the load.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub faults: Vec<Fault>,
 }
@@ -43,10 +43,10 @@
 pub struct Team {
     /// Bearer token.
     pub token: String,
-    /// Weight of its promised share.
+    /// Weight of its guaranteed share.
     #[serde(default = "default_weight")]
     pub weight: u32,
-    /// Its streams of requests.
+    /// Streams of requests.
     pub streams: Vec<Stream>,
 }
 
@@ -58,21 +58,21 @@
     pub pipeline: id::PipelineName,
     /// Mean rate.
     pub rate: unit::Rate,
-    /// Deadline that is asked for and measured against.
+    /// Requested deadline, also the limit for attained requests.
     pub deadline: unit::Period,
-    /// Fields of each body; the tool adds a unique number and a prompt prefix.
+    /// Fields of each body, to which a random number and a prompt prefix are added.
     #[serde(default)]
     pub body: serde_json::Map<String, serde_json::Value>,
     /// Number of different prompt prefixes.
     #[serde(default = "default_prefixes")]
     pub prefixes: u32,
-    /// Part of the requests answered as server-sent events.
+    /// Share of the requests that ask for server-sent events.
     #[serde(default)]
     pub events: unit::Share,
-    /// Part of the requests of an idempotent pipeline that are marked as non-idempotent.
+    /// Share of the requests of an idempotent pipeline that are sent as non-idempotent.
     #[serde(default)]
     pub single: unit::Share,
-    /// A time of higher rate.
+    /// A period with a changed rate.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub burst: Option<Burst>,
 }
@@ -85,7 +85,7 @@
     8
 }
 
-/// A time of higher rate.
+/// A period with a changed rate.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Burst {
@@ -93,11 +93,11 @@
     pub from: unit::Period,
     /// End, from the start of the load.
     pub until: unit::Period,
-    /// Factor on the rate.
+    /// Factor for the rate.
     pub factor: f64,
 }
 
-/// A pipeline as the tool needs it to know the right answer.
+/// A pipeline with the data that determines its expected output.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Pipeline {
@@ -113,7 +113,7 @@
 pub struct Stage {
     /// Name.
     pub name: id::StageName,
-    /// Service that executes it.
+    /// Service that executes the stage.
     pub service: id::ServiceName,
 }
 
@@ -123,22 +123,22 @@
 pub struct Service {
     /// Protocol of its targets.
     pub kind: bundle::Kind,
-    /// Tokens of an answer if the body names no number; engines only.
+    /// Number of output tokens unless the body sets it; engines only.
     #[serde(default)]
     pub tokens: u32,
-    /// Its targets.
+    /// Addresses of its targets.
     pub targets: collections::BTreeMap<id::TargetName, net::SocketAddr>,
 }
 
-/// A change of some targets' behaviour during the load.
+/// A fault that is injected during the load.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fault {
-    /// When, from the start of the load.
+    /// Time since the start of the load.
     pub at: unit::Period,
-    /// Targets, of any service.
+    /// Affected targets of any service.
     pub targets: Vec<id::TargetName>,
-    /// What changes.
+    /// Change of their faults.
     pub change: behaviour::Change,
 }
 
@@ -149,37 +149,37 @@
         targets.map(|(name, address)| (name, *address))
     }
 
-    /// Returns the sum of all rates in requests a second.
+    /// Returns the sum of all rates in requests per second.
     pub fn total_rate(&self) -> f64 {
         let streams = self.teams.values().flat_map(|team| &team.streams);
         streams.map(|stream| stream.rate.0).sum()
     }
 
-    /// Returns every fault of the plan: names that are used but not given.
+    /// Returns all errors of the plan: undefined names and invalid rates.
     pub fn validate(&self) -> Vec<String> {
-        let mut faults = Vec::new();
+        let mut errors = Vec::new();
         for (name, pipeline) in &self.pipelines {
             for stage in &pipeline.stages {
                 if !self.services.contains_key(&stage.service) {
-                    faults.push(format!("pipelines.{name}: no service {}", stage.service));
+                    errors.push(format!("pipelines.{name}: no service {}", stage.service));
                 }
             }
         }
         for (name, team) in &self.teams {
             for stream in &team.streams {
                 if !self.pipelines.contains_key(&stream.pipeline) {
-                    faults.push(format!("teams.{name}: no pipeline {}", stream.pipeline));
+                    errors.push(format!("teams.{name}: no pipeline {}", stream.pipeline));
                 }
                 if !(stream.rate.0.is_finite() && stream.rate.0 >= 0.0) {
-                    faults.push(format!("teams.{name}: rate {}", stream.rate));
+                    errors.push(format!("teams.{name}: rate {}", stream.rate));
                 }
             }
         }
         for name in self.faults.iter().flat_map(|fault| &fault.targets) {
             if !self.targets().any(|(target, _)| target == name) {
-                faults.push(format!("faults: no target {name}"));
+                errors.push(format!("faults: no target {name}"));
             }
         }
-        faults
+        errors
     }
 }
--- a/laburnumcart_fakes/src/load/report.rs
+++ b/laburnumcart_fakes/src/load/report.rs
@@ -1,4 +1,4 @@
-//! Counts of a load, for each team and in all, and their print-out.
+//! Counts of a load by team and in total, and their printed form.
 
 use std::{
     collections,
@@ -12,50 +12,50 @@
 
 use crate::load::cost;
 
-/// How a request ended, as its caller saw it.
+/// Outcome of a request for its caller.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Outcome {
-    /// The whole answer came.
+    /// The complete response was received.
     Answered {
-        /// Id under which the targets know the request.
+        /// Id of the request at the targets.
         request: String,
-        /// Whether it is the answer that the request alone must yield.
+        /// Whether the output is the expected one.
         correct: bool,
     },
-    /// It was refused.
+    /// The request was refused.
     Refused {
-        /// Whether it may have run.
+        /// Verdict: whether it may have run.
         verdict: String,
-        /// Cause.
+        /// Reason of the refusal.
         reason: String,
     },
-    /// Neither an answer nor a refusal came.
+    /// Neither a response nor a refusal was received.
     Lost,
 }
 
-/// One request that ended.
+/// Result of one request.
 #[derive(Clone, Debug)]
 pub struct Sample {
     /// Team that sent it.
     pub team: id::TeamName,
     /// Number of stages of its pipeline.
     pub stages: usize,
-    /// Whether it went straight to the targets.
+    /// Whether it was sent directly to the targets.
     pub direct: bool,
     /// Whether it was non-idempotent.
     pub non_idempotent: bool,
-    /// Time from its scheduled arrival to its end.
+    /// Time from the scheduled arrival to the end.
     pub latency: time::Duration,
-    /// Time that it was allowed.
+    /// Time limit from the scheduled arrival.
     pub deadline: time::Duration,
-    /// Times that it was sent again after a refusal.
+    /// Number of resends after a refusal.
     pub resent: u32,
-    /// How it ended.
+    /// Outcome.
     pub outcome: Outcome,
 }
 
 impl Sample {
-    /// Reports whether the right answer came whole and in time.
+    /// Returns whether the correct response was received within the deadline.
     pub fn attained(&self) -> bool {
         let correct = matches!(self.outcome, Outcome::Answered { correct: true, .. });
         correct && self.latency <= self.deadline
@@ -67,34 +67,34 @@
 pub struct Quantiles {
     /// Median.
     pub p50: f64,
-    /// 90 of 100.
+    /// 90th percentile.
     pub p90: f64,
-    /// 99 of 100.
+    /// 99th percentile.
     pub p99: f64,
 }
 
-/// Counts of some requests.
+/// Counts of a set of requests.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Tally {
-    /// Requests that were to be sent.
+    /// Offered requests.
     pub offered: u64,
-    /// Right and whole answers within the deadline.
+    /// Correct responses within the deadline.
     pub attained: u64,
-    /// Right and whole answers after the deadline.
+    /// Correct responses after the deadline.
     pub late: u64,
-    /// Whole answers that the request alone would not yield.
+    /// Complete responses with an unexpected output.
     pub wrong: u64,
-    /// Requests without answer or refusal.
+    /// Requests without a response or refusal.
     pub lost: u64,
     /// Refusals by verdict and reason.
     pub refused: collections::BTreeMap<String, u64>,
-    /// Times that a request was sent again.
+    /// Number of resends.
     pub resent: u64,
-    /// Attained part of the offered.
+    /// Share of the offered requests that were attained.
     pub attainment: f64,
-    /// Attained requests a second.
+    /// Attained requests per second.
     pub goodput: f64,
-    /// Latency of whole answers.
+    /// Latency of complete responses.
     pub latency: Quantiles,
     #[serde(skip)]
     micros: Option<Histogram<u64>>,
@@ -118,12 +118,12 @@
         if matches!(sample.outcome, Outcome::Answered { .. }) {
             let micros = sample.latency.as_micros() as u64;
             self.micros
-                .get_or_insert_with(histogram)
+                .get_or_insert_with(new_histogram)
                 .saturating_record(micros);
         }
     }
 
-    /// Works out the parts and quantiles over a time.
+    /// Computes shares, rates and quantiles for a load of `seconds`.
     pub fn finish(&mut self, seconds: f64) {
         self.attainment = self.attained as f64 / (self.offered.max(1)) as f64;
         self.goodput = self.attained as f64 / seconds;
@@ -143,8 +143,8 @@
     }
 }
 
-/// Creates a histogram of microseconds up to an hour with three digits.
-fn histogram() -> Histogram<u64> {
+/// Creates a histogram of microseconds up to one hour with three significant digits.
+fn new_histogram() -> Histogram<u64> {
     Histogram::new_with_bounds(1, 3_600_000_000, 3).unwrap()
 }
 
@@ -168,33 +168,33 @@
     }
 }
 
-/// Latency through the system against calling the targets directly, for pipelines of one length.
+/// Latency of the system compared with direct calls, for pipelines of the same length.
 #[derive(Clone, Debug, Serialize)]
 pub struct Overhead {
     /// Number of stages.
     pub stages: usize,
-    /// Through the system.
+    /// Latency through the system.
     pub system: Quantiles,
-    /// Straight to the targets.
+    /// Latency of direct calls.
     pub direct: Quantiles,
-    /// Difference divided by the number of stages.
+    /// Difference per stage.
     pub each: Quantiles,
 }
 
 /// Result of a load.
 #[derive(Debug, Default, Serialize)]
 pub struct Report {
-    /// Length of the load.
+    /// Duration of the load.
     pub seconds: f64,
-    /// All requests, without those of a comparison that went straight to the targets.
+    /// All requests except the direct ones of a comparison.
     pub all: Tally,
-    /// Those of them that may execute more than once.
+    /// Idempotent requests among them.
     pub idempotent: Tally,
-    /// By team.
+    /// Requests by team.
     pub teams: collections::BTreeMap<id::TeamName, Tally>,
     /// Cost by stage.
     pub cost: cost::Summary,
-    /// Overhead by number of stages; only when the two were compared.
+    /// Overhead by number of stages; only for a comparison.
     pub overhead: Vec<Overhead>,
     #[serde(skip)]
     compared: collections::BTreeMap<(usize, bool), Tally>,
@@ -203,7 +203,7 @@
 }
 
 impl Report {
-    /// Counts a request; `for_comparison` ones only serve the comparison.
+    /// Counts a request; with `for_comparison`, only for the overhead.
     pub fn add(&mut self, sample: &Sample, for_comparison: bool) {
         if !for_comparison {
             self.all.add(sample);
@@ -215,7 +215,7 @@
                 .or_default()
                 .add(sample);
         }
-        // A non-idempotent request is claimed first, which a direct call has no part of.
+        // Non-idempotent requests are excluded, since direct calls have no claim step.
         if !sample.non_idempotent {
             let key = (sample.stages, sample.direct);
             self.compared.entry(key).or_default().add(sample);
@@ -227,22 +227,22 @@
         }
     }
 
-    /// Works out what needs all counts.
+    /// Computes the figures that depend on all requests.
     pub fn finish(&mut self, seconds: f64) {
         self.seconds = seconds;
         self.all.finish(seconds);
         self.idempotent.finish(seconds);
         let tallies = self.teams.values_mut().chain(self.compared.values_mut());
         tallies.for_each(|tally| tally.finish(seconds));
-        self.overhead = self.overheads();
+        self.overhead = self.compute_overheads();
     }
 
-    /// Returns the ids of requests whose answers were right and in time.
+    /// Returns the ids of the attained requests.
     pub fn completed(&self) -> &collections::HashSet<String> {
         &self.completed
     }
 
-    fn overheads(&self) -> Vec<Overhead> {
+    fn compute_overheads(&self) -> Vec<Overhead> {
         let systems = self.compared.iter().filter(|((_, direct), _)| !direct);
         let pair = |((stages, _), system): (&(usize, bool), &Tally)| {
             let direct = self.compared.get(&(*stages, true))?.latency;
--- a/laburnumcart_fakes/src/load/run.rs
+++ b/laburnumcart_fakes/src/load/run.rs
@@ -1,4 +1,4 @@
-//! Offers the load of a plan for a bounded time and counts what comes of it.
+//! Offers the load of a plan for a limited time and counts the outcomes.
 
 use std::{
     sync,
@@ -35,34 +35,34 @@
 
 pub use crate::load::baseline::Policy;
 
-/// Time between two progress lines.
-const PROGRESS: time::Duration = time::Duration::from_secs(1);
+/// Interval between progress lines.
+const PROGRESS_INTERVAL: time::Duration = time::Duration::from_secs(1);
 
-/// How the load reaches the targets.
+/// Path of the load to the targets.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Route {
     /// Through the entries.
     System,
-    /// Through the entries, with as many idempotent requests straight to the targets between.
+    /// Through the entries, with every other idempotent request directly to the targets.
     Compare,
-    /// Straight to the targets.
+    /// Directly to the targets.
     Baseline(Policy),
 }
 
 /// Settings of a run.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// How the load reaches the targets.
+    /// Path of the load to the targets.
     pub route: Route,
-    /// Time for which requests are offered.
+    /// Duration of the load.
     pub duration: time::Duration,
-    /// Factor on all rates.
+    /// Factor for all rates.
     pub scale: f64,
-    /// Seed of arrivals and bodies.
+    /// Seed for arrivals and bodies.
     pub seed: u64,
-    /// Whether a refused request is sent again after its `Retry-After`.
+    /// Whether refused requests are resent after their `Retry-After`.
     pub resend: bool,
-    /// Whether a progress line is written to standard error each second.
+    /// Whether progress lines are written to standard error.
     pub progress: bool,
 }
 
@@ -79,7 +79,7 @@
     }
 }
 
-/// Offers the load and returns the counts when every request has ended.
+/// Offers the load, waits until all requests have ended and returns the report.
 pub async fn run_load(plan: plan::Plan, settings: Settings) -> report::Report {
     let client = client::Client::default();
     let plan = sync::Arc::new(plan);
@@ -89,22 +89,22 @@
     }
     let (samples, received) = mpsc::unbounded_channel();
     let sender = sync::Arc::new(Sender::new(&client, &plan, &settings, samples));
-    let poll = tokio::spawn(sender.baseline.clone().poll());
+    let poll = tokio::spawn(sender.baseline.clone().poll_loads());
     let start = Instant::now();
-    let fault = tokio::spawn(faults::happen(client.clone(), plan.clone(), start));
-    offer(&plan, &settings, &sender, start);
+    let faults = tokio::spawn(faults::inject(client.clone(), plan.clone(), start));
+    start_streams(&plan, &settings, &sender, start);
     drop(sender);
-    let mut report = count(received, &settings, start).await;
+    let mut report = collect_samples(received, &settings, start).await;
     poll.abort();
-    fault.abort();
+    faults.abort();
     report.finish(settings.duration.as_secs_f64());
     cost::wait_idle(&client, &plan).await;
     report.cost = cost::collect(&client, &plan, report.completed()).await;
     report
 }
 
-/// Starts one task for each stream of each team.
-fn offer(
+/// Starts a task for each stream of each team.
+fn start_streams(
     plan: &sync::Arc<plan::Plan>,
     settings: &Settings,
     sender: &sync::Arc<Sender>,
@@ -144,9 +144,9 @@
         let plan = self.plan.clone();
         let stream = &plan.teams[&self.team].streams[self.index];
         let mut due = self.start;
-        let mut direct = false;
+        let mut send_direct = false;
         loop {
-            let rate = rate(stream, due - self.start) * self.scale;
+            let rate = current_rate(stream, due - self.start) * self.scale;
             if rate <= 0.0 {
                 return;
             }
@@ -155,23 +155,23 @@
             if due > self.end {
                 return;
             }
-            let case = case::Case::draw(&plan, &self.team, stream, due, &mut self.rng);
+            let case = case::Case::generate(&plan, &self.team, stream, due, &mut self.rng);
             tokio::time::sleep_until(due).await;
-            direct = !direct && case.key.is_none();
-            let direct = direct && sender.route == Route::Compare;
+            send_direct = !send_direct && case.key.is_none();
+            let direct = send_direct && sender.route == Route::Compare;
             task::spawn(sender.clone().send(case, direct));
         }
     }
 }
 
-/// Returns the rate of a stream at a time.
-fn rate(stream: &plan::Stream, at: time::Duration) -> f64 {
+/// Returns the rate of a stream at a time since the start.
+fn current_rate(stream: &plan::Stream, at: time::Duration) -> f64 {
     let bursting = |b: &&plan::Burst| b.from.0 <= at && at < b.until.0;
     let burst = stream.burst.as_ref().filter(bursting);
     stream.rate.0 * burst.map_or(1.0, |burst| burst.factor)
 }
 
-/// Sends requests the chosen way.
+/// Sends requests over the selected route.
 struct Sender {
     route: Route,
     system: system::System,
@@ -220,14 +220,14 @@
     }
 }
 
-/// Counts requests until all senders are gone, with a progress line each second.
-async fn count(
+/// Collects samples until all senders are dropped, and prints progress lines.
+async fn collect_samples(
     mut samples: mpsc::UnboundedReceiver<report::Sample>,
     settings: &Settings,
     start: Instant,
 ) -> report::Report {
     let mut report = report::Report::default();
-    let mut ticks = tokio::time::interval_at(start + PROGRESS, PROGRESS);
+    let mut ticks = tokio::time::interval_at(start + PROGRESS_INTERVAL, PROGRESS_INTERVAL);
     loop {
         tokio::select! {
             sample = samples.recv() => match sample {
@@ -238,13 +238,13 @@
                 None => return report,
             },
             _ = ticks.tick() => if settings.progress {
-                progress(&report, start.elapsed());
+                print_progress(&report, start.elapsed());
             },
         }
     }
 }
 
-fn progress(report: &report::Report, elapsed: time::Duration) {
+fn print_progress(report: &report::Report, elapsed: time::Duration) {
     let all = &report.all;
     eprintln!(
         "progress seconds={:.0} ended={} attained={} late={} wrong={} lost={} refused={}",
--- a/laburnumcart_fakes/src/load/system.rs
+++ b/laburnumcart_fakes/src/load/system.rs
@@ -1,4 +1,4 @@
-//! Sends requests to the entries and reads their answers.
+//! Sends requests to the entries and checks their responses.
 
 use std::{
     net,
@@ -17,22 +17,22 @@
     },
 };
 
-/// Pause before another entry is tried that may still be starting.
-const CONNECT_PAUSE: time::Duration = time::Duration::from_millis(20);
+/// Delay before the next entry is tried, as entries may still be starting.
+const RECONNECT_DELAY: time::Duration = time::Duration::from_millis(20);
 
-/// Time past the deadline for which an answer is still waited for.
-const GRACE: time::Duration = time::Duration::from_secs(2);
+/// Time after the deadline in which a late response is still accepted.
+const LATE_LIMIT: time::Duration = time::Duration::from_secs(2);
 
-/// Entries as callers see them behind the platform's balancer.
+/// Client of the entries that acts like the platform's load balancer.
 pub(super) struct System {
     client: client::Client,
     entries: Vec<net::SocketAddr>,
-    turn: atomic::AtomicUsize,
+    next: atomic::AtomicUsize,
     resend: bool,
 }
 
 #[derive(Deserialize)]
-struct Whole {
+struct Completed {
     request: String,
     output: Value,
 }
@@ -46,7 +46,7 @@
 }
 
 #[derive(Deserialize)]
-struct Piece {
+struct Chunk {
     text: String,
 }
 
@@ -55,41 +55,42 @@
         Self {
             client,
             entries,
-            turn: atomic::AtomicUsize::new(0),
+            next: atomic::AtomicUsize::new(0),
             resend,
         }
     }
 
-    /// Sends a request until it is settled; returns how often it was sent again.
+    /// Sends a request until it has an outcome; also returns the number of resends.
     pub(super) async fn send(&self, case: &case::Case) -> (report::Outcome, u32) {
-        let patience = case.remaining() + GRACE;
+        let timeout = case.remaining() + LATE_LIMIT;
         let mut resent = 0;
-        let settled = tokio::time::timeout(patience, self.settle(case, &mut resent)).await;
-        (settled.unwrap_or(report::Outcome::Lost), resent)
+        let outcome =
+            tokio::time::timeout(timeout, self.send_with_resends(case, &mut resent)).await;
+        (outcome.unwrap_or(report::Outcome::Lost), resent)
     }
 
-    async fn settle(&self, case: &case::Case, resent: &mut u32) -> report::Outcome {
+    async fn send_with_resends(&self, case: &case::Case, resent: &mut u32) -> report::Outcome {
         loop {
-            let answer = match self.call(case).await {
-                Ok(answer) => answer,
-                // Nothing was sent: the balancer would try the next entry.
+            let response = match self.post(case).await {
+                Ok(response) => response,
+                // Nothing was sent, so a load balancer would try the next entry.
                 Err(client::CallError::NotConnected) if !case.remaining().is_zero() => {
-                    tokio::time::sleep(CONNECT_PAUSE).await;
+                    tokio::time::sleep(RECONNECT_DELAY).await;
                     continue;
                 }
                 Err(_) => return report::Outcome::Lost,
             };
-            let (outcome, pause) = judge(case, &answer);
-            let pause = pause.filter(|pause| self.resend && *pause < case.remaining());
-            let Some(pause) = pause else { return outcome };
-            tokio::time::sleep(pause).await;
+            let (outcome, delay) = evaluate(case, &response);
+            let delay = delay.filter(|delay| self.resend && *delay < case.remaining());
+            let Some(delay) = delay else { return outcome };
+            tokio::time::sleep(delay).await;
             *resent += 1;
         }
     }
 
-    async fn call(&self, case: &case::Case) -> Result<client::Response, client::CallError> {
-        let turn = self.turn.fetch_add(1, atomic::Ordering::Relaxed);
-        let entry = self.entries[turn % self.entries.len()];
+    async fn post(&self, case: &case::Case) -> Result<client::Response, client::CallError> {
+        let index = self.next.fetch_add(1, atomic::Ordering::Relaxed);
+        let entry = self.entries[index % self.entries.len()];
         let url = format!("http://{entry}/v1/pipelines/{}", case.pipeline);
         let bearer = format!("Bearer {}", case.token);
         let remaining = case.remaining().as_millis().max(1);
@@ -111,63 +112,63 @@
     }
 }
 
-/// Reads an answer; also returns the pause after which it is worth to send again.
-fn judge(
+/// Evaluates a response; also returns the delay before a resend, if one is allowed.
+fn evaluate(
     case: &case::Case,
-    answer: &client::Response,
+    response: &client::Response,
 ) -> (report::Outcome, Option<time::Duration>) {
-    if answer.status != 200 {
-        return refused(&answer.body, answer.retry_after);
+    if response.status != 200 {
+        return evaluate_refusal(&response.body, response.retry_after);
     }
     if !case.events {
-        return (whole(case, &answer.body), None);
+        return (evaluate_body(case, &response.body), None);
     }
-    let events = client::parse_events(&String::from_utf8_lossy(&answer.body));
+    let events = client::parse_events(&String::from_utf8_lossy(&response.body));
     let Some((last, chunks)) = events.split_last() else {
         return (report::Outcome::Lost, None);
     };
     match last.name.as_str() {
-        "end" => (streamed(case, chunks, &last.data), None),
-        "error" => refused(last.data.as_bytes(), None),
+        "end" => (evaluate_stream(case, chunks, &last.data), None),
+        "error" => evaluate_refusal(last.data.as_bytes(), None),
         _ => (report::Outcome::Lost, None),
     }
 }
 
-fn whole(case: &case::Case, body: &[u8]) -> report::Outcome {
-    match serde_json::from_slice::<Whole>(body) {
-        Ok(whole) => report::Outcome::Answered {
-            correct: whole.output == case.output(),
-            request: whole.request,
+fn evaluate_body(case: &case::Case, body: &[u8]) -> report::Outcome {
+    match serde_json::from_slice::<Completed>(body) {
+        Ok(completed) => report::Outcome::Answered {
+            correct: completed.output == case.output(),
+            request: completed.request,
         },
         Err(_) => report::Outcome::Lost,
     }
 }
 
-/// Reads a stream's answer; its pieces must make up the same text as its end.
-fn streamed(case: &case::Case, chunks: &[client::Event], end: &str) -> report::Outcome {
-    let mut outcome = whole(case, end.as_bytes());
-    let piece = |event: &client::Event| serde_json::from_str::<Piece>(&event.data).ok();
-    let text: Option<String> = chunks.iter().map(|e| piece(e).map(|p| p.text)).collect();
+/// Evaluates a stream, whose chunks must add up to the text of its end event.
+fn evaluate_stream(case: &case::Case, chunks: &[client::Event], end: &str) -> report::Outcome {
+    let mut outcome = evaluate_body(case, end.as_bytes());
+    let chunk = |event: &client::Event| serde_json::from_str::<Chunk>(&event.data).ok();
+    let text: Option<String> = chunks.iter().map(|e| chunk(e).map(|c| c.text)).collect();
     if let report::Outcome::Answered { correct, .. } = &mut outcome {
         let output = case.output();
         *correct &= match output.get("text").and_then(Value::as_str) {
-            Some(wanted) => text.as_deref() == Some(wanted),
+            Some(expected) => text.as_deref() == Some(expected),
             None => text.is_some(),
         };
     }
     outcome
 }
 
-fn refused(body: &[u8], header: Option<u64>) -> (report::Outcome, Option<time::Duration>) {
+fn evaluate_refusal(body: &[u8], header: Option<u64>) -> (report::Outcome, Option<time::Duration>) {
     let Ok(problem) = serde_json::from_slice::<Problem>(body) else {
         return (report::Outcome::Lost, None);
     };
-    let pause = problem.retry_after_ms.map(time::Duration::from_millis);
-    let pause = pause.or(header.map(time::Duration::from_secs));
-    let pause = pause.filter(|_| problem.verdict == "not-run");
+    let delay = problem.retry_after_ms.map(time::Duration::from_millis);
+    let delay = delay.or(header.map(time::Duration::from_secs));
+    let delay = delay.filter(|_| problem.verdict == "not-run");
     let outcome = report::Outcome::Refused {
         verdict: problem.verdict,
         reason: problem.reason,
     };
-    (outcome, pause)
+    (outcome, delay)
 }
--- a/laburnumcart_fakes/src/measure.rs
+++ b/laburnumcart_fakes/src/measure.rs
@@ -1,4 +1,4 @@
-//! Measurement of whole cases: the system against the baselines, alternated in one run.
+//! Measurement of load cases with the system and with the baselines in alternation.
 
 pub mod case;
 pub mod figures;
--- a/laburnumcart_fakes/src/measure/case.rs
+++ b/laburnumcart_fakes/src/measure/case.rs
@@ -1,4 +1,4 @@
-//! Cases that are measured: a load and a disturbance.
+//! Measured cases, each a load with a disturbance.
 
 use std::time;
 
@@ -12,30 +12,30 @@
     target::behaviour, //
 };
 
-/// Factor on the times of a straggler.
-const STRAGGLER: f64 = 10.0;
+/// Factor for the times of a straggler.
+const STRAGGLER_FACTOR: f64 = 10.0;
 
-/// Factor on the rates of the team that bursts.
-const BURST: f64 = 5.0;
+/// Factor for the rates of the bursting team.
+const BURST_FACTOR: f64 = 5.0;
 
-/// Age of late load reports.
-const LATE: time::Duration = time::Duration::from_secs(5);
+/// Age of delayed load reports.
+const LATE_LOAD_AGE: time::Duration = time::Duration::from_secs(5);
 
-/// One of so many targets is killed.
-const KILLED: usize = 5;
+/// Every n-th target is killed.
+const KILL_INTERVAL: usize = 5;
 
-/// A load and a disturbance.
+/// A load with a disturbance.
 #[derive(Clone, Debug)]
 pub struct Case {
     /// Name.
     pub name: String,
-    /// Offered load as a part of capacity.
+    /// Offered load relative to capacity.
     pub load: f64,
-    /// Time of the load.
+    /// Duration of the load.
     pub duration: time::Duration,
-    /// Load with its bursts and faults.
+    /// Plan with the bursts and faults of the case.
     pub plan: plan::Plan,
-    /// Whether the object service is out.
+    /// Whether the object service is unavailable.
     pub outage: bool,
 }
 
@@ -55,7 +55,13 @@
         }
     }
 
-    fn fault(mut self, at: f64, targets: Vec<id::TargetName>, change: behaviour::Change) -> Self {
+    /// Adds a fault at a fraction of the duration.
+    fn with_fault(
+        mut self,
+        at: f64,
+        targets: Vec<id::TargetName>,
+        change: behaviour::Change,
+    ) -> Self {
         let at = unit::Period(self.duration.mul_f64(at));
         self.plan.faults.push(plan::Fault {
             at,
@@ -65,12 +71,12 @@
         self
     }
 
-    /// Lets a team send more from a quarter of the time to three quarters.
-    fn burst(mut self, team: &id::TeamName) -> Self {
+    /// Adds a burst of a team in the middle half of the duration.
+    fn with_burst(mut self, team: &id::TeamName) -> Self {
         let burst = plan::Burst {
             from: unit::Period(self.duration.mul_f64(0.25)),
             until: unit::Period(self.duration.mul_f64(0.75)),
-            factor: BURST,
+            factor: BURST_FACTOR,
         };
         let streams = &mut self.plan.teams.get_mut(team).unwrap().streams;
         for stream in streams {
@@ -80,56 +86,60 @@
     }
 }
 
-/// Returns the cases in the order of their worth.
+/// Returns all cases, the most important first.
 pub fn all(plan: &plan::Plan, duration: time::Duration) -> Vec<Case> {
     let new = |name: &str, load| Case::new(name, load, plan, duration);
     let mut cases = vec![new("steady, 50%", 0.5), new("steady, 90%", 0.9)];
     if let Some((team, _)) = plan.teams.iter().max_by_key(|(_, team)| team.weight) {
-        cases.push(new(&format!("burst of 5x by {team}"), 0.6).burst(team));
+        cases.push(new(&format!("burst of 5x by {team}"), 0.6).with_burst(team));
     }
     let slow = behaviour::Change {
-        slow: Some(STRAGGLER),
+        slow: Some(STRAGGLER_FACTOR),
         ..Default::default()
     };
     for service in main_services(plan) {
         let case = new(&format!("straggler of {service}"), 0.5);
-        cases.push(case.fault(0.0, vec![first(plan, &service)], slow.clone()));
+        cases.push(case.with_fault(0.0, vec![first_target(plan, &service)], slow.clone()));
     }
-    let fail = behaviour::Change {
+    let failing = behaviour::Change {
         fail: Some(1.0),
         fail_fast: Some(true),
         ..Default::default()
     };
     for service in main_services(plan).into_iter().take(1) {
         let case = new(&format!("one of {service} fails fast"), 0.5);
-        cases.push(case.fault(0.0, vec![first(plan, &service)], fail.clone()));
+        cases.push(case.with_fault(0.0, vec![first_target(plan, &service)], failing.clone()));
     }
     let down = behaviour::Change {
         down: Some(unit::Period(duration.mul_f64(0.75))),
         ..Default::default()
     };
-    cases.push(new("20% of targets killed", 0.5).fault(0.25, killed(plan), down));
+    cases.push(new("20% of targets killed", 0.5).with_fault(0.25, killed_targets(plan), down));
     let mut outage = new("object service out", 0.5);
     outage.outage = true;
     cases.push(outage);
     let late = behaviour::Change {
-        load_lag: Some(unit::Period(LATE)),
+        load_lag: Some(unit::Period(LATE_LOAD_AGE)),
         ..Default::default()
     };
-    let everywhere = plan.targets().map(|(name, _)| name.clone()).collect();
+    let all_targets = plan.targets().map(|(name, _)| name.clone()).collect();
     cases.push(
-        Case::new("load reports 5 s late", 0.9, plan, LATE * 8 / 5).fault(0.0, everywhere, late),
+        Case::new("load reports 5 s late", 0.9, plan, LATE_LOAD_AGE * 8 / 5).with_fault(
+            0.0,
+            all_targets,
+            late,
+        ),
     );
     cases
 }
 
-/// Returns one case for each part of capacity that is offered.
+/// Returns a case for each offered load relative to capacity.
 pub fn sweep(plan: &plan::Plan, duration: time::Duration, points: &[f64]) -> Vec<Case> {
     let case = |load: &f64| Case::new(format!("offered {load}x"), *load, plan, duration);
     points.iter().map(case).collect()
 }
 
-/// Returns the services of the pipeline that is called most, in the order of its stages.
+/// Returns the services of the pipeline with the highest rate, in stage order.
 fn main_services(plan: &plan::Plan) -> Vec<id::ServiceName> {
     let rate = |name: &id::PipelineName| -> f64 {
         let streams = plan.teams.values().flat_map(|team| &team.streams);
@@ -143,13 +153,16 @@
     services.map(|stage| stage.service.clone()).collect()
 }
 
-fn first(plan: &plan::Plan, service: &id::ServiceName) -> id::TargetName {
+fn first_target(plan: &plan::Plan, service: &id::ServiceName) -> id::TargetName {
     let targets = &plan.services[service].targets;
     targets.keys().next().cloned().unwrap()
 }
 
-/// Returns each fifth target, so that all services lose some.
-fn killed(plan: &plan::Plan) -> Vec<id::TargetName> {
+/// Returns the targets to kill, spread over the services.
+fn killed_targets(plan: &plan::Plan) -> Vec<id::TargetName> {
     let targets = plan.targets().map(|(name, _)| name.clone());
-    targets.skip(KILLED - 1).step_by(KILLED).collect()
+    targets
+        .skip(KILL_INTERVAL - 1)
+        .step_by(KILL_INTERVAL)
+        .collect()
 }
--- a/laburnumcart_fakes/src/measure/figures.rs
+++ b/laburnumcart_fakes/src/measure/figures.rs
@@ -1,4 +1,4 @@
-//! Figures of the runs of one case by one strategy, with median and spread.
+//! Figures of the runs of a case with one strategy: minimum, median and maximum.
 
 use std::collections;
 
@@ -7,19 +7,19 @@
 
 use crate::load::report;
 
-/// Median of some runs, with the least and the most.
+/// Minimum, median and maximum of a set of runs.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct Spread {
-    /// Least.
+    /// Minimum.
     pub low: f64,
-    /// Median; the lower one of two.
+    /// Median; the lower one of an even number of values.
     pub mid: f64,
-    /// Most.
+    /// Maximum.
     pub high: f64,
 }
 
 impl Spread {
-    /// Sums up values; all zero if there are none.
+    /// Computes the spread of values, zero without values.
     pub fn of(values: impl IntoIterator<Item = f64>) -> Self {
         let mut values: Vec<_> = values.into_iter().collect();
         values.sort_by(f64::total_cmp);
@@ -33,7 +33,7 @@
         }
     }
 
-    /// Returns it with all values multiplied.
+    /// Returns the spread with all values multiplied by a factor.
     pub fn scale(self, factor: f64) -> Self {
         Self {
             low: self.low * factor,
@@ -43,50 +43,50 @@
     }
 }
 
-/// Cost of one stage in target-seconds for each completed request.
+/// Cost of a stage in target-seconds per completed request.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
 pub struct Cost {
-    /// Of executions that an answer came from.
+    /// Cost of executions whose output was used.
     pub useful: Spread,
-    /// Of all others.
+    /// Cost of all other executions.
     pub wasted: Spread,
 }
 
-/// Figures of one team.
+/// Figures of a team.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
 pub struct Team {
-    /// Offered requests a second.
+    /// Offered requests per second.
     pub offered: Spread,
-    /// Attained part of the offered.
+    /// Share of the offered requests that were attained.
     pub attainment: Spread,
-    /// Attained requests a second.
+    /// Attained requests per second.
     pub goodput: Spread,
 }
 
-/// Figures of some runs.
+/// Figures of a set of runs.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Figures {
-    /// Attained part of the offered.
+    /// Share of the offered requests that were attained.
     pub attainment: Spread,
-    /// The same of the idempotent requests only.
+    /// The same share for idempotent requests only.
     pub idempotent: Spread,
-    /// Median latency of whole answers in milliseconds.
+    /// Median latency of complete responses in milliseconds.
     pub p50: Spread,
-    /// Latency that 99 of 100 whole answers keep, in milliseconds.
+    /// 99th percentile of the latency of complete responses in milliseconds.
     pub p99: Spread,
-    /// Attained requests a second.
+    /// Attained requests per second.
     pub goodput: Spread,
-    /// Useful target-seconds of all stages for each completed request.
+    /// Useful target-seconds of all stages per completed request.
     pub useful: Spread,
-    /// Wasted target-seconds of all stages for each completed request.
+    /// Wasted target-seconds of all stages per completed request.
     pub wasted: Spread,
-    /// Executions of a non-idempotent request and stage after its first, in all runs.
+    /// Executions of a non-idempotent request and stage after the first one, in all runs.
     pub repeated: u64,
-    /// Wrong answers in all runs.
+    /// Responses with an unexpected output, in all runs.
     pub wrong: u64,
-    /// Requests without answer or refusal in all runs.
+    /// Requests without a response or refusal, in all runs.
     pub lost: u64,
-    /// Refusals by verdict and reason in all runs.
+    /// Refusals by verdict and reason, in all runs.
     pub refused: collections::BTreeMap<String, u64>,
     /// Cost by stage.
     pub stages: collections::BTreeMap<String, Cost>,
@@ -95,7 +95,7 @@
 }
 
 impl Figures {
-    /// Sums up the reports of the runs.
+    /// Computes the figures from the reports of the runs.
     pub fn of(reports: &[report::Report]) -> Self {
         let spread = |value: &dyn Fn(&report::Report) -> f64| Spread::of(reports.iter().map(value));
         let mut refused = collections::BTreeMap::new();
@@ -108,24 +108,24 @@
             p50: spread(&|r| r.all.latency.p50),
             p99: spread(&|r| r.all.latency.p99),
             goodput: spread(&|r| r.all.goodput),
-            useful: spread(&|r| each(r, r.cost.stages.values().map(|s| s.useful).sum())),
-            wasted: spread(&|r| each(r, r.cost.stages.values().map(|s| s.wasted).sum())),
+            useful: spread(&|r| per_request(r, r.cost.stages.values().map(|s| s.useful).sum())),
+            wasted: spread(&|r| per_request(r, r.cost.stages.values().map(|s| s.wasted).sum())),
             repeated: reports.iter().map(|r| r.cost.repeated).sum(),
             wrong: reports.iter().map(|r| r.all.wrong).sum(),
             lost: reports.iter().map(|r| r.all.lost).sum(),
             refused,
-            stages: stages(reports),
-            teams: teams(reports),
+            stages: stage_costs(reports),
+            teams: team_figures(reports),
         }
     }
 }
 
-/// Returns target-seconds for each completed request.
-fn each(report: &report::Report, seconds: f64) -> f64 {
+/// Returns target-seconds per completed request.
+fn per_request(report: &report::Report, seconds: f64) -> f64 {
     seconds / report.all.attained.max(1) as f64
 }
 
-fn stages(reports: &[report::Report]) -> collections::BTreeMap<String, Cost> {
+fn stage_costs(reports: &[report::Report]) -> collections::BTreeMap<String, Cost> {
     let names = reports.iter().flat_map(|report| report.cost.stages.keys());
     let names: collections::BTreeSet<_> = names.collect();
     let cost = |name: &String| {
@@ -139,7 +139,7 @@
     names.into_iter().map(|n| (n.clone(), cost(n))).collect()
 }
 
-fn teams(reports: &[report::Report]) -> collections::BTreeMap<id::TeamName, Team> {
+fn team_figures(reports: &[report::Report]) -> collections::BTreeMap<id::TeamName, Team> {
     let names = reports.iter().flat_map(|report| report.teams.keys());
     let names: collections::BTreeSet<_> = names.collect();
     let team = |name: &id::TeamName| {
--- a/laburnumcart_fakes/src/measure/plot.rs
+++ b/laburnumcart_fakes/src/measure/plot.rs
@@ -1,4 +1,4 @@
-//! Draws attainment and goodput against the offered load.
+//! Plot of attainment and goodput against the offered load.
 
 use std::{
     error,
@@ -16,27 +16,27 @@
 };
 
 /// Width and height in pixels.
-const SIZE: (u32, u32) = (760, 800);
+const SIZE_PIXELS: (u32, u32) = (760, 800);
 
 const FONT: (&str, u32) = ("sans-serif", 15);
 
-/// Colours of the strategies, in their order.
+/// Colours of the strategies, in the order of [`runner::STRATEGIES`].
 const COLOURS: [draw::RGBColor; 3] = [draw::BLUE, draw::RED, draw::BLACK];
 
 type Result<T> = std::result::Result<T, Box<dyn error::Error>>;
 
 type Area<'a> = draw::DrawingArea<draw::SVGBackend<'a>, plotters::coord::Shift>;
 
-/// What is drawn above each other.
+/// One of the stacked charts.
 struct Chart {
     title: &'static str,
     value: fn(&figures::Figures) -> figures::Spread,
 }
 
-/// Writes the plot of a sweep as SVG.
+/// Writes the plot of a sweep as an SVG file.
 pub fn write(outcomes: &[runner::Outcome], path: impl AsRef<path::Path>) -> Result<()> {
     let path = path.as_ref();
-    let root = draw::SVGBackend::new(path, SIZE).into_drawing_area();
+    let root = draw::SVGBackend::new(path, SIZE_PIXELS).into_drawing_area();
     root.fill(&draw::WHITE)?;
     let charts = [
         Chart {
@@ -49,13 +49,13 @@
         },
     ];
     for (area, chart) in root.split_evenly((2, 1)).iter().zip(charts) {
-        panel(area, &chart, outcomes)?;
+        draw_chart(area, &chart, outcomes)?;
     }
     root.present()?;
     Ok(())
 }
 
-fn panel(area: &Area<'_>, chart: &Chart, outcomes: &[runner::Outcome]) -> Result<()> {
+fn draw_chart(area: &Area<'_>, chart: &Chart, outcomes: &[runner::Outcome]) -> Result<()> {
     let figures = outcomes.iter().flat_map(|outcome| &outcome.strategies);
     let values = figures.map(|(_, figures)| (chart.value)(figures).high);
     let top = values.fold(0.0, f64::max) * 1.1;
--- a/laburnumcart_fakes/src/measure/runner.rs
+++ b/laburnumcart_fakes/src/measure/runner.rs
@@ -1,4 +1,4 @@
-//! Runs a case by each strategy in turn, again and again, and puts everything back between.
+//! Runs cases with each strategy in alternation, and ends all faults after each run.
 
 use std::{
     net,
@@ -27,40 +27,40 @@
     target::behaviour,
 };
 
-/// Age of the reported load unless a case changes it.
-const LOAD_LAG: time::Duration = time::Duration::from_millis(500);
+/// Age of the reported load outside the cases that change it.
+const DEFAULT_LOAD_LAG: time::Duration = time::Duration::from_millis(500);
 
-/// Time for queues and reports to come to rest between two runs.
-const REST: time::Duration = time::Duration::from_millis(700);
+/// Time for queues to drain and load reports to settle between two runs.
+const SETTLE_TIME: time::Duration = time::Duration::from_millis(700);
 
-/// How requests reach the targets.
+/// Routing of requests to the targets.
 #[derive(Clone, Copy, Debug, Display, Eq, PartialEq, Serialize)]
 pub enum Strategy {
     /// Through the entries.
     #[display("ours")]
     #[serde(rename = "Ours")]
     System,
-    /// In turn, without retries.
+    /// Directly to the targets, round robin without retries.
     #[display("round robin")]
     RoundRobin,
-    /// The least loaded, with three blind retries.
+    /// Directly to the least-loaded targets, with three blind retries.
     #[display("least loaded")]
     LeastLoaded,
 }
 
-/// All strategies, in the order in which they take turns.
+/// All strategies, in the order in which they alternate.
 pub const STRATEGIES: [Strategy; 3] = [
     Strategy::System,
     Strategy::RoundRobin,
     Strategy::LeastLoaded,
 ];
 
-/// Result of one case.
+/// Result of a case.
 #[derive(Clone, Debug, Serialize)]
 pub struct Outcome {
     /// Name of the case.
     pub case: String,
-    /// Offered load as a part of capacity.
+    /// Offered load relative to capacity.
     pub load: f64,
     /// Load average of the machine during the runs.
     pub machine: figures::Spread,
@@ -69,7 +69,7 @@
     pub strategies: Vec<(Strategy, figures::Figures)>,
 }
 
-/// Runs cases against one fleet.
+/// Runs cases on a running system.
 #[derive(Debug)]
 pub struct Runner {
     client: client::Client,
@@ -79,7 +79,7 @@
 }
 
 impl Runner {
-    /// Creates a series; the entries' metrics after each of our runs go to the folder `pages`.
+    /// Creates a runner; it saves the entries' metrics after each run of the system in `pages`.
     pub fn new(store: net::SocketAddr, repetitions: u64, pages: Option<path::PathBuf>) -> Self {
         Self {
             client: client::Client::default(),
@@ -89,13 +89,13 @@
         }
     }
 
-    /// Runs a case by all strategies, alternated.
+    /// Runs a case with all strategies in alternation.
     pub async fn run_case(&self, case: &case::Case) -> Outcome {
         let mut reports = STRATEGIES.map(|_| Vec::new());
         let mut machine = Vec::new();
         for seed in 1..=self.repetitions {
             for (strategy, reports) in STRATEGIES.iter().zip(&mut reports) {
-                reports.push(self.once(case, *strategy, seed).await);
+                reports.push(self.run_once(case, *strategy, seed).await);
                 machine.extend(load_average());
             }
         }
@@ -108,8 +108,8 @@
         }
     }
 
-    async fn once(&self, case: &case::Case, strategy: Strategy, seed: u64) -> report::Report {
-        self.outage(case.outage).await;
+    async fn run_once(&self, case: &case::Case, strategy: Strategy, seed: u64) -> report::Report {
+        self.set_outage(case.outage).await;
         let plan = &case.plan;
         let capacity = plan.capacity.map_or(plan.total_rate(), |rate| rate.0);
         let settings = run::Settings {
@@ -125,13 +125,13 @@
             case.name, report.all
         );
         if strategy == Strategy::System {
-            self.keep(case, seed).await;
+            self.save_metrics(case, seed).await;
         }
         self.reset(plan).await;
         report
     }
 
-    async fn outage(&self, down: bool) {
+    async fn set_outage(&self, down: bool) {
         let url = format!("http://{}/admin/faults", self.store);
         let faults = if down { "{\"down\":true}" } else { "{}" };
         if let Err(error) = self.client.post(&url, &[], faults).await {
@@ -139,30 +139,30 @@
         }
     }
 
-    /// Ends all faults and waits for rest.
+    /// Ends all faults and waits until queues have drained.
     async fn reset(&self, plan: &plan::Plan) {
-        self.outage(false).await;
-        let calm = behaviour::Change {
+        self.set_outage(false).await;
+        let defaults = behaviour::Change {
             crash_on: Some(String::new()),
             freeze: Some(false),
             slow: Some(1.0),
             fail: Some(0.0),
             fail_fast: Some(false),
-            load_lag: Some(unit::Period(LOAD_LAG)),
+            load_lag: Some(unit::Period(DEFAULT_LOAD_LAG)),
             ..Default::default()
         };
-        let body = serde_json::to_string(&calm).unwrap_or_default();
+        let body = serde_json::to_string(&defaults).unwrap_or_default();
         for (name, address) in plan.targets() {
             let url = format!("http://{address}/admin/behave");
             if let Err(error) = self.client.post(&url, &[], body.clone()).await {
                 event!(Warn, "target-not-reset", target = name, error = error);
             }
         }
-        tokio::time::sleep(REST).await;
+        tokio::time::sleep(SETTLE_TIME).await;
     }
 
-    /// Keeps the entries' metrics for a later look.
-    async fn keep(&self, case: &case::Case, seed: u64) {
+    /// Saves the metrics of the entries as files.
+    async fn save_metrics(&self, case: &case::Case, seed: u64) {
         let Some(pages) = &self.pages else { return };
         for (number, entry) in case.plan.entries.iter().enumerate() {
             let url = format!("http://{entry}/metrics");
@@ -185,7 +185,7 @@
     }
 }
 
-/// Returns the load average of the last minute, if the machine tells.
+/// Returns the load average of the last minute, if the system provides it.
 fn load_average() -> Option<f64> {
     let text = std::fs::read_to_string("/proc/loadavg").ok()?;
     text.split(' ').next()?.parse().ok()
--- a/laburnumcart_fakes/src/measure/table.rs
+++ b/laburnumcart_fakes/src/measure/table.rs
@@ -1,4 +1,4 @@
-//! Prints results as tables in Markdown.
+//! Markdown tables of results.
 
 use std::{
     collections,
@@ -13,10 +13,10 @@
     runner, //
 };
 
-/// Results with what their tables need besides.
+/// Tables of results.
 #[derive(Debug)]
 pub struct Tables<'a> {
-    /// Results, in order.
+    /// Results in the order of the rows.
     pub outcomes: &'a [runner::Outcome],
     /// Weights of the teams.
     pub weights: collections::BTreeMap<id::TeamName, u32>,
@@ -24,15 +24,15 @@
 
 impl fmt::Display for Tables<'_> {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        self.overall(f)?;
-        self.stages(f)?;
-        self.teams(f)?;
-        self.refusals(f)
+        self.write_totals(f)?;
+        self.write_stages(f)?;
+        self.write_teams(f)?;
+        self.write_refusals(f)
     }
 }
 
 impl Tables<'_> {
-    fn overall(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+    fn write_totals(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         writeln!(f, "### In all\n")?;
         writeln!(
             f,
@@ -47,13 +47,13 @@
                     "| {} ({:.0}) | {strategy} | {} | {} | {} | {} | {} | {} | {} | {} | {} | {} |",
                     outcome.case,
                     outcome.machine.mid,
-                    cell(figures.attainment.scale(100.0), 1),
-                    cell(figures.idempotent.scale(100.0), 1),
-                    cell(figures.p50, 0),
-                    cell(figures.p99, 0),
-                    cell(figures.goodput, 0),
-                    cell(figures.useful.scale(1e3), 0),
-                    cell(figures.wasted.scale(1e3), 1),
+                    format_spread(figures.attainment.scale(100.0), 1),
+                    format_spread(figures.idempotent.scale(100.0), 1),
+                    format_spread(figures.p50, 0),
+                    format_spread(figures.p99, 0),
+                    format_spread(figures.goodput, 0),
+                    format_spread(figures.useful.scale(1e3), 0),
+                    format_spread(figures.wasted.scale(1e3), 1),
                     figures.wrong,
                     figures.lost,
                     figures.repeated,
@@ -63,7 +63,7 @@
         writeln!(f)
     }
 
-    fn stages(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+    fn write_stages(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let names = self.outcomes.iter().flat_map(|o| &o.strategies);
         let names = names.flat_map(|(_, figures)| figures.stages.keys());
         let names: collections::BTreeSet<_> = names.collect();
@@ -85,7 +85,7 @@
         writeln!(f)
     }
 
-    fn teams(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+    fn write_teams(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let all: u32 = self.weights.values().sum();
         writeln!(f, "### By team\n")?;
         let strategies: Vec<_> = runner::STRATEGIES
@@ -116,7 +116,7 @@
                     let sum: f64 = figures.teams.values().map(|t| t.goodput.mid).sum();
                     offered = own.offered.mid;
                     let share = 100.0 * own.goodput.mid / sum.max(f64::MIN_POSITIVE);
-                    let attainment = cell(own.attainment.scale(100.0), 1);
+                    let attainment = format_spread(own.attainment.scale(100.0), 1);
                     write!(row, " {attainment} | {share:.0} |")?;
                 }
                 let case = &outcome.case;
@@ -126,7 +126,7 @@
         writeln!(f)
     }
 
-    fn refusals(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+    fn write_refusals(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         writeln!(f, "### Refusals and failures, all repetitions\n")?;
         writeln!(f, "| case | way | verdict, reason and count |")?;
         writeln!(f, "|---|---|---|")?;
@@ -148,8 +148,8 @@
     }
 }
 
-/// Prints a median with its spread.
-fn cell(spread: figures::Spread, digits: usize) -> String {
+/// Formats a median with its minimum and maximum.
+fn format_spread(spread: figures::Spread, digits: usize) -> String {
     let figures::Spread { low, mid, high } = spread;
     format!("{mid:.digits$} ({low:.digits$} to {high:.digits$})")
 }
--- a/laburnumcart_fakes/src/objects.rs
+++ b/laburnumcart_fakes/src/objects.rs
@@ -1,4 +1,4 @@
-//! The platform's object store over HTTP, in front of a [`memory::Memory`].
+//! Fake of the platform's object API over HTTP, backed by a [`memory::Memory`].
 
 use std::{
     convert,
@@ -38,7 +38,7 @@
     },
 };
 
-type Answer = Result<Value, store::Failure>;
+type ApiResult = Result<Value, store::Failure>;
 
 /// Serves the objects of a store on `addr` until the task is aborted.
 pub async fn serve(
@@ -49,16 +49,17 @@
     Ok(tokio::spawn(async move {
         while let Ok((stream, _)) = listener.accept().await {
             let objects = objects.clone();
-            let handle = service::service_fn(move |request| answer(objects.clone(), request));
+            let handle =
+                service::service_fn(move |request| handle_request(objects.clone(), request));
             let connection =
                 http1::Builder::new().serve_connection(rt::TokioIo::new(stream), handle);
-            // A caller that breaks off is what the faults are for.
+            // Fault tests break connections on purpose.
             tokio::spawn(async move { connection.await.ok() });
         }
     }))
 }
 
-async fn answer(
+async fn handle_request(
     objects: memory::Memory,
     request: Request<Incoming>,
 ) -> Result<Response<Full<Bytes>>, convert::Infallible> {
@@ -76,8 +77,8 @@
         .to_owned();
     let query = head.uri.query().unwrap_or_default().to_owned();
     let result = match (&head.method, path.split_once('/')) {
-        (&Method::GET, None) => many(&objects, &path, &query).await,
-        (&Method::GET, Some(_)) => one(&objects, &path).await,
+        (&Method::GET, None) => list_or_watch(&objects, &path, &query).await,
+        (&Method::GET, Some(_)) => get(&objects, &path).await,
         (&Method::POST, None) => create(&objects, &path, &body).await,
         (&Method::PUT, Some(_)) => replace(&objects, &path, &body).await,
         (&Method::DELETE, Some(_)) => delete(&objects, &path, &query).await,
@@ -89,7 +90,7 @@
         Err(store::Failure::Unavailable { .. }) => (StatusCode::SERVICE_UNAVAILABLE, Value::Null),
         Err(store::Failure::Compacted) => (StatusCode::GONE, Value::Null),
         Err(store::Failure::Invalid) => (StatusCode::NOT_FOUND, Value::Null),
-        // A connection on which an answer was lost brings nothing any more.
+        // A connection that lost a response sends nothing more.
         Err(store::Failure::Unanswered) => future::pending().await,
     };
     let mut response = Response::new(Full::from(value.to_string()));
@@ -97,7 +98,7 @@
     Ok(response)
 }
 
-fn parameter<'a>(query: &'a str, name: &str) -> Option<&'a str> {
+fn query_value<'a>(query: &'a str, name: &str) -> Option<&'a str> {
     let pairs = query.split('&').filter_map(|pair| pair.split_once('='));
     pairs
         .into_iter()
@@ -105,11 +106,11 @@
         .map(|(_, value)| value)
 }
 
-fn number(query: &str, name: &str) -> Option<u64> {
-    parameter(query, name)?.parse().ok()
+fn query_number(query: &str, name: &str) -> Option<u64> {
+    query_value(query, name)?.parse().ok()
 }
 
-fn object(key: &str, version: store::Version, value: &str) -> Value {
+fn object_json(key: &str, version: store::Version, value: &str) -> Value {
     let name = key.rsplit_once('/').map_or(key, |(_, name)| name);
     let value: Value = serde_json::from_str(value).unwrap_or(Value::Null);
     json!({
@@ -119,62 +120,62 @@
     })
 }
 
-fn event(event: &store::Event) -> Value {
+fn event_json(event: &store::Event) -> Value {
     match &event.value {
         Some(value) => {
-            json!({ "deleted": false, "object": object(&event.key, event.version, value) })
+            json!({ "deleted": false, "object": object_json(&event.key, event.version, value) })
         }
-        // A deletion shows the last change before it.
+        // The object of a deletion has the revision before the deletion.
         None => {
             let before = store::Version(event.version.0 - 1);
-            json!({ "deleted": true, "object": object(&event.key, before, "null") })
+            json!({ "deleted": true, "object": object_json(&event.key, before, "null") })
         }
     }
 }
 
-async fn many(objects: &memory::Memory, kind: &str, query: &str) -> Answer {
+async fn list_or_watch(objects: &memory::Memory, kind: &str, query: &str) -> ApiResult {
     let prefix = format!("{kind}/");
-    if let Some(after) = number(query, "watch") {
-        let wait = time::Duration::from_millis(number(query, "wait_ms").unwrap_or(0));
+    if let Some(after) = query_number(query, "watch") {
+        let wait = time::Duration::from_millis(query_number(query, "wait_ms").unwrap_or(0));
         let changes = objects.watch(&prefix, store::Revision(after), wait).await?;
-        let events: Vec<_> = changes.events.iter().map(event).collect();
+        let events: Vec<_> = changes.events.iter().map(event_json).collect();
         return Ok(json!({ "events": events, "at": changes.revision.0 }));
     }
     let listing = objects.list(&prefix).await?;
     let items = listing
         .objects
         .iter()
-        .map(|o| object(&o.key, o.version, &o.value));
+        .map(|o| object_json(&o.key, o.version, &o.value));
     let items: Vec<_> = items.collect();
     Ok(json!({ "items": items, "has_more": false, "at": listing.revision.0 }))
 }
 
-async fn one(objects: &memory::Memory, key: &str) -> Answer {
+async fn get(objects: &memory::Memory, key: &str) -> ApiResult {
     let found = objects.get(key).await?.ok_or(store::Failure::Invalid)?;
-    Ok(object(&found.key, found.version, &found.value))
+    Ok(object_json(&found.key, found.version, &found.value))
 }
 
-async fn create(objects: &memory::Memory, kind: &str, body: &Value) -> Answer {
+async fn create(objects: &memory::Memory, kind: &str, body: &Value) -> ApiResult {
     let name = body["metadata"]["name"]
         .as_str()
         .ok_or(store::Failure::Invalid)?;
     let (key, value) = (format!("{kind}/{name}"), body["specification"].to_string());
     let version = objects.put(&key, store::Expect::Absent, &value).await?;
-    Ok(object(&key, version, &value))
+    Ok(object_json(&key, version, &value))
 }
 
-async fn replace(objects: &memory::Memory, key: &str, body: &Value) -> Answer {
+async fn replace(objects: &memory::Memory, key: &str, body: &Value) -> ApiResult {
     let revision = body["metadata"]["revision"]
         .as_u64()
         .ok_or(store::Failure::Invalid)?;
     let value = body["specification"].to_string();
     let expect = store::Expect::Version(store::Version(revision));
     let version = objects.put(key, expect, &value).await?;
-    Ok(object(key, version, &value))
+    Ok(object_json(key, version, &value))
 }
 
-async fn delete(objects: &memory::Memory, key: &str, query: &str) -> Answer {
-    let revision = number(query, "revision").ok_or(store::Failure::Invalid)?;
+async fn delete(objects: &memory::Memory, key: &str, query: &str) -> ApiResult {
+    let revision = query_number(query, "revision").ok_or(store::Failure::Invalid)?;
     objects.delete(key, store::Version(revision)).await?;
     Ok(Value::Null)
 }
--- a/laburnumcart_fakes/src/scripted.rs
+++ b/laburnumcart_fakes/src/scripted.rs
@@ -1,6 +1,6 @@
-//! A target that answers byte for byte as a script says.
+//! Fake target that sends the bytes that a script returns.
 //!
-//! It shows what a faulty target can do on a connection: cut, late, double or senseless answers.
+//! It reproduces faults on a connection: truncated, late, duplicate or invalid responses.
 
 use std::{
     io, net,
@@ -25,14 +25,14 @@
     },
 };
 
-/// What the target does next on the connection.
+/// Next action of the target on the connection.
 #[derive(Clone, Debug)]
 pub enum Step {
     /// Sends bytes.
     Send(Vec<u8>),
     /// Waits.
     Pause(time::Duration),
-    /// Waits until the caller closes the connection, and counts that.
+    /// Waits until the caller closes the connection and counts it.
     Hang,
     /// Closes the connection.
     Close,
@@ -40,12 +40,12 @@
     Reset,
 }
 
-/// A request as it came.
+/// A request as received.
 #[derive(Clone, Debug, Default)]
 pub struct ReceivedRequest {
-    /// Method, path and protocol.
+    /// Request line.
     pub line: String,
-    /// Names in lower case, and values.
+    /// Names in lower case with their values.
     pub headers: Vec<(String, String)>,
     /// Body.
     pub body: Vec<u8>,
@@ -54,7 +54,7 @@
 impl ReceivedRequest {
     /// Returns the value of a header; `name` is in lower case.
     pub fn header(&self, name: &str) -> Option<&str> {
-        let found = self.headers.iter().find(|(known, _)| known == name);
+        let found = self.headers.iter().find(|(key, _)| key == name);
         found.map(|(_, value)| value.as_str())
     }
 
@@ -81,7 +81,7 @@
 }
 
 impl Target {
-    /// Starts a target on loopback; the script gets each request and the number of those before.
+    /// Starts a target on loopback; the script gets each request and the number of earlier ones.
     pub async fn start(
         script: impl Fn(&ReceivedRequest, usize) -> Vec<Step> + Send + Sync + 'static,
     ) -> io::Result<Self> {
@@ -104,23 +104,23 @@
         self.addr
     }
 
-    /// Returns the requests that came, in order.
+    /// Returns the received requests in order.
     pub fn requests(&self) -> Vec<ReceivedRequest> {
-        lock(&self.shared).clone()
+        lock_requests(&self.shared).clone()
     }
 
-    /// Returns how many connections were opened.
+    /// Returns the number of connections opened.
     pub fn connections(&self) -> usize {
         self.shared.connections.load(atomic::Ordering::Acquire)
     }
 
-    /// Returns how many connections the caller closed during a [`Step::Hang`].
+    /// Returns the number of connections that the caller closed during a [`Step::Hang`].
     pub fn closed_by_caller(&self) -> usize {
         self.shared.closed_by_caller.load(atomic::Ordering::Acquire)
     }
 }
 
-fn lock(shared: &Shared) -> MutexGuard<'_, Vec<ReceivedRequest>> {
+fn lock_requests(shared: &Shared) -> MutexGuard<'_, Vec<ReceivedRequest>> {
     shared
         .requests
         .lock()
@@ -132,7 +132,7 @@
         shared.connections.fetch_add(1, atomic::Ordering::AcqRel);
         let shared = shared.clone();
         tokio::spawn(async move {
-            // A broken connection is what many scripts are after.
+            // Many scripts break the connection on purpose.
             let _ = serve(stream, &shared).await;
         });
     }
@@ -140,9 +140,9 @@
 
 async fn serve(mut stream: TcpStream, shared: &Shared) -> io::Result<()> {
     let mut buffer = Vec::new();
-    while let Some(request) = read(&mut stream, &mut buffer).await? {
+    while let Some(request) = read_request(&mut stream, &mut buffer).await? {
         let number = {
-            let mut all = lock(shared);
+            let mut all = lock_requests(shared);
             all.push(request.clone());
             all.len() - 1
         };
@@ -170,8 +170,11 @@
     Ok(())
 }
 
-/// Reads a request; `None` at the end of the connection.
-async fn read(stream: &mut TcpStream, buffer: &mut Vec<u8>) -> io::Result<Option<ReceivedRequest>> {
+/// Reads a request; `None` if the connection is closed.
+async fn read_request(
+    stream: &mut TcpStream,
+    buffer: &mut Vec<u8>,
+) -> io::Result<Option<ReceivedRequest>> {
     let end = loop {
         if let Some(at) = buffer.windows(4).position(|w| w == b"\r\n\r\n") {
             break at;
--- a/laburnumcart_fakes/src/store.rs
+++ b/laburnumcart_fakes/src/store.rs
@@ -1,4 +1,4 @@
-//! Stand-in for the platform's object service, over HTTP.
+//! Fake of the platform's object service over HTTP.
 
 use std::{
     io,
@@ -29,18 +29,18 @@
 
 pub mod args;
 pub mod counts;
-mod handle;
+mod handlers;
 
-/// Prefix of the platform's own list, which may lag.
+/// Key prefix of the platform's instance list, which may lag.
 pub const INSTANCES_PREFIX: &str = "platform/instances/";
 
-/// Longest time that a watch waits.
-const WAIT_MAX: time::Duration = time::Duration::from_secs(60);
+/// Longest wait of a watch.
+const MAX_WATCH_WAIT: time::Duration = time::Duration::from_secs(60);
 
-/// Threads that serve; waiting watches are tasks and need none of their own.
-const THREADS: usize = 2;
+/// Worker threads; waiting watches are tasks and need no threads.
+const WORKER_THREADS: usize = 2;
 
-/// What all requests share.
+/// State that all requests share.
 pub(crate) struct Shared {
     memory: memory::Memory,
     budget: sync::Mutex<budget::Budget>,
@@ -69,31 +69,31 @@
 }
 
 impl Builder {
-    /// Sets the address; a free port of the loopback unless set.
+    /// Sets the address, by default a free loopback port.
     pub fn listen(mut self, addr: net::SocketAddr) -> Self {
         self.listen = addr;
         self
     }
 
-    /// Sets the rate of reads, lists and watches; 2000/s unless set.
+    /// Sets the rate limit of reads, lists and watches, by default 2000/s.
     pub fn reads(mut self, rate: unit::Rate) -> Self {
         self.rates.reads = rate;
         self
     }
 
-    /// Sets the rate of writes and deletions; 400/s unless set.
+    /// Sets the rate limit of writes and deletions, by default 400/s.
     pub fn writes(mut self, rate: unit::Rate) -> Self {
         self.rates.writes = rate;
         self
     }
 
-    /// Sets the lag of [`INSTANCES_PREFIX`]; none unless set.
+    /// Sets the lag of lists under [`INSTANCES_PREFIX`], by default none.
     pub fn list_lag(mut self, lag: unit::Period) -> Self {
         self.lag = lag;
         self
     }
 
-    /// Binds the address and serves on threads of its own.
+    /// Binds the address and serves it on separate threads.
     pub fn start(self) -> Result<Server, StartError> {
         let listener = net::TcpListener::bind(self.listen)?;
         listener.set_nonblocking(true)?;
@@ -109,17 +109,23 @@
         });
         let mut server = App::new()
             .with_state(sync::Arc::clone(&shared))
-            .at("/v1/objects/{*key}", service::fn_service(handle::object))
-            .at("/v1/list", route::get(service::fn_service(handle::list)))
-            .at("/v1/watch", route::get(service::fn_service(handle::watch)))
-            .at("/admin/faults", service::fn_service(handle::faults))
+            .at("/v1/objects/{*key}", service::fn_service(handlers::object))
+            .at("/v1/list", route::get(service::fn_service(handlers::list)))
+            .at(
+                "/v1/watch",
+                route::get(service::fn_service(handlers::watch)),
+            )
+            .at("/admin/faults", service::fn_service(handlers::faults))
             .at(
                 "/admin/counts",
-                route::get(service::fn_service(handle::counts)),
+                route::get(service::fn_service(handlers::counts)),
+            )
+            .at(
+                "/healthz",
+                route::get(service::fn_service(handlers::health)),
             )
-            .at("/healthz", route::get(service::fn_service(handle::health)))
             .serve()
-            .worker_threads(THREADS)
+            .worker_threads(WORKER_THREADS)
             .disable_signal()
             .listen(listener)?
             .run();
@@ -138,20 +144,20 @@
     }
 }
 
-/// Returns a first revision above all that an earlier stand-in at the address can have given.
+/// Returns a first revision above those of an earlier server at the same address.
 ///
-/// Otherwise clients would take the objects of a restarted stand-in for a stale read.
+/// Otherwise clients would treat the objects of a restarted server as stale reads.
 fn first_revision() -> store::Revision {
     let now = time::SystemTime::now().duration_since(time::UNIX_EPOCH);
     store::Revision(now.map_or(0, |now| now.as_micros() as u64))
 }
 
-/// A server that could not be started.
+/// Error at the start of a server.
 #[derive(Debug, Display, Error, From)]
-#[display("object service stand-in: {_0}")]
+#[display("fake object service: {_0}")]
 pub struct StartError(io::Error);
 
-/// A running stand-in; dropping it ends the server.
+/// A running server, stopped on drop.
 pub struct Server {
     addr: net::SocketAddr,
     memory: memory::Memory,
@@ -161,22 +167,22 @@
 }
 
 impl Server {
-    /// Starts the settings of a server.
+    /// Returns a builder with the default settings.
     pub fn builder() -> Builder {
         Builder::default()
     }
 
-    /// Returns the address that it serves.
+    /// Returns the listening address.
     pub fn addr(&self) -> net::SocketAddr {
         self.addr
     }
 
-    /// Returns the objects and the faults.
+    /// Returns the store of objects and faults.
     pub fn memory(&self) -> &memory::Memory {
         &self.memory
     }
 
-    /// Returns the counts of the calls so far.
+    /// Returns the counts of all calls.
     pub fn counts(&self) -> counts::Report {
         self.shared.counts.report()
     }
--- a/laburnumcart_fakes/src/store/args.rs
+++ b/laburnumcart_fakes/src/store/args.rs
@@ -1,4 +1,4 @@
-//! Command line of the stand-in for the object service.
+//! Command line of the fake object service.
 
 use std::{
     net,
@@ -14,27 +14,27 @@
 
 use super::Builder;
 
-/// What the command line asks for.
+/// Action that the command line selects.
 #[derive(Debug)]
 pub enum Command {
-    /// Print the text and exit.
+    /// Prints the text and exits.
     Help(String),
-    /// Serve.
+    /// Serves objects.
     Serve(Builder),
 }
 
-/// A command line that is not understood.
+/// Error in the command line.
 #[derive(Clone, Debug, Display, Error, Eq, PartialEq)]
 pub enum UsageError {
     /// Unknown option, missing value or stray argument.
     #[display("{_0}")]
     Syntax(#[error(not(source))] String),
-    /// A value that is not of the wanted kind.
+    /// A value that does not parse.
     #[display("--{option}: invalid value {value:?}")]
     Value {
         /// Name of the option.
         option: &'static str,
-        /// Text that was found.
+        /// Text of the value.
         value: String,
     },
 }
@@ -67,16 +67,16 @@
     if let Some(stray) = matches.free.first() {
         return Err(UsageError::Syntax(format!("stray argument {stray:?}")));
     }
-    let listen = value(&matches, "listen")?;
+    let listen = parse_value(&matches, "listen")?;
     let builder = Builder::default()
         .listen(listen.unwrap_or(net::SocketAddr::from(([127, 0, 0, 1], 7400))))
-        .writes(value(&matches, "writes")?.unwrap_or(unit::Rate(400.0)))
-        .reads(value(&matches, "reads")?.unwrap_or(unit::Rate(2000.0)))
-        .list_lag(value(&matches, "list-lag")?.unwrap_or_default());
+        .writes(parse_value(&matches, "writes")?.unwrap_or(unit::Rate(400.0)))
+        .reads(parse_value(&matches, "reads")?.unwrap_or(unit::Rate(2000.0)))
+        .list_lag(parse_value(&matches, "list-lag")?.unwrap_or_default());
     Ok(Command::Serve(builder))
 }
 
-fn value<T: str::FromStr>(
+fn parse_value<T: str::FromStr>(
     matches: &getopts::Matches,
     option: &'static str,
 ) -> Result<Option<T>, UsageError> {
--- a/laburnumcart_fakes/src/store/counts.rs
+++ b/laburnumcart_fakes/src/store/counts.rs
@@ -1,4 +1,4 @@
-//! Counts of the calls to the stand-in.
+//! Counts of the calls to the fake object service.
 
 use std::{
     collections,
@@ -17,7 +17,7 @@
     Read,
     /// Conditional write or deletion.
     Write,
-    /// Watch, counted once however long it waits.
+    /// Watch, counted once regardless of its duration.
     Watch,
 }
 
@@ -30,7 +30,7 @@
     pub writes: u64,
     /// Watches.
     pub watches: u64,
-    /// Calls of any kind that were refused by the rate limit; not in the other counts.
+    /// Calls that the rate limit refused, which the other counts exclude.
     pub refused: u64,
 }
 
@@ -39,17 +39,17 @@
 pub struct Report {
     /// Sum over all keys.
     pub total: Count,
-    /// Counts by the first segment of the key or prefix.
+    /// Counts by first segment of the key or prefix.
     pub prefixes: collections::BTreeMap<String, Count>,
 }
 
-/// Counters that are shared by all requests.
+/// Counters that all requests share.
 #[derive(Debug, Default)]
 pub struct Counts(sync::Mutex<Report>);
 
 impl Counts {
-    /// Counts a call that was let through.
-    pub fn admit(&self, kind: Kind, key: &str) {
+    /// Counts a call within the rate limit.
+    pub fn count_admitted(&self, kind: Kind, key: &str) {
         self.update(key, |count| match kind {
             Kind::Read => count.reads += 1,
             Kind::Write => count.writes += 1,
@@ -58,11 +58,11 @@
     }
 
     /// Counts a call that the rate limit refused.
-    pub fn refuse(&self, key: &str) {
+    pub fn count_refused(&self, key: &str) {
         self.update(key, |count| count.refused += 1);
     }
 
-    /// Returns the counts so far.
+    /// Returns the current counts.
     pub fn report(&self) -> Report {
         self.lock().clone()
     }
--- a/laburnumcart_fakes/src/store/handle.rs
+++ b/laburnumcart_fakes/src/store/handlers.rs
@@ -1,4 +1,4 @@
-//! Requests to the stand-in and their answers.
+//! Request handlers of the fake object service.
 
 use std::{
     collections,
@@ -42,13 +42,13 @@
     counts, //
 };
 
-/// Largest body that is read before it is refused.
-const BODY_MAX: usize = 2 * store::VALUE_MAX;
+/// Largest request body that is read.
+const MAX_BODY_BYTES: usize = 2 * store::VALUE_MAX;
 
 type Context<'a> = WebContext<'a, sync::Arc<Shared>>;
-type Answer = Result<WebResponse, error::Error>;
+type HandlerResult = Result<WebResponse, error::Error>;
 
-/// Why a request is not served.
+/// Reason for an error response.
 enum Refusal {
     Status(StatusCode),
     Limited(unit::Period),
@@ -62,14 +62,14 @@
 }
 
 /// `GET`, `PUT` and `DELETE` of `/v1/objects/{key}`.
-pub(super) async fn object(mut ctx: Context<'_>) -> Answer {
+pub(super) async fn object(mut ctx: Context<'_>) -> HandlerResult {
     let result = match *ctx.req().method() {
         Method::GET => get(&mut ctx).await,
         Method::PUT => put(&mut ctx).await,
         Method::DELETE => delete(&mut ctx).await,
         _ => Err(Refusal::Status(StatusCode::METHOD_NOT_ALLOWED)),
     };
-    finish(ctx, result)
+    respond(ctx, result)
 }
 
 async fn get(ctx: &mut Context<'_>) -> Result<WebResponse, Refusal> {
@@ -85,7 +85,7 @@
 async fn put(ctx: &mut Context<'_>) -> Result<WebResponse, Refusal> {
     let key = key(ctx);
     let expect = expect(ctx)?;
-    let value = text(ctx).await?;
+    let value = body_text(ctx).await?;
     if value.len() > store::VALUE_MAX {
         return Err(Refusal::Status(StatusCode::PAYLOAD_TOO_LARGE));
     }
@@ -110,12 +110,12 @@
 }
 
 /// `GET /v1/list`.
-pub(super) async fn list(mut ctx: Context<'_>) -> Answer {
-    let result = listing(&mut ctx).await;
-    finish(ctx, result)
+pub(super) async fn list(mut ctx: Context<'_>) -> HandlerResult {
+    let result = list_objects(&mut ctx).await;
+    respond(ctx, result)
 }
 
-async fn listing(ctx: &mut Context<'_>) -> Result<WebResponse, Refusal> {
+async fn list_objects(ctx: &mut Context<'_>) -> Result<WebResponse, Refusal> {
     let query = query(ctx);
     let prefix = query.get("prefix").map_or("", String::as_str);
     ctx.state().admit(counts::Kind::Read, prefix)?;
@@ -124,25 +124,25 @@
 }
 
 /// `GET /v1/watch`.
-pub(super) async fn watch(mut ctx: Context<'_>) -> Answer {
-    let result = changes(&mut ctx).await;
-    finish(ctx, result)
+pub(super) async fn watch(mut ctx: Context<'_>) -> HandlerResult {
+    let result = watch_changes(&mut ctx).await;
+    respond(ctx, result)
 }
 
-async fn changes(ctx: &mut Context<'_>) -> Result<WebResponse, Refusal> {
+async fn watch_changes(ctx: &mut Context<'_>) -> Result<WebResponse, Refusal> {
     let query = query(ctx);
     let prefix = query.get("prefix").map_or("", String::as_str);
-    let after = store::Revision(number(&query, "after")?);
-    let wait = time::Duration::from_millis(number(&query, "wait")?);
+    let after = store::Revision(query_number(&query, "after")?);
+    let wait = time::Duration::from_millis(query_number(&query, "wait")?);
     let shared = sync::Arc::clone(ctx.state());
-    let _held = shared.hold(prefix)?;
-    let wait = wait.min(super::WAIT_MAX);
+    let _hold = shared.hold(prefix)?;
+    let wait = wait.min(super::MAX_WATCH_WAIT);
     let changes = shared.memory.watch(prefix, after, wait).await?;
     encode(ctx, &changes)
 }
 
 /// `GET` and `POST` of `/admin/faults`.
-pub(super) async fn faults(mut ctx: Context<'_>) -> Answer {
+pub(super) async fn faults(mut ctx: Context<'_>) -> HandlerResult {
     let result = match *ctx.req().method() {
         Method::POST => set_faults(&mut ctx).await,
         Method::GET => {
@@ -151,11 +151,11 @@
         }
         _ => Err(Refusal::Status(StatusCode::METHOD_NOT_ALLOWED)),
     };
-    finish(ctx, result)
+    respond(ctx, result)
 }
 
 async fn set_faults(ctx: &mut Context<'_>) -> Result<WebResponse, Refusal> {
-    let text = text(ctx).await?;
+    let text = body_text(ctx).await?;
     let faults: Result<memory::Faults, _> = serde_json::from_str(&text);
     let faults = faults.map_err(|_| Refusal::Status(StatusCode::BAD_REQUEST))?;
     ctx.state().memory.set_faults(faults);
@@ -164,19 +164,19 @@
 }
 
 /// `GET /admin/counts`.
-pub(super) async fn counts(mut ctx: Context<'_>) -> Answer {
+pub(super) async fn counts(mut ctx: Context<'_>) -> HandlerResult {
     let report = ctx.state().counts.report();
     let result = encode(&mut ctx, &report);
-    finish(ctx, result)
+    respond(ctx, result)
 }
 
 /// `GET /healthz`.
-pub(super) async fn health(mut ctx: Context<'_>) -> Answer {
+pub(super) async fn health(mut ctx: Context<'_>) -> HandlerResult {
     Ok(ctx.as_response("ok\n"))
 }
 
 impl Shared {
-    /// Counts a call against its rate.
+    /// Charges a call to its rate limit.
     fn admit(&self, kind: counts::Kind, key: &str) -> Result<(), Refusal> {
         let mut budget = self.budget();
         let bucket = match kind {
@@ -188,16 +188,16 @@
             counts::Kind::Read | counts::Kind::Write => bucket.try_take(Instant::now()),
         };
         match taken {
-            Ok(()) => self.counts.admit(kind, key),
-            Err(_) => self.counts.refuse(key),
+            Ok(()) => self.counts.count_admitted(kind, key),
+            Err(_) => self.counts.count_refused(key),
         }
         taken.map_err(Refusal::Limited)
     }
 
-    /// Counts a watch against the rate of reads until it ends.
-    fn hold(&self, prefix: &str) -> Result<Held<'_>, Refusal> {
+    /// Charges a watch to the rate limit of reads until it ends.
+    fn hold(&self, prefix: &str) -> Result<WatchHold<'_>, Refusal> {
         self.admit(counts::Kind::Watch, prefix)?;
-        Ok(Held(self))
+        Ok(WatchHold(self))
     }
 
     fn budget(&self) -> sync::MutexGuard<'_, laburnumcart_platform::budget::Budget> {
@@ -206,9 +206,9 @@
     }
 }
 
-struct Held<'a>(&'a Shared);
+struct WatchHold<'a>(&'a Shared);
 
-impl Drop for Held<'_> {
+impl Drop for WatchHold<'_> {
     fn drop(&mut self) {
         self.0.budget().reads.release(Instant::now());
     }
@@ -219,14 +219,14 @@
     path.strip_prefix("/v1/objects/").unwrap_or(path).to_owned()
 }
 
-/// Reads the query; keys and prefixes need no escapes in a URL.
+/// Parses the query; keys and prefixes need no percent encoding.
 fn query(ctx: &Context<'_>) -> collections::BTreeMap<String, String> {
     let query = ctx.req().uri().query().unwrap_or_default();
     let pairs = query.split('&').filter_map(|pair| pair.split_once('='));
     pairs.map(|(k, v)| (k.to_owned(), v.to_owned())).collect()
 }
 
-fn number(query: &collections::BTreeMap<String, String>, name: &str) -> Result<u64, Refusal> {
+fn query_number(query: &collections::BTreeMap<String, String>, name: &str) -> Result<u64, Refusal> {
     let number = query.get(name).and_then(|text| text.parse().ok());
     number.ok_or(Refusal::Status(StatusCode::BAD_REQUEST))
 }
@@ -243,8 +243,8 @@
     expect.ok_or(Refusal::Status(StatusCode::BAD_REQUEST))
 }
 
-async fn text(ctx: &Context<'_>) -> Result<String, Refusal> {
-    let body = ctx.extract::<(Vec<u8>, Limit<BODY_MAX>)>().await;
+async fn body_text(ctx: &Context<'_>) -> Result<String, Refusal> {
+    let body = ctx.extract::<(Vec<u8>, Limit<MAX_BODY_BYTES>)>().await;
     let (body, _) = body.map_err(|_| Refusal::Status(StatusCode::PAYLOAD_TOO_LARGE))?;
     String::from_utf8(body).map_err(|_| Refusal::Status(StatusCode::BAD_REQUEST))
 }
@@ -268,7 +268,7 @@
     }
 }
 
-fn finish(mut ctx: Context<'_>, result: Result<WebResponse, Refusal>) -> Answer {
+fn respond(mut ctx: Context<'_>, result: Result<WebResponse, Refusal>) -> HandlerResult {
     let refusal = match result {
         Ok(response) => return Ok(response),
         Err(refusal) => refusal,
@@ -276,7 +276,7 @@
     let (status, retry) = match refusal {
         Refusal::Status(status) => (status, None),
         Refusal::Limited(retry) => (StatusCode::TOO_MANY_REQUESTS, Some(retry)),
-        Refusal::Failed(store::Failure::Unanswered) => return Ok(break_off(&mut ctx)),
+        Refusal::Failed(store::Failure::Unanswered) => return Ok(abort_response(&mut ctx)),
         Refusal::Failed(store::Failure::Conflict) => (StatusCode::PRECONDITION_FAILED, None),
         Refusal::Failed(store::Failure::Compacted) => (StatusCode::GONE, None),
         Refusal::Failed(store::Failure::Invalid) => (StatusCode::BAD_REQUEST, None),
@@ -297,14 +297,15 @@
     Ok(response)
 }
 
-/// Ends the connection in the middle of an answer.
-fn break_off(ctx: &mut Context<'_>) -> WebResponse {
-    ctx.as_response(body::ResponseBody::boxed(Broken))
+/// Returns a response whose body fails, which closes the connection.
+fn abort_response(ctx: &mut Context<'_>) -> WebResponse {
+    ctx.as_response(body::ResponseBody::boxed(FailingBody))
 }
 
-struct Broken;
+/// Body that fails before its first byte.
+struct FailingBody;
 
-impl body::Body for Broken {
+impl body::Body for FailingBody {
     type Data = Bytes;
     type Error = io::Error;
 
--- a/laburnumcart_fakes/src/target/behaviour.rs
+++ b/laburnumcart_fakes/src/target/behaviour.rs
@@ -1,4 +1,4 @@
-//! Faults that a stand-in target can be told to show.
+//! Faults that a fake target can inject.
 
 use std::time;
 
@@ -11,19 +11,19 @@
 /// Faults in force.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Behaviour {
-    /// A body that holds this text crashes the target.
+    /// A body that contains this text crashes the target.
     pub crash_on: Option<String>,
-    /// Whether calls stand still.
+    /// Whether calls make no progress.
     pub freeze: bool,
-    /// Factor on all times.
+    /// Factor for all times.
     pub slow: f64,
-    /// Part of the calls that fail.
+    /// Share of the calls that fail.
     pub fail: f64,
-    /// Whether such a call fails at once instead of halfway.
+    /// Whether a failing call fails at its start instead of halfway.
     pub fail_fast: bool,
-    /// Time from an order's acceptance to its effect.
+    /// Delay between the acceptance of an order and its effect.
     pub order_time: unit::Period,
-    /// Age of the load that is reported, if not that of the settings.
+    /// Age of the reported load; `None` for the value from the settings.
     pub load_lag: Option<unit::Period>,
 }
 
@@ -41,11 +41,11 @@
     }
 }
 
-/// A change of the faults; absent fields stay as they are.
+/// Change of the faults; absent fields keep their values.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Change {
-    /// See [`Behaviour::crash_on`]; the empty text crashes nothing.
+    /// See [`Behaviour::crash_on`]; the empty text ends this fault.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub crash_on: Option<String>,
     /// See [`Behaviour::freeze`].
@@ -66,13 +66,13 @@
     /// See [`Behaviour::load_lag`].
     #[serde(skip_serializing_if = "Option::is_none")]
     pub load_lag: Option<unit::Period>,
-    /// Crashes the target now and keeps it down for this time.
+    /// Crashes the target at once and keeps it down for this time.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub down: Option<unit::Period>,
 }
 
 impl Behaviour {
-    /// Puts a change into force.
+    /// Applies a change.
     pub fn apply(&mut self, change: Change) {
         if let Some(text) = change.crash_on {
             self.crash_on = Some(text).filter(|text| !text.is_empty());
--- a/laburnumcart_fakes/src/target/cache.rs
+++ b/laburnumcart_fakes/src/target/cache.rs
@@ -1,4 +1,4 @@
-//! An engine's prompt prefixes in limited memory, and the events that it publishes about them.
+//! Bounded cache of an engine's prompt prefixes, and its published events.
 
 use std::{
     collections,
@@ -8,13 +8,13 @@
 use serde::Serialize;
 use tokio::time::Instant;
 
-/// Every event whose number is a multiple of this is never published.
-const GAP: u64 = 7;
+/// Interval of event numbers that are lost instead of published.
+const LOSS_INTERVAL: u64 = 7;
 
-/// Events that are kept for readers.
-const EVENTS_MAX: usize = 1024;
+/// Number of events kept for readers.
+const MAX_EVENTS: usize = 1024;
 
-/// A prefix that was kept or dropped.
+/// Insertion or eviction of a prefix.
 #[derive(Clone, Debug, Serialize)]
 pub(super) struct Event {
     pub(super) number: u64,
@@ -22,46 +22,48 @@
     pub(super) kept: bool,
 }
 
-/// Prefixes, the least recently used dropped first.
+/// LRU cache of prefixes.
 #[derive(Debug)]
 pub(super) struct Cache {
-    limit: usize,
+    capacity: usize,
     lag: time::Duration,
-    used: u64,
+    clock: u64,
     prefixes: collections::HashMap<String, u64>,
     events: collections::VecDeque<(Instant, Event)>,
-    number: u64,
+    last_number: u64,
 }
 
 impl Cache {
-    pub(super) fn new(limit: usize, lag: time::Duration) -> Self {
+    pub(super) fn new(capacity: usize, lag: time::Duration) -> Self {
         Self {
-            limit,
+            capacity,
             lag,
-            used: 0,
+            clock: 0,
             prefixes: collections::HashMap::new(),
             events: collections::VecDeque::new(),
-            number: 0,
+            last_number: 0,
         }
     }
 
-    /// Uses a prefix and reports whether it was cached.
-    pub(super) fn touch(&mut self, prefix: &str) -> bool {
-        self.used += 1;
-        let hit = self.prefixes.insert(prefix.into(), self.used).is_some();
+    /// Marks a prefix as used and returns whether it was cached.
+    pub(super) fn use_prefix(&mut self, prefix: &str) -> bool {
+        self.clock += 1;
+        let hit = self.prefixes.insert(prefix.into(), self.clock).is_some();
         if !hit {
             self.publish(prefix, true);
         }
-        while self.prefixes.len() > self.limit {
+        while self.prefixes.len() > self.capacity {
             self.evict();
         }
         hit
     }
 
-    /// Returns the published events after a number.
+    /// Returns the published events with higher numbers than `after`.
     pub(super) fn events(&self, after: u64) -> Vec<Event> {
         let visible = |(at, event): &&(Instant, Event)| {
-            event.number > after && at.elapsed() >= self.lag && !event.number.is_multiple_of(GAP)
+            event.number > after
+                && at.elapsed() >= self.lag
+                && !event.number.is_multiple_of(LOSS_INTERVAL)
         };
         let visible = self.events.iter().filter(visible);
         visible.map(|(_, event)| event.clone()).collect()
@@ -77,14 +79,14 @@
     }
 
     fn publish(&mut self, prefix: &str, kept: bool) {
-        self.number += 1;
+        self.last_number += 1;
         let event = Event {
-            number: self.number,
+            number: self.last_number,
             prefix: prefix.into(),
             kept,
         };
         self.events.push_back((Instant::now(), event));
-        if self.events.len() > EVENTS_MAX {
+        if self.events.len() > MAX_EVENTS {
             self.events.pop_front();
         }
     }
--- a/laburnumcart_fakes/src/target/engine.rs
+++ b/laburnumcart_fakes/src/target/engine.rs
@@ -1,4 +1,4 @@
-//! A call of a model engine: one sequence in the batch, streamed token by token.
+//! Calls of a model engine: each is a sequence in the batch, streamed token by token.
 
 use std::{
     future,
@@ -22,14 +22,14 @@
 use crate::{
     expected,
     target::{
-        core,
-        gate,
-        ledger, //
+        ledger,
+        slots,
+        state, //
     },
 };
 
-/// Part of the prefill that a cached prefix leaves.
-const HIT_FACTOR: f64 = 0.1;
+/// Share of the prefill time that remains with a cached prefix.
+const CACHED_PREFILL_SHARE: f64 = 0.1;
 
 /// Body of a call.
 #[derive(Debug, Deserialize)]
@@ -54,20 +54,20 @@
     pub(super) raw: Bytes,
 }
 
-/// Makes a call known to cancellation while it lives.
-pub(super) struct Tracked {
-    core: sync::Arc<core::Core>,
+/// Registration of a call for cancellation, removed on drop.
+pub(super) struct Registration {
+    state: sync::Arc<state::State>,
     attempt: String,
     notify: sync::Arc<Notify>,
 }
 
-impl Tracked {
-    pub(super) fn new(core: &sync::Arc<core::Core>, call: &Call) -> Self {
+impl Registration {
+    pub(super) fn new(state: &sync::Arc<state::State>, call: &Call) -> Self {
         let notify = sync::Arc::new(Notify::new());
         let attempt = call.attempt.clone();
-        core.memory().calls.insert(attempt.clone(), notify.clone());
+        state.memory().calls.insert(attempt.clone(), notify.clone());
         Self {
-            core: core.clone(),
+            state: state.clone(),
             attempt,
             notify,
         }
@@ -79,20 +79,20 @@
     }
 }
 
-impl Drop for Tracked {
+impl Drop for Registration {
     fn drop(&mut self) {
-        self.core.memory().calls.remove(&self.attempt);
+        self.state.memory().calls.remove(&self.attempt);
     }
 }
 
-/// An execution in the ledger; settled as cancelled if it is dropped before its end.
-pub(super) struct Running {
-    core: sync::Arc<core::Core>,
-    number: ledger::Id,
+/// Execution in the ledger, recorded as cancelled if it is dropped before its end.
+pub(super) struct RunningExecution {
+    state: sync::Arc<state::State>,
+    id: ledger::Id,
 }
 
-impl Running {
-    pub(super) fn start(core: &sync::Arc<core::Core>, call: &Call) -> Self {
+impl RunningExecution {
+    pub(super) fn start(state: &sync::Arc<state::State>, call: &Call) -> Self {
         let execution = ledger::Execution {
             request: call.request.clone(),
             attempt: call.attempt.clone(),
@@ -104,102 +104,101 @@
             traceparent: call.traceparent.clone(),
             cached: false,
         };
-        let number = core.ledger.lock().unwrap().begin(execution);
+        let id = state.ledger.lock().unwrap().begin(execution);
         Self {
-            core: core.clone(),
-            number,
+            state: state.clone(),
+            id,
         }
     }
 
-    pub(super) fn charge(&self, busy: time::Duration) {
-        self.core.ledger.lock().unwrap().add_busy(self.number, busy);
+    pub(super) fn add_busy(&self, busy: time::Duration) {
+        self.state.ledger.lock().unwrap().add_busy(self.id, busy);
     }
 
-    pub(super) fn hit(&self) {
-        self.core.ledger.lock().unwrap().mark_cached(self.number);
+    pub(super) fn mark_cached(&self) {
+        self.state.ledger.lock().unwrap().mark_cached(self.id);
     }
 
-    pub(super) fn settle(&self, outcome: ledger::Outcome) {
-        self.core
-            .ledger
-            .lock()
-            .unwrap()
-            .finish(self.number, outcome);
+    pub(super) fn finish(&self, outcome: ledger::Outcome) {
+        self.state.ledger.lock().unwrap().finish(self.id, outcome);
     }
 }
 
-impl Drop for Running {
+impl Drop for RunningExecution {
     fn drop(&mut self) {
-        self.settle(ledger::Outcome::Cancelled);
+        self.finish(ledger::Outcome::Cancelled);
     }
 }
 
-/// Why a call was not started.
-pub(super) enum Refused {
+/// Reason why a call was not executed.
+pub(super) enum Refusal {
     Full,
     Cancelled,
-    /// The text to resume after is not a start of the output.
-    Received,
+    /// The received text is not a prefix of the output.
+    BadPrefix,
     Failed,
 }
 
 /// One sequence in the batch.
 pub(super) struct Sequence {
-    core: sync::Arc<core::Core>,
-    tracked: Tracked,
-    running: Running,
-    _permit: gate::Permit,
-    gate: sync::Arc<gate::Gate>,
+    state: sync::Arc<state::State>,
+    registration: Registration,
+    execution: RunningExecution,
+    _permit: slots::Permit,
+    slots: sync::Arc<slots::Slots>,
     pieces: vec::IntoIter<String>,
     tokens: usize,
     prefill: Option<time::Duration>,
-    /// Pieces after which the sequence fails.
-    fails_after: Option<usize>,
+    /// Number of tokens after which the sequence fails.
+    fail_after: Option<usize>,
     ended: bool,
 }
 
-/// Waits for a place in the batch.
-pub(super) async fn start(core: &sync::Arc<core::Core>, call: Call) -> Result<Sequence, Refused> {
-    let pieces = rest(&call.body, core.settings.tokens).ok_or(Refused::Received)?;
-    let tracked = Tracked::new(core, &call);
-    let gate = core.gate();
+/// Waits for a slot in the batch and starts the sequence.
+pub(super) async fn start_sequence(
+    state: &sync::Arc<state::State>,
+    call: Call,
+) -> Result<Sequence, Refusal> {
+    let pieces = remaining_pieces(&call.body, state.settings.tokens).ok_or(Refusal::BadPrefix)?;
+    let registration = Registration::new(state, &call);
+    let slots = state.slots();
     let permit = tokio::select! {
-        permit = gate.enter(call.rank) => permit.map_err(|_| Refused::Full)?,
-        () = tracked.cancelled() => return Err(Refused::Cancelled),
+        permit = slots.acquire(call.rank) => permit.map_err(|_| Refusal::Full)?,
+        () = registration.cancelled() => return Err(Refusal::Cancelled),
     };
-    let running = Running::start(core, &call);
-    if core.provoke(&call.raw) {
+    let execution = RunningExecution::start(state, &call);
+    if state.crash_on_poison(&call.raw) {
         return future::pending().await;
     }
-    let fails = core.fails();
-    if fails && core.behaviour.borrow().fail_fast {
-        running.settle(ledger::Outcome::Failed);
-        return Err(Refused::Failed);
+    let fails = state.draw_failure();
+    if fails && state.behaviour.borrow().fail_fast {
+        execution.finish(ledger::Outcome::Failed);
+        return Err(Refusal::Failed);
     }
-    let hit = core
+    let hit = state
         .memory()
         .cache
-        .touch(&expected::prefix_key(&call.body.input));
+        .use_prefix(&expected::prefix_key(&call.body.input));
     if hit {
-        running.hit();
+        execution.mark_cached();
     }
-    let factor = if hit { HIT_FACTOR } else { 1.0 };
+    let factor = if hit { CACHED_PREFILL_SHARE } else { 1.0 };
     Ok(Sequence {
-        core: core.clone(),
-        tracked,
-        running,
+        state: state.clone(),
+        registration,
+        execution,
         _permit: permit,
-        gate,
+        slots,
         tokens: pieces.len(),
-        fails_after: fails.then_some(pieces.len() / 2),
+        fail_after: fails.then_some(pieces.len() / 2),
         pieces: pieces.into_iter(),
-        prefill: Some(core.settings.prefill_time.mul_f64(factor)),
+        prefill: Some(state.settings.prefill_time.mul_f64(factor)),
         ended: false,
     })
 }
 
-/// Returns the pieces after the text that was received, `None` if that is not a start of it.
-fn rest(body: &Body, default: u32) -> Option<Vec<String>> {
+/// Returns the tokens after the received text; `None` if that is not a prefix of the output.
+fn remaining_pieces(body: &Body, default: u32) -> Option<Vec<String>> {
     let tokens = expected::token_count(&body.input, default);
     let pieces = expected::engine_pieces(&body.stage, &body.input, &body.previous, tokens);
     let mut received = body.received.as_deref().unwrap_or_default();
@@ -217,7 +216,7 @@
 }
 
 impl Sequence {
-    /// Returns the event stream of the sequence; it has no end event if it was cut off.
+    /// Returns the event stream of the sequence, without an end event if the sequence is aborted.
     pub(super) fn events(self) -> impl Stream<Item = Result<Bytes, io::Error>> {
         stream::unfold(self, |mut sequence| async {
             let event = sequence.next().await?;
@@ -230,41 +229,42 @@
             return None;
         }
         if let Some(prefill) = self.prefill.take()
-            && !self.step(prefill).await
+            && !self.wait_step(prefill).await
         {
             return None;
         }
-        if self.fails_after == Some(self.tokens - self.pieces.len()) {
-            self.running.settle(ledger::Outcome::Failed);
+        if self.fail_after == Some(self.tokens - self.pieces.len()) {
+            self.execution.finish(ledger::Outcome::Failed);
             return None;
         }
         let Some(piece) = self.pieces.next() else {
             self.ended = true;
-            self.running.settle(ledger::Outcome::Done);
+            self.execution.finish(ledger::Outcome::Done);
             let end = serde_json::json!({ "tokens": self.tokens });
             return Some(format!("event: end\ndata: {end}\n\n"));
         };
-        if !self.step(self.core.settings.token_time).await {
+        if !self.wait_step(self.state.settings.token_time).await {
             return None;
         }
         let data = serde_json::json!({ "text": piece });
         Some(format!("data: {data}\n\n"))
     }
 
-    /// Lets the time of one step pass; reports `false` when the call was cancelled.
+    /// Waits for the time of one step; returns `false` if the call was cancelled.
     ///
-    /// A batch beyond the slots shares their speed, so the step takes longer for each.
-    async fn step(&mut self, mean: time::Duration) -> bool {
-        let slots = f64::from(self.core.settings.slots);
-        let crowd = (f64::from(self.gate.load().running) / slots).max(1.0);
+    /// A batch with more sequences than slots shares their speed, so each step takes longer.
+    async fn wait_step(&mut self, mean: time::Duration) -> bool {
+        let count = f64::from(self.state.settings.slots);
+        let slowdown = (f64::from(self.slots.load().running) / count).max(1.0);
         let start = Instant::now();
         let cancelled = tokio::select! {
-            () = self.core.pass(mean.mul_f64(crowd)) => false,
-            () = self.tracked.cancelled() => true,
+            () = self.state.simulate_work(mean.mul_f64(slowdown)) => false,
+            () = self.registration.cancelled() => true,
         };
-        self.running.charge(start.elapsed().div_f64(crowd * slots));
+        self.execution
+            .add_busy(start.elapsed().div_f64(slowdown * count));
         if cancelled {
-            self.running.settle(ledger::Outcome::Cancelled);
+            self.execution.finish(ledger::Outcome::Cancelled);
         }
         !cancelled
     }
--- a/laburnumcart_fakes/src/target/ledger.rs
+++ b/laburnumcart_fakes/src/target/ledger.rs
@@ -1,4 +1,4 @@
-//! Counts what a stand-in target executed; outlives its crashes, as the observer's record.
+//! Record of the executions of a fake target, which outlives its crashes.
 
 use std::{
     collections,
@@ -10,19 +10,19 @@
     Serialize, //
 };
 
-/// How an execution ended.
+/// State or outcome of an execution.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Outcome {
-    /// Still executes.
+    /// It is running.
     Running,
-    /// Its whole output was produced.
+    /// It produced its complete output.
     Done,
-    /// It was cancelled, or its connection was lost.
+    /// It was cancelled, or its connection closed.
     Cancelled,
-    /// The target crashed meanwhile.
+    /// The target crashed during it.
     Crashed,
-    /// The target failed it.
+    /// The target failed it with an injected fault.
     Failed,
 }
 
@@ -31,50 +31,50 @@
 pub struct Execution {
     /// Request that it belongs to.
     pub request: String,
-    /// Dispatch that it belongs to.
+    /// Attempt that it belongs to.
     pub attempt: String,
     /// Stage.
     pub stage: String,
-    /// Digest of the caller's input, by which resends under other request ids are told apart.
+    /// Digest of the caller's input, which identifies resends under other request ids.
     pub input: String,
-    /// Whether the caller allowed repetition.
+    /// Whether the caller allows repeated execution.
     pub idempotent: bool,
-    /// How it ended.
+    /// State or outcome.
     pub outcome: Outcome,
-    /// Seconds of the whole target spent on it.
+    /// Seconds of the whole target that it took.
     pub busy: f64,
-    /// Sender's position in its trace.
+    /// `traceparent` header of the call.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub traceparent: Option<String>,
-    /// Whether its prompt's prefix was in the cache; engines only.
+    /// Whether its prompt prefix was in the cache; engines only.
     #[serde(default)]
     pub cached: bool,
 }
 
-/// All executions, as `GET /admin/executions` answers.
+/// All executions, as `GET /admin/executions` returns them.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Executions {
-    /// In the order of their start.
+    /// Executions in the order of their start.
     pub executions: Vec<Execution>,
 }
 
 /// Seconds of a target spent on one stage.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct StageCost {
-    /// On executions that were done for the first time.
+    /// Seconds of first complete executions.
     pub done: f64,
-    /// On all others.
+    /// Seconds of all other executions.
     pub wasted: f64,
     /// Number of executions.
     pub executions: u64,
 }
 
-/// Seconds of a target by stage, as `GET /admin/cost` answers.
+/// Seconds of a target by stage, as `GET /admin/cost` returns them.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Cost {
-    /// By the stage's name.
+    /// Costs by stage name.
     pub stages: collections::BTreeMap<String, StageCost>,
-    /// Executions of a non-idempotent request and stage after its first.
+    /// Executions of a non-idempotent request and stage after the first one.
     pub repeated: u64,
 }
 
@@ -82,7 +82,7 @@
 #[derive(Debug, Default)]
 pub struct Ledger {
     record: Executions,
-    /// Id of the oldest entry; grows when the record is cleared.
+    /// Id of the first entry; grows when the record is cleared.
     base: usize,
 }
 
@@ -91,27 +91,27 @@
 pub struct Id(usize);
 
 impl Ledger {
-    /// Enters an execution that starts.
+    /// Adds an execution that starts.
     pub fn begin(&mut self, execution: Execution) -> Id {
         self.record.executions.push(execution);
         Id(self.base + self.record.executions.len() - 1)
     }
 
-    /// Notes that the prefix of an execution was in the cache.
+    /// Records that the prefix of an execution was in the cache.
     pub fn mark_cached(&mut self, id: Id) {
         if let Some(execution) = self.find(id) {
             execution.cached = true;
         }
     }
 
-    /// Charges time of the target to an execution.
+    /// Adds time of the target to an execution.
     pub fn add_busy(&mut self, id: Id, busy: time::Duration) {
         if let Some(execution) = self.find(id) {
             execution.busy += busy.as_secs_f64();
         }
     }
 
-    /// Settles an execution unless it is settled already.
+    /// Sets the outcome of an execution that is still running.
     pub fn finish(&mut self, id: Id, outcome: Outcome) {
         if let Some(execution) = self.find(id)
             && execution.outcome == Outcome::Running
@@ -120,7 +120,7 @@
         }
     }
 
-    /// Settles all that runs as crashed.
+    /// Marks all running executions as crashed.
     pub fn crash_running(&mut self) {
         let running = |e: &&mut Execution| e.outcome == Outcome::Running;
         for execution in self.record.executions.iter_mut().filter(running) {
@@ -128,7 +128,7 @@
         }
     }
 
-    /// Forgets all executions.
+    /// Removes all executions.
     pub fn clear(&mut self) {
         self.base += self.record.executions.len();
         self.record.executions.clear();
--- a/laburnumcart_fakes/src/target/orders.rs
+++ b/laburnumcart_fakes/src/target/orders.rs
@@ -1,4 +1,4 @@
-//! Orders to a target: loading and unloading models, fenced or not.
+//! Orders that load and unload models of a target, with or without fencing.
 
 use std::collections;
 
@@ -13,33 +13,33 @@
 
 /// Number of an order.
 #[derive(Clone, Copy, Debug, Default, Eq, Ord, PartialEq, PartialOrd, Serialize, Deserialize)]
-pub(super) struct Number {
+pub(super) struct OrderNumber {
     pub(super) term: u64,
     pub(super) sequence: u64,
 }
 
-/// An order as it arrives.
+/// Body of an order.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(super) struct Order {
     #[serde(flatten)]
-    pub(super) number: Number,
+    pub(super) number: OrderNumber,
     #[serde(default)]
     pub(super) load: Vec<String>,
     #[serde(default)]
     pub(super) unload: Vec<String>,
 }
 
-/// The order's number is old.
+/// Error of an order with an old number.
 #[derive(Clone, Copy, Debug, Display, Error)]
 #[display("stale order")]
 pub(super) struct Stale;
 
-/// Models of a target and the numbers of its orders.
+/// Loaded models and the numbers of orders.
 #[derive(Debug)]
 pub(super) struct Orders {
     fenced: bool,
-    newest: Option<Number>,
-    applied: Number,
+    newest: Option<OrderNumber>,
+    applied: OrderNumber,
     models: collections::BTreeSet<String>,
     pending: u32,
 }
@@ -49,14 +49,14 @@
         Self {
             fenced,
             newest: None,
-            applied: Number::default(),
+            applied: OrderNumber::default(),
             models: collections::BTreeSet::new(),
             pending: 0,
         }
     }
 
-    /// Takes note of an order's number before the order takes its time.
-    pub(super) fn accept(&mut self, number: Number) -> Result<(), Stale> {
+    /// Records the number of an order before the order takes effect.
+    pub(super) fn accept(&mut self, number: OrderNumber) -> Result<(), Stale> {
         let number = Some(number);
         if self.fenced && number <= self.newest {
             return Err(Stale);
@@ -66,7 +66,7 @@
         Ok(())
     }
 
-    /// Puts an accepted order into effect; a fenced one only if none newer came meanwhile.
+    /// Applies an accepted order; a fenced one only if no newer one was accepted.
     pub(super) fn apply(&mut self, order: Order) -> Result<(), Stale> {
         self.pending -= 1;
         if self.fenced && Some(order.number) < self.newest {
@@ -80,12 +80,12 @@
         Ok(())
     }
 
-    /// Returns the number of the order that took effect last.
-    pub(super) fn applied(&self) -> Number {
+    /// Returns the number of the last applied order.
+    pub(super) fn applied(&self) -> OrderNumber {
         self.applied
     }
 
-    /// Returns the number of accepted orders that have yet to take effect.
+    /// Returns the count of accepted orders that have not been applied.
     pub(super) fn pending(&self) -> u32 {
         self.pending
     }
--- a/laburnumcart_fakes/src/target/pool.rs
+++ b/laburnumcart_fakes/src/target/pool.rs
@@ -1,4 +1,4 @@
-//! A call of a pool or plain service.
+//! Calls of a pool or plain service.
 
 use std::{
     future,
@@ -11,59 +11,59 @@
 use crate::{
     expected,
     target::{
-        core,
         engine,
-        ledger, //
+        ledger,
+        state, //
     },
 };
 
-/// How a call of a pool ended.
-pub(super) enum End {
+/// Outcome of a call.
+pub(super) enum Outcome {
     Done(serde_json::Value),
     Full,
-    CancelledQueued,
+    CancelledInQueue,
     Cancelled,
     Failed,
 }
 
-/// Executes one call.
-pub(super) async fn run(core: &sync::Arc<core::Core>, call: engine::Call) -> End {
-    let tracked = engine::Tracked::new(core, &call);
-    let gate = core.gate();
+/// Executes a call.
+pub(super) async fn execute(state: &sync::Arc<state::State>, call: engine::Call) -> Outcome {
+    let registration = engine::Registration::new(state, &call);
+    let slots = state.slots();
     let permit = tokio::select! {
-        permit = gate.enter(call.rank) => permit,
-        () = tracked.cancelled() => return End::CancelledQueued,
+        permit = slots.acquire(call.rank) => permit,
+        () = registration.cancelled() => return Outcome::CancelledInQueue,
     };
     let Ok(_permit) = permit else {
-        return End::Full;
+        return Outcome::Full;
     };
-    let running = engine::Running::start(core, &call);
-    if core.provoke(&call.raw) {
+    let execution = engine::RunningExecution::start(state, &call);
+    if state.crash_on_poison(&call.raw) {
         return future::pending().await;
     }
     let start = Instant::now();
-    let fails = core.fails();
+    let fails = state.draw_failure();
     let mean = match fails {
-        true if core.behaviour.borrow().fail_fast => time::Duration::ZERO,
-        true => core.settings.service_time / 2,
-        false => core.settings.service_time,
+        true if state.behaviour.borrow().fail_fast => time::Duration::ZERO,
+        true => state.settings.service_time / 2,
+        false => state.settings.service_time,
     };
     let cancelled = tokio::select! {
-        () = core.pass(mean) => false,
-        () = tracked.cancelled() => true,
+        () = state.simulate_work(mean) => false,
+        () = registration.cancelled() => true,
     };
-    running.charge(start.elapsed() / core.settings.slots);
+    execution.add_busy(start.elapsed() / state.settings.slots);
     if cancelled {
-        running.settle(ledger::Outcome::Cancelled);
-        return End::Cancelled;
+        execution.finish(ledger::Outcome::Cancelled);
+        return Outcome::Cancelled;
     }
     if fails {
-        running.settle(ledger::Outcome::Failed);
-        return End::Failed;
+        execution.finish(ledger::Outcome::Failed);
+        return Outcome::Failed;
     }
-    running.settle(ledger::Outcome::Done);
+    execution.finish(ledger::Outcome::Done);
     let body = &call.body;
-    End::Done(expected::pool_output(
+    Outcome::Done(expected::pool_output(
         &body.stage,
         &body.input,
         &body.previous,
--- a/laburnumcart_fakes/src/target/routes.rs
+++ b/laburnumcart_fakes/src/target/routes.rs
@@ -1,4 +1,4 @@
-//! HTTP calls of the target protocol and of the observer.
+//! Handlers of the target protocol and of the admin pages.
 
 use std::sync;
 
@@ -14,50 +14,50 @@
 
 use crate::target::{
     behaviour,
-    core,
     engine,
     orders,
-    pool, //
+    pool,
+    state, //
 };
 
-type Core = sync::Arc<core::Core>;
+type State = sync::Arc<state::State>;
 type Request = http::WebRequest<()>;
 type Response = http::WebResponse;
 
 /// Status of a call that was cancelled after its start.
-const CANCELLED: u16 = 499;
+const STATUS_CANCELLED: u16 = 499;
 
 pub(super) async fn run(
-    StateRef(core): StateRef<'_, Core>,
+    StateRef(state): StateRef<'_, State>,
     request: &Request,
     raw: Bytes,
 ) -> Response {
-    core.thaw().await;
-    let Some(call) = call(core, request, raw, bundle::Kind::Pool) else {
+    state.wait_unfrozen().await;
+    let Some(call) = parse_call(state, request, raw, bundle::Kind::Pool) else {
         return empty(400);
     };
-    match pool::run(core, call).await {
-        pool::End::Done(output) => json(200, &output),
-        pool::End::Full | pool::End::CancelledQueued => unavailable(),
-        pool::End::Cancelled => empty(CANCELLED),
-        pool::End::Failed => empty(500),
+    match pool::execute(state, call).await {
+        pool::Outcome::Done(output) => json(200, &output),
+        pool::Outcome::Full | pool::Outcome::CancelledInQueue => unavailable(),
+        pool::Outcome::Cancelled => empty(STATUS_CANCELLED),
+        pool::Outcome::Failed => empty(500),
     }
 }
 
 pub(super) async fn generate(
-    StateRef(core): StateRef<'_, Core>,
+    StateRef(state): StateRef<'_, State>,
     request: &Request,
     raw: Bytes,
 ) -> Response {
-    core.thaw().await;
-    let Some(call) = call(core, request, raw, bundle::Kind::Engine) else {
+    state.wait_unfrozen().await;
+    let Some(call) = parse_call(state, request, raw, bundle::Kind::Engine) else {
         return empty(400);
     };
-    let sequence = match engine::start(core, call).await {
+    let sequence = match engine::start_sequence(state, call).await {
         Ok(sequence) => sequence,
-        Err(engine::Refused::Received) => return empty(400),
-        Err(engine::Refused::Full | engine::Refused::Cancelled) => return unavailable(),
-        Err(engine::Refused::Failed) => return empty(500),
+        Err(engine::Refusal::BadPrefix) => return empty(400),
+        Err(engine::Refusal::Full | engine::Refusal::Cancelled) => return unavailable(),
+        Err(engine::Refusal::Failed) => return empty(500),
     };
     let events = body::StreamDataBody::new(Box::pin(sequence.events()));
     let mut response = Response::new(body::ResponseBody::boxed(events));
@@ -73,55 +73,55 @@
     attempt: String,
 }
 
-pub(super) async fn cancel(StateRef(core): StateRef<'_, Core>, raw: Bytes) -> Response {
-    core.thaw().await;
+pub(super) async fn cancel(StateRef(state): StateRef<'_, State>, raw: Bytes) -> Response {
+    state.wait_unfrozen().await;
     let Ok(cancel) = serde_json::from_slice::<Cancel>(&raw) else {
         return empty(400);
     };
-    if let Some(call) = core.memory().calls.get(&cancel.attempt) {
+    if let Some(call) = state.memory().calls.get(&cancel.attempt) {
         call.notify_one();
     }
     empty(204)
 }
 
-pub(super) async fn load(StateRef(core): StateRef<'_, Core>) -> Response {
-    core.thaw().await;
-    let load = core.gate().lagging();
-    let lag = core.behaviour.borrow().load_lag;
-    let age = lag.map_or(core.settings.load_lag, |lag| lag.0).as_millis() as u64;
+pub(super) async fn load(StateRef(state): StateRef<'_, State>) -> Response {
+    state.wait_unfrozen().await;
+    let load = state.slots().lagged_load();
+    let lag = state.behaviour.borrow().load_lag;
+    let age = lag.map_or(state.settings.load_lag, |lag| lag.0).as_millis() as u64;
     let load = json!({ "running": load.running, "queued": load.queued, "age_ms": age });
     json(200, &load)
 }
 
-pub(super) async fn state(StateRef(core): StateRef<'_, Core>) -> Response {
-    core.thaw().await;
-    let state = {
-        let memory = core.memory();
+pub(super) async fn state(StateRef(state): StateRef<'_, State>) -> Response {
+    state.wait_unfrozen().await;
+    let value = {
+        let memory = state.memory();
         let number = memory.orders.applied();
         json!({
-            "boot": format!("{:08x}", memory.boot),
+            "boot": format!("{:08x}", memory.incarnation),
             "models": memory.orders.models(),
             "term": number.term,
             "sequence": number.sequence,
         })
     };
-    json(200, &state)
+    json(200, &value)
 }
 
-pub(super) async fn orders(StateRef(core): StateRef<'_, Core>, raw: Bytes) -> Response {
-    core.thaw().await;
+pub(super) async fn orders(StateRef(state): StateRef<'_, State>, raw: Bytes) -> Response {
+    state.wait_unfrozen().await;
     let Ok(order) = serde_json::from_slice::<orders::Order>(&raw) else {
         return empty(400);
     };
-    if core.memory().orders.accept(order.number).is_err() {
+    if state.memory().orders.accept(order.number).is_err() {
         return empty(409);
     }
-    let period = core.behaviour.borrow().order_time;
-    // An order that was accepted takes effect even if its sender goes away.
-    let core = core.clone();
+    let period = state.behaviour.borrow().order_time;
+    // An accepted order takes effect even if its sender disconnects.
+    let state = state.clone();
     let applied = tokio::task::spawn_local(async move {
         tokio::time::sleep(period.0).await;
-        core.memory().orders.apply(order)
+        state.memory().orders.apply(order)
     });
     match applied.await {
         Ok(Ok(())) => empty(200),
@@ -129,52 +129,57 @@
     }
 }
 
-pub(super) async fn cache(StateRef(core): StateRef<'_, Core>, request: &Request) -> Response {
-    core.thaw().await;
+pub(super) async fn cache(StateRef(state): StateRef<'_, State>, request: &Request) -> Response {
+    state.wait_unfrozen().await;
     let query = request.uri().query().unwrap_or_default();
     let mut pairs = query.split('&').filter_map(|pair| pair.split_once('='));
     let after = pairs.find(|(name, _)| *name == "after");
     let Ok(after) = after.map_or(Ok(0), |(_, number)| number.parse()) else {
         return empty(400);
     };
-    let events = core.memory().cache.events(after);
+    let events = state.memory().cache.events(after);
     json(200, &json!({ "events": events }))
 }
 
-pub(super) async fn health(StateRef(core): StateRef<'_, Core>) -> Response {
-    core.thaw().await;
+pub(super) async fn health(StateRef(state): StateRef<'_, State>) -> Response {
+    state.wait_unfrozen().await;
     empty(200)
 }
 
-pub(super) async fn executions(StateRef(core): StateRef<'_, Core>) -> Response {
-    json(200, core.ledger.lock().unwrap().executions())
+pub(super) async fn executions(StateRef(state): StateRef<'_, State>) -> Response {
+    json(200, state.ledger.lock().unwrap().executions())
 }
 
-pub(super) async fn cost(StateRef(core): StateRef<'_, Core>) -> Response {
-    json(200, &core.ledger.lock().unwrap().cost())
+pub(super) async fn cost(StateRef(state): StateRef<'_, State>) -> Response {
+    json(200, &state.ledger.lock().unwrap().cost())
 }
 
-pub(super) async fn pending(StateRef(core): StateRef<'_, Core>) -> Response {
-    let pending = core.memory().orders.pending();
+pub(super) async fn pending(StateRef(state): StateRef<'_, State>) -> Response {
+    let pending = state.memory().orders.pending();
     json(200, &json!({ "pending": pending }))
 }
 
-pub(super) async fn reset(StateRef(core): StateRef<'_, Core>) -> Response {
-    core.ledger.lock().unwrap().clear();
+pub(super) async fn reset(StateRef(state): StateRef<'_, State>) -> Response {
+    state.ledger.lock().unwrap().clear();
     empty(204)
 }
 
-pub(super) async fn behave(StateRef(core): StateRef<'_, Core>, raw: Bytes) -> Response {
+pub(super) async fn behave(StateRef(state): StateRef<'_, State>, raw: Bytes) -> Response {
     let Ok(change) = serde_json::from_slice::<behaviour::Change>(&raw) else {
         return empty(400);
     };
-    core.behave(change);
-    json(200, &*core.behaviour.borrow())
+    state.apply_change(change);
+    json(200, &*state.behaviour.borrow())
 }
 
-/// Reads a call, `None` if it is malformed or meant for a target of another kind.
-fn call(core: &Core, request: &Request, raw: Bytes, kind: bundle::Kind) -> Option<engine::Call> {
-    if core.settings.kind != kind {
+/// Parses a call; `None` if it is malformed or for a target of another kind.
+fn parse_call(
+    state: &State,
+    request: &Request,
+    raw: Bytes,
+    kind: bundle::Kind,
+) -> Option<engine::Call> {
+    if state.settings.kind != kind {
         return None;
     }
     let header = |name| request.headers().get(name)?.to_str().ok();
--- a/laburnumcart_fakes/src/target/server.rs
+++ b/laburnumcart_fakes/src/target/server.rs
@@ -1,4 +1,4 @@
-//! Starts a stand-in target, and starts it again after a crash.
+//! Starts a fake target, and restarts it after a crash.
 
 use std::{
     io,
@@ -23,21 +23,21 @@
 };
 
 use crate::target::{
-    core,
     routes,
-    settings, //
+    settings,
+    state, //
 };
 
 /// Exit code of a process whose target crashed.
 const CRASH_CODE: i32 = 70;
 
-/// Idle connections stay open for the whole run, as a platform's targets would keep them.
+/// Idle timeout, longer than a test run because the targets of a platform keep connections open.
 const KEEP_ALIVE: time::Duration = time::Duration::from_secs(3600);
 
-/// Time between tries to take the address again after a crash.
-const BIND_PAUSE: time::Duration = time::Duration::from_millis(20);
+/// Interval between attempts to bind the address after a crash.
+const BIND_INTERVAL: time::Duration = time::Duration::from_millis(20);
 
-/// A running stand-in target; stops when dropped.
+/// A running fake target, stopped on drop.
 pub struct Target {
     address: net::SocketAddr,
     stop: mpsc::Sender<()>,
@@ -45,21 +45,21 @@
     thread: Option<thread::JoinHandle<()>>,
 }
 
-/// Drops all connections and the listener of the server that runs, if one does.
-type Halt = Box<dyn Fn() + Send>;
+/// Function that closes all connections and the listener of the running server.
+type StopServer = Box<dyn Fn() + Send>;
 
-type Server = sync::Arc<sync::Mutex<Option<Halt>>>;
+type Server = sync::Arc<sync::Mutex<Option<StopServer>>>;
 
-/// Starts a target on its own threads.
+/// Starts a target on separate threads.
 pub fn start(settings: settings::Settings) -> io::Result<Target> {
     let listener = net::TcpListener::bind(settings.address)?;
     let address = listener.local_addr()?;
     let server = Server::default();
-    let crash = halt(&server);
-    let core = sync::Arc::new(core::Core::new(settings, crash));
+    let close_all = stop_function(&server);
+    let state = sync::Arc::new(state::State::new(settings, close_all));
     let (stop, stopped) = mpsc::channel();
     let supervisor = Supervisor {
-        core,
+        state,
         address,
         server: server.clone(),
         stopped,
@@ -73,18 +73,18 @@
     })
 }
 
-/// Returns a function that drops all connections and the listener of a server.
-fn halt(server: &Server) -> impl Fn() + Send + Sync + 'static {
+/// Returns a function that closes all connections and the listener of a server.
+fn stop_function(server: &Server) -> impl Fn() + Send + Sync + 'static {
     let server = server.clone();
     move || {
-        if let Some(halt) = &*server.lock().unwrap() {
-            halt();
+        if let Some(stop) = &*server.lock().unwrap() {
+            stop();
         }
     }
 }
 
 impl Target {
-    /// Returns where it listens.
+    /// Returns the listening address.
     pub fn address(&self) -> net::SocketAddr {
         self.address
     }
@@ -93,7 +93,7 @@
 impl Drop for Target {
     fn drop(&mut self) {
         let _ = self.stop.send(());
-        halt(&self.server)();
+        stop_function(&self.server)();
         if let Some(thread) = self.thread.take() {
             let _ = thread.join();
         }
@@ -101,7 +101,7 @@
 }
 
 struct Supervisor {
-    core: sync::Arc<core::Core>,
+    state: sync::Arc<state::State>,
     address: net::SocketAddr,
     server: Server,
     stopped: mpsc::Receiver<()>,
@@ -111,31 +111,31 @@
     fn run(self, mut listener: net::TcpListener) {
         loop {
             if let Err(error) = self.serve(listener) {
-                let target = &self.core.settings.name;
+                let target = &self.state.settings.name;
                 event!(Error, "target-failed", target = target, error = error);
                 return;
             }
-            let restart = self.core.downtime();
-            if self.core.settings.exit_on_crash && !self.stops(time::Duration::ZERO) {
+            let downtime = self.state.take_downtime();
+            if self.state.settings.exit_on_crash && !self.wait_stop(time::Duration::ZERO) {
                 process::exit(CRASH_CODE);
             }
-            if self.stops(restart) {
+            if self.wait_stop(downtime) {
                 return;
             }
-            self.core.reboot();
-            event!(Info, "target-restarted", target = self.core.settings.name);
-            let Some(next) = self.bind() else { return };
+            self.state.clear_memory();
+            event!(Info, "target-restarted", target = self.state.settings.name);
+            let Some(next) = self.rebind() else { return };
             listener = next;
         }
     }
 
-    /// Serves until the server is stopped.
+    /// Serves until the server stops.
     fn serve(&self, listener: net::TcpListener) -> io::Result<()> {
         let server = {
-            // Held over the start, so that a crash in the first call finds the handle.
-            let mut halt = self.server.lock().unwrap();
+            // Locked during the start, so that a crash in the first call finds the handle.
+            let mut stop = self.server.lock().unwrap();
             let mut server = App::new()
-                .with_state(self.core.clone())
+                .with_state(self.state.clone())
                 .at("/v1/run", post(handler_service(routes::run)))
                 .at("/v1/generate", post(handler_service(routes::generate)))
                 .at("/v1/cancel", post(handler_service(routes::cancel)))
@@ -159,22 +159,22 @@
                 .listen(listener)?
                 .run();
             let handle = server.handle()?;
-            *halt = Some(Box::new(move || handle.stop(false)));
+            *stop = Some(Box::new(move || handle.stop(false)));
             server
         };
         server.wait()
     }
 
-    /// Waits for a stop for at most `time`.
-    fn stops(&self, time: time::Duration) -> bool {
+    /// Waits up to `time` and returns whether the target was stopped.
+    fn wait_stop(&self, time: time::Duration) -> bool {
         !matches!(
             self.stopped.recv_timeout(time),
             Err(mpsc::RecvTimeoutError::Timeout)
         )
     }
 
-    /// Takes the address again; `None` when stopped meanwhile.
-    fn bind(&self) -> Option<net::TcpListener> {
+    /// Binds the address again; `None` if the target is stopped first.
+    fn rebind(&self) -> Option<net::TcpListener> {
         loop {
             match net::TcpListener::bind(self.address) {
                 Ok(listener) => return Some(listener),
@@ -183,7 +183,7 @@
                     event!(Warn, "address-taken", address = address, error = error);
                 }
             }
-            if self.stops(BIND_PAUSE) {
+            if self.wait_stop(BIND_INTERVAL) {
                 return None;
             }
         }
--- a/laburnumcart_fakes/src/target/settings.rs
+++ b/laburnumcart_fakes/src/target/settings.rs
@@ -1,4 +1,4 @@
-//! How a stand-in target is set up.
+//! Settings of a fake target.
 
 use std::{
     net,
@@ -11,45 +11,45 @@
     id, //
 };
 
-/// Settings of one stand-in target.
+/// Settings of one fake target.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Name, shown in logs.
+    /// Name in logs.
     pub name: id::TargetName,
-    /// Protocol that it speaks.
+    /// Protocol of the target.
     pub kind: bundle::Kind,
-    /// Where it listens; port 0 picks a free one.
+    /// Listening address; port 0 selects a free port.
     pub address: net::SocketAddr,
-    /// Calls that run side by side at full speed.
+    /// Number of calls that run at full speed.
     pub slots: u32,
-    /// Calls that wait for a slot before it answers 503.
+    /// Number of calls that wait for a slot before the target responds with 503.
     pub queue_limit: u32,
-    /// Mean time of a pool's call.
+    /// Mean time of a call; pools only.
     pub service_time: time::Duration,
-    /// Time of one token while the batch fits the slots.
+    /// Mean time of a token while the batch fits the slots.
     pub token_time: time::Duration,
-    /// Time to read a prompt whose prefix is not cached.
+    /// Mean prefill time of a prompt whose prefix is not cached.
     pub prefill_time: time::Duration,
-    /// Tokens that an engine generates if the input names no number.
+    /// Number of tokens that an engine generates unless the input sets it.
     pub tokens: u32,
-    /// Part by which times vary both ways, 0 to 1.
+    /// Maximum relative deviation of times, from 0 to 1.
     pub spread: f64,
-    /// Whether orders with an old number are refused.
+    /// Whether orders with an old number are refused (fenced).
     pub orders: bundle::Orders,
-    /// Prompt prefixes that fit in the cache.
+    /// Capacity of the prefix cache.
     pub cached_prefixes: usize,
-    /// Age of the load that is reported.
+    /// Age of the reported load.
     pub load_lag: time::Duration,
     /// Delay of cache events.
     pub cache_lag: time::Duration,
-    /// Time for which connections are refused after a crash.
+    /// Downtime after a crash.
     pub restart_time: time::Duration,
-    /// Whether a crash ends the process.
+    /// Whether a crash exits the process.
     pub exit_on_crash: bool,
 }
 
 impl Settings {
-    /// Creates settings with the default times; the fields may then be changed.
+    /// Creates settings with default values.
     pub fn new(name: id::TargetName, kind: bundle::Kind, address: net::SocketAddr) -> Self {
         Self {
             name,
@@ -75,7 +75,7 @@
 impl str::FromStr for Settings {
     type Err = id::ParseError;
 
-    /// Reads `NAME=engine@IP:PORT` or `NAME=pool@IP:PORT`.
+    /// Parses `NAME=engine@IP:PORT` or `NAME=pool@IP:PORT`.
     fn from_str(text: &str) -> Result<Self, id::ParseError> {
         let error = || id::ParseError::new("target", text);
         let (name, rest) = text.split_once('=').ok_or_else(error)?;
--- a/laburnumcart_fakes/src/target/gate.rs
+++ b/laburnumcart_fakes/src/target/slots.rs
@@ -1,4 +1,4 @@
-//! Slots of a target with a bounded queue in the order of priority, and the load that it reports.
+//! Slots of a target with a bounded priority queue, and the load that the target reports.
 
 use std::{
     collections,
@@ -15,23 +15,23 @@
     time::Instant, //
 };
 
-/// The queue is full.
+/// Error of a call that finds the queue full.
 #[derive(Clone, Copy, Debug, Display, Error)]
 #[display("queue full")]
 pub(super) struct Full;
 
-/// Load at one moment.
+/// Number of running and queued calls at one time.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Load {
     pub(super) running: u32,
     pub(super) queued: u32,
 }
 
-/// Slots and queue.
+/// Slots and the queue for them.
 #[derive(Debug)]
-pub(super) struct Gate {
-    slots: u32,
-    limit: u32,
+pub(super) struct Slots {
+    count: u32,
+    queue_limit: u32,
     state: sync::Mutex<State>,
 }
 
@@ -44,21 +44,21 @@
     history: collections::VecDeque<(Instant, Load)>,
 }
 
-/// A slot, given back on drop.
+/// A slot, released on drop.
 #[derive(Debug)]
-pub(super) struct Permit(Option<sync::Arc<Gate>>);
+pub(super) struct Permit(Option<sync::Arc<Slots>>);
 
-/// A place in the queue, given up on drop.
-struct Place<'a> {
-    gate: &'a Gate,
+/// A queue entry, removed on drop.
+struct QueueEntry<'a> {
+    slots: &'a Slots,
     key: (u8, u64),
 }
 
-impl Gate {
-    pub(super) fn new(slots: u32, limit: u32, lag: time::Duration) -> Self {
+impl Slots {
+    pub(super) fn new(count: u32, queue_limit: u32, lag: time::Duration) -> Self {
         Self {
-            slots,
-            limit,
+            count,
+            queue_limit,
             state: sync::Mutex::new(State {
                 lag,
                 ..State::default()
@@ -66,41 +66,41 @@
         }
     }
 
-    /// Changes the age of the load that is reported.
+    /// Sets the age of the reported load.
     pub(super) fn set_lag(&self, lag: time::Duration) {
         self.state.lock().unwrap().lag = lag;
     }
 
-    /// Waits for a slot; lower `rank` goes first.
-    pub(super) async fn enter(self: &sync::Arc<Self>, rank: u8) -> Result<Permit, Full> {
+    /// Waits for a slot; calls with a lower `rank` go first.
+    pub(super) async fn acquire(self: &sync::Arc<Self>, rank: u8) -> Result<Permit, Full> {
         let (key, receiver) = {
             let mut state = self.state.lock().unwrap();
-            if state.running < self.slots {
+            if state.running < self.count {
                 state.running += 1;
-                self.note(&mut state);
+                self.record_load(&mut state);
                 return Ok(Permit(Some(self.clone())));
             }
-            if state.waiting.len() >= self.limit as usize {
+            if state.waiting.len() >= self.queue_limit as usize {
                 return Err(Full);
             }
             let (sender, receiver) = oneshot::channel();
             state.serial += 1;
             let key = (rank, state.serial);
             state.waiting.insert(key, sender);
-            self.note(&mut state);
+            self.record_load(&mut state);
             (key, receiver)
         };
-        let _place = Place { gate: self, key };
+        let _entry = QueueEntry { slots: self, key };
         receiver.await.map_err(|_| Full)
     }
 
-    /// Returns the load now.
+    /// Returns the current load.
     pub(super) fn load(&self) -> Load {
-        load(&self.state.lock().unwrap())
+        current_load(&self.state.lock().unwrap())
     }
 
-    /// Returns the load as it was one lag ago.
-    pub(super) fn lagging(&self) -> Load {
+    /// Returns the load at the time that lies one lag in the past.
+    pub(super) fn lagged_load(&self) -> Load {
         let mut state = self.state.lock().unwrap();
         prune(&mut state);
         match state.history.front() {
@@ -109,7 +109,7 @@
         }
     }
 
-    fn leave(self: sync::Arc<Self>) {
+    fn release(self: sync::Arc<Self>) {
         loop {
             let next = {
                 let mut state = self.state.lock().unwrap();
@@ -117,20 +117,20 @@
                 if next.is_none() {
                     state.running -= 1;
                 }
-                self.note(&mut state);
+                self.record_load(&mut state);
                 next
             };
             let Some((_, sender)) = next else { return };
             match sender.send(Permit(Some(self.clone()))) {
                 Ok(()) => return,
-                // The waiter has gone: the slot goes to the next one.
+                // The waiter was dropped, so the slot goes to the next one.
                 Err(mut permit) => permit.0 = None,
             }
         }
     }
 
-    fn note(&self, state: &mut State) {
-        let sample = (Instant::now(), load(state));
+    fn record_load(&self, state: &mut State) {
+        let sample = (Instant::now(), current_load(state));
         state.history.push_back(sample);
         prune(state);
     }
@@ -144,7 +144,7 @@
     }
 }
 
-fn load(state: &State) -> Load {
+fn current_load(state: &State) -> Load {
     Load {
         running: state.running,
         queued: state.waiting.len() as u32,
@@ -153,17 +153,17 @@
 
 impl Drop for Permit {
     fn drop(&mut self) {
-        if let Some(gate) = self.0.take() {
-            gate.leave();
+        if let Some(slots) = self.0.take() {
+            slots.release();
         }
     }
 }
 
-impl Drop for Place<'_> {
+impl Drop for QueueEntry<'_> {
     fn drop(&mut self) {
-        let mut state = self.gate.state.lock().unwrap();
+        let mut state = self.slots.state.lock().unwrap();
         if state.waiting.remove(&self.key).is_some() {
-            self.gate.note(&mut state);
+            self.slots.record_load(&mut state);
         }
     }
 }
