--- a/laburnumcart_fakes/src/target/core.rs
+++ b/laburnumcart_fakes/src/target/state.rs
@@ -1,4 +1,4 @@
-//! What a stand-in target knows, shared by its handlers and its supervisor.
+//! State of a fake target, shared by its handlers and its supervisor.
 
 use std::{
     collections,
@@ -15,29 +15,29 @@
 use crate::target::{
     behaviour,
     cache,
-    gate,
     ledger,
     orders,
-    settings, //
+    settings,
+    slots, //
 };
 
-/// Calls in an engine's batch for each slot.
+/// Maximum batch size of an engine per slot.
 const BATCH_FACTOR: u32 = 4;
 
-/// A target as its handlers share it.
-pub(super) struct Core {
+/// State of a target, with the settings and records that outlive a crash.
+pub(super) struct State {
     pub(super) settings: settings::Settings,
     pub(super) ledger: sync::Mutex<ledger::Ledger>,
     pub(super) behaviour: watch::Sender<behaviour::Behaviour>,
     memory: sync::Mutex<Memory>,
     down: sync::Mutex<Option<time::Duration>>,
-    crash: Box<dyn Fn() + Send + Sync>,
+    close_all: Box<dyn Fn() + Send + Sync>,
 }
 
-/// What a crash loses.
+/// State that a crash loses.
 pub(super) struct Memory {
-    pub(super) boot: u64,
-    pub(super) gate: sync::Arc<gate::Gate>,
+    pub(super) incarnation: u64,
+    pub(super) slots: sync::Arc<slots::Slots>,
     pub(super) cache: cache::Cache,
     pub(super) orders: orders::Orders,
     pub(super) calls: collections::HashMap<String, sync::Arc<Notify>>,
@@ -45,14 +45,14 @@
 
 impl Memory {
     fn new(settings: &settings::Settings) -> Self {
-        let slots = match settings.kind {
+        let count = match settings.kind {
             bundle::Kind::Engine => settings.slots * BATCH_FACTOR,
             bundle::Kind::Pool => settings.slots,
         };
-        let gate = gate::Gate::new(slots, settings.queue_limit, settings.load_lag);
+        let slots = slots::Slots::new(count, settings.queue_limit, settings.load_lag);
         Self {
-            boot: rand::random::<u32>().into(),
-            gate: sync::Arc::new(gate),
+            incarnation: rand::random::<u32>().into(),
+            slots: sync::Arc::new(slots),
             cache: cache::Cache::new(settings.cached_prefixes, settings.cache_lag),
             orders: orders::Orders::new(settings.orders == bundle::Orders::Fenced),
             calls: collections::HashMap::new(),
@@ -60,11 +60,11 @@
     }
 }
 
-impl Core {
-    /// Creates the state of a target; `crash` must drop all its connections.
+impl State {
+    /// Creates the state of a target; `close_all` must close all its connections.
     pub(super) fn new(
         settings: settings::Settings,
-        crash: impl Fn() + Send + Sync + 'static,
+        close_all: impl Fn() + Send + Sync + 'static,
     ) -> Self {
         Self {
             memory: sync::Mutex::new(Memory::new(&settings)),
@@ -72,80 +72,80 @@
             ledger: sync::Mutex::default(),
             behaviour: watch::Sender::default(),
             down: sync::Mutex::default(),
-            crash: Box::new(crash),
+            close_all: Box::new(close_all),
         }
     }
 
-    /// Returns what a crash loses.
+    /// Locks the state that a crash loses.
     pub(super) fn memory(&self) -> sync::MutexGuard<'_, Memory> {
         self.memory.lock().unwrap()
     }
 
-    /// Returns the slots of this life of the target.
-    pub(super) fn gate(&self) -> sync::Arc<gate::Gate> {
-        self.memory().gate.clone()
+    /// Returns the slots of the current incarnation.
+    pub(super) fn slots(&self) -> sync::Arc<slots::Slots> {
+        self.memory().slots.clone()
     }
 
-    /// Crashes the target if the body asks for it.
-    pub(super) fn provoke(&self, body: &[u8]) -> bool {
+    /// Crashes the target if the body contains the poison text; returns whether it did.
+    pub(super) fn crash_on_poison(&self, body: &[u8]) -> bool {
         let text = self.behaviour.borrow().crash_on.clone();
-        let provoked = text.is_some_and(|text| contains(body, text.as_bytes()));
-        if provoked {
-            self.fall();
+        let is_poison = text.is_some_and(|text| contains(body, text.as_bytes()));
+        if is_poison {
+            self.crash();
         }
-        provoked
+        is_poison
     }
 
-    fn fall(&self) {
+    fn crash(&self) {
         self.ledger.lock().unwrap().crash_running();
-        (self.crash)();
+        (self.close_all)();
     }
 
-    /// Puts a change of the faults into force.
-    pub(super) fn behave(&self, change: behaviour::Change) {
+    /// Applies a change of the faults.
+    pub(super) fn apply_change(&self, change: behaviour::Change) {
         if let Some(lag) = change.load_lag {
-            self.gate().set_lag(lag.0);
+            self.slots().set_lag(lag.0);
         }
         let down = change.down;
         self.behaviour
             .send_modify(|behaviour| behaviour.apply(change));
         if let Some(period) = down {
             *self.down.lock().unwrap() = Some(period.0);
-            self.fall();
+            self.crash();
         }
     }
 
-    /// Returns how long the target stays down after a crash; an ordered time counts once.
-    pub(super) fn downtime(&self) -> time::Duration {
-        let ordered = self.down.lock().unwrap().take();
-        ordered.unwrap_or(self.settings.restart_time)
+    /// Returns the downtime after a crash, and forgets a downtime that a change requested.
+    pub(super) fn take_downtime(&self) -> time::Duration {
+        let requested = self.down.lock().unwrap().take();
+        requested.unwrap_or(self.settings.restart_time)
     }
 
-    /// Forgets what a crash loses; no handler of the old life may be left.
-    pub(super) fn reboot(&self) {
+    /// Clears the state that a crash loses; no handler of the last incarnation may still run.
+    pub(super) fn clear_memory(&self) {
         *self.memory() = Memory::new(&self.settings);
         if let Some(lag) = self.behaviour.borrow().load_lag {
-            self.gate().set_lag(lag.0);
+            self.slots().set_lag(lag.0);
         }
     }
 
     /// Waits while the target is frozen.
-    pub(super) async fn thaw(&self) {
+    pub(super) async fn wait_unfrozen(&self) {
         let mut behaviour = self.behaviour.subscribe();
         let _ = behaviour.wait_for(|b| !b.freeze).await;
     }
 
-    /// Lets a mean time pass, varied by the spread and the faults.
-    pub(super) async fn pass(&self, mean: time::Duration) {
+    /// Sleeps for a mean time, varied by the spread and the faults.
+    pub(super) async fn simulate_work(&self, mean: time::Duration) {
         let spread = self.settings.spread;
         let factor = 1.0 + spread * (2.0 * rand::random::<f64>() - 1.0);
         let slow = self.behaviour.borrow().slow;
         tokio::time::sleep(mean.mul_f64(factor * slow)).await;
-        self.thaw().await;
+        self.wait_unfrozen().await;
     }
 
-    /// Draws whether a call fails.
-    pub(super) fn fails(&self) -> bool {
+    /// Returns whether a call fails, at random by the configured share.
+    pub(super) fn draw_failure(&self) -> bool {
         rand::random::<f64>() < self.behaviour.borrow().fail
     }
 }
--- a/laburnumcart_fakes/tests/demo.rs
+++ b/laburnumcart_fakes/tests/demo.rs
@@ -1,4 +1,4 @@
-//! The documents of a demo agree with each other and with their readers.
+//! Consistency of the documents of a demo, and that their readers accept them.
 
 use std::{
     collections,
@@ -19,16 +19,16 @@
 use rstest::rstest;
 use serde_json::Value;
 
-/// A folder that is removed when dropped.
-struct Folder(path::PathBuf);
+/// Temporary directory, removed on drop.
+struct TempDir(path::PathBuf);
 
-impl Drop for Folder {
+impl Drop for TempDir {
     fn drop(&mut self) {
         let _ = fs::remove_dir_all(&self.0);
     }
 }
 
-impl Folder {
+impl TempDir {
     fn new() -> Self {
         let name = format!("laburnum-plan-{:016x}", rand::random::<u64>());
         Self(env::temp_dir().join(name))
@@ -44,15 +44,15 @@
 }
 
 #[rstest]
-fn documents_agree(
+fn documents_are_consistent(
     #[values(shape::Shape::Araya, shape::Shape::Quetzal, shape::Shape::Both)] shape: shape::Shape,
     #[values(shape::Size::Small, shape::Size::Full)] size: shape::Size,
 ) {
-    let folder = Folder::new();
+    let dir = TempDir::new();
     let layout = layout::Layout::new(shape, size, 20_000);
-    demo::write(&layout, &folder.0, &[("ops".into(), "AAAA".into())]).unwrap();
-    let bundle: bundle::Bundle = serde_json::from_value(folder.json("bundle.json")).unwrap();
-    let load: plan::Plan = serde_json::from_value(folder.json("load.json")).unwrap();
+    demo::write(&layout, &dir.0, &[("ops".into(), "AAAA".into())]).unwrap();
+    let bundle: bundle::Bundle = serde_json::from_value(dir.json("bundle.json")).unwrap();
+    let load: plan::Plan = serde_json::from_value(dir.json("load.json")).unwrap();
     assert_eq!(load.validate(), Vec::<String>::new());
     assert_eq!(load.entries.len(), 2);
     assert!(load.teams.keys().eq(bundle.teams.keys()));
@@ -64,18 +64,18 @@
             assert!(bundle.services.contains_key(&stage.service));
         }
     }
-    let processes = folder.text("processes.txt");
+    let processes = dir.text("processes.txt");
     let daemons: Vec<_> = processes
         .lines()
         .filter(|l| l.contains("--settings"))
         .collect();
     assert_eq!(daemons.len(), layout.nodes.len() + 2);
-    let ready = folder.text("ready.txt");
+    let ready = dir.text("ready.txt");
     for (daemon, ready) in daemons.iter().zip(ready.lines()) {
         let name = daemon.split(' ').next().unwrap();
         assert_eq!(ready.split(' ').next(), Some(name));
-        let settings = folder.json(&format!("{name}.json"));
-        let instance = folder.json(&format!("instances/{name}.json"));
+        let settings = dir.json(&format!("{name}.json"));
+        let instance = dir.json(&format!("instances/{name}.json"));
         assert_eq!(settings["instance"], instance["name"]);
         assert_eq!(settings["peer"], instance["addr"]);
         assert_eq!(settings["data_centre"], instance["data_centre"]);
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn ports_differ_and_data_centres_are_three() {
+fn ports_are_distinct_and_instances_span_three_data_centres() {
     let layout = layout::Layout::new(shape::Shape::Both, shape::Size::Full, 20_000);
     let mut ports: Vec<_> = vec![layout.store];
     for entry in &layout.entries {
--- a/laburnumcart_fakes/tests/load.rs
+++ b/laburnumcart_fakes/tests/load.rs
@@ -1,4 +1,4 @@
-//! Accounts of the load tool, against a scripted entry and against stand-in targets.
+//! Reports of the load tool, against a scripted entry and against fake targets.
 
 use std::{
     net,
@@ -42,9 +42,9 @@
     route::post, //
 };
 
-/// What the scripted entry did, to be found again in the report.
+/// Counts of the answers that the scripted entry gave.
 #[derive(Debug, Default)]
-struct Script {
+struct AnswerCounts {
     right: u64,
     wrong: u64,
     refused: u64,
@@ -53,35 +53,35 @@
     keys: Vec<String>,
 }
 
-type Shared = Arc<Mutex<Script>>;
+type Shared = Arc<Mutex<AnswerCounts>>;
 
-/// Answers every eighth request wrongly, refuses every eighth and cuts every eighth short.
+/// Answers every eighth request with a wrong output, refuses another and cuts off another's stream.
 async fn answer(
-    StateRef(script): StateRef<'_, Shared>,
+    StateRef(counts): StateRef<'_, Shared>,
     request: &http::WebRequest<()>,
     raw: Bytes,
 ) -> http::WebResponse {
-    let mut script = script.lock().unwrap();
+    let mut counts = counts.lock().unwrap();
     let body: Value = serde_json::from_slice(&raw).unwrap();
     assert_eq!(request.headers()["authorization"], "Bearer secret");
     if let Some(key) = request.headers().get("idempotency-key") {
         assert_eq!(request.headers()["x-idempotent"], "false");
-        script.keys.push(key.to_str().unwrap().into());
+        counts.keys.push(key.to_str().unwrap().into());
     }
     let events = request.headers().contains_key("accept");
-    script.events += u64::from(events);
+    counts.events += u64::from(events);
     let encoded = expected::pool_output("encode", &body, &Value::Null);
     let output = expected::engine_output("generate", &body, &encoded, 3);
     let text = output["text"].as_str().unwrap();
-    let whole = json!({ "request": "r", "generation": 1, "output": output, "stages": [] });
+    let response = json!({ "request": "r", "generation": 1, "output": output, "stages": [] });
     match body["n"].as_u64().unwrap() % 8 {
         0 => {
-            script.wrong += 1;
+            counts.wrong += 1;
             let other = json!({ "request": "r", "output": { "text": "another" } });
             respond(events, "another", &other)
         }
         1 => {
-            script.refused += 1;
+            counts.refused += 1;
             let problem = json!({
                 "type": "about:blank",
                 "status": 503,
@@ -97,23 +97,23 @@
             response
         }
         2 if events => {
-            script.cut += 1;
+            counts.cut += 1;
             stream("event: chunk\ndata: {\"text\":\"x\"}\n\n".into())
         }
         _ => {
-            script.right += 1;
-            respond(events, text, &whole)
+            counts.right += 1;
+            respond(events, text, &response)
         }
     }
 }
 
-fn respond(events: bool, text: &str, whole: &Value) -> http::WebResponse {
+fn respond(events: bool, text: &str, response: &Value) -> http::WebResponse {
     if !events {
-        return http::WebResponse::new(ResponseBody::bytes(whole.to_string()));
+        return http::WebResponse::new(ResponseBody::bytes(response.to_string()));
     }
     let chunk = json!({ "text": text });
     stream(format!(
-        "event: chunk\ndata: {chunk}\n\nevent: end\ndata: {whole}\n\n"
+        "event: chunk\ndata: {chunk}\n\nevent: end\ndata: {response}\n\n"
     ))
 }
 
@@ -121,12 +121,12 @@
     http::WebResponse::new(ResponseBody::bytes(text))
 }
 
-/// Starts the scripted entry on threads that live as long as the test.
-fn entry(script: &Shared) -> net::SocketAddr {
+/// Starts the scripted entry on threads that run until the test process ends.
+fn start_entry(counts: &Shared) -> net::SocketAddr {
     let listener = net::TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     let server = App::new()
-        .with_state(script.clone())
+        .with_state(counts.clone())
         .at("/v1/pipelines/{name}", post(handler_service(answer)))
         .serve()
         .worker_threads(1)
@@ -171,7 +171,7 @@
     })
 }
 
-fn start(kind: bundle::Kind) -> target::Target {
+fn start_target(kind: bundle::Kind) -> target::Target {
     let address = "127.0.0.1:0".parse().unwrap();
     let mut settings = settings::Settings::new("t".parse().unwrap(), kind, address);
     settings.service_time = Duration::from_millis(1);
@@ -183,7 +183,7 @@
     target::start(settings).unwrap()
 }
 
-fn second(route: run::Route) -> run::Settings {
+fn one_second(route: run::Route) -> run::Settings {
     run::Settings {
         route,
         duration: Duration::from_secs(1),
@@ -193,50 +193,49 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn report_counts_what_the_entry_did() {
-    let script = Shared::default();
-    let plan = plan(&[entry(&script)], services(&[], &[]));
-    let report = run::run_load(plan, second(run::Route::System)).await;
-    let script = script.lock().unwrap();
+    let counts = Shared::default();
+    let plan = plan(&[start_entry(&counts)], services(&[], &[]));
+    let report = run::run_load(plan, one_second(run::Route::System)).await;
+    let counts = counts.lock().unwrap();
     let all = &report.all;
-    assert!(script.right > 0 && script.wrong > 0 && script.refused > 0 && script.cut > 0);
-    assert_eq!(all.attained, script.right);
-    assert_eq!(all.wrong, script.wrong);
-    assert_eq!(all.refusals(), script.refused);
-    assert_eq!(all.refused["not-run overloaded"], script.refused);
-    assert_eq!(all.lost, script.cut);
-    let sum = script.right + script.wrong + script.refused + script.cut;
+    assert!(counts.right > 0 && counts.wrong > 0 && counts.refused > 0 && counts.cut > 0);
+    assert_eq!(all.attained, counts.right);
+    assert_eq!(all.wrong, counts.wrong);
+    assert_eq!(all.refusals(), counts.refused);
+    assert_eq!(all.refused["not-run overloaded"], counts.refused);
+    assert_eq!(all.lost, counts.cut);
+    let sum = counts.right + counts.wrong + counts.refused + counts.cut;
     assert_eq!(all.offered, sum);
     assert_eq!(all.resent, 0);
     assert_eq!(
         report.teams[&"clinic".parse().unwrap()].attained,
-        script.right
+        counts.right
     );
-    assert_eq!(all.attainment, script.right as f64 / sum as f64);
-    // The parts that the plan asks for are drawn, so only that both sorts occur is certain.
-    assert!(script.events > 0 && script.events < sum);
-    assert!(!script.keys.is_empty() && (script.keys.len() as u64) < sum);
+    assert_eq!(all.attainment, counts.right as f64 / sum as f64);
+    // The shares in the plan are drawn at random, so the test only requires that both kinds occur.
+    assert!(counts.events > 0 && counts.events < sum);
+    assert!(!counts.keys.is_empty() && (counts.keys.len() as u64) < sum);
 }
 
-/// The caller of a request that is always refused "not run" with Retry-After obeys it until its
-/// deadline, with the same key each time.
+// A resend under a new idempotency key could execute a request twice.
 #[tokio::test(flavor = "multi_thread")]
-async fn refused_request_is_sent_again_with_its_key() {
-    let script = Shared::default();
-    let mut plan = plan(&[entry(&script)], services(&[], &[]));
+async fn refused_request_is_resent_with_its_idempotency_key() {
+    let counts = Shared::default();
+    let mut plan = plan(&[start_entry(&counts)], services(&[], &[]));
     let team = plan.teams.values_mut().next().unwrap();
     team.streams[0].deadline = "200ms".parse().unwrap();
     team.streams[0].single = "100%".parse().unwrap();
     team.streams[0].events = "0%".parse().unwrap();
-    let mut settings = second(run::Route::System);
+    let mut settings = one_second(run::Route::System);
     settings.resend = true;
     let report = run::run_load(plan, settings).await;
-    let script = script.lock().unwrap();
+    let counts = counts.lock().unwrap();
     assert!(report.all.resent > 0);
     assert_eq!(
         report.all.resent + report.all.offered,
-        script.keys.len() as u64
+        counts.keys.len() as u64
     );
-    let mut keys = script.keys.clone();
+    let mut keys = counts.keys.clone();
     keys.sort();
     keys.dedup();
     assert_eq!(keys.len() as u64, report.all.offered);
@@ -246,10 +245,13 @@
 #[case(run::Policy::RoundRobin)]
 #[case(run::Policy::LeastLoaded)]
 #[tokio::test(flavor = "multi_thread")]
-async fn baseline_reaches_the_targets_and_costs_are_theirs(#[case] policy: run::Policy) {
-    let (pool, engine) = (start(bundle::Kind::Pool), start(bundle::Kind::Engine));
+async fn baseline_calls_targets_directly_and_reports_their_cost(#[case] policy: run::Policy) {
+    let (pool, engine) = (
+        start_target(bundle::Kind::Pool),
+        start_target(bundle::Kind::Engine),
+    );
     let plan = plan(&[], services(&[&pool], &[&engine]));
-    let report = run::run_load(plan, second(run::Route::Baseline(policy))).await;
+    let report = run::run_load(plan, one_second(run::Route::Baseline(policy))).await;
     let all = &report.all;
     assert!(all.offered > 0);
     assert_eq!((all.attained, all.wrong, all.lost), (all.offered, 0, 0));
@@ -266,12 +268,14 @@
     }
 }
 
-/// One of two targets fails whatever it is given after running a part of it. Round robin gives
-/// up; blind retries hide that from the caller, but run non-idempotent requests twice.
+// One of two targets fails every call halfway, so a retry repeats an execution that had started.
 #[tokio::test(flavor = "multi_thread")]
-async fn blind_retries_run_requests_twice() {
-    let pools = [start(bundle::Kind::Pool), start(bundle::Kind::Pool)];
-    let engine = start(bundle::Kind::Engine);
+async fn blind_retries_execute_non_idempotent_requests_twice() {
+    let pools = [
+        start_target(bundle::Kind::Pool),
+        start_target(bundle::Kind::Pool),
+    ];
+    let engine = start_target(bundle::Kind::Engine);
     let mut plan = plan(&[], services(&[&pools[0], &pools[1]], &[&engine]));
     let team = plan.teams.values_mut().next().unwrap();
     team.streams[0].single = "100%".parse().unwrap();
@@ -284,32 +288,35 @@
         },
     });
     // The engine is named t0, so that only the second pool fails.
-    let route = |policy| second(run::Route::Baseline(policy));
-    let turns = run::run_load(plan.clone(), route(run::Policy::RoundRobin)).await;
-    assert!(turns.all.refusals() > 0);
-    assert_eq!(turns.cost.repeated, 0);
-    assert!(turns.cost.stages["encode"].wasted > 0.0);
+    let route = |policy| one_second(run::Route::Baseline(policy));
+    let round_robin = run::run_load(plan.clone(), route(run::Policy::RoundRobin)).await;
+    assert!(round_robin.all.refusals() > 0);
+    assert_eq!(round_robin.cost.repeated, 0);
+    assert!(round_robin.cost.stages["encode"].wasted > 0.0);
     let blind = run::run_load(plan, route(run::Policy::LeastLoaded)).await;
     assert!(blind.all.attained > 0);
     assert!(blind.cost.repeated > 0);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn comparison_shows_both_ways_of_one_run() {
-    let script = Shared::default();
-    let (pool, engine) = (start(bundle::Kind::Pool), start(bundle::Kind::Engine));
-    let plan = plan(&[entry(&script)], services(&[&pool], &[&engine]));
-    let report = run::run_load(plan, second(run::Route::Compare)).await;
+async fn comparison_reports_system_and_direct_latency() {
+    let counts = Shared::default();
+    let (pool, engine) = (
+        start_target(bundle::Kind::Pool),
+        start_target(bundle::Kind::Engine),
+    );
+    let plan = plan(&[start_entry(&counts)], services(&[&pool], &[&engine]));
+    let report = run::run_load(plan, one_second(run::Route::Compare)).await;
     let [overhead] = report.overhead.as_slice() else {
-        panic!("one length of pipelines: {:?}", report.overhead);
+        panic!("expected one pipeline length: {:?}", report.overhead);
     };
     assert_eq!(overhead.stages, 2);
     assert!(overhead.system.p50 > 0.0 && overhead.direct.p50 > 0.0);
     let each = (overhead.system.p99 - overhead.direct.p99) / 2.0;
     assert_eq!(overhead.each.p99, each);
-    // Requests that went straight to the targets are not the system's.
-    let script = script.lock().unwrap();
-    let sum = script.right + script.wrong + script.refused + script.cut;
+    // Requests sent directly to the targets do not count as requests to the system.
+    let counts = counts.lock().unwrap();
+    let sum = counts.right + counts.wrong + counts.refused + counts.cut;
     assert_eq!(report.all.offered, sum);
 }
 
--- a/laburnumcart_fakes/tests/measure.rs
+++ b/laburnumcart_fakes/tests/measure.rs
@@ -1,4 +1,4 @@
-//! Cases of the measurement, their sums, and the faults that they need of the stand-ins.
+//! Cases and statistics of the measurement, and the faults that fake targets inject for it.
 
 use std::time::Duration;
 
@@ -30,8 +30,8 @@
 use rstest::rstest;
 use serde_json::Value;
 
-/// Bound of every wait.
-const PATIENCE: Duration = Duration::from_secs(20);
+/// Timeout of every wait.
+const TIMEOUT: Duration = Duration::from_secs(20);
 
 fn layout(shape: shape::Shape, pace: u32) -> layout::Layout {
     let mut layout = layout::Layout::new(shape, shape::Size::Full, 20_000);
@@ -53,22 +53,25 @@
 #[case(&[3.0], (3.0, 3.0, 3.0))]
 #[case(&[3.0, 1.0, 2.0], (1.0, 2.0, 3.0))]
 #[case(&[4.0, 1.0], (1.0, 1.0, 4.0))]
-fn spread_is_least_median_and_most(#[case] values: &[f64], #[case] wanted: (f64, f64, f64)) {
+fn spread_holds_minimum_median_and_maximum(
+    #[case] values: &[f64],
+    #[case] expected: (f64, f64, f64),
+) {
     let spread = figures::Spread::of(values.iter().copied());
-    assert_eq!((spread.low, spread.mid, spread.high), wanted);
+    assert_eq!((spread.low, spread.mid, spread.high), expected);
 }
 
-/// Eight in ten requests call one of 3 retrievers with 4 slots for 8 ms, which is the bottleneck.
+// 80% of the requests call one of 3 retrievers with 4 slots for 8 ms, which is the bottleneck.
 #[rstest]
 #[case(1, 1875.0)]
 #[case(10, 187.5)]
-fn capacity_is_that_of_the_slowest_service(#[case] pace: u32, #[case] wanted: f64) {
+fn capacity_is_that_of_the_slowest_service(#[case] pace: u32, #[case] expected: f64) {
     let capacity = layout(shape::Shape::Araya, pace).capacity();
-    assert!((capacity - wanted).abs() < 0.1, "{capacity}");
+    assert!((capacity - expected).abs() < 0.1, "{capacity}");
 }
 
 #[rstest]
-fn cases_are_plans_without_fault(
+fn cases_are_valid_plans(
     #[values(shape::Shape::Araya, shape::Shape::Quetzal)] shape: shape::Shape,
 ) {
     let plan = plan(shape);
@@ -119,10 +122,9 @@
     assert!(svg.contains("least loaded") && svg.ends_with("</svg>\n"));
 }
 
-/// A target is killed: its caller first sees connections refused, for the time that was ordered and
-/// not the shorter time of a crash, and then a target that has forgotten all but its record.
+// A fault with a downtime must not end after the shorter restart time of a crash.
 #[tokio::test]
-async fn killed_target_stays_down_for_its_time() {
+async fn killed_target_stays_down_for_the_requested_time() {
     let address = "127.0.0.1:0".parse().unwrap();
     let name = "t-1".parse().unwrap();
     let mut settings = settings::Settings::new(name, bundle::Kind::Pool, address);
@@ -150,7 +152,7 @@
         down: Some(unit::Period(down)),
         ..Default::default()
     };
-    // The answer may be lost with the connection.
+    // The response may be lost with the connection.
     let _ = behave(killed).await;
     let back = async {
         loop {
@@ -160,7 +162,7 @@
             }
         }
     };
-    tokio::time::timeout(PATIENCE, back).await.unwrap();
+    tokio::time::timeout(TIMEOUT, back).await.unwrap();
     assert!(start.elapsed() >= down);
     assert_eq!(read("/v1/load", "age_ms").await, Some(5000.into()));
 }
--- a/laburnumcart_fakes/tests/ports.rs
+++ b/laburnumcart_fakes/tests/ports.rs
@@ -1,4 +1,4 @@
-//! Ports for processes that are started later.
+//! Choice of free ports for processes that start later.
 
 use std::{
     net,
@@ -9,13 +9,10 @@
 
 use laburnumcart_fakes::port;
 
-/// Ports that each thread asks for.
-const PORTS: usize = 100;
+/// Ports that each thread reserves.
+const PORTS_PER_THREAD: usize = 100;
 
-// A test asks for a port and binds it, or lets a process bind it, while others start processes. A
-// process that is being started has copies of all descriptors until it runs its program. Were the
-// port looked for by listening on it, such a copy would go on listening for a moment, and the bind
-// would fail with "address in use": a process of the fleet would end, and its test wait in vain.
+// A forked child holds copies of all listeners until exec, so probing by listening breaks the bind.
 #[test]
 fn a_port_can_be_bound_while_processes_start() {
     let done = atomic::AtomicBool::new(false);
@@ -28,7 +25,7 @@
             });
         }
         let bind = || {
-            for _ in 0..PORTS {
+            for _ in 0..PORTS_PER_THREAD {
                 let addr = port::reserve_addr();
                 net::TcpListener::bind(addr).unwrap_or_else(|e| panic!("{addr}: {e}"));
             }
--- a/laburnumcart_fakes/tests/programs.rs
+++ b/laburnumcart_fakes/tests/programs.rs
@@ -1,4 +1,4 @@
-//! The programs themselves: arguments, exit codes and faults that end a process.
+//! Command lines, exit codes and crashes of the programs.
 
 use std::{
     fs,
@@ -17,10 +17,10 @@
 use laburnumcart_fakes::client;
 use rstest::rstest;
 
-/// Bound of every wait.
-const PATIENCE: Duration = Duration::from_secs(20);
+/// Timeout of every wait.
+const TIMEOUT: Duration = Duration::from_secs(20);
 
-/// A process that is ended when dropped.
+/// Child process, killed on drop.
 struct Process(Child);
 
 impl Drop for Process {
@@ -30,8 +30,8 @@
     }
 }
 
-/// Starts a stand-in with one pool and returns its address.
-fn target(args: &[&str]) -> (Process, String) {
+/// Starts a fake target with one pool and returns its address.
+fn start_target(args: &[&str]) -> (Process, String) {
     let mut child = Command::new(env!("CARGO_BIN_EXE_laburnum-fake-target"))
         .args(["--target", "t-1=pool@127.0.0.1:0"])
         .args(args)
@@ -45,10 +45,10 @@
     (process, address.into())
 }
 
-/// The caller sees its connection end and the target's process is gone, as after a real crash.
+// Without an exit, tests could not check how a system handles a lost target process.
 #[tokio::test]
-async fn crash_ends_the_process_if_asked() {
-    let (mut process, address) = target(&["--exit-on-crash"]);
+async fn crash_exits_the_process_with_exit_on_crash() {
+    let (mut process, address) = start_target(&["--exit-on-crash"]);
     let client = client::Client::default();
     let behave = format!("http://{address}/admin/behave");
     let change = r#"{"crash_on":"poison"}"#;
@@ -65,7 +65,7 @@
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
     };
-    let status = tokio::time::timeout(PATIENCE, exit).await.unwrap();
+    let status = tokio::time::timeout(TIMEOUT, exit).await.unwrap();
     assert_eq!(status.code(), Some(70));
 }
 
@@ -77,16 +77,16 @@
     &["--target", "t=pool@127.0.0.1:0", "--restart", "soon"]
 )]
 #[case::no_plan(env!("CARGO_BIN_EXE_laburnum-load"), &[])]
-#[case::no_folder(env!("CARGO_BIN_EXE_laburnum-plan"), &["--shape", "both"])]
+#[case::no_directory(env!("CARGO_BIN_EXE_laburnum-plan"), &["--shape", "both"])]
 #[case::bad_shape(env!("CARGO_BIN_EXE_laburnum-plan"), &["--dir", "/nowhere", "--shape", "x"])]
-fn wrong_arguments_are_refused(#[case] program: &str, #[case] args: &[&str]) {
+fn invalid_arguments_exit_with_2(#[case] program: &str, #[case] args: &[&str]) {
     let output = Command::new(program).args(args).output().unwrap();
     assert_eq!(output.status.code(), Some(2));
     assert!(!output.stderr.is_empty());
 }
 
 #[test]
-fn every_fault_of_a_load_plan_is_shown() {
+fn every_error_of_a_load_plan_is_printed() {
     let plan = r#"{
         "entries": [],
         "teams": {"t": {"token": "x", "streams": [
--- a/laburnumcart_fakes/tests/store_failures.rs
+++ b/laburnumcart_fakes/tests/store_failures.rs
@@ -1,4 +1,4 @@
-//! Failures of the object service as the real client meets them.
+//! Failures of the object service and how the real client reports them.
 
 use std::{
     io::{
@@ -27,15 +27,15 @@
     },
 };
 
-/// Bound of a wait that ends much earlier when all is well.
-const LONG: time::Duration = time::Duration::from_secs(20);
+/// Timeout of waits that normally end much earlier.
+const TIMEOUT: time::Duration = time::Duration::from_secs(20);
 
-/// Time after which a call to a silent service is given up.
-const SHORT: unit::Period = unit::Period::from_millis(200);
+/// Call timeout where the service does not respond.
+const CALL_TIMEOUT: unit::Period = unit::Period::from_millis(200);
 
 fn client(addr: net::SocketAddr) -> client::Client {
     let client = client::Client::builder([addr]);
-    client.timeout(unit::Period(LONG)).build().unwrap()
+    client.timeout(unit::Period(TIMEOUT)).build().unwrap()
 }
 
 fn unavailable(seconds: Option<u64>) -> Failure {
@@ -43,14 +43,13 @@
     Failure::Unavailable { retry }
 }
 
-/// A service that answers every request with the same bytes and then closes the connection, or
-/// says nothing and keeps it.
-struct Canned {
+/// Service that sends fixed bytes and closes the connection; if empty, it stays silent and open.
+struct FixedResponse {
     addr: net::SocketAddr,
     connections: sync::Arc<atomic::AtomicUsize>,
 }
 
-impl Canned {
+impl FixedResponse {
     fn start(answer: &'static str) -> Self {
         let listener = net::TcpListener::bind("127.0.0.1:0").unwrap();
         let addr = listener.local_addr().unwrap();
@@ -114,11 +113,11 @@
 )]
 #[case::not_http("nonsense\r\n\r\n", Failure::Unanswered)]
 #[tokio::test]
-async fn answer_of_a_write_means_only_what_it_proves(
+async fn write_outcome_is_certain_only_if_the_response_proves_it(
     #[case] answer: &'static str,
     #[case] expected: Failure,
 ) {
-    let service = Canned::start(answer);
+    let service = FixedResponse::start(answer);
     let put = client(service.addr)
         .put("a", store::Expect::Absent, "1")
         .await;
@@ -134,12 +133,11 @@
     assert_eq!(put, Err(unavailable(None)));
 }
 
-// The caller is told that its write is in doubt, and the next call is not stuck as well. The
-// connection goes silent after the request; the call times out and takes the connection with it.
+// A connection kept after a timeout would delay the next call as well.
 #[tokio::test]
-async fn silent_connection_is_left() {
-    let service = Canned::start("");
-    let client = client::Client::builder([service.addr]).timeout(SHORT);
+async fn silent_connection_is_closed_after_a_timeout() {
+    let service = FixedResponse::start("");
+    let client = client::Client::builder([service.addr]).timeout(CALL_TIMEOUT);
     let client = client.build().unwrap();
     for used in 1..=2 {
         let put = client.put("a", store::Expect::Absent, "1").await;
@@ -159,10 +157,9 @@
     assert_eq!(client.get("a").await, Ok(None));
 }
 
-// The caller sees one success. The service takes the write and breaks the connection off before its
-// answer is complete; the client reports doubt, and a read shows the caller's own value.
+// The service applies the write and closes the connection before its response is complete.
 #[tokio::test]
-async fn lost_answer_is_settled() {
+async fn lost_response_is_resolved_by_a_read() {
     let server = fake::Server::builder().start().unwrap();
     let client = client(server.addr());
     let faults = memory::Faults {
@@ -175,7 +172,7 @@
         expect: store::Expect::Absent,
         value: "{\"nonce\":1}",
     };
-    let until = Instant::now() + LONG;
+    let until = Instant::now() + TIMEOUT;
     let outcome = settle::put(&client, write, until, settle::judge_created(write)).await;
     let object = server.memory().get("a").await.unwrap().unwrap();
     assert_eq!(outcome, Ok(settle::Outcome::Written(object.version)));
@@ -183,11 +180,9 @@
     assert_eq!(server.counts().prefixes["a"].writes, 1);
 }
 
-// The caller sees one success and the object is written once. The first call is held up at the
-// service, the caller gives it up and reads that the object does not exist yet, and sends it again.
-// The held call goes on after that and is refused, as the object exists.
+// The service applies a timed-out write only after the client has repeated it.
 #[tokio::test]
-async fn late_write_is_refused_behind_its_repetition() {
+async fn delayed_write_is_refused_after_its_repetition() {
     let server = fake::Server::builder().start().unwrap();
     let addr = server.addr();
     let slow = memory::Faults {
@@ -195,34 +190,33 @@
         ..memory::Faults::default()
     };
     server.memory().set_faults(slow);
-    let hasty = client::Client::builder([addr]).timeout(SHORT);
-    let hasty = hasty.build().unwrap();
+    let impatient = client::Client::builder([addr]).timeout(CALL_TIMEOUT);
+    let impatient = impatient.build().unwrap();
     let write = settle::Write {
         key: "a",
         expect: store::Expect::Absent,
         value: "{\"nonce\":1}",
     };
-    let first = hasty.put(write.key, write.expect, write.value).await;
+    let first = impatient.put(write.key, write.expect, write.value).await;
     assert_eq!(first, Err(Failure::Unanswered));
     server.memory().set_faults(memory::Faults::default());
-    let until = Instant::now() + LONG;
+    let until = Instant::now() + TIMEOUT;
     let outcome = settle::resolve(&client(addr), write, until, settle::judge_created(write)).await;
     tokio::time::sleep(slow.slow.0 * 2).await;
     let object = server.memory().get("a").await.unwrap().unwrap();
     assert_eq!(outcome, settle::Outcome::Written(object.version));
 }
 
-// The caller is refused at once while the service is down, the service is not hammered, and calls
-// succeed again soon after its return without anyone's help.
+// Without a circuit breaker, callers wait during an outage and overload the service on its return.
 #[tokio::test]
-async fn outage_is_not_hammered_and_ends() {
+async fn outage_opens_the_circuit_breaker_until_the_service_returns() {
     let server = fake::Server::builder().start().unwrap();
     let limits = breaker::Limits {
         longest_pause: time::Duration::from_millis(200),
         ..breaker::Limits::default()
     };
     let client = client::Client::builder([server.addr()]).breaker(limits);
-    let client = client.timeout(unit::Period(LONG)).build().unwrap();
+    let client = client.timeout(unit::Period(TIMEOUT)).build().unwrap();
     let down = memory::Faults {
         down: true,
         ..memory::Faults::default()
@@ -234,7 +228,7 @@
         assert!(matches!(get, Err(Failure::Unavailable { .. })));
     }
     assert!(client.is_down());
-    // Three calls find the outage; later ones are probes, each after a pause of 50 ms or more.
+    // Three calls open the breaker; later ones are probes, each after a pause of 50 ms or more.
     let probes = start.elapsed().as_millis() as u64 / 50;
     assert!(server.counts().total.reads <= 3 + probes);
     server.memory().set_faults(memory::Faults::default());
@@ -243,7 +237,7 @@
             tokio::time::sleep(time::Duration::from_millis(5)).await;
         }
     };
-    tokio::time::timeout(LONG, back).await.unwrap();
+    tokio::time::timeout(TIMEOUT, back).await.unwrap();
     assert!(!client.is_down());
 }
 
@@ -256,7 +250,7 @@
     };
     let start = Instant::now();
     let client = client::Client::builder([server.addr()]).rates(rates);
-    let client = client.timeout(unit::Period(LONG)).build().unwrap();
+    let client = client.timeout(unit::Period(TIMEOUT)).build().unwrap();
     let mut refused = 0;
     for _ in 0..200 {
         let retry = |failure| matches!(failure, Failure::Unavailable { retry: Some(_) });
@@ -268,8 +262,7 @@
     assert!(!client.is_down());
 }
 
-// A caller makes more calls at once than its share allows. Each is refused or, with patience, sent
-// a little later; refused at once, the burst of a takeover would look like an outage.
+// Refusing calls beyond the budget at once would make the burst of a takeover look like an outage.
 #[tokio::test]
 async fn a_burst_waits_for_the_budget() {
     let server = fake::Server::builder().start().unwrap();
@@ -279,8 +272,8 @@
     };
     let client = client::Client::builder([server.addr()]).rates(rates);
     let client = client
-        .timeout(unit::Period(LONG))
-        .budget_wait(unit::Period(LONG));
+        .timeout(unit::Period(TIMEOUT))
+        .budget_wait(unit::Period(TIMEOUT));
     let client = client.build().unwrap();
     for _ in 0..15 {
         assert_eq!(client.get("a").await, Ok(None));
@@ -310,9 +303,9 @@
         let client = client(server.addr());
         let from = server.memory().revision();
         clients.push(client.clone());
-        tasks.push(tokio::spawn(
-            async move { client.watch("a", from, LONG).await },
-        ));
+        tasks.push(tokio::spawn(async move {
+            client.watch("a", from, TIMEOUT).await
+        }));
         tokio::time::sleep(time::Duration::from_millis(100)).await;
     }
     let refused = clients[0].get("a").await;
@@ -323,10 +316,9 @@
     tasks.iter().for_each(tokio::task::JoinHandle::abort);
 }
 
-// A reader sees an older value for a while, and its conditional write on that value is refused; the
-// service's writes are never stale.
+// Reads may return an old version for a while; conditional writes must not.
 #[tokio::test]
-async fn stale_read_can_not_overwrite() {
+async fn write_based_on_a_stale_read_is_refused() {
     let server = fake::Server::builder().start().unwrap();
     let client = client(server.addr());
     let first = client.put("a", store::Expect::Absent, "1").await.unwrap();
--- a/laburnumcart_fakes/tests/store_process.rs
+++ b/laburnumcart_fakes/tests/store_process.rs
@@ -1,4 +1,4 @@
-//! The stand-in for the object service as a process.
+//! The fake object service as a process.
 
 use std::{
     fs,
@@ -11,8 +11,8 @@
     net, path, process, time,
 };
 
-/// Bound of a wait that ends much earlier when all is well.
-const LONG: time::Duration = time::Duration::from_secs(20);
+/// Timeout of waits that normally end much earlier.
+const TIMEOUT: time::Duration = time::Duration::from_secs(20);
 
 struct Process {
     child: process::Child,
@@ -38,7 +38,7 @@
     /// Sends a request and returns the status and the body.
     fn call(&self, head: &str, body: &str) -> (u16, String) {
         let mut stream = net::TcpStream::connect(self.addr).unwrap();
-        stream.set_read_timeout(Some(LONG)).unwrap();
+        stream.set_read_timeout(Some(TIMEOUT)).unwrap();
         let length = body.len();
         let (line, headers) = head.split_once('\n').unwrap_or((head, ""));
         write!(
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn statuses_are_those_of_the_protocol() {
+fn statuses_follow_the_protocol() {
     let process = Process::start();
     let absent = "PUT /v1/objects/a\nif-none-match: *\r\n";
     assert_eq!(process.call("GET /healthz", "").0, 200);
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn faults_and_counts_are_reached_over_http() {
+fn faults_and_counts_are_available_over_http() {
     let process = Process::start();
     let down = process.call("POST /admin/faults", r#"{"down":true,"slow":"1ms"}"#);
     assert_eq!(down.0, 200);
@@ -123,7 +123,7 @@
 }
 
 #[test]
-fn wrong_arguments_exit_with_2() {
+fn invalid_arguments_exit_with_2() {
     for args in [["--writes", "fast"], ["--nonsense", "1"]] {
         let output = process::Command::new(env!("CARGO_BIN_EXE_laburnum-fake-store"))
             .args(args)
--- a/laburnumcart_fakes/tests/store_protocol.rs
+++ b/laburnumcart_fakes/tests/store_protocol.rs
@@ -1,4 +1,4 @@
-//! Every call of the object service's protocol, by the real client against the stand-in.
+//! Every call of the object service's protocol, from the real client to the fake service.
 
 use std::time;
 
@@ -14,19 +14,19 @@
     },
 };
 
-/// Bound of a wait that ends much earlier when all is well.
-const LONG: time::Duration = time::Duration::from_secs(20);
+/// Timeout of waits that normally end much earlier.
+const TIMEOUT: time::Duration = time::Duration::from_secs(20);
 
 fn start() -> (fake::Server, client::Client) {
     let server = fake::Server::builder().start().unwrap();
     let client = client::Client::builder([server.addr()])
-        .timeout(unit::Period(LONG))
+        .timeout(unit::Period(TIMEOUT))
         .build();
     (server, client.unwrap())
 }
 
 #[tokio::test]
-async fn get_tells_value_version_and_absence() {
+async fn get_returns_value_and_version_or_nothing() {
     let (_server, client) = start();
     assert_eq!(client.get("a/b").await, Ok(None));
     let version = client.put("a/b", store::Expect::Absent, "[1]").await;
@@ -83,12 +83,12 @@
 }
 
 #[tokio::test]
-async fn watch_waits_and_tells_changes_in_order() {
+async fn watch_waits_and_reports_changes_in_order() {
     let (server, client) = start();
     let from = client.list("p/").await.unwrap().revision;
     let waiting = tokio::spawn({
         let client = client.clone();
-        async move { client.watch("p/", from, LONG).await }
+        async move { client.watch("p/", from, TIMEOUT).await }
     });
     wait_until(|| server.counts().total.watches == 1).await;
     client.put("q/a", store::Expect::Absent, "0").await.unwrap();
@@ -99,7 +99,7 @@
     let expect = store::Expect::Version(first);
     let second = client.put("p/a", expect, "2").await.unwrap();
     client.delete("p/a", second).await.unwrap();
-    let changes = client.watch("p/", changes.revision, LONG).await.unwrap();
+    let changes = client.watch("p/", changes.revision, TIMEOUT).await.unwrap();
     assert_eq!(changes.events.len(), 2);
     assert_eq!(changes.events[0], event("p/a", second, Some("2")));
     assert_eq!(changes.events[1].value, None);
@@ -122,7 +122,7 @@
     let from = client.list("").await.unwrap().revision;
     client.put("a", store::Expect::Absent, "1").await.unwrap();
     server.memory().compact();
-    let changes = client.watch("", from, LONG).await;
+    let changes = client.watch("", from, TIMEOUT).await;
     assert_eq!(changes, Err(store::Failure::Compacted));
 }
 
@@ -139,7 +139,7 @@
 }
 
 #[tokio::test]
-async fn largest_value_fits_and_a_larger_one_does_not() {
+async fn largest_value_is_accepted_and_a_larger_one_is_refused() {
     let (_server, client) = start();
     let largest = format!("\"{}\"", "x".repeat(store::VALUE_MAX - 2));
     client
@@ -160,12 +160,12 @@
         writes: unit::Rate(100.0),
     };
     let client = client::Client::builder([server.addr()]).rates(rates);
-    let client = client.timeout(unit::Period(LONG)).build().unwrap();
+    let client = client.timeout(unit::Period(TIMEOUT)).build().unwrap();
     let from = client.list("").await.unwrap().revision;
     let watches: Vec<_> = (0..400)
         .map(|_| {
             let client = client.clone();
-            tokio::spawn(async move { client.watch("head", from, LONG).await })
+            tokio::spawn(async move { client.watch("head", from, TIMEOUT).await })
         })
         .collect();
     wait_until(|| server.counts().total.watches == 400).await;
@@ -190,5 +190,5 @@
             tokio::time::sleep(time::Duration::from_millis(5)).await;
         }
     };
-    tokio::time::timeout(LONG, poll).await.unwrap();
+    tokio::time::timeout(TIMEOUT, poll).await.unwrap();
 }
--- a/laburnumcart_fakes/tests/target.rs
+++ b/laburnumcart_fakes/tests/target.rs
@@ -1,4 +1,4 @@
-//! Protocol of the stand-in targets.
+//! Protocol of the fake targets.
 
 use std::{
     sync::Arc,
@@ -25,15 +25,15 @@
     json, //
 };
 
-/// Bound of every wait.
-const PATIENCE: Duration = Duration::from_secs(20);
+/// Timeout of every wait.
+const TIMEOUT: Duration = Duration::from_secs(20);
 
-struct Bench {
+struct Fixture {
     target: target::Target,
     client: client::Client,
 }
 
-fn quick(kind: bundle::Kind) -> settings::Settings {
+fn short_times(kind: bundle::Kind) -> settings::Settings {
     let address = "127.0.0.1:0".parse().unwrap();
     let mut settings = settings::Settings::new("t-1".parse().unwrap(), kind, address);
     settings.service_time = Duration::from_millis(1);
@@ -45,14 +45,14 @@
     settings
 }
 
-fn bench(settings: settings::Settings) -> Bench {
-    Bench {
+fn start_target(settings: settings::Settings) -> Fixture {
+    Fixture {
         target: target::start(settings).unwrap(),
         client: client::Client::default(),
     }
 }
 
-impl Bench {
+impl Fixture {
     fn url(&self, path: &str) -> String {
         format!("http://{}{path}", self.target.address())
     }
@@ -96,14 +96,14 @@
             .executions
     }
 
-    /// Waits until the executions are as wanted.
-    async fn until(&self, wanted: impl Fn(&[ledger::Execution]) -> bool) {
+    /// Waits until the executions meet a condition.
+    async fn wait_executions(&self, condition: impl Fn(&[ledger::Execution]) -> bool) {
         let wait = async {
-            while !wanted(&self.executions().await) {
+            while !condition(&self.executions().await) {
                 tokio::time::sleep(Duration::from_millis(5)).await;
             }
         };
-        tokio::time::timeout(PATIENCE, wait).await.unwrap();
+        tokio::time::timeout(TIMEOUT, wait).await.unwrap();
     }
 
     async fn state(&self) -> Result<Value, client::CallError> {
@@ -121,11 +121,11 @@
 }
 
 #[tokio::test]
-async fn pool_answers_from_its_body_alone_and_counts() {
-    let bench = bench(quick(bundle::Kind::Pool));
+async fn pool_output_depends_on_the_body_and_executions_are_recorded() {
+    let fixture = start_target(short_times(bundle::Kind::Pool));
     for n in 0..3 {
         let input = json!({ "n": n });
-        let answer = bench
+        let answer = fixture
             .call("/v1/run", "a", body(input.clone()))
             .await
             .unwrap();
@@ -135,21 +135,21 @@
             Some(expected::pool_output("s", &input, &Value::Null))
         );
     }
-    let executions = bench.executions().await;
+    let executions = fixture.executions().await;
     assert_eq!(outcomes(&executions), [ledger::Outcome::Done; 3]);
     assert_eq!(executions[0].request, "r1");
     assert!(!executions[0].idempotent);
-    let cost: ledger::Cost = serde_json::from_value(bench.get("/admin/cost").await).unwrap();
+    let cost: ledger::Cost = serde_json::from_value(fixture.get("/admin/cost").await).unwrap();
     assert_eq!(cost.repeated, 2);
     assert_eq!(cost.stages["s"].executions, 3);
     assert!(cost.stages["s"].done > 0.0 && cost.stages["s"].wasted > 0.0);
 }
 
 #[tokio::test]
-async fn engine_streams_its_text_with_an_end() {
-    let bench = bench(quick(bundle::Kind::Engine));
+async fn engine_streams_its_text_and_an_end_event() {
+    let fixture = start_target(short_times(bundle::Kind::Engine));
     let input = json!({ "tokens": 7 });
-    let answer = bench
+    let answer = fixture
         .call("/v1/generate", "a", body(input.clone()))
         .await
         .unwrap();
@@ -166,20 +166,20 @@
 #[case::within_a_piece(19)]
 #[case::all(usize::MAX)]
 #[tokio::test]
-async fn engine_resumes_after_what_was_received(#[case] length: usize) {
-    let bench = bench(quick(bundle::Kind::Engine));
+async fn engine_resumes_after_the_received_text(#[case] length: usize) {
+    let fixture = start_target(short_times(bundle::Kind::Engine));
     let input = json!({ "tokens": 5 });
     let text = expected::engine_text("s", &input, &Value::Null, 5);
     let (received, rest) = text.split_at(length.min(text.len()));
     let mut call = body(input);
     call["received"] = received.into();
-    let answer = bench.call("/v1/generate", "a", call).await.unwrap();
+    let answer = fixture.call("/v1/generate", "a", call).await.unwrap();
     assert_eq!(client::join_stream(&answer.body).as_deref(), Some(rest));
 }
 
 #[tokio::test]
-async fn malformed_calls_are_refused_and_not_counted() {
-    let bench = bench(quick(bundle::Kind::Engine));
+async fn malformed_calls_are_refused_and_not_recorded() {
+    let fixture = start_target(short_times(bundle::Kind::Engine));
     let mut other = body(json!({}));
     other["received"] = "another text".into();
     for (path, call) in [
@@ -187,201 +187,199 @@
         ("/v1/generate", json!({ "input": 1 })),
         ("/v1/run", body(json!({}))),
     ] {
-        let answer = bench.call(path, "a", call).await.unwrap();
+        let answer = fixture.call(path, "a", call).await.unwrap();
         assert_eq!(answer.status, 400);
     }
-    let bare = bench.post("/v1/generate", body(json!({}))).await;
+    let bare = fixture.post("/v1/generate", body(json!({}))).await;
     assert_eq!(bare.status, 400);
-    assert!(bench.executions().await.is_empty());
+    assert!(fixture.executions().await.is_empty());
 }
 
 #[tokio::test]
-async fn full_queue_is_refused_and_load_reported() {
-    let mut settings = quick(bundle::Kind::Pool);
+async fn full_queue_refuses_calls_and_load_is_reported() {
+    let mut settings = short_times(bundle::Kind::Pool);
     settings.slots = 1;
     settings.queue_limit = 1;
-    let bench = bench(settings);
+    let fixture = start_target(settings);
     let frozen = behaviour::Change {
         slow: Some(1e6),
         ..Default::default()
     };
-    bench.behave(frozen).await;
-    let bench = Arc::new(bench);
+    fixture.behave(frozen).await;
+    let fixture = Arc::new(fixture);
     let run = |attempt: &'static str| {
-        let bench = bench.clone();
-        tokio::spawn(async move { bench.call("/v1/run", attempt, body(json!({}))).await })
+        let fixture = fixture.clone();
+        tokio::spawn(async move { fixture.call("/v1/run", attempt, body(json!({}))).await })
     };
     let wait = async |running: u64, queued: u64| {
         let wait = async {
             loop {
-                let load = bench.get("/v1/load").await;
+                let load = fixture.get("/v1/load").await;
                 if load["running"] == running && load["queued"] == queued {
                     return;
                 }
                 tokio::time::sleep(Duration::from_millis(5)).await;
             }
         };
-        tokio::time::timeout(PATIENCE, wait).await.unwrap();
+        tokio::time::timeout(TIMEOUT, wait).await.unwrap();
     };
     let first = run("a1");
     wait(1, 0).await;
     let second = run("a2");
     wait(1, 1).await;
-    let third = bench.call("/v1/run", "a3", body(json!({}))).await.unwrap();
+    let third = fixture
+        .call("/v1/run", "a3", body(json!({})))
+        .await
+        .unwrap();
     assert_eq!((third.status, third.retry_after), (503, Some(1)));
-    // Cancelled in the queue is a proof that it did not run; cancelled in its slot is not.
-    bench.post("/v1/cancel", json!({ "attempt": "a2" })).await;
+    // A call cancelled in the queue has not run; one cancelled in its slot may have run.
+    fixture.post("/v1/cancel", json!({ "attempt": "a2" })).await;
     assert_eq!(second.await.unwrap().unwrap().status, 503);
-    bench.post("/v1/cancel", json!({ "attempt": "a1" })).await;
+    fixture.post("/v1/cancel", json!({ "attempt": "a1" })).await;
     assert_eq!(first.await.unwrap().unwrap().status, 499);
     wait(0, 0).await;
-    let executions = bench.executions().await;
+    let executions = fixture.executions().await;
     assert_eq!(outcomes(&executions), [ledger::Outcome::Cancelled]);
 }
 
 #[tokio::test]
 async fn cancelled_stream_ends_without_end_event() {
-    let bench = Arc::new(bench(quick(bundle::Kind::Engine)));
-    let running = bench.clone();
+    let fixture = Arc::new(start_target(short_times(bundle::Kind::Engine)));
+    let running = fixture.clone();
     let input = json!({ "tokens": 100_000 });
     let call = async move { running.call("/v1/generate", "a", body(input)).await };
     let call = tokio::spawn(call);
-    bench.until(|e| e.len() == 1).await;
-    bench.post("/v1/cancel", json!({ "attempt": "a" })).await;
+    fixture.wait_executions(|e| e.len() == 1).await;
+    fixture.post("/v1/cancel", json!({ "attempt": "a" })).await;
     let answer = call.await.unwrap().unwrap();
     assert_eq!(client::join_stream(&answer.body), None);
-    let executions = bench.executions().await;
+    let executions = fixture.executions().await;
     assert_eq!(outcomes(&executions), [ledger::Outcome::Cancelled]);
 }
 
-/// The caller of one request sees its connection end, and so does every other caller of the
-/// target: one body crashes the target, which drops all connections, refuses new ones for its
-/// restart time and comes back with another boot number and without its models. The record of
-/// executions is the observer's and stays.
+// A poison body crashes the target; its restart clears its models but keeps its execution record.
 #[rstest]
 #[case(bundle::Kind::Pool, "/v1/run")]
 #[case(bundle::Kind::Engine, "/v1/generate")]
 #[tokio::test]
-async fn crash_drops_everything_but_the_record(
+async fn crash_loses_all_state_but_the_execution_record(
     #[case] kind: bundle::Kind,
     #[case] path: &'static str,
 ) {
-    let mut settings = quick(kind);
+    let mut settings = short_times(kind);
     settings.service_time = Duration::from_secs(3600);
     settings.restart_time = Duration::from_secs(2);
-    let bench = Arc::new(bench(settings));
-    bench
+    let fixture = Arc::new(start_target(settings));
+    fixture
         .behave(behaviour::Change {
             crash_on: Some("poison".into()),
             ..Default::default()
         })
         .await;
     let order = json!({ "term": 1, "sequence": 1, "load": ["m@1"] });
-    assert_eq!(bench.post("/v1/orders", order).await.status, 200);
-    let before = bench.state().await.unwrap();
+    assert_eq!(fixture.post("/v1/orders", order).await.status, 200);
+    let before = fixture.state().await.unwrap();
     assert_eq!(before["models"], json!(["m@1"]));
-    let beside = bench.clone();
+    let other = fixture.clone();
     let input = json!({ "tokens": 100_000 });
-    let beside = tokio::spawn(async move { beside.call(path, "a1", body(input)).await });
-    bench.until(|e| e.len() == 1).await;
-    let poison = bench.call(path, "a2", body(json!("poison"))).await;
+    let other = tokio::spawn(async move { other.call(path, "a1", body(input)).await });
+    fixture.wait_executions(|e| e.len() == 1).await;
+    let poison = fixture.call(path, "a2", body(json!("poison"))).await;
     assert_eq!(poison.unwrap_err(), client::CallError::Lost);
-    assert!(beside.await.unwrap().is_err());
-    // A connection made while the target goes down may still be lost instead of refused.
+    assert!(other.await.unwrap().is_err());
+    // A connection opened during the shutdown may be lost instead of refused.
     let mut refused = false;
     let back = async {
         loop {
-            match bench.state().await {
+            match fixture.state().await {
                 Ok(state) => return state,
                 Err(failure) => refused |= failure == client::CallError::NotConnected,
             }
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
     };
-    let after = tokio::time::timeout(PATIENCE, back).await.unwrap();
+    let after = tokio::time::timeout(TIMEOUT, back).await.unwrap();
     assert!(refused);
     assert_ne!(after["boot"], before["boot"]);
     assert_eq!(after["models"], json!([]));
-    let executions = bench.executions().await;
+    let executions = fixture.executions().await;
     assert_eq!(outcomes(&executions), [ledger::Outcome::Crashed; 2]);
 }
 
-/// A paused agent's order arrives after its successor's. A target that checks numbers refuses
-/// it; one that doesn't unloads the successor's model again.
+// An order of a paused agent arrives after an order of the agent that replaced it.
 #[rstest]
 #[case::fenced(bundle::Orders::Fenced, 409, json!(["new@1"]), 2)]
 #[case::unfenced(bundle::Orders::Unfenced, 200, json!(["old@1"]), 1)]
 #[tokio::test]
-async fn old_order_after_a_new_one(
+async fn order_with_an_old_number_is_refused_only_if_fenced(
     #[case] orders: bundle::Orders,
     #[case] status: u16,
     #[case] models: Value,
     #[case] term: u64,
 ) {
-    let mut settings = quick(bundle::Kind::Engine);
+    let mut settings = short_times(bundle::Kind::Engine);
     settings.orders = orders;
-    let bench = bench(settings);
+    let fixture = start_target(settings);
     let new = json!({ "term": 2, "sequence": 1, "load": ["new@1"] });
-    assert_eq!(bench.post("/v1/orders", new).await.status, 200);
+    assert_eq!(fixture.post("/v1/orders", new).await.status, 200);
     let old = json!({ "term": 1, "sequence": 9, "load": ["old@1"], "unload": ["new@1"] });
-    assert_eq!(bench.post("/v1/orders", old).await.status, status);
-    let state = bench.state().await.unwrap();
+    assert_eq!(fixture.post("/v1/orders", old).await.status, status);
+    let state = fixture.state().await.unwrap();
     assert_eq!(state["models"], models);
     assert_eq!(state["term"], term);
 }
 
-/// A slow order of an old agent is still in flight when its successor's order is accepted: a
-/// fenced target lets it have no effect, in an unfenced one it lands late.
+// A slow order is still pending when the target accepts an order of the next agent.
 #[rstest]
 #[case::fenced(bundle::Orders::Fenced, 409, json!(["new@1"]))]
 #[case::unfenced(bundle::Orders::Unfenced, 200, json!(["new@1", "old@1"]))]
 #[tokio::test]
-async fn slow_order_is_overtaken(
+async fn pending_order_is_superseded_only_if_fenced(
     #[case] orders: bundle::Orders,
     #[case] status: u16,
     #[case] models: Value,
 ) {
-    let mut settings = quick(bundle::Kind::Engine);
+    let mut settings = short_times(bundle::Kind::Engine);
     settings.orders = orders;
-    let bench = Arc::new(bench(settings));
+    let fixture = Arc::new(start_target(settings));
     let period = |millis| behaviour::Change {
         order_time: Some(unit::Period::from_millis(millis)),
         ..Default::default()
     };
-    bench.behave(period(2000)).await;
-    let slow = bench.clone();
+    fixture.behave(period(2000)).await;
+    let slow = fixture.clone();
     let slow = tokio::spawn(async move {
         let old = json!({ "term": 1, "sequence": 1, "load": ["old@1"] });
         slow.post("/v1/orders", old).await.status
     });
     let accepted = async {
-        while bench.get("/admin/orders").await["pending"] != 1 {
+        while fixture.get("/admin/orders").await["pending"] != 1 {
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
     };
-    tokio::time::timeout(PATIENCE, accepted).await.unwrap();
-    bench.behave(period(0)).await;
+    tokio::time::timeout(TIMEOUT, accepted).await.unwrap();
+    fixture.behave(period(0)).await;
     let new = json!({ "term": 2, "sequence": 1, "load": ["new@1"] });
-    assert_eq!(bench.post("/v1/orders", new).await.status, 200);
+    assert_eq!(fixture.post("/v1/orders", new).await.status, 200);
     assert_eq!(slow.await.unwrap(), status);
-    assert_eq!(bench.state().await.unwrap()["models"], models);
+    assert_eq!(fixture.state().await.unwrap()["models"], models);
 }
 
 #[tokio::test]
-async fn frozen_target_answers_once_thawed() {
-    let bench = Arc::new(bench(quick(bundle::Kind::Pool)));
+async fn frozen_target_responds_after_the_freeze_ends() {
+    let fixture = Arc::new(start_target(short_times(bundle::Kind::Pool)));
     let freeze = |freeze| behaviour::Change {
         freeze: Some(freeze),
         ..Default::default()
     };
-    bench.behave(freeze(true)).await;
-    let running = bench.clone();
+    fixture.behave(freeze(true)).await;
+    let running = fixture.clone();
     let call = async move { running.call("/v1/run", "a", body(json!({}))).await };
     let mut call = tokio::spawn(call);
     let early = tokio::time::timeout(Duration::from_millis(100), &mut call).await;
     assert!(early.is_err());
-    bench.behave(freeze(false)).await;
-    let answer = tokio::time::timeout(PATIENCE, call).await.unwrap();
+    fixture.behave(freeze(false)).await;
+    let answer = tokio::time::timeout(TIMEOUT, call).await.unwrap();
     assert_eq!(answer.unwrap().unwrap().status, 200);
 }
 
@@ -391,42 +389,42 @@
 #[case(bundle::Kind::Engine, "/v1/generate", true)]
 #[case(bundle::Kind::Engine, "/v1/generate", false)]
 #[tokio::test]
-async fn failing_target_leaves_it_open_whether_it_ran(
+async fn failing_target_may_have_executed_the_call(
     #[case] kind: bundle::Kind,
     #[case] path: &str,
     #[case] fast: bool,
 ) {
-    let bench = bench(quick(kind));
-    bench
+    let fixture = start_target(short_times(kind));
+    fixture
         .behave(behaviour::Change {
             fail: Some(1.0),
             fail_fast: Some(fast),
             ..Default::default()
         })
         .await;
-    let answer = bench.call(path, "a", body(json!({}))).await.unwrap();
+    let answer = fixture.call(path, "a", body(json!({}))).await.unwrap();
     if kind == bundle::Kind::Pool || fast {
         assert_eq!(answer.status, 500);
     } else {
         assert_eq!(client::join_stream(&answer.body), None);
     }
-    let executions = bench.executions().await;
+    let executions = fixture.executions().await;
     assert_eq!(outcomes(&executions), [ledger::Outcome::Failed]);
 }
 
 #[tokio::test]
-async fn cache_events_tell_of_prefixes_with_gaps() {
-    let mut settings = quick(bundle::Kind::Engine);
+async fn cache_events_report_prefixes_with_gaps() {
+    let mut settings = short_times(bundle::Kind::Engine);
     settings.cached_prefixes = 2;
-    let bench = bench(settings);
+    let fixture = start_target(settings);
     let input = |n| json!({ "tokens": 1, "prefix": format!("p{n}") });
     for n in 0..5 {
-        bench
+        fixture
             .call("/v1/generate", "a", body(input(n)))
             .await
             .unwrap();
     }
-    let events = bench.get("/v1/cache?after=0").await["events"].clone();
+    let events = fixture.get("/v1/cache?after=0").await["events"].clone();
     let numbers: Vec<_> = events
         .as_array()
         .unwrap()
@@ -443,11 +441,10 @@
             "kept": false,
         })
     );
-    assert_eq!(bench.get("/v1/cache?after=8").await["events"], json!([]));
+    assert_eq!(fixture.get("/v1/cache?after=8").await["events"], json!([]));
 }
 
-// The entry routes by the key under which the engine caches; were the two different, hints by cache
-// events would name prefixes that no request has.
+// With different keys, the cache events of engines would name prefixes that no request has.
 #[rstest]
 #[case(json!({ "prefix": "terms", "n": 1 }))]
 #[case(json!({ "prefix": "", "n": 1 }))]
