--- a/laburnumcart_fakes/src/bin/laburnum-fake-target.rs
+++ b/laburnumcart_fakes/src/bin/laburnum-fake-target.rs
@@ -1,4 +1,4 @@
-//! Serves stand-in targets.
+//! Runs fake targets.
 
 use std::process;
 
@@ -42,45 +42,45 @@
         .optopt(
             "",
             "orders",
-            "what old orders meet (fenced)",
+            "handling of orders with an old number (fenced)",
             "fenced|unfenced",
         )
         .optopt("", "prefixes", "prompt prefixes in the cache (64)", "N")
         .optopt("", "load-lag", "age of the load report (500ms)", "PERIOD")
         .optopt("", "cache-lag", "delay of cache events (1s)", "PERIOD")
         .optopt("", "restart", "time down after a crash (500ms)", "PERIOD")
-        .optflag("", "exit-on-crash", "let a crash end the process")
+        .optflag("", "exit-on-crash", "exit the process on a crash")
         .optflag("h", "help", "show this text");
     options
 }
 
-/// Reads the arguments into the settings of each target.
+/// Parses the arguments into the settings of each target.
 fn parse(options: &Options, arguments: &[String]) -> program::Result<Vec<settings::Settings>> {
     let matches = options.parse(arguments)?;
     let names = matches.opt_strs("target");
     if names.is_empty() {
         return Err("no --target given".into());
     }
-    let targets = names.iter().map(|name| settings(&matches, name));
+    let targets = names.iter().map(|name| parse_settings(&matches, name));
     targets.collect()
 }
 
-fn settings(matches: &Matches, name: &str) -> program::Result<settings::Settings> {
+fn parse_settings(matches: &Matches, name: &str) -> program::Result<settings::Settings> {
     let mut settings: settings::Settings = name.parse()?;
     let period = |name: &str, default| -> program::Result<_> {
         let period = matches.opt_get::<unit::Period>(name)?;
         Ok(period.map_or(default, |period| period.0))
     };
-    settings.service = period("service-time", settings.service)?;
-    settings.token = period("token-time", settings.token)?;
-    settings.prefill = period("prefill-time", settings.prefill)?;
+    settings.service_time = period("service-time", settings.service_time)?;
+    settings.token_time = period("token-time", settings.token_time)?;
+    settings.prefill_time = period("prefill-time", settings.prefill_time)?;
     settings.load_lag = period("load-lag", settings.load_lag)?;
     settings.cache_lag = period("cache-lag", settings.cache_lag)?;
-    settings.restart = period("restart", settings.restart)?;
+    settings.restart_time = period("restart", settings.restart_time)?;
     settings.slots = matches.opt_get_default("slots", settings.slots)?.max(1);
-    settings.queue = matches.opt_get_default("queue", settings.queue)?;
+    settings.queue_limit = matches.opt_get_default("queue", settings.queue_limit)?;
     settings.tokens = matches.opt_get_default("tokens", settings.tokens)?;
-    settings.prefixes = matches.opt_get_default("prefixes", settings.prefixes)?;
+    settings.cached_prefixes = matches.opt_get_default("prefixes", settings.cached_prefixes)?;
     if let Some(unit::Share(spread)) = matches.opt_get("spread")? {
         settings.spread = spread;
     }
@@ -106,10 +106,11 @@
     tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()?
-        .block_on(stopped())
+        .block_on(wait_signal())
 }
 
-async fn stopped() -> program::Result<()> {
+/// Waits for SIGTERM or SIGINT.
+async fn wait_signal() -> program::Result<()> {
     let mut terminate = unix::signal(unix::SignalKind::terminate())?;
     let mut interrupt = unix::signal(unix::SignalKind::interrupt())?;
     tokio::select! {
--- a/laburnumcart_fakes/src/client.rs
+++ b/laburnumcart_fakes/src/client.rs
@@ -1,4 +1,4 @@
-//! HTTP client of the load tool and the tests, and the reading of event streams.
+//! HTTP client of the load tool and the tests, and a parser of event streams.
 
 use bytes::Bytes;
 use derive_more::{
@@ -14,39 +14,39 @@
     rt, //
 };
 
-/// A call without a whole answer.
+/// Error of a call that got no complete response.
 #[derive(Clone, Copy, Debug, Display, Error, Eq, PartialEq)]
-pub enum Failure {
-    /// No connection was made, so that nothing was sent.
+pub enum CallError {
+    /// The connection failed, so nothing was sent.
     #[display("not connected")]
-    Unconnected,
-    /// The connection ended before the answer's end.
+    NotConnected,
+    /// The connection closed before the end of the response.
     #[display("connection lost")]
     Lost,
-    /// The address or a header is malformed.
+    /// The URL or a header is malformed.
     #[display("malformed call")]
     Malformed,
 }
 
-/// A whole answer.
+/// A complete response.
 #[derive(Clone, Debug)]
-pub struct Answer {
+pub struct Response {
     /// HTTP status.
     pub status: u16,
-    /// Seconds of `Retry-After`, if any.
-    pub retry: Option<u64>,
+    /// Value of `Retry-After` in seconds, if any.
+    pub retry_after: Option<u64>,
     /// Body.
     pub body: Bytes,
 }
 
-impl Answer {
+impl Response {
     /// Reads the body as JSON; `None` if it is not valid.
     pub fn json(&self) -> Option<serde_json::Value> {
         serde_json::from_slice(&self.body).ok()
     }
 }
 
-/// Client with a pool of connections.
+/// HTTP client with a connection pool.
 #[derive(Clone, Debug)]
 pub struct Client {
     inner: legacy::Client<legacy::connect::HttpConnector, Full<Bytes>>,
@@ -65,7 +65,7 @@
 
 impl Client {
     /// Sends a GET call.
-    pub async fn get(&self, url: &str) -> Result<Answer, Failure> {
+    pub async fn get(&self, url: &str) -> Result<Response, CallError> {
         self.send(http::Request::get(url), Bytes::new()).await
     }
 
@@ -75,55 +75,57 @@
         url: &str,
         headers: &[(&str, &str)],
         body: impl Into<Bytes>,
-    ) -> Result<Answer, Failure> {
-        let start = http::Request::post(url).header("content-type", "application/json");
+    ) -> Result<Response, CallError> {
+        let builder = http::Request::post(url).header("content-type", "application/json");
         let call = headers
             .iter()
-            .fold(start, |call, (name, value)| call.header(*name, *value));
+            .fold(builder, |call, (name, value)| call.header(*name, *value));
         self.send(call, body.into()).await
     }
 
-    async fn send(&self, call: http::request::Builder, body: Bytes) -> Result<Answer, Failure> {
-        let call = call.body(Full::new(body)).map_err(|_| Failure::Malformed)?;
-        let answer = self.inner.request(call).await.map_err(failure)?;
-        let status = answer.status().as_u16();
-        let retry = answer.headers().get("retry-after");
-        let retry = retry.and_then(|value| value.to_str().ok()?.parse().ok());
-        let body = answer.into_body().collect().await;
-        Ok(Answer {
+    async fn send(&self, call: http::request::Builder, body: Bytes) -> Result<Response, CallError> {
+        let call = call
+            .body(Full::new(body))
+            .map_err(|_| CallError::Malformed)?;
+        let response = self.inner.request(call).await.map_err(call_error)?;
+        let status = response.status().as_u16();
+        let retry_after = response.headers().get("retry-after");
+        let retry_after = retry_after.and_then(|value| value.to_str().ok()?.parse().ok());
+        let body = response.into_body().collect().await;
+        Ok(Response {
             status,
-            retry,
-            body: body.map_err(|_| Failure::Lost)?.to_bytes(),
+            retry_after,
+            body: body.map_err(|_| CallError::Lost)?.to_bytes(),
         })
     }
 }
 
-fn failure(error: legacy::Error) -> Failure {
+fn call_error(error: legacy::Error) -> CallError {
     if error.is_connect() {
-        Failure::Unconnected
+        CallError::NotConnected
     } else {
-        Failure::Lost
+        CallError::Lost
     }
 }
 
 /// One server-sent event.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Event {
-    /// Name, `message` if none is given.
+    /// Event name, `message` by default.
     pub name: String,
-    /// Data, lines joined.
+    /// Data lines, joined by line feeds.
     pub data: String,
 }
 
-/// Reads the whole events of a stream; what comes after the last blank line is not one.
-pub fn events(text: &str) -> Vec<Event> {
-    let Some((whole, _)) = text.rsplit_once("\n\n") else {
+/// Parses the complete events of a stream and ignores the text after the last blank line.
+pub fn parse_events(text: &str) -> Vec<Event> {
+    let Some((complete, _)) = text.rsplit_once("\n\n") else {
         return Vec::new();
     };
-    whole.split("\n\n").map(event).collect()
+    complete.split("\n\n").map(parse_event).collect()
 }
 
-fn event(text: &str) -> Event {
+fn parse_event(text: &str) -> Event {
     let mut name = "message";
     let mut data = Vec::new();
     for line in text.lines() {
@@ -139,9 +141,9 @@
     }
 }
 
-/// Joins the text of an engine's stream; `None` unless it has its end event.
-pub fn generated(body: &[u8]) -> Option<String> {
-    let events = events(std::str::from_utf8(body).ok()?);
+/// Joins the text of an engine's event stream; `None` if it does not finish with the end event.
+pub fn join_stream(body: &[u8]) -> Option<String> {
+    let events = parse_events(std::str::from_utf8(body).ok()?);
     let (end, pieces) = events.split_last()?;
     if end.name != "end" {
         return None;
--- a/laburnumcart_fakes/src/demo/shape/common.rs
+++ b/laburnumcart_fakes/src/demo/shape/common.rs
@@ -1,4 +1,4 @@
-//! What both users' services and pipelines are made of.
+//! Constructors and shared pools for the services of both users.
 
 use laburnumcart::bundle;
 
@@ -10,7 +10,7 @@
 pub(super) const fn pool(
     name: &'static str,
     small: usize,
-    brief: usize,
+    full: usize,
     time: &'static str,
 ) -> Service {
     Service {
@@ -19,7 +19,7 @@
         orders: bundle::Orders::None,
         models: &[],
         small,
-        brief,
+        full,
         time,
     }
 }
@@ -28,7 +28,7 @@
     name: &'static str,
     orders: bundle::Orders,
     models: &'static [&'static str],
-    brief: usize,
+    full: usize,
 ) -> Service {
     Service {
         name,
@@ -36,12 +36,12 @@
         orders,
         models,
         small: 3,
-        brief,
+        full,
         time: "2ms",
     }
 }
 
-/// Pools of the platform that every pipeline's first stages use.
+/// Shared pools of the platform, used by the first stages of pipelines.
 pub(super) const POOLS: [Service; 3] = [
     pool("encoders", 2, 3, "4ms"),
     pool("retrievers", 2, 3, "8ms"),
--- a/laburnumcart_fakes/src/measure.rs
+++ b/laburnumcart_fakes/src/measure.rs
@@ -1,7 +1,7 @@
-//! Measurement of whole cases: the system against the baselines, alternated in one run.
+//! Measurement of load cases with the system and with the baselines in alternation.
 
 pub mod case;
 pub mod figures;
 pub mod plot;
-pub mod series;
+pub mod runner;
 pub mod table;
