--- a/laburnumcart_system/src/bin/laburnum-slopes.rs
+++ b/laburnumcart_system/src/bin/laburnum-slopes.rs
@@ -5,13 +5,13 @@
     process, //
 };
 
-use laburnumcart_system::slopes;
+use laburnumcart_system::control_cost;
 
 #[tokio::main(worker_threads = 4)]
 async fn main() -> process::ExitCode {
-    match slopes::parse(env::args().skip(1)) {
-        Ok(slopes::Command::Help(text)) => print!("{text}"),
-        Ok(slopes::Command::Run(options)) => slopes::run(&options).await,
+    match control_cost::parse_args(env::args().skip(1)) {
+        Ok(control_cost::Command::Help(text)) => print!("{text}"),
+        Ok(control_cost::Command::Run(options)) => control_cost::measure_sections(&options).await,
         Err(error) => {
             eprintln!("laburnum-slopes: {error}");
             return process::ExitCode::from(2);
--- a/laburnumcart_system/src/cases.rs
+++ b/laburnumcart_system/src/case_requests.rs
@@ -34,44 +34,44 @@
 ];
 
 /// Plain service that opens cases.
-pub const DESK: &str = "clinic-desk";
+pub const CASE_SERVICE: &str = "clinic-desk";
 
 /// Team that opens the cases.
 const TEAM: &str = "federation";
 
 /// One case with a key of its own.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
-pub struct Case(pub usize);
+pub struct CaseRequest(pub usize);
 
 /// One sending of a case, and what its caller got.
 #[derive(Clone, Debug)]
-pub struct Sending {
+pub struct Submission {
     /// The case.
-    pub case: Case,
+    pub case: CaseRequest,
     /// Answer, or why there is none.
-    pub result: Result<http::Answer, http::Failure>,
+    pub result: Result<http::Response, http::Failure>,
 }
 
 /// What a sending tells its caller.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Told {
+pub enum Outcome {
     /// Whole answer.
-    Whole,
+    Complete,
     /// Refused; the request did not run.
     NotRun,
     /// Given up; the request may have run.
     MayHaveRun,
     /// No answer at all.
-    Nothing,
+    NoResponse,
 }
 
-impl fmt::Display for Case {
+impl fmt::Display for CaseRequest {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "case-{}", self.0)
     }
 }
 
-impl Case {
+impl CaseRequest {
     /// Returns the body that its caller sends.
     pub fn body(self) -> Value {
         json!({"applicant": self.0, "text": format!("statement {}", self.0)})
@@ -79,16 +79,17 @@
 
     /// Returns the request.
     pub fn call(self) -> fleet::Call<'static> {
-        self.call_with(self.body())
+        self.call_with_body(self.body())
     }
 
     /// Returns a request with its key and another body.
-    pub fn call_with(self, body: Value) -> fleet::Call<'static> {
-        fleet::Call::new(sample::OPEN, sample::FEDERATION, body).key(self.to_string())
+    pub fn call_with_body(self, body: Value) -> fleet::Call<'static> {
+        fleet::Call::new(sample::OPEN_PIPELINE, sample::FEDERATION_TOKEN, body)
+            .key(self.to_string())
     }
 
     /// Returns what its answer must hold.
-    pub fn output(self) -> Value {
+    pub fn expected_output(self) -> Value {
         let body = self.body();
         STAGES.iter().fold(Value::Null, |previous, (_, stage)| {
             expected::pool(stage, &body, &previous)
@@ -96,30 +97,30 @@
     }
 
     /// Returns its body's digest, as the stand-ins record it.
-    pub fn digest(self) -> String {
+    pub fn body_digest(self) -> String {
         expected::digest(&self.body().to_string())
     }
 
     /// Returns its key as the claim log holds it.
-    pub fn key(self) -> id::Fingerprint {
+    pub fn fingerprint(self) -> id::Fingerprint {
         claim::key(&TEAM.parse().expect("a name"), &self.to_string())
     }
 
     /// Sends it once through an entry.
-    pub async fn send(self, fleet: &fleet::Fleet, entry: usize) -> Sending {
+    pub async fn send(self, fleet: &fleet::Fleet, entry: usize) -> Submission {
         let result = fleet.call(entry, &self.call()).await;
-        Sending { case: self, result }
+        Submission { case: self, result }
     }
 
     /// Sends it as a caller does that follows `Retry-After` on "not run", until it is settled.
     ///
     /// Returns all sendings; the last one is the settled one.
-    pub async fn settle(self, fleet: &fleet::Fleet, entry: usize) -> Vec<Sending> {
+    pub async fn send_until_settled(self, fleet: &fleet::Fleet, entry: usize) -> Vec<Submission> {
         let mut sendings = Vec::new();
-        let end = tokio::time::Instant::now() + wait::LIMIT;
+        let end = tokio::time::Instant::now() + wait::TIMEOUT;
         loop {
             let sending = self.send(fleet, entry).await;
-            let again = sending.told() == Told::NotRun;
+            let again = sending.outcome() == Outcome::NotRun;
             let pause = sending.retry_after();
             sendings.push(sending);
             if !again {
@@ -132,16 +133,16 @@
     }
 }
 
-impl Sending {
+impl Submission {
     /// Returns what its caller was told.
-    pub fn told(&self) -> Told {
+    pub fn outcome(&self) -> Outcome {
         let Ok(answer) = &self.result else {
-            return Told::Nothing;
+            return Outcome::NoResponse;
         };
         match (answer.status, answer.json()["verdict"].as_str()) {
-            (200, _) => Told::Whole,
-            (_, Some("not-run")) => Told::NotRun,
-            (_, Some("may-have-run")) => Told::MayHaveRun,
+            (200, _) => Outcome::Complete,
+            (_, Some("not-run")) => Outcome::NotRun,
+            (_, Some("may-have-run")) => Outcome::MayHaveRun,
             _ => panic!("{}: {} {}", self.case, answer.status, answer.body),
         }
     }
@@ -160,7 +161,7 @@
     }
 
     /// Returns the request that the answer names.
-    pub fn request(&self) -> Option<String> {
+    pub fn request_id(&self) -> Option<String> {
         let answer = self.result.as_ref().ok()?;
         Some(answer.json()["request"].as_str()?.to_owned())
     }
@@ -170,26 +171,28 @@
 pub async fn send_all(
     fleet: &fleet::Fleet,
     entry: usize,
-    cases: impl IntoIterator<Item = Case>,
-) -> Vec<Sending> {
+    cases: impl IntoIterator<Item = CaseRequest>,
+) -> Vec<Submission> {
     let all = cases.into_iter().map(|case| case.send(fleet, entry));
     future::join_all(all).await
 }
 
 /// Sends all cases at once through an entry, each until it is settled.
-pub async fn settle_all(
+pub async fn send_all_until_settled(
     fleet: &fleet::Fleet,
     entry: usize,
-    cases: impl IntoIterator<Item = Case>,
-) -> Vec<Sending> {
-    let all = cases.into_iter().map(|case| case.settle(fleet, entry));
+    cases: impl IntoIterator<Item = CaseRequest>,
+) -> Vec<Submission> {
+    let all = cases
+        .into_iter()
+        .map(|case| case.send_until_settled(fleet, entry));
     future::join_all(all).await.concat()
 }
 
 /// Counts the rows of a service's record by the digest of their input.
 async fn by_input(fleet: &fleet::Fleet, service: &str) -> collections::HashMap<String, Vec<Value>> {
     let mut found: collections::HashMap<_, Vec<_>> = collections::HashMap::new();
-    for row in fleet.executions(service).await {
+    for row in fleet.service_executions(service).await {
         let input = row["input"].as_str().expect("input").to_owned();
         found.entry(input).or_default().push(row);
     }
@@ -197,9 +200,9 @@
 }
 
 /// Returns how often each case was opened, by the plain service's own record.
-pub async fn opened(fleet: &fleet::Fleet, case: Case) -> usize {
-    let found = by_input(fleet, DESK).await;
-    found.get(&case.digest()).map_or(0, Vec::len)
+pub async fn count_opened(fleet: &fleet::Fleet, case: CaseRequest) -> usize {
+    let found = by_input(fleet, CASE_SERVICE).await;
+    found.get(&case.body_digest()).map_or(0, Vec::len)
 }
 
 /// Compares all that callers were told with the records of all services.
@@ -208,7 +211,7 @@
 ///
 /// Panics when a stage of a case executed more than once, when what was refused as "not run" did
 /// execute, or when an answer is not that of its own case.
-pub async fn check(fleet: &fleet::Fleet, sendings: &[Sending]) {
+pub async fn check_submissions(fleet: &fleet::Fleet, sendings: &[Submission]) {
     let mut requests = collections::HashMap::new();
     let mut cases: collections::BTreeMap<_, Vec<_>> = collections::BTreeMap::new();
     for sending in sendings {
@@ -231,29 +234,29 @@
     for (case, sendings) in cases {
         let mut answers = collections::BTreeSet::new();
         for sending in &sendings {
-            match sending.told() {
-                Told::Whole => {
+            match sending.outcome() {
+                Outcome::Complete => {
                     let answer = sending.result.as_ref().expect("an answer").json();
-                    assert_eq!(answer["output"], case.output(), "{case}");
-                    answers.insert(sending.request().expect("a request"));
+                    assert_eq!(answer["output"], case.expected_output(), "{case}");
+                    answers.insert(sending.request_id().expect("a request"));
                 }
-                Told::NotRun => {
-                    let request = sending.request().unwrap_or_default();
+                Outcome::NotRun => {
+                    let request = sending.request_id().unwrap_or_default();
                     assert!(!ran(&request), "{case}: {request} was told not to have run");
                 }
-                Told::MayHaveRun | Told::Nothing => {}
+                Outcome::MayHaveRun | Outcome::NoResponse => {}
             }
         }
         assert!(answers.len() <= 1, "{case}: {answers:?}");
         for request in answers {
             let row = requests
-                .get(&(DESK, request))
+                .get(&(CASE_SERVICE, request))
                 .expect("a recorded execution");
-            assert_eq!(*row, (case.digest(), json!("done")), "{case}");
+            assert_eq!(*row, (case.body_digest(), json!("done")), "{case}");
         }
-        let unused = |sending: &&Sending| sending.told() == Told::NotRun;
+        let unused = |sending: &&Submission| sending.outcome() == Outcome::NotRun;
         if sendings.iter().all(unused) {
-            let digest = case.digest();
+            let digest = case.body_digest();
             let found = requests.values().any(|(input, _)| *input == digest);
             assert!(
                 !found,
@@ -264,7 +267,7 @@
 }
 
 /// Owner of each shard as the object service's heads name it.
-pub async fn owners(fleet: &fleet::Fleet) -> Vec<net::SocketAddr> {
+pub async fn shard_owners(fleet: &fleet::Fleet) -> Vec<net::SocketAddr> {
     let listing = listing(fleet, "claims/").await;
     let head = |object: &Value| {
         let key = object["key"].as_str().expect("key");
@@ -276,7 +279,7 @@
 }
 
 /// Returns the number of shards that the first claim fixed.
-pub async fn shards(fleet: &fleet::Fleet) -> u64 {
+pub async fn shard_count(fleet: &fleet::Fleet) -> u64 {
     let listing = listing(fleet, "claims/shards").await;
     let object = listing.first().expect("the object of the shards");
     let text = object["value"].as_str().expect("a value");
@@ -285,8 +288,8 @@
 }
 
 /// Waits until the claim of a case is in the log.
-pub async fn claimed(fleet: &fleet::Fleet, case: Case) {
-    let key = case.key().to_string();
+pub async fn wait_claimed(fleet: &fleet::Fleet, case: CaseRequest) {
+    let key = case.fingerprint().to_string();
     wait::until(&format!("the claim of {case}"), || async {
         let listing = listing(fleet, "claims/").await;
         let holds = |object: &Value| object["value"].as_str().is_some_and(|v| v.contains(&key));
--- a/laburnumcart_system/src/slopes.rs
+++ b/laburnumcart_system/src/control_cost.rs
@@ -3,13 +3,13 @@
 //! Each section varies one size and fits a line through its points. Processor time and bytes of a
 //! process hold on a busy machine too; times by the clock do not.
 
-pub mod agents;
 pub mod bundles;
+pub mod fake_agents;
 pub mod fit;
+pub mod fixture;
 pub mod gossip;
 pub mod idle;
 pub mod lanes;
-pub mod rig;
 pub mod traffic;
 pub mod usage;
 
@@ -85,7 +85,7 @@
 }
 
 /// Parses the arguments after the program's name.
-pub fn parse(args: impl IntoIterator<Item = String>) -> Result<Command, UsageError> {
+pub fn parse_args(args: impl IntoIterator<Item = String>) -> Result<Command, UsageError> {
     let mut options = getopts::Options::new();
     options
         .optmulti("", "section", "one section; all unless set", "NAME")
@@ -116,14 +116,14 @@
 }
 
 /// Runs the sections one after another and prints a table for each.
-pub async fn run(options: &Options) {
+pub async fn measure_sections(options: &Options) {
     for section in &options.sections {
         let window = options.window;
         let tables = match section {
-            Section::Entry => vec![idle::entries(window).await],
-            Section::List => vec![idle::lists(window).await],
-            Section::Peers => vec![idle::peers(window).await],
-            Section::Agent => vec![idle::agents(window).await],
+            Section::Entry => vec![idle::measure_entry_lanes(window).await],
+            Section::List => vec![idle::measure_listed_agents(window).await],
+            Section::Peers => vec![idle::measure_listed_entries(window).await],
+            Section::Agent => vec![idle::measure_agent_lanes(window).await],
             Section::Bundle => bundles::measure().await,
             Section::Facts => gossip::measure().await,
             Section::Traffic => vec![traffic::measure().await],
--- a/laburnumcart_system/src/slopes/bundles.rs
+++ b/laburnumcart_system/src/control_cost/bundles.rs
@@ -3,12 +3,12 @@
 use std::time;
 
 use crate::{
-    fleet, process,
-    slopes::{
+    control_cost::{
         fit,
-        rig,
+        fixture,
         usage, //
     },
+    fleet, process,
 };
 
 /// Teams of the bundle at each point.
@@ -50,8 +50,8 @@
 
 async fn point(teams: usize) -> Point {
     let services = ["pool".to_owned()];
-    let bundle = |title: &str| rig::bundle(&services, teams, title);
-    let mut rig = rig::Rig::start(bundle("first")).await;
+    let bundle = |title: &str| fixture::bundle(&services, teams, title);
+    let mut rig = fixture::Fixture::start(bundle("first")).await;
     let service = fleet::Service::new("pool", "pool", 2);
     for number in 0..2 {
         rig.fleet.add_node(&service, number).await;
@@ -63,26 +63,26 @@
     let mut fetched = 0.0;
     let mut times = Vec::new();
     for round in 0..ROUNDS {
-        let calls = rig.calls().await;
+        let calls = rig.store_traffic().await;
         // What the command line reads and writes is not counted.
-        let relayed = std::mem::replace(&mut rig.fleet.store_addr, rig.store);
-        rig.fleet.accept(&bundle(&format!("round {round}")));
+        let relayed = std::mem::replace(&mut rig.fleet.store_addr, rig.store_addr);
+        rig.fleet.accept_bundle(&bundle(&format!("round {round}")));
         rig.fleet.store_addr = relayed;
         let accepted = tokio::time::Instant::now();
         in_force(&rig, (round + 2) as f64).await;
         times.push(accepted.elapsed().as_secs_f64() * 1e3);
         tokio::time::sleep(SETTLE).await;
-        fetched += rig.calls().await.bytes - calls.bytes;
+        fetched += rig.store_traffic().await.bytes - calls.bytes;
     }
     let after = usages(&rig);
     let rounds = ROUNDS as f64;
-    let cpu = |i: usize| (after[i].cpu - before[i].cpu) * 1e3 / rounds;
+    let cpu = |i: usize| (after[i].cpu_seconds - before[i].cpu_seconds) * 1e3 / rounds;
     let values = vec![
         bundle("first").to_string().len() as f64 / 1e3,
         f64::midpoint(cpu(0), cpu(1)),
         f64::midpoint(cpu(2), cpu(3)),
-        after[0].memory.max(after[1].memory),
-        after[2].memory.max(after[3].memory),
+        after[0].memory_megabytes.max(after[1].memory_megabytes),
+        after[2].memory_megabytes.max(after[3].memory_megabytes),
         fetched / 4.0 / rounds / 1e3,
     ];
     let longest = times.iter().copied().fold(0.0, f64::max);
@@ -94,7 +94,7 @@
 }
 
 /// Returns the use of two entries and two agents.
-fn usages(rig: &rig::Rig) -> Vec<usage::Usage> {
+fn usages(rig: &fixture::Fixture) -> Vec<usage::Usage> {
     let entries = rig.fleet.entries.iter().map(|e| &e.process);
     let agents = rig.fleet.nodes.iter().map(|n| &n.agent);
     let all: Vec<&process::Process> = entries.chain(agents).collect();
@@ -102,11 +102,11 @@
 }
 
 /// Waits until all processes have a generation in force.
-async fn in_force(rig: &rig::Rig, generation: f64) {
-    let entries = rig.fleet.entries.iter().map(|e| e.callers);
-    let agents = rig.fleet.nodes.iter().map(|n| n.admin);
+async fn in_force(rig: &fixture::Fixture, generation: f64) {
+    let entries = rig.fleet.entries.iter().map(|e| e.caller_addr);
+    let agents = rig.fleet.nodes.iter().map(|n| n.admin_addr);
     for addr in entries.chain(agents) {
-        rig.reach(addr, "laburnum_bundle_generation", generation)
+        rig.wait_metric(addr, "laburnum_bundle_generation", generation)
             .await;
     }
 }
--- a/laburnumcart_system/src/slopes/agents.rs
+++ b/laburnumcart_system/src/control_cost/fake_agents.rs
@@ -31,7 +31,7 @@
 
 /// An agent that listens until it is dropped.
 #[derive(Debug)]
-pub struct Fake {
+pub struct FakeAgent {
     /// Name in the list of instances.
     pub name: String,
     /// Service in the list of instances.
@@ -47,7 +47,7 @@
     news: sync::Mutex<Option<facts::Facts>>,
 }
 
-impl Fake {
+impl FakeAgent {
     /// Starts an agent of a service on a free port.
     pub fn start(name: &str, service: &str, data_centre: &str) -> io::Result<Self> {
         let invalid = |e: id::ParseError| io::Error::other(e.to_string());
@@ -83,7 +83,7 @@
     }
 
     /// Sends facts with the answer to the next heartbeat.
-    pub fn tell(&self, facts: facts::Facts) {
+    pub fn send_facts(&self, facts: facts::Facts) {
         *self.state.news.lock().expect("lock is not poisoned") = Some(facts);
     }
 }
--- a/laburnumcart_system/src/slopes/rig.rs
+++ b/laburnumcart_system/src/control_cost/fixture.rs
@@ -11,17 +11,17 @@
 };
 
 use crate::{
+    control_cost::usage,
     fleet,
     port,
     process,
     relay,
     sample,
-    slopes::usage,
     wait, //
 };
 
 /// Data centre of all processes.
-pub const ZONE: &str = fleet::DATA_CENTRES[0];
+pub const DATA_CENTRE: &str = fleet::DATA_CENTRES[0];
 
 /// Pipelines of the bundle.
 const PIPELINES: usize = 28;
@@ -31,18 +31,18 @@
 
 /// A system whose processes reach the object service through a relay that counts.
 #[derive(Debug)]
-pub struct Rig {
+pub struct Fixture {
     /// The processes.
     pub fleet: fleet::Fleet,
     /// Address of the object service behind the relay.
-    pub store: net::SocketAddr,
+    pub store_addr: net::SocketAddr,
     /// The relay.
-    pub relay: relay::Relay,
+    pub store_relay: relay::Relay,
 }
 
 /// Calls and bytes at the object service up to now.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Calls {
+pub struct StoreTraffic {
     /// Reads and lists.
     pub reads: f64,
     /// Writes.
@@ -53,50 +53,50 @@
     pub bytes: f64,
 }
 
-impl Rig {
+impl Fixture {
     /// Starts an object service and has a bundle accepted.
     pub async fn start(bundle: Value) -> Self {
         // The rates are not what is measured here.
         let rates = ["--reads", "100000/s", "--writes", "100000/s"];
         let plan = fleet::Plan::new(Vec::new(), bundle);
-        let mut fleet = fleet::Fleet::start(plan.entries(0).store(&rates)).await;
+        let mut fleet = fleet::Fleet::start(plan.entries(0).store_args(&rates)).await;
         let store = fleet.store_addr;
         let relay = relay::Relay::start(port::free(), store).await;
         let relay = relay.expect("relay to the object service");
         fleet.store_addr = relay.addr();
         Self {
             fleet,
-            store,
-            relay,
+            store_addr: store,
+            store_relay: relay,
         }
     }
 
     /// Returns what the object service has been asked.
-    pub async fn calls(&self) -> Calls {
-        let answer = self.fleet.http.get(self.store, "/admin/counts").await;
+    pub async fn store_traffic(&self) -> StoreTraffic {
+        let answer = self.fleet.http.get(self.store_addr, "/admin/counts").await;
         let total = answer.expect("counts").json()["total"].take();
         let count = |name: &str| total[name].as_f64().unwrap_or_default();
-        let bytes = self.relay.bytes();
-        Calls {
+        let bytes = self.store_relay.bytes();
+        StoreTraffic {
             reads: count("reads"),
             writes: count("writes"),
             watches: count("watches"),
-            bytes: (bytes.forth + bytes.back) as f64,
+            bytes: (bytes.to_server + bytes.to_client) as f64,
         }
     }
 
     /// Waits until a sum of a metric's samples has at least a value.
-    pub async fn reach(&self, addr: net::SocketAddr, metric: &str, least: f64) {
+    pub async fn wait_metric(&self, addr: net::SocketAddr, metric: &str, least: f64) {
         wait::until(&format!("{metric} of {least}"), || async {
             let page = self.fleet.http.get(addr, "/metrics").await.ok()?;
-            (sum(&page.body, metric)? >= least).then_some(())
+            (sum_metric(&page.body, metric)? >= least).then_some(())
         })
         .await;
     }
 }
 
 /// Returns the sum of a metric's samples on a page, `None` when it has none.
-pub fn sum(page: &str, metric: &str) -> Option<f64> {
+pub fn sum_metric(page: &str, metric: &str) -> Option<f64> {
     let samples = page.lines().filter_map(|line| {
         let (name, value) = line.rsplit_once(' ')?;
         let name = name.split('{').next()?;
@@ -107,7 +107,7 @@
 
 /// What one process uses in a window.
 #[derive(Clone, Copy, Debug)]
-pub struct Spent {
+pub struct WindowUsage {
     /// Share of a core.
     pub core: f64,
     /// Resident memory in megabytes at the end.
@@ -115,13 +115,13 @@
 }
 
 /// Measures a process over a window.
-pub async fn spent(process: &process::Process, window: time::Duration) -> Spent {
+pub async fn measure_window(process: &process::Process, window: time::Duration) -> WindowUsage {
     let (start, before) = (tokio::time::Instant::now(), usage::Usage::of(process));
     tokio::time::sleep(window).await;
     let after = usage::Usage::of(process);
-    Spent {
-        core: (after.cpu - before.cpu) / start.elapsed().as_secs_f64(),
-        memory: after.memory,
+    WindowUsage {
+        core: (after.cpu_seconds - before.cpu_seconds) / start.elapsed().as_secs_f64(),
+        memory: after.memory_megabytes,
     }
 }
 
@@ -158,7 +158,7 @@
         })
         .collect();
     json!({
-        "tokens": [sample::digest(&format!("token-of-team-{number}"))],
+        "tokens": [sample::token_digest(&format!("token-of-team-{number}"))],
         "weight": 1,
         "pipelines": pipelines,
         "queue_limit": 100,
--- a/laburnumcart_system/src/slopes/gossip.rs
+++ b/laburnumcart_system/src/control_cost/gossip.rs
@@ -11,13 +11,13 @@
 };
 
 use crate::{
-    port, relay,
-    slopes::{
-        agents,
+    control_cost::{
+        fake_agents,
         fit,
-        rig,
+        fixture,
         usage, //
     },
+    port, relay,
 };
 
 /// Crashes in the table at each point.
@@ -55,12 +55,14 @@
 
 async fn point(count: usize) -> Vec<f64> {
     let names: Vec<_> = (0..4).map(|n| format!("service-{n}")).collect();
-    let mut rig = rig::Rig::start(rig::bundle(&names, 10, "slopes")).await;
+    let mut rig = fixture::Fixture::start(fixture::bundle(&names, 10, "slopes")).await;
     let mut fakes = Vec::new();
     for number in 0..LANES {
         let service = &names[number % names.len()];
         let name = format!("{service}-{number}");
-        fakes.push(agents::Fake::start(&name, service, rig::ZONE).expect("agent"));
+        fakes.push(
+            fake_agents::FakeAgent::start(&name, service, fixture::DATA_CENTRE).expect("agent"),
+        );
     }
     let relay = relay::Relay::start(port::free(), fakes[0].addr()).await;
     let relay = relay.expect("relay to an agent");
@@ -71,25 +73,32 @@
             fake.addr()
         };
         rig.fleet
-            .list(&fake.name, rig::ZONE, "agent", Some(&fake.service), addr)
+            .register_instance(
+                &fake.name,
+                fixture::DATA_CENTRE,
+                "agent",
+                Some(&fake.service),
+                addr,
+            )
             .await;
     }
     rig.fleet.add_entry(0).await;
-    let callers = rig.fleet.entries[0].callers;
-    rig.reach(callers, "laburnum_entry_lanes", LANES as f64)
+    let callers = rig.fleet.entries[0].caller_addr;
+    rig.wait_metric(callers, "laburnum_entry_lanes", LANES as f64)
         .await;
     tokio::time::sleep(SPREAD).await;
     let process = &rig.fleet.entries[0].process;
     let (bytes, before) = (relay.bytes(), usage::Usage::of(process));
-    fakes[1].tell(crashes(count));
+    fakes[1].send_facts(crashes(count));
     tokio::time::sleep(SPREAD).await;
     let (told, spread) = (relay.bytes(), usage::Usage::of(process));
-    let rest = rig::spent(process, REST).await;
+    let rest = fixture::measure_window(process, REST).await;
     let end = relay.bytes();
-    let idle = (end.forth + end.back - told.forth - told.back) as f64 / REST.as_secs_f64();
+    let idle = (end.to_server + end.to_client - told.to_server - told.to_client) as f64
+        / REST.as_secs_f64();
     vec![
-        (spread.cpu - before.cpu) * 1e3,
-        (told.forth + told.back - bytes.forth - bytes.back) as f64,
+        (spread.cpu_seconds - before.cpu_seconds) * 1e3,
+        (told.to_server + told.to_client - bytes.to_server - bytes.to_client) as f64,
         rest.core * 100.0,
         idle,
         rest.memory,
--- a/laburnumcart_system/src/slopes/idle.rs
+++ b/laburnumcart_system/src/control_cost/idle.rs
@@ -5,13 +5,13 @@
 use futures_util::future;
 
 use crate::{
-    fleet, port, relay,
-    slopes::{
-        agents,
+    control_cost::{
+        fake_agents,
         fit,
+        fixture, //
         lanes,
-        rig, //
     },
+    fleet, port, relay,
 };
 
 /// Agents of a service when the number of lanes is varied by the number of services; no more than
@@ -50,7 +50,7 @@
 ];
 
 /// Measures entries by the number of their lanes.
-pub async fn entries(window: time::Duration) -> fit::Table {
+pub async fn measure_entry_lanes(window: time::Duration) -> fit::Table {
     let title = "Entry at rest, by lanes to agents (8 agents of each service)";
     let mut table = fit::Table::new(title, "lanes", &COLUMNS);
     let points = LANES.map(|count| entry(count, count / GROUP, 1, window));
@@ -61,7 +61,7 @@
 }
 
 /// Measures entries by the number of agents of four services in the list.
-pub async fn lists(window: time::Duration) -> fit::Table {
+pub async fn measure_listed_agents(window: time::Duration) -> fit::Table {
     let title = "Entry at rest, by agents in the list (four services)";
     let mut table = fit::Table::new(title, "agents", &COLUMNS);
     let points = LISTED.map(|count| entry(count, MODELS, 1, window));
@@ -72,7 +72,7 @@
 }
 
 /// Measures entries by the number of entries in the list, before services of few targets.
-pub async fn peers(window: time::Duration) -> fit::Table {
+pub async fn measure_listed_entries(window: time::Duration) -> fit::Table {
     let title = "Entry at rest, by entries in the list (12 services with 5 agents each)";
     let mut table = fit::Table::new(title, "entries", &COLUMNS);
     let (services, targets) = SMALL;
@@ -84,7 +84,7 @@
 }
 
 /// Measures agents by the number of lanes of entries to them.
-pub async fn agents(window: time::Duration) -> fit::Table {
+pub async fn measure_agent_lanes(window: time::Duration) -> fit::Table {
     let title = "Agent at rest, by lanes of entries";
     let mut table = fit::Table::new(title, "lanes", &COLUMNS);
     let points = ENTRIES.map(|count| agent(count, window));
@@ -97,13 +97,14 @@
 /// Measures one of `entries` entries before `count` agents of so many services.
 async fn entry(count: usize, services: usize, entries: usize, window: time::Duration) -> Vec<f64> {
     let names: Vec<_> = (0..services).map(|n| format!("service-{n}")).collect();
-    let mut rig = rig::Rig::start(rig::bundle(&names, 10, "slopes")).await;
+    let mut rig = fixture::Fixture::start(fixture::bundle(&names, 10, "slopes")).await;
     let mut fakes = Vec::new();
     let mut lane = None;
     for number in 0..count {
         let service = &names[number % services];
         let name = format!("{service}-{number}");
-        let fake = agents::Fake::start(&name, service, rig::ZONE).expect("agent");
+        let fake =
+            fake_agents::FakeAgent::start(&name, service, fixture::DATA_CENTRE).expect("agent");
         let mut addr = fake.addr();
         if number == 0 {
             let relay = relay::Relay::start(port::free(), addr).await;
@@ -111,30 +112,33 @@
             addr = relay.addr();
         }
         rig.fleet
-            .list(&name, rig::ZONE, "agent", Some(service), addr)
+            .register_instance(&name, fixture::DATA_CENTRE, "agent", Some(service), addr)
             .await;
         fakes.push(fake);
     }
     for number in 1..entries {
         // Nothing listens there: entries call each other only for claims.
         let (name, addr) = (format!("entry-{number}"), port::free());
-        rig.fleet.list(&name, rig::ZONE, "entry", None, addr).await;
+        rig.fleet
+            .register_instance(&name, fixture::DATA_CENTRE, "entry", None, addr)
+            .await;
     }
     rig.fleet.add_entry(0).await;
-    let callers = rig.fleet.entries[0].callers;
+    let callers = rig.fleet.entries[0].caller_addr;
     let least = count.min(services * GROUP) as f64;
-    rig.reach(callers, "laburnum_entry_lanes", least).await;
+    rig.wait_metric(callers, "laburnum_entry_lanes", least)
+        .await;
     let lane = lane.expect("at least one agent");
     measure(&rig, &lane, window, |rig| &rig.fleet.entries[0].process).await
 }
 
 /// Measures one agent with so many lanes to it.
 async fn agent(count: usize, window: time::Duration) -> Vec<f64> {
-    let mut rig = rig::Rig::start(rig::bundle(&["pool".into()], 10, "slopes")).await;
+    let mut rig = fixture::Fixture::start(fixture::bundle(&["pool".into()], 10, "slopes")).await;
     let service = fleet::Service::new("pool", "pool", 1);
     rig.fleet.add_node(&service, 0).await;
     rig.fleet.wait_ready().await;
-    let peer = rig.fleet.nodes[0].peer;
+    let peer = rig.fleet.nodes[0].peer_addr;
     let relay = relay::Relay::start(port::free(), peer).await;
     let relay = relay.expect("relay to the agent");
     let mut open = lanes::Lanes::default();
@@ -147,17 +151,21 @@
 
 /// Returns the values of [`COLUMNS`].
 async fn measure(
-    rig: &rig::Rig,
+    rig: &fixture::Fixture,
     lane: &relay::Relay,
     window: time::Duration,
-    process: impl Fn(&rig::Rig) -> &crate::process::Process,
+    process: impl Fn(&fixture::Fixture) -> &crate::process::Process,
 ) -> Vec<f64> {
     tokio::time::sleep(SETTLE).await;
-    let (calls, bytes, start) = (rig.calls().await, lane.bytes(), tokio::time::Instant::now());
-    let spent = rig::spent(process(rig), window).await;
-    let (after, passed) = (rig.calls().await, lane.bytes());
+    let (calls, bytes, start) = (
+        rig.store_traffic().await,
+        lane.bytes(),
+        tokio::time::Instant::now(),
+    );
+    let spent = fixture::measure_window(process(rig), window).await;
+    let (after, passed) = (rig.store_traffic().await, lane.bytes());
     let seconds = start.elapsed().as_secs_f64();
-    let lane_bytes = passed.forth + passed.back - bytes.forth - bytes.back;
+    let lane_bytes = passed.to_server + passed.to_client - bytes.to_server - bytes.to_client;
     vec![
         spent.core * 100.0,
         spent.memory,
--- a/laburnumcart_system/src/slopes/lanes.rs
+++ b/laburnumcart_system/src/control_cost/lanes.rs
@@ -21,7 +21,7 @@
 use crate::fleet;
 
 /// Time between two heartbeats of an entry without attempts in flight.
-pub const BEAT: time::Duration = time::Duration::from_secs(2);
+pub const HEARTBEAT_INTERVAL: time::Duration = time::Duration::from_secs(2);
 
 /// Lanes that beat until they are dropped.
 #[derive(Debug, Default)]
@@ -54,7 +54,7 @@
 }
 
 async fn beat(client: peer::Client, session: lane::Session) {
-    let mut ticks = tokio::time::interval(BEAT);
+    let mut ticks = tokio::time::interval(HEARTBEAT_INTERVAL);
     loop {
         ticks.tick().await;
         let facts = None;
--- a/laburnumcart_system/src/slopes/traffic.rs
+++ b/laburnumcart_system/src/control_cost/traffic.rs
@@ -3,11 +3,11 @@
 use serde_json::json;
 
 use crate::{
-    fleet, sample,
-    slopes::{
+    control_cost::{
         fit,
         usage, //
     },
+    fleet, sample,
 };
 
 /// Requests at each point.
@@ -36,7 +36,7 @@
 async fn send(fleet: &fleet::Fleet, count: usize) {
     let call = |number: usize| async move {
         let body = json!({"applicant": number, "text": format!("statement {number}")});
-        let call = fleet::Call::new(sample::CHECK, sample::CLINIC, body);
+        let call = fleet::Call::new(sample::CHECK_PIPELINE, sample::CLINIC_TOKEN, body);
         let answer = fleet.call(0, &call).await.expect("an answer");
         assert_eq!(answer.status, 200, "{}", answer.body);
     };
@@ -48,9 +48,12 @@
 
 /// Returns the processor seconds of the entry and of all agents.
 fn spent(fleet: &fleet::Fleet) -> (f64, f64) {
-    let agents = fleet.nodes.iter().map(|n| usage::Usage::of(&n.agent).cpu);
+    let agents = fleet
+        .nodes
+        .iter()
+        .map(|n| usage::Usage::of(&n.agent).cpu_seconds);
     (
-        usage::Usage::of(&fleet.entries[0].process).cpu,
+        usage::Usage::of(&fleet.entries[0].process).cpu_seconds,
         agents.sum(),
     )
 }
--- a/laburnumcart_system/src/slopes/usage.rs
+++ b/laburnumcart_system/src/control_cost/usage.rs
@@ -15,9 +15,9 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Usage {
     /// Processor time in seconds, user and system.
-    pub cpu: f64,
+    pub cpu_seconds: f64,
     /// Resident memory in megabytes.
-    pub memory: f64,
+    pub memory_megabytes: f64,
 }
 
 impl Usage {
@@ -27,14 +27,14 @@
         let stat = fs::read_to_string(format!("/proc/{id}/stat")).unwrap_or_default();
         let status = fs::read_to_string(format!("/proc/{id}/status")).unwrap_or_default();
         Self {
-            cpu: cpu(&stat).unwrap_or_default(),
-            memory: memory(&status).unwrap_or_default(),
+            cpu_seconds: parse_cpu_seconds(&stat).unwrap_or_default(),
+            memory_megabytes: parse_memory_megabytes(&status).unwrap_or_default(),
         }
     }
 }
 
 /// Returns the seconds in the text of `/proc/PID/stat`.
-pub fn cpu(stat: &str) -> Option<f64> {
+pub fn parse_cpu_seconds(stat: &str) -> Option<f64> {
     // The name stands in brackets and can hold blanks and brackets itself.
     let (_, rest) = stat.rsplit_once(')')?;
     let fields: Vec<_> = rest.split_whitespace().collect();
@@ -44,7 +44,7 @@
 }
 
 /// Returns the megabytes of `VmRSS` in the text of `/proc/PID/status`.
-pub fn memory(status: &str) -> Option<f64> {
+pub fn parse_memory_megabytes(status: &str) -> Option<f64> {
     let line = status.lines().find_map(|l| l.strip_prefix("VmRSS:"))?;
     let kibibytes: f64 = line.split_whitespace().next()?.parse().ok()?;
     Some(kibibytes * 1024.0 / 1e6)
--- a/laburnumcart_system/src/files.rs
+++ b/laburnumcart_system/src/files.rs
@@ -11,17 +11,17 @@
 
 impl fleet::Fleet {
     /// Writes a file into the fleet's folder, where `laburnumctl` runs.
-    pub fn write(&self, name: &str, text: &str) {
+    pub fn write_file(&self, name: &str, text: &str) {
         fs::write(self.folder().join(name), text).expect("a file");
     }
 
     /// Reads a file of the fleet's folder.
-    pub fn read(&self, name: &str) -> String {
+    pub fn read_file(&self, name: &str) -> String {
         fs::read_to_string(self.folder().join(name)).expect("a file")
     }
 
     /// Returns version and value of an object, if it exists.
-    pub async fn object(&self, key: &str) -> Option<(String, String)> {
+    pub async fn get_object(&self, key: &str) -> Option<(String, String)> {
         let page = format!("/v1/objects/{key}");
         let answer = self.http.get(self.store_addr, &page).await.ok()?;
         let version = answer.header("etag")?.to_owned();
@@ -29,7 +29,7 @@
     }
 
     /// Returns keys and values of the objects under a prefix.
-    pub async fn objects(&self, prefix: &str) -> Vec<(String, String)> {
+    pub async fn list_objects(&self, prefix: &str) -> Vec<(String, String)> {
         let page = format!("/v1/list?prefix={prefix}");
         let answer = self.http.get(self.store_addr, &page).await;
         let mut listing = answer.expect("a listing").json();
@@ -42,7 +42,7 @@
     }
 
     /// Writes an object over the given version, or a new one; returns its version.
-    pub async fn put(&self, key: &str, over: Option<&str>, value: &str) -> String {
+    pub async fn put_object(&self, key: &str, over: Option<&str>, value: &str) -> String {
         let uri = format!("http://{}/v1/objects/{key}", self.store_addr);
         let request = match over {
             Some(version) => hyper::Request::put(uri).header("if-match", version),
@@ -60,7 +60,7 @@
     }
 
     /// Starts the object service again at its address, without any object.
-    pub async fn start_store(&mut self) {
+    pub async fn restart_store_empty(&mut self) {
         let args = ["--listen".into(), self.store_addr.to_string()];
         let store = process::Process::start(self.folder(), "store", "laburnum-fake-store", &args);
         self.store = store;
--- a/laburnumcart_system/src/fleet.rs
+++ b/laburnumcart_system/src/fleet.rs
@@ -50,9 +50,9 @@
     /// Address of the stand-in.
     pub target_addr: net::SocketAddr,
     /// Address of the agent for peers.
-    pub peer: net::SocketAddr,
+    pub peer_addr: net::SocketAddr,
     /// Address of the agent's metrics.
-    pub admin: net::SocketAddr,
+    pub admin_addr: net::SocketAddr,
     /// The stand-in.
     pub target: process::Process,
     /// The agent.
@@ -69,9 +69,9 @@
     /// Name of the instance.
     pub name: String,
     /// Address for callers.
-    pub callers: net::SocketAddr,
+    pub caller_addr: net::SocketAddr,
     /// Address for peers.
-    pub peer: net::SocketAddr,
+    pub peer_addr: net::SocketAddr,
     /// The process.
     pub process: process::Process,
 }
@@ -97,19 +97,19 @@
 impl Fleet {
     /// Starts all processes, accepts the bundle and waits until every one is ready.
     pub async fn start(plan: Plan) -> Self {
-        let fleet = Self::launch(plan).await;
-        fleet.accept(&fleet.plan.bundle);
+        let fleet = Self::start_without_bundle(plan).await;
+        fleet.accept_bundle(&fleet.plan.bundle);
         fleet.wait_ready().await;
         fleet
     }
 
     /// Starts all processes without a bundle and waits until every one answers.
-    pub async fn launch(plan: Plan) -> Self {
+    pub async fn start_without_bundle(plan: Plan) -> Self {
         let dir = directory::Directory::new();
         let http = http::Client::default();
         let store_addr = port::free();
         let mut args = vec!["--listen".into(), store_addr.to_string()];
-        args.extend(plan.store.iter().map(|arg| String::from(*arg)));
+        args.extend(plan.store_args.iter().map(|arg| String::from(*arg)));
         let store = process::Process::start(&dir.0, "store", "laburnum-fake-store", &args);
         let key = keygen::generate_key(&dir.0);
         let mut fleet = Self {
@@ -132,11 +132,13 @@
             fleet.add_entry(number).await;
         }
         for node in &fleet.nodes {
-            fleet.wait_page(&node.name, node.admin, "/healthz").await;
+            fleet
+                .wait_page(&node.name, node.admin_addr, "/healthz")
+                .await;
         }
         for entry in &fleet.entries {
             fleet
-                .wait_page(&entry.name, entry.callers, "/healthz")
+                .wait_page(&entry.name, entry.caller_addr, "/healthz")
                 .await;
         }
         fleet
@@ -169,7 +171,7 @@
             "fleet": self.fleet_settings(&[]),
             "platform": {"address": self.store_addr.to_string()},
             "telemetry": self.plan.telemetry(),
-            "stop_limit": self.plan.stop,
+            "stop_limit": self.plan.stop_limit,
         });
         let agent = self.daemon(&format!("agent-{name}"), "laburnum-agent", &settings);
         let relay = match self.plan.relays {
@@ -177,14 +179,14 @@
             false => None,
         };
         let listed = relay.as_ref().map_or(peer, relay::Relay::addr);
-        self.list(&name, data_centre, "agent", Some(service.name), listed)
+        self.register_instance(&name, data_centre, "agent", Some(service.name), listed)
             .await;
         self.nodes.push(Node {
             name,
             service: service.name,
             target_addr,
-            peer,
-            admin,
+            peer_addr: peer,
+            admin_addr: admin,
             target,
             agent,
             relay,
@@ -197,7 +199,7 @@
         let name = format!("entry-{number}");
         let data_centre = DATA_CENTRES[number % DATA_CENTRES.len()];
         let (callers, peer) = (port::free(), port::free());
-        let peers: Vec<_> = self.entries.iter().map(|entry| entry.peer).collect();
+        let peers: Vec<_> = self.entries.iter().map(|entry| entry.peer_addr).collect();
         let settings = json!({
             "instance": name,
             "data_centre": data_centre,
@@ -206,30 +208,31 @@
             "fleet": self.fleet_settings(&peers),
             "platform": {"address": self.store_addr.to_string()},
             "telemetry": self.plan.telemetry(),
-            "stop_limit": self.plan.stop,
+            "stop_limit": self.plan.stop_limit,
         });
         let process = self.daemon(&name, "laburnum-entry", &settings);
-        self.list(&name, data_centre, "entry", None, peer).await;
+        self.register_instance(&name, data_centre, "entry", None, peer)
+            .await;
         self.entries.push(Entry {
             name,
-            callers,
-            peer,
+            caller_addr: callers,
+            peer_addr: peer,
             process,
         });
     }
 
     /// Starts a daemon again with its settings of before.
-    pub fn restart(&self, name: &str, program: &str) -> process::Process {
+    pub fn restart_daemon(&self, name: &str, program: &str) -> process::Process {
         let file = self.dir.0.join(format!("{name}.json"));
         let args = ["--settings".into(), file.display().to_string()];
         process::Process::start(&self.dir.0, name, program, &args)
     }
 
     /// Runs `laburnumctl` and returns its exit code and what it printed.
-    pub fn ctl(&self, args: &[&str]) -> (i32, String) {
+    pub fn run_ctl(&self, args: &[&str]) -> (i32, String) {
         let file = self.dir.0.join("ctl.json");
         let settings = json!({
-            "fleet": self.fleet_settings(&self.peers()),
+            "fleet": self.fleet_settings(&self.peer_addrs()),
             "platform": {"address": self.store_addr.to_string()},
         });
         // Operators race each other here; none may read a file that another has begun to write.
@@ -251,7 +254,7 @@
     }
 
     /// Signs a bundle and has it accepted.
-    pub fn accept(&self, bundle: &Value) {
+    pub fn accept_bundle(&self, bundle: &Value) {
         fs::write(self.dir.0.join("bundle.json"), bundle.to_string()).expect("bundle");
         let sign = [
             "sign",
@@ -261,19 +264,23 @@
             "--out",
             "bundle.signed",
         ];
-        assert_eq!(self.ctl(&sign).0, 0, "{}", self.ctl(&sign).1);
-        let (code, text) = self.ctl(&["accept", "bundle.signed"]);
+        assert_eq!(self.run_ctl(&sign).0, 0, "{}", self.run_ctl(&sign).1);
+        let (code, text) = self.run_ctl(&["accept", "bundle.signed"]);
         assert_eq!(code, 0, "{text}");
     }
 
     /// Sends a request to an entry and returns the whole answer.
-    pub async fn call(&self, entry: usize, call: &Call<'_>) -> Result<http::Answer, http::Failure> {
-        let addr = self.entries[entry].callers;
+    pub async fn call(
+        &self,
+        entry: usize,
+        call: &Call<'_>,
+    ) -> Result<http::Response, http::Failure> {
+        let addr = self.entries[entry].caller_addr;
         self.http.send(call.request(addr)).await
     }
 
     /// Returns what the stand-ins of a service have executed, as their pages show it.
-    pub async fn executions(&self, service: &str) -> Vec<Value> {
+    pub async fn service_executions(&self, service: &str) -> Vec<Value> {
         let mut all = Vec::new();
         for node in self.nodes.iter().filter(|node| node.service == service) {
             let answer = self.http.get(node.target_addr, "/admin/executions").await;
@@ -285,7 +292,7 @@
     }
 
     /// Sets the faults of the object service.
-    pub async fn store_faults(&self, faults: &Value) {
+    pub async fn set_store_faults(&self, faults: &Value) {
         let answer = self
             .http
             .post(self.store_addr, "/admin/faults", faults)
@@ -294,7 +301,7 @@
     }
 
     /// Sets the behaviour of a stand-in.
-    pub async fn behave(&self, node: usize, behaviour: &Value) {
+    pub async fn set_target_behaviour(&self, node: usize, behaviour: &Value) {
         let addr = self.nodes[node].target_addr;
         let answer = self.http.post(addr, "/admin/behave", behaviour).await;
         assert!(answer.is_ok_and(|a| a.status < 300), "behaviour not taken");
@@ -303,10 +310,11 @@
     /// Waits until every entry and agent reports readiness.
     pub async fn wait_ready(&self) {
         for node in &self.nodes {
-            self.wait_page(&node.name, node.admin, "/readyz").await;
+            self.wait_page(&node.name, node.admin_addr, "/readyz").await;
         }
         for entry in &self.entries {
-            self.wait_page(&entry.name, entry.callers, "/readyz").await;
+            self.wait_page(&entry.name, entry.caller_addr, "/readyz")
+                .await;
             self.wait_lanes(entry).await;
         }
     }
@@ -315,7 +323,7 @@
     async fn wait_lanes(&self, entry: &Entry) {
         let wanted = format!("laburnum_entry_lanes {}", self.nodes.len());
         wait::until(&format!("{} {wanted}", entry.name), || async {
-            let page = self.http.get(entry.callers, "/metrics").await.ok()?;
+            let page = self.http.get(entry.caller_addr, "/metrics").await.ok()?;
             let mut lines = page.body.lines();
             lines.any(|line| line == wanted).then_some(())
         })
@@ -323,9 +331,9 @@
     }
 
     /// Returns the peer addresses of all daemons.
-    pub fn peers(&self) -> Vec<net::SocketAddr> {
-        let agents = self.nodes.iter().map(|node| node.peer);
-        let entries = self.entries.iter().map(|entry| entry.peer);
+    pub fn peer_addrs(&self) -> Vec<net::SocketAddr> {
+        let agents = self.nodes.iter().map(|node| node.peer_addr);
+        let entries = self.entries.iter().map(|entry| entry.peer_addr);
         entries.chain(agents).collect()
     }
 
@@ -336,7 +344,7 @@
     }
 
     /// Writes an object of the platform's list of instances.
-    pub async fn list(
+    pub async fn register_instance(
         &self,
         name: &str,
         data_centre: &str,
@@ -384,7 +392,7 @@
     fn daemon(&self, name: &str, program: &str, settings: &Value) -> process::Process {
         let file = self.dir.0.join(format!("{name}.json"));
         fs::write(&file, settings.to_string()).expect("settings");
-        self.restart(name, program)
+        self.restart_daemon(name, program)
     }
 
     fn fleet_settings(&self, peers: &[net::SocketAddr]) -> Value {
--- a/laburnumcart_system/src/fleet/faults.rs
+++ b/laburnumcart_system/src/fleet/faults.rs
@@ -20,9 +20,9 @@
 
 /// A second agent for a target that has one.
 #[derive(Debug)]
-pub struct Successor {
+pub struct SecondAgent {
     /// Address of its pages.
-    pub admin: net::SocketAddr,
+    pub admin_addr: net::SocketAddr,
     /// The process.
     pub process: process::Process,
 }
@@ -42,7 +42,7 @@
     /// Starts an agent again at its address of before.
     pub fn restart_agent(&mut self, node: usize) {
         let name = format!("agent-{}", self.nodes[node].name);
-        self.nodes[node].agent = self.restart(&name, "laburnum-agent");
+        self.nodes[node].agent = self.restart_daemon(&name, "laburnum-agent");
     }
 
     /// Starts a target again at its address of before, with an empty record.
@@ -56,12 +56,12 @@
     /// Starts an entry again at its addresses of before.
     pub fn restart_entry(&mut self, entry: usize) {
         let name = self.entries[entry].name.clone();
-        self.entries[entry].process = self.restart(&name, "laburnum-entry");
+        self.entries[entry].process = self.restart_daemon(&name, "laburnum-entry");
     }
 
     /// Starts another agent for the target of a node, as a platform does that takes the first one
     /// for dead.
-    pub fn succeed(&self, node: usize) -> Successor {
+    pub fn start_second_agent(&self, node: usize) -> SecondAgent {
         let old = &self.nodes[node];
         let name = format!("successor-{}", old.name);
         let admin = port::free();
@@ -79,19 +79,22 @@
             "platform": {"address": self.store_addr.to_string()},
         });
         let process = self.daemon(&name, "laburnum-agent", &settings);
-        Successor { admin, process }
+        SecondAgent {
+            admin_addr: admin,
+            process,
+        }
     }
 
     /// Reads a page of a stand-in target as JSON.
-    pub async fn target(&self, node: usize, page: &str) -> Option<Value> {
+    pub async fn get_target_page(&self, node: usize, page: &str) -> Option<Value> {
         let addr = self.nodes[node].target_addr;
         let answer = self.http.get(addr, page).await.ok()?;
         (answer.status == 200).then(|| answer.json())
     }
 
     /// Returns what one stand-in has executed; nothing while it does not answer.
-    pub async fn executed(&self, node: usize) -> Vec<Value> {
-        let page = self.target(node, "/admin/executions").await;
+    pub async fn target_executions(&self, node: usize) -> Vec<Value> {
+        let page = self.get_target_page(node, "/admin/executions").await;
         match page.map(|mut page| page["executions"].take()) {
             Some(Value::Array(rows)) => rows,
             _ => Vec::new(),
@@ -99,7 +102,7 @@
     }
 
     /// Sums all samples of a metric on a process's page whose labels hold `label`.
-    pub async fn metric(&self, addr: net::SocketAddr, name: &str, label: &str) -> f64 {
+    pub async fn sum_metric(&self, addr: net::SocketAddr, name: &str, label: &str) -> f64 {
         let answer = self.http.get(addr, "/metrics").await;
         let text = answer.map(|answer| answer.body).unwrap_or_default();
         let samples = text.lines().filter_map(|line| line.rsplit_once(' '));
--- a/laburnumcart_system/src/fleet/plan.rs
+++ b/laburnumcart_system/src/fleet/plan.rs
@@ -45,8 +45,8 @@
     pub(super) entries: usize,
     pub(super) services: Vec<Service>,
     pub(super) bundle: Value,
-    pub(super) store: Vec<&'static str>,
-    pub(super) stop: &'static str,
+    pub(super) store_args: Vec<&'static str>,
+    pub(super) stop_limit: &'static str,
     pub(super) relays: bool,
     traces: Option<net::SocketAddr>,
 }
@@ -58,8 +58,8 @@
             entries: 2,
             services,
             bundle,
-            store: Vec::new(),
-            stop: "60s",
+            store_args: Vec::new(),
+            stop_limit: "60s",
             relays: false,
             traces: None,
         }
@@ -74,22 +74,22 @@
 
     /// Sets the stop limit of entries and agents.
     #[must_use]
-    pub fn stop(mut self, limit: &'static str) -> Self {
-        self.stop = limit;
+    pub fn stop_limit(mut self, limit: &'static str) -> Self {
+        self.stop_limit = limit;
         self
     }
 
     /// Puts a relay in front of each agent, whose address the platform lists.
     #[must_use]
-    pub fn relays(mut self) -> Self {
+    pub fn with_relays(mut self) -> Self {
         self.relays = true;
         self
     }
 
     /// Adds arguments for the stand-in of the object service.
     #[must_use]
-    pub fn store(mut self, args: &[&'static str]) -> Self {
-        self.store.extend(args);
+    pub fn store_args(mut self, args: &[&'static str]) -> Self {
+        self.store_args.extend(args);
         self
     }
 
--- a/laburnumcart_system/src/http.rs
+++ b/laburnumcart_system/src/http.rs
@@ -22,7 +22,7 @@
 
 /// A whole answer.
 #[derive(Clone, Debug)]
-pub struct Answer {
+pub struct Response {
     /// HTTP status.
     pub status: u16,
     /// Headers.
@@ -42,7 +42,7 @@
     Timeout,
 }
 
-impl Answer {
+impl Response {
     /// Parses the body as JSON; `null` when it is not.
     pub fn json(&self) -> serde_json::Value {
         serde_json::from_str(&self.body).unwrap_or_default()
@@ -65,13 +65,13 @@
 
 impl Client {
     /// Sends a request and reads the whole answer.
-    pub async fn send(&self, request: http::Request<String>) -> Result<Answer, Failure> {
+    pub async fn send(&self, request: http::Request<String>) -> Result<Response, Failure> {
         let request = request.map(|body| http_body_util::Full::new(bytes::Bytes::from(body)));
         let call = async {
             let answer = self.inner.request(request).await;
             let (parts, body) = answer.map_err(|_| Failure::Connection)?.into_parts();
             let body = body.collect().await.map_err(|_| Failure::Connection)?;
-            Ok(Answer {
+            Ok(Response {
                 status: parts.status.as_u16(),
                 headers: parts.headers,
                 body: String::from_utf8_lossy(&body.to_bytes()).into_owned(),
@@ -83,7 +83,7 @@
     }
 
     /// Reads a page.
-    pub async fn get(&self, addr: net::SocketAddr, path: &str) -> Result<Answer, Failure> {
+    pub async fn get(&self, addr: net::SocketAddr, path: &str) -> Result<Response, Failure> {
         let request = http::Request::get(format!("http://{addr}{path}"));
         self.send(request.body(String::new()).expect("request"))
             .await
@@ -95,7 +95,7 @@
         addr: net::SocketAddr,
         path: &str,
         body: &serde_json::Value,
-    ) -> Result<Answer, Failure> {
+    ) -> Result<Response, Failure> {
         let request = http::Request::post(format!("http://{addr}{path}"))
             .header("content-type", "application/json");
         self.send(request.body(body.to_string()).expect("request"))
--- a/laburnumcart_system/src/process.rs
+++ b/laburnumcart_system/src/process.rs
@@ -118,7 +118,7 @@
     }
 
     /// Returns its exit status if it has ended.
-    pub fn ended(&mut self) -> Option<process::ExitStatus> {
+    pub fn exit_status(&mut self) -> Option<process::ExitStatus> {
         self.child.try_wait().ok().flatten()
     }
 
--- a/laburnumcart_system/src/relay.rs
+++ b/laburnumcart_system/src/relay.rs
@@ -22,17 +22,17 @@
 
 /// What happens to bytes on the connections that exist now; new ones always work.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub struct Silence {
+pub struct Stall {
     /// Bytes from the caller are held back.
-    pub forth: bool,
+    pub to_server: bool,
     /// Bytes to the caller are held back.
-    pub back: bool,
+    pub to_client: bool,
 }
 
-/// Which connections a [`Silence`] applies to: those with a number up to `last`.
+/// Which connections a [`Stall`] applies to: those with a number up to `last`.
 #[derive(Clone, Copy, Debug, Default)]
 struct Rule {
-    silence: Silence,
+    silence: Stall,
     last: u64,
 }
 
@@ -40,9 +40,9 @@
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Bytes {
     /// From callers.
-    pub forth: u64,
+    pub to_server: u64,
     /// To callers.
-    pub back: u64,
+    pub to_client: u64,
 }
 
 /// What the relay's tasks share.
@@ -53,11 +53,11 @@
     /// Directions of connections that hold bytes back.
     held: atomic::AtomicUsize,
     /// Bytes passed on from callers.
-    forth: atomic::AtomicU64,
+    to_server: atomic::AtomicU64,
     /// Bytes passed on to callers.
-    back: atomic::AtomicU64,
+    to_client: atomic::AtomicU64,
     /// Text that begins a silence when it is on its way to a caller.
-    trigger: sync::Mutex<Option<(Vec<u8>, Silence)>>,
+    trigger: sync::Mutex<Option<(Vec<u8>, Stall)>>,
 }
 
 /// Relay with one listening address and one destination.
@@ -76,8 +76,8 @@
             rule: watch::Sender::new(Rule::default()),
             count: atomic::AtomicU64::new(0),
             held: atomic::AtomicUsize::new(0),
-            forth: atomic::AtomicU64::new(0),
-            back: atomic::AtomicU64::new(0),
+            to_server: atomic::AtomicU64::new(0),
+            to_client: atomic::AtomicU64::new(0),
             trigger: sync::Mutex::new(None),
         });
         let task = tokio::spawn(accept(listener, dest, shared.clone()));
@@ -92,34 +92,34 @@
     /// Returns how many bytes it has passed on.
     pub fn bytes(&self) -> Bytes {
         Bytes {
-            forth: self.shared.forth.load(atomic::Ordering::Relaxed),
-            back: self.shared.back.load(atomic::Ordering::Relaxed),
+            to_server: self.shared.to_server.load(atomic::Ordering::Relaxed),
+            to_client: self.shared.to_client.load(atomic::Ordering::Relaxed),
         }
     }
 
     /// Silences all connections that exist now; bytes are held, not lost.
-    pub fn silence(&self, silence: Silence) {
-        self.shared.silence(silence);
+    pub fn stall(&self, silence: Stall) {
+        self.shared.stall(silence);
     }
 
     /// Silences all connections that exist when `text` is next on its way to a caller, before it
     /// passes.
-    pub fn silence_at(&self, text: &str, silence: Silence) {
+    pub fn stall_at_text(&self, text: &str, silence: Stall) {
         *self.shared.trigger() = Some((text.into(), silence));
     }
 
     /// Reports whether a silence has begun and was not ended.
-    pub fn is_silent(&self) -> bool {
-        self.shared.rule.borrow().silence != Silence::default()
+    pub fn is_stalled(&self) -> bool {
+        self.shared.rule.borrow().silence != Stall::default()
     }
 
     /// Reports whether bytes are held back.
-    pub fn holds(&self) -> bool {
+    pub fn is_holding_bytes(&self) -> bool {
         self.shared.held.load(atomic::Ordering::SeqCst) > 0
     }
 
     /// Lets the held bytes go on.
-    pub fn heal(&self) {
+    pub fn resume(&self) {
         *self.shared.trigger() = None;
         self.shared.rule.send_replace(Rule::default());
     }
@@ -132,12 +132,12 @@
 }
 
 impl Shared {
-    fn silence(&self, silence: Silence) {
+    fn stall(&self, silence: Stall) {
         let last = self.count.load(atomic::Ordering::SeqCst);
         self.rule.send_replace(Rule { silence, last });
     }
 
-    fn trigger(&self) -> sync::MutexGuard<'_, Option<(Vec<u8>, Silence)>> {
+    fn trigger(&self) -> sync::MutexGuard<'_, Option<(Vec<u8>, Stall)>> {
         self.trigger
             .lock()
             .unwrap_or_else(sync::PoisonError::into_inner)
@@ -148,7 +148,7 @@
         let mut trigger = self.trigger();
         let is_in = |text: &[u8]| bytes.windows(text.len()).any(|part| part == text);
         if let Some((_, silence)) = trigger.take_if(|(text, _)| is_in(text)) {
-            self.silence(silence);
+            self.stall(silence);
         }
     }
 }
@@ -165,8 +165,8 @@
         };
         let (near_in, near_out) = near.into_split();
         let (far_in, far_out) = far.into_split();
-        let forth = move |rule: &Rule| number <= rule.last && rule.silence.forth;
-        let back = move |rule: &Rule| number <= rule.last && rule.silence.back;
+        let forth = move |rule: &Rule| number <= rule.last && rule.silence.to_server;
+        let back = move |rule: &Rule| number <= rule.last && rule.silence.to_client;
         tokio::spawn(pump(near_in, far_out, shared.clone(), false, forth));
         tokio::spawn(pump(far_in, near_out, shared.clone(), true, back));
     }
@@ -196,7 +196,11 @@
         if !sent {
             return;
         }
-        let passed = if looks { &shared.back } else { &shared.forth };
+        let passed = if looks {
+            &shared.to_client
+        } else {
+            &shared.to_server
+        };
         passed.fetch_add(count as u64, atomic::Ordering::Relaxed);
     }
 }
--- a/laburnumcart_system/src/reply.rs
+++ b/laburnumcart_system/src/reply.rs
@@ -10,7 +10,7 @@
 #[derive(Clone, Debug)]
 pub enum Reply {
     /// A whole answer.
-    Whole {
+    Complete {
         /// Request.
         request: String,
         /// Output of the last stage.
@@ -25,10 +25,10 @@
         /// Cause.
         reason: String,
         /// Seconds after which to come again.
-        retry: Option<u64>,
+        retry_after: Option<u64>,
     },
     /// The connection ended without an answer, which only the end of the entry excuses.
-    Nothing,
+    NoResponse,
 }
 
 impl Reply {
@@ -37,14 +37,14 @@
     /// # Panics
     ///
     /// Panics when a stream's pieces do not join to the text of its end.
-    pub fn read(answer: Result<http::Answer, http::Failure>) -> Self {
+    pub fn from_response(answer: Result<http::Response, http::Failure>) -> Self {
         let Ok(answer) = answer else {
-            return Self::Nothing;
+            return Self::NoResponse;
         };
         let retry = answer.header("retry-after").and_then(|r| r.parse().ok());
         if answer.header("content-type") != Some("text/event-stream") {
             return match answer.status {
-                200 => Self::whole(&answer.json()),
+                200 => Self::complete(&answer.json()),
                 _ => Self::refused(&answer.json(), retry),
             };
         }
@@ -62,16 +62,16 @@
                 }
                 Some("end") => {
                     assert_eq!(data["output"]["text"], pieces, "pieces of {data}");
-                    return Self::whole(&data);
+                    return Self::complete(&data);
                 }
                 _ => {}
             }
         }
-        Self::Nothing
+        Self::NoResponse
     }
 
-    fn whole(body: &Value) -> Self {
-        Self::Whole {
+    fn complete(body: &Value) -> Self {
+        Self::Complete {
             request: text(&body["request"]).expect("request"),
             output: body["output"].clone(),
         }
@@ -82,22 +82,22 @@
             request: text(&body["request"]),
             verdict: text(&body["verdict"]).expect("verdict"),
             reason: text(&body["reason"]).expect("reason"),
-            retry,
+            retry_after: retry,
         }
     }
 
     /// Returns the request, if it is known.
-    pub fn request(&self) -> Option<&str> {
+    pub fn request_id(&self) -> Option<&str> {
         match self {
-            Self::Whole { request, .. } => Some(request),
+            Self::Complete { request, .. } => Some(request),
             Self::Refused { request, .. } => request.as_deref(),
-            Self::Nothing => None,
+            Self::NoResponse => None,
         }
     }
 
     /// Reports whether the answer is whole.
-    pub fn is_whole(&self) -> bool {
-        matches!(self, Self::Whole { .. })
+    pub fn is_complete(&self) -> bool {
+        matches!(self, Self::Complete { .. })
     }
 
     /// Reports whether the request was refused as "not run".
@@ -111,15 +111,15 @@
 }
 
 /// Counts replies as whole, not run, may have run and nothing.
-pub fn counts<'a>(replies: impl IntoIterator<Item = &'a Reply>) -> String {
+pub fn summarize<'a>(replies: impl IntoIterator<Item = &'a Reply>) -> String {
     let mut counts = collections::BTreeMap::<String, usize>::new();
     for reply in replies {
         let name = match reply {
-            Reply::Whole { .. } => "whole".to_owned(),
+            Reply::Complete { .. } => "whole".to_owned(),
             Reply::Refused {
                 verdict, reason, ..
             } => format!("{verdict} ({reason})"),
-            Reply::Nothing => "nothing".to_owned(),
+            Reply::NoResponse => "nothing".to_owned(),
         };
         *counts.entry(name).or_default() += 1;
     }
@@ -133,13 +133,16 @@
 ///
 /// Panics when a whole answer is not the expected one, a request that was refused as "not run" has
 /// an execution, or a stage of a non-idempotent request has two.
-pub fn check<'a>(replies: impl IntoIterator<Item = (&'a Reply, &'a Value)>, rows: &[Value]) {
+pub fn check_replies<'a>(
+    replies: impl IntoIterator<Item = (&'a Reply, &'a Value)>,
+    rows: &[Value],
+) {
     for (reply, expected) in replies {
-        if let Reply::Whole { output, .. } = reply {
+        if let Reply::Complete { output, .. } = reply {
             assert_eq!(output, expected, "another answer: {reply:?}");
         }
         if reply.is_not_run() {
-            let request = reply.request();
+            let request = reply.request_id();
             let ran: Vec<_> = rows
                 .iter()
                 .filter(|row| request.is_some() && row["request"].as_str() == request)
@@ -161,12 +164,12 @@
 /// # Panics
 ///
 /// Panics when there is such an execution.
-pub fn check_still<'a>(
+pub fn check_no_new_executions<'a>(
     old: impl IntoIterator<Item = &'a Reply>,
     before: &[Value],
     after: &[Value],
 ) {
-    let old: collections::HashSet<_> = old.into_iter().filter_map(Reply::request).collect();
+    let old: collections::HashSet<_> = old.into_iter().filter_map(Reply::request_id).collect();
     let known: collections::HashSet<_> = before
         .iter()
         .filter_map(|row| row["attempt"].as_str())
--- a/laburnumcart_system/src/rollout.rs
+++ b/laburnumcart_system/src/rollout.rs
@@ -16,9 +16,9 @@
 const GENERATION: &str = "laburnum_bundle_generation ";
 
 /// Returns the addresses of the pages of all daemons.
-pub fn pages(fleet: &fleet::Fleet) -> Vec<net::SocketAddr> {
-    let agents = fleet.nodes.iter().map(|node| node.admin);
-    let entries = fleet.entries.iter().map(|entry| entry.callers);
+pub fn metrics_addrs(fleet: &fleet::Fleet) -> Vec<net::SocketAddr> {
+    let agents = fleet.nodes.iter().map(|node| node.admin_addr);
+    let entries = fleet.entries.iter().map(|entry| entry.caller_addr);
     entries.chain(agents).collect()
 }
 
@@ -31,7 +31,7 @@
 
 /// Returns the generation in force in each process.
 pub async fn generations(fleet: &fleet::Fleet) -> Vec<Option<u64>> {
-    let all = pages(fleet);
+    let all = metrics_addrs(fleet);
     let all = all.into_iter().map(|page| generation(fleet, page));
     future::join_all(all).await
 }
@@ -41,7 +41,7 @@
 /// # Panics
 ///
 /// Panics when a process shows a higher one.
-pub async fn in_force(fleet: &fleet::Fleet, wanted: u64) -> time::Duration {
+pub async fn wait_in_force(fleet: &fleet::Fleet, wanted: u64) -> time::Duration {
     let start = tokio::time::Instant::now();
     let what = format!("generation {wanted} in force everywhere");
     wait::until(&what, || async {
--- a/laburnumcart_system/src/sample.rs
+++ b/laburnumcart_system/src/sample.rs
@@ -9,16 +9,16 @@
 use crate::fleet;
 
 /// Bearer token of the team `clinic`.
-pub const CLINIC: &str = "token-of-the-clinic-0123456789abcdef";
+pub const CLINIC_TOKEN: &str = "token-of-the-clinic-0123456789abcdef";
 
 /// Bearer token of the team `federation`.
-pub const FEDERATION: &str = "token-of-the-federation-0123456789ab";
+pub const FEDERATION_TOKEN: &str = "token-of-the-federation-0123456789ab";
 
 /// Four stages; a request may execute more than once.
-pub const CHECK: &str = "eligibility-check";
+pub const CHECK_PIPELINE: &str = "eligibility-check";
 
 /// Four stages that end in a plain service; a request executes at most once.
-pub const OPEN: &str = "open-case";
+pub const OPEN_PIPELINE: &str = "open-case";
 
 /// Returns the services of the bundle with the given number of targets each.
 pub fn services(targets: usize) -> Vec<fleet::Service> {
@@ -57,12 +57,12 @@
             "clinic-desk": {"kind": "pool"},
         },
         "pipelines": {
-            CHECK: {"stages": with(stage("generate", "case-model"))},
-            OPEN: {"idempotent": false, "stages": with(stage("open", "clinic-desk"))},
+            CHECK_PIPELINE: {"stages": with(stage("generate", "case-model"))},
+            OPEN_PIPELINE: {"idempotent": false, "stages": with(stage("open", "clinic-desk"))},
         },
         "teams": {
-            "clinic": team(CLINIC, 3),
-            "federation": team(FEDERATION, 1),
+            "clinic": team(CLINIC_TOKEN, 3),
+            "federation": team(FEDERATION_TOKEN, 1),
         },
         "claims": {"retention": "10m", "shards": 4},
     })
@@ -71,15 +71,15 @@
 fn team(token: &str, weight: u32) -> Value {
     let promise = json!({"deadline": "30s", "priority": "normal"});
     json!({
-        "tokens": [digest(token)],
+        "tokens": [token_digest(token)],
         "weight": weight,
-        "pipelines": {CHECK: promise, OPEN: promise},
+        "pipelines": {CHECK_PIPELINE: promise, OPEN_PIPELINE: promise},
         "queue_limit": 1000,
     })
 }
 
 /// Returns the SHA-256 of a token as the bundle holds it.
-pub fn digest(token: &str) -> String {
+pub fn token_digest(token: &str) -> String {
     let bytes = sha2::Sha256::digest(token.as_bytes());
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
--- a/laburnumcart_system/src/soak/faults.rs
+++ b/laburnumcart_system/src/soak/faults.rs
@@ -49,7 +49,7 @@
 /// Ends all faults.
 pub(super) async fn heal(site: &Site) {
     site.store.set_faults(memory::Faults::default());
-    site.store_relay.heal();
+    site.store_relay.resume();
     site.targets.lock().await.heal();
     site.gateways.lock().await.wake();
     site.ledger.lock().healed = Some(time::Instant::now());
@@ -100,14 +100,20 @@
             let index = rng.random_range(0..targets.count());
             site.ledger
                 .fault(format!("connections to target {index} fall silent"));
-            targets.silence(index, relay::Silence { forth, back });
+            targets.silence(
+                index,
+                relay::Stall {
+                    to_server: forth,
+                    to_client: back,
+                },
+            );
         }
         9 => {
             site.ledger
                 .fault("connections to the store fall silent".into());
-            site.store_relay.silence(relay::Silence {
-                forth: true,
-                back: true,
+            site.store_relay.stall(relay::Stall {
+                to_server: true,
+                to_client: true,
             });
         }
         _ => outage(site, rng, length),
--- a/laburnumcart_system/src/soak/gateways.rs
+++ b/laburnumcart_system/src/soak/gateways.rs
@@ -83,7 +83,7 @@
     /// Starts the gateways again that have ended.
     pub(super) fn restart(&mut self) {
         for gateway in &mut self.all {
-            if gateway.process.ended().is_some() {
+            if gateway.process.exit_status().is_some() {
                 gateway.process = spawn(&self.dir, &gateway.name, &gateway.settings);
             }
         }
--- a/laburnumcart_system/src/soak/targets.rs
+++ b/laburnumcart_system/src/soak/targets.rs
@@ -139,14 +139,14 @@
     }
 
     /// Silences the connections to one target that exist now.
-    pub(super) fn silence(&self, index: usize, silence: relay::Silence) {
-        self.lives[index].relay.silence(silence);
+    pub(super) fn silence(&self, index: usize, silence: relay::Stall) {
+        self.lives[index].relay.stall(silence);
     }
 
     /// Ends all faults of targets that live.
     pub(super) fn heal(&self) {
         for (index, life) in self.lives.iter().enumerate() {
-            life.relay.heal();
+            life.relay.resume();
             self.set(index, Mode::Good);
         }
     }
--- a/laburnumcart_system/src/letters.rs
+++ b/laburnumcart_system/src/text_requests.rs
@@ -23,10 +23,10 @@
 };
 
 /// One stage; a request may execute more than once.
-pub const DRAFT: &str = "draft-letter";
+pub const IDEMPOTENT: &str = "draft-letter";
 
 /// One stage; a request executes at most once.
-pub const SEND: &str = "send-letter";
+pub const NON_IDEMPOTENT: &str = "send-letter";
 
 /// The service of both.
 pub const SERVICE: &str = "case-model";
@@ -57,14 +57,14 @@
         "title": "letters",
         "services": {SERVICE: {"kind": "engine"}},
         "pipelines": {
-            DRAFT: {"stages": stages},
-            SEND: {"idempotent": false, "stages": stages},
+            IDEMPOTENT: {"stages": stages},
+            NON_IDEMPOTENT: {"idempotent": false, "stages": stages},
         },
         "teams": {
             "clinic": {
-                "tokens": [sample::digest(sample::CLINIC)],
+                "tokens": [sample::token_digest(sample::CLINIC_TOKEN)],
                 "weight": 1,
-                "pipelines": {DRAFT: promise, SEND: promise},
+                "pipelines": {IDEMPOTENT: promise, NON_IDEMPOTENT: promise},
                 "queue_limit": 1000,
             },
         },
@@ -75,7 +75,7 @@
 
 /// One request of a caller, different from all others.
 #[derive(Clone, Debug)]
-pub struct Letter {
+pub struct TextRequest {
     entry: usize,
     pipeline: &'static str,
     body: Value,
@@ -86,13 +86,15 @@
 }
 
 /// Makes targets slow by a factor, so that they finish nothing before a fault; 1 ends that.
-pub async fn slow(fleet: &fleet::Fleet, factor: f64) {
+pub async fn slow_targets(fleet: &fleet::Fleet, factor: f64) {
     for node in 0..fleet.nodes.len() {
-        fleet.behave(node, &json!({"slow": factor})).await;
+        fleet
+            .set_target_behaviour(node, &json!({"slow": factor}))
+            .await;
     }
 }
 
-impl Letter {
+impl TextRequest {
     /// Describes a request for `tokens` pieces of text; `name` makes it unlike all others.
     pub fn new(pipeline: &'static str, name: &str, tokens: u32) -> Self {
         let body = json!({"letter": name, "pipeline": pipeline, "tokens": tokens});
@@ -122,22 +124,22 @@
 
     /// Sends it and returns the reply.
     pub async fn send(&self, fleet: &fleet::Fleet) -> reply::Reply {
-        let mut call = fleet::Call::new(self.pipeline, sample::CLINIC, self.body.clone());
-        if self.pipeline == SEND {
+        let mut call = fleet::Call::new(self.pipeline, sample::CLINIC_TOKEN, self.body.clone());
+        if self.pipeline == NON_IDEMPOTENT {
             call = call.key(self.key.clone());
         }
         if self.events {
             call = call.events();
         }
-        reply::Reply::read(fleet.call(self.entry, &call).await)
+        reply::Reply::from_response(fleet.call(self.entry, &call).await)
     }
 }
 
 /// Describes `count` requests of each pipeline, spread over entries, as JSON and as events.
-pub fn mixed(name: &str, count: usize, tokens: u32, entries: usize) -> Vec<Letter> {
+pub fn mixed_requests(name: &str, count: usize, tokens: u32, entries: usize) -> Vec<TextRequest> {
     let letter = |number: usize| {
-        let pipeline = [DRAFT, SEND][number % 2];
-        Letter::new(pipeline, &format!("{name}-{number}"), tokens)
+        let pipeline = [IDEMPOTENT, NON_IDEMPOTENT][number % 2];
+        TextRequest::new(pipeline, &format!("{name}-{number}"), tokens)
             .entry(number / 2 % entries)
             .events(number / 2 / entries % 2 == 1)
     };
@@ -145,7 +147,7 @@
 }
 
 /// Sends all at once and returns the replies in order.
-pub async fn send_all(fleet: &fleet::Fleet, letters: &[Letter]) -> Vec<reply::Reply> {
+pub async fn send_all(fleet: &fleet::Fleet, letters: &[TextRequest]) -> Vec<reply::Reply> {
     future::join_all(letters.iter().map(|letter| letter.send(fleet))).await
 }
 
@@ -153,10 +155,10 @@
 ///
 /// # Panics
 ///
-/// Panics as [`reply::check`] does.
-pub fn check(letters: &[Letter], replies: &[reply::Reply], rows: &[Value]) {
+/// Panics as [`reply::check_replies`] does.
+pub fn check_replies(letters: &[TextRequest], replies: &[reply::Reply], rows: &[Value]) {
     let expected = letters.iter().map(|letter| &letter.expected);
-    reply::check(replies.iter().zip(expected), rows);
+    reply::check_replies(replies.iter().zip(expected), rows);
 }
 
 /// Checks that fresh requests of both pipelines succeed at once through the first `entries`.
@@ -164,36 +166,36 @@
 /// # Panics
 ///
 /// Panics when one does not.
-pub async fn check_works(fleet: &fleet::Fleet, name: &str, entries: usize) {
-    let fresh = mixed(name, 2 * entries, 5, entries);
+pub async fn check_serving(fleet: &fleet::Fleet, name: &str, entries: usize) {
+    let fresh = mixed_requests(name, 2 * entries, 5, entries);
     let replies = send_all(fleet, &fresh).await;
-    check(&fresh, &replies, &fleet.executions(SERVICE).await);
-    let whole = replies.iter().all(reply::Reply::is_whole);
-    assert!(whole, "{name}: {}", reply::counts(&replies));
+    check_replies(&fresh, &replies, &fleet.service_executions(SERVICE).await);
+    let whole = replies.iter().all(reply::Reply::is_complete);
+    assert!(whole, "{name}: {}", reply::summarize(&replies));
 }
 
 /// Waits until fresh requests of both pipelines succeed through the first `entries`.
 ///
 /// # Panics
 ///
-/// Panics when they do not within the limit, or get what [`reply::check`] does not accept.
-pub async fn wait_works(fleet: &fleet::Fleet, name: &str, entries: usize) {
+/// Panics when they do not within the limit, or get what [`reply::check_replies`] does not accept.
+pub async fn wait_serving(fleet: &fleet::Fleet, name: &str, entries: usize) {
     let round = atomic::AtomicU32::new(0);
     wait::until("fresh requests to succeed", || async {
         let round = round.fetch_add(1, atomic::Ordering::Relaxed);
-        let fresh = mixed(&format!("{name}-{round}"), 2 * entries, 5, entries);
+        let fresh = mixed_requests(&format!("{name}-{round}"), 2 * entries, 5, entries);
         let replies = send_all(fleet, &fresh).await;
-        check(&fresh, &replies, &fleet.executions(SERVICE).await);
-        replies.iter().all(reply::Reply::is_whole).then_some(())
+        check_replies(&fresh, &replies, &fleet.service_executions(SERVICE).await);
+        replies.iter().all(reply::Reply::is_complete).then_some(())
     })
     .await;
 }
 
 /// Waits until a target executes a request that executes at most once, and returns its number.
-pub async fn wait_claimed(fleet: &fleet::Fleet) -> usize {
+pub async fn wait_claimed_execution(fleet: &fleet::Fleet) -> usize {
     wait::until("an execution under a claim", || async {
         for node in 0..fleet.nodes.len() {
-            let rows = fleet.executed(node).await;
+            let rows = fleet.target_executions(node).await;
             let runs = |row: &Value| row["idempotent"] == false && row["outcome"] == "running";
             if rows.iter().any(runs) {
                 return Some(node);
@@ -205,10 +207,10 @@
 }
 
 /// Waits until each of some targets executes something.
-pub async fn wait_running(fleet: &fleet::Fleet, nodes: &[usize]) {
+pub async fn wait_executing(fleet: &fleet::Fleet, nodes: &[usize]) {
     wait::until("executions", || async {
         for node in nodes {
-            let rows = fleet.executed(*node).await;
+            let rows = fleet.target_executions(*node).await;
             if !rows.iter().any(|row| row["outcome"] == "running") {
                 return None;
             }
@@ -221,19 +223,22 @@
 /// Waits until every entry sends work to every target.
 ///
 /// An entry is ready as soon as it has called all agents; that a target takes work it hears later.
-pub async fn wait_spread(fleet: &fleet::Fleet) {
+pub async fn wait_all_targets_used(fleet: &fleet::Fleet) {
     let seen = sync::Mutex::new(collections::HashSet::new());
     wait::until("work on every way", || async {
         for entry in 0..fleet.entries.len() {
             let name = format!("spread-{entry}-{:x}", rand::random::<u32>());
             let count = 2 * fleet.nodes.len();
-            let letters = (0..count).map(|n| Letter::new(DRAFT, &format!("{name}-{n}"), 1));
+            let letters =
+                (0..count).map(|n| TextRequest::new(IDEMPOTENT, &format!("{name}-{n}"), 1));
             let letters: Vec<_> = letters.map(|letter| letter.entry(entry)).collect();
             let replies = send_all(fleet, &letters).await;
-            let requests: collections::HashSet<_> =
-                replies.iter().filter_map(reply::Reply::request).collect();
+            let requests: collections::HashSet<_> = replies
+                .iter()
+                .filter_map(reply::Reply::request_id)
+                .collect();
             for node in 0..fleet.nodes.len() {
-                let rows = fleet.executed(node).await;
+                let rows = fleet.target_executions(node).await;
                 let ours = |row: &Value| {
                     row["request"]
                         .as_str()
--- a/laburnumcart_system/src/wait.rs
+++ b/laburnumcart_system/src/wait.rs
@@ -6,7 +6,7 @@
 };
 
 /// Longest wait for a condition that must come true; long, as the machine may be busy.
-pub const LIMIT: time::Duration = time::Duration::from_secs(60);
+pub const TIMEOUT: time::Duration = time::Duration::from_secs(60);
 
 /// Pause between two looks at a condition.
 const STEP: time::Duration = time::Duration::from_millis(20);
@@ -15,7 +15,7 @@
 ///
 /// # Panics
 ///
-/// Panics with `what` when the condition does not come true within [`LIMIT`].
+/// Panics with `what` when the condition does not come true within [`TIMEOUT`].
 pub async fn until<T, F>(what: &str, mut condition: impl FnMut() -> F) -> T
 where
     F: future::Future<Output = Option<T>>,
@@ -25,7 +25,7 @@
         if let Some(value) = condition().await {
             return value;
         }
-        assert!(start.elapsed() < LIMIT, "{what}: not within {LIMIT:?}");
+        assert!(start.elapsed() < TIMEOUT, "{what}: not within {TIMEOUT:?}");
         tokio::time::sleep(STEP).await;
     }
 }
--- a/laburnumcart_system/tests/agent_stop.rs
+++ b/laburnumcart_system/tests/agent_stop.rs
@@ -20,14 +20,23 @@
     let mut fleet = fleet::Fleet::start(plan).await;
     let engine = fleet.nodes.iter().position(|n| n.service == "case-model");
     let engine = engine.expect("an engine");
-    fleet.behave(engine, &json!({"fail": 1.0})).await;
-    let call = fleet::Call::new(sample::CHECK, sample::CLINIC, json!({"case": 1}));
+    fleet
+        .set_target_behaviour(engine, &json!({"fail": 1.0}))
+        .await;
+    let call = fleet::Call::new(
+        sample::CHECK_PIPELINE,
+        sample::CLINIC_TOKEN,
+        json!({"case": 1}),
+    );
     let answer = fleet.call(0, &call).await.expect("an answer");
     assert!(answer.status >= 500, "{}", answer.body);
     let agent = &mut fleet.nodes[engine].agent;
     agent.signal(Signal::SIGTERM);
     let agent = cell::RefCell::new(agent);
-    wait::until("the agent's end", || async { agent.borrow_mut().ended() }).await;
+    wait::until("the agent's end", || async {
+        agent.borrow_mut().exit_status()
+    })
+    .await;
     let log = agent.borrow().output();
     assert!(log.contains("event=stopped left=0"), "{log}");
 }
@@ -38,14 +47,20 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn stop_that_cuts_work_off_fails() {
     let plan = fleet::Plan::new(sample::services(1), sample::bundle()).entries(1);
-    let mut fleet = fleet::Fleet::start(plan.stop("1s")).await;
+    let mut fleet = fleet::Fleet::start(plan.stop_limit("1s")).await;
     let engine = fleet.nodes.iter().position(|n| n.service == "case-model");
     let engine = engine.expect("an engine");
-    fleet.behave(engine, &json!({"slow": 1000.0})).await;
-    let call = fleet::Call::new(sample::CHECK, sample::CLINIC, json!({"case": 1}));
+    fleet
+        .set_target_behaviour(engine, &json!({"slow": 1000.0}))
+        .await;
+    let call = fleet::Call::new(
+        sample::CHECK_PIPELINE,
+        sample::CLINIC_TOKEN,
+        json!({"case": 1}),
+    );
     let stopped = async {
         wait::until("an execution", || async {
-            let all = fleet.executions("case-model").await;
+            let all = fleet.service_executions("case-model").await;
             (!all.is_empty()).then_some(())
         })
         .await;
@@ -62,6 +77,9 @@
     // The caller is told when the agent's process is gone; either may come first.
     let _ = tokio::join!(fleet.call(0, &call), stopped);
     let agent = cell::RefCell::new(&mut fleet.nodes[engine].agent);
-    let status = wait::until("the agent's end", || async { agent.borrow_mut().ended() }).await;
+    let status = wait::until("the agent's end", || async {
+        agent.borrow_mut().exit_status()
+    })
+    .await;
     assert_eq!(status.code(), Some(1));
 }
--- a/laburnumcart_system/tests/bundle.rs
+++ b/laburnumcart_system/tests/bundle.rs
@@ -15,7 +15,7 @@
 
 /// Returns the generation in force in each process that answers.
 fn generations(fleet: &fleet::Fleet) -> Vec<u64> {
-    let (code, text) = fleet.ctl(&["status", "--json"]);
+    let (code, text) = fleet.run_ctl(&["status", "--json"]);
     let status: Value = serde_json::from_str(&text).expect("JSON");
     let processes = status["processes"].as_array().expect("processes");
     let silent = |process: &Value| process["state"]["Err"].is_string();
@@ -30,7 +30,7 @@
 }
 
 async fn in_force_everywhere(fleet: &fleet::Fleet, generation: u64) {
-    let count = fleet.peers().len();
+    let count = fleet.peer_addrs().len();
     let what = format!("generation {generation} in force everywhere");
     wait::until(&what, || async {
         let found = generations(fleet);
@@ -52,10 +52,10 @@
 
     let mut bundle = sample::bundle();
     bundle["title"] = json!("second");
-    fleet.accept(&bundle);
+    fleet.accept_bundle(&bundle);
     in_force_everywhere(&fleet, 2).await;
 
-    let accept = || fleet.ctl(&["accept", "bundle.signed", "--on", "2"]);
+    let accept = || fleet.run_ctl(&["accept", "bundle.signed", "--on", "2"]);
     let mut codes = thread::scope(|scope| {
         let operators = [scope.spawn(accept), scope.spawn(accept)];
         operators.map(|operator| operator.join().expect("no panic").0)
@@ -66,6 +66,6 @@
 
     fleet.store.kill();
     fleet.entries[1].process.kill();
-    fleet.entries[1].process = fleet.restart("entry-1", "laburnum-entry");
+    fleet.entries[1].process = fleet.restart_daemon("entry-1", "laburnum-entry");
     in_force_everywhere(&fleet, 3).await;
 }
--- a/laburnumcart_system/tests/doubt.rs
+++ b/laburnumcart_system/tests/doubt.rs
@@ -3,9 +3,9 @@
 
 use laburnumcart_system::{
     fleet,
-    letters,
     relay,
     reply,
+    text_requests,
     wait, //
 };
 use nix::sys::signal;
@@ -37,10 +37,13 @@
 const PHASES: [Phase; 4] = [Phase::Before, Phase::After, Phase::Middle, Phase::End];
 
 async fn start(relays: bool) -> fleet::Fleet {
-    let plan = fleet::Plan::new(vec![letters::service(2, "300ms")], letters::bundle("20s"));
-    let plan = if relays { plan.relays() } else { plan };
+    let plan = fleet::Plan::new(
+        vec![text_requests::service(2, "300ms")],
+        text_requests::bundle("20s"),
+    );
+    let plan = if relays { plan.with_relays() } else { plan };
     let fleet = fleet::Fleet::start(plan).await;
-    letters::wait_spread(&fleet).await;
+    text_requests::wait_all_targets_used(&fleet).await;
     fleet
 }
 
@@ -49,7 +52,7 @@
     let mut sum = 0.0;
     for entry in &fleet.entries {
         let name = "laburnum_entry_lane_breaks_total";
-        sum += fleet.metric(entry.callers, name, "").await;
+        sum += fleet.sum_metric(entry.caller_addr, name, "").await;
     }
     sum
 }
@@ -59,7 +62,7 @@
     let mut sum = 0.0;
     for node in &fleet.nodes {
         let name = "laburnum_agent_refused_total";
-        sum += fleet.metric(node.admin, name, "fenced").await;
+        sum += fleet.sum_metric(node.admin_addr, name, "fenced").await;
     }
     sum
 }
@@ -67,20 +70,20 @@
 /// Waits until targets execute `count` attempts that were not there before.
 async fn wait_executions(fleet: &fleet::Fleet, before: usize, count: usize) {
     wait::until("executions", || async {
-        let rows = fleet.executions(letters::SERVICE).await;
+        let rows = fleet.service_executions(text_requests::SERVICE).await;
         (rows.len() >= before + count).then_some(())
     })
     .await;
 }
 
 /// Lets the connections fall silent in a phase.
-async fn fall_silent(fleet: &fleet::Fleet, phase: Phase, silence: relay::Silence, before: usize) {
+async fn fall_silent(fleet: &fleet::Fleet, phase: Phase, silence: relay::Stall, before: usize) {
     let text = match phase {
         Phase::Before => return,
         Phase::After => {
             wait_executions(fleet, before, COUNT).await;
             for node in &fleet.nodes {
-                node.relay().silence(silence);
+                node.relay().stall(silence);
             }
             return;
         }
@@ -88,10 +91,10 @@
         Phase::End => "\"state\":\"done\"",
     };
     for node in &fleet.nodes {
-        node.relay().silence_at(text, silence);
+        node.relay().stall_at_text(text, silence);
     }
     wait::until("silence", || async {
-        let is_silent = |node: &fleet::Node| node.relay().is_silent();
+        let is_silent = |node: &fleet::Node| node.relay().is_stalled();
         fleet.nodes.iter().any(is_silent).then_some(())
     })
     .await;
@@ -99,18 +102,18 @@
 
 /// Ends the silence, and shows that what was held back executes nothing.
 async fn heal(fleet: &fleet::Fleet, name: &str, replies: &[reply::Reply]) {
-    let before = fleet.executions(letters::SERVICE).await;
+    let before = fleet.service_executions(text_requests::SERVICE).await;
     for node in &fleet.nodes {
-        node.relay().heal();
+        node.relay().resume();
     }
     wait::until("held bytes to arrive", || async {
-        let is_free = |node: &fleet::Node| !node.relay().holds();
+        let is_free = |node: &fleet::Node| !node.relay().is_holding_bytes();
         fleet.nodes.iter().all(is_free).then_some(())
     })
     .await;
-    letters::check_works(fleet, &format!("{name}-fresh"), fleet.entries.len()).await;
-    let after = fleet.executions(letters::SERVICE).await;
-    reply::check_still(replies, &before, &after);
+    text_requests::check_serving(fleet, &format!("{name}-fresh"), fleet.entries.len()).await;
+    let after = fleet.service_executions(text_requests::SERVICE).await;
+    reply::check_no_new_executions(replies, &before, &after);
 }
 
 // Callers of both pipelines wait while all connections between entries and agents fall silent: in
@@ -124,27 +127,34 @@
 #[case::back(false, true)]
 #[tokio::test(flavor = "multi_thread")]
 async fn silent_connections(#[case] forth: bool, #[case] back: bool) {
-    let silence = relay::Silence { forth, back };
+    let silence = relay::Stall {
+        to_server: forth,
+        to_client: back,
+    };
     let fleet = start(true).await;
     for phase in PHASES {
         let name = format!("{phase:?}");
         let (broken, refused) = (breaks(&fleet).await, fenced(&fleet).await);
-        let before = fleet.executions(letters::SERVICE).await.len();
+        let before = fleet.service_executions(text_requests::SERVICE).await.len();
         if matches!(phase, Phase::Before) {
-            fleet.nodes.iter().for_each(|n| n.relay().silence(silence));
+            fleet.nodes.iter().for_each(|n| n.relay().stall(silence));
         }
-        let sent = letters::mixed(&name, COUNT, TOKENS, fleet.entries.len());
+        let sent = text_requests::mixed_requests(&name, COUNT, TOKENS, fleet.entries.len());
         let (replies, ()) = tokio::join!(
-            letters::send_all(&fleet, &sent),
+            text_requests::send_all(&fleet, &sent),
             fall_silent(&fleet, phase, silence, before),
         );
-        println!("{phase:?} {silence:?}: {}", reply::counts(&replies));
-        let rows = fleet.executions(letters::SERVICE).await;
-        letters::check(&sent, &replies, &rows);
+        println!("{phase:?} {silence:?}: {}", reply::summarize(&replies));
+        let rows = fleet.service_executions(text_requests::SERVICE).await;
+        text_requests::check_replies(&sent, &replies, &rows);
         // Only then was the silence noticed on each lane and its old session fenced. A call of a
         // lane that still trusts its connection may arrive late and execute; that of a hedge's
         // loser, say, whose caller was answered long ago.
-        let silent = fleet.nodes.iter().filter(|n| n.relay().is_silent()).count();
+        let silent = fleet
+            .nodes
+            .iter()
+            .filter(|n| n.relay().is_stalled())
+            .count();
         let lanes = (silent * fleet.entries.len()) as f64;
         wait::until("connections given up", || async {
             (breaks(&fleet).await >= broken + lanes).then_some(())
@@ -156,8 +166,8 @@
                 (fenced(&fleet).await > refused).then_some(())
             })
             .await;
-            let after = fleet.executions(letters::SERVICE).await;
-            reply::check_still(&replies, &rows, &after);
+            let after = fleet.service_executions(text_requests::SERVICE).await;
+            reply::check_no_new_executions(&replies, &rows, &after);
         }
     }
 }
@@ -176,36 +186,40 @@
 async fn an_agent_is_killed_and_replaced() {
     let mut fleet = start(false).await;
     // So slow that nothing is done before the kill.
-    letters::slow(&fleet, 20.0).await;
-    let sent = letters::mixed("killed", COUNT, TOKENS, fleet.entries.len());
+    text_requests::slow_targets(&fleet, 20.0).await;
+    let sent = text_requests::mixed_requests("killed", COUNT, TOKENS, fleet.entries.len());
     let caught = async {
-        let node = letters::wait_claimed(&fleet).await;
+        let node = text_requests::wait_claimed_execution(&fleet).await;
         fleet.nodes[node].agent.signal(signal::Signal::SIGKILL);
-        letters::slow(&fleet, 1.0).await;
+        text_requests::slow_targets(&fleet, 1.0).await;
         node
     };
-    let (replies, killed) = tokio::join!(letters::send_all(&fleet, &sent), caught);
-    println!("agent killed: {}", reply::counts(&replies));
+    let (replies, killed) = tokio::join!(text_requests::send_all(&fleet, &sent), caught);
+    println!("agent killed: {}", reply::summarize(&replies));
     let (drafts, sends) = split(&replies);
-    let lost = sends.iter().filter(|reply| !reply.is_whole()).count();
-    assert!(lost > 0, "none was lost: {}", reply::counts(&sends));
-    assert!(drafts.iter().all(reply::Reply::is_whole), "{drafts:?}");
+    let lost = sends.iter().filter(|reply| !reply.is_complete()).count();
+    assert!(lost > 0, "none was lost: {}", reply::summarize(&sends));
+    assert!(drafts.iter().all(reply::Reply::is_complete), "{drafts:?}");
     fleet.nodes[killed].agent.kill();
     fleet.restart_agent(killed);
     fleet.wait_ready().await;
-    let before = fleet.executions(letters::SERVICE).await;
-    letters::check(&sent, &replies, &before);
+    let before = fleet.service_executions(text_requests::SERVICE).await;
+    text_requests::check_replies(&sent, &replies, &before);
     let resent: Vec<_> = sent.iter().skip(1).step_by(2).cloned().collect();
     let resent: Vec<_> = resent.into_iter().map(|letter| letter.entry(1)).collect();
-    let again = letters::send_all(&fleet, &resent).await;
-    println!("sent again: {}", reply::counts(&again));
-    let after = fleet.executions(letters::SERVICE).await;
-    letters::check(&resent, &again, &after);
-    reply::check_still(&replies, &before, &after);
+    let again = text_requests::send_all(&fleet, &resent).await;
+    println!("sent again: {}", reply::summarize(&again));
+    let after = fleet.service_executions(text_requests::SERVICE).await;
+    text_requests::check_replies(&resent, &again, &after);
+    reply::check_no_new_executions(&replies, &before, &after);
     for (first, second) in sends.iter().zip(&again) {
-        assert_eq!(first.is_whole(), second.is_whole(), "{first:?} {second:?}");
+        assert_eq!(
+            first.is_complete(),
+            second.is_complete(),
+            "{first:?} {second:?}"
+        );
     }
-    letters::check_works(&fleet, "killed-after", 2).await;
+    text_requests::check_serving(&fleet, "killed-after", 2).await;
 }
 
 // An agent stands still while its target executes for both pipelines; its connections stay open and
@@ -215,32 +229,32 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn an_agent_stands_still_and_goes_on() {
     let fleet = start(false).await;
-    let sent = letters::mixed("frozen", COUNT, TOKENS, fleet.entries.len());
+    let sent = text_requests::mixed_requests("frozen", COUNT, TOKENS, fleet.entries.len());
     let drafts: Vec<_> = sent.iter().step_by(2).cloned().collect();
     let sends: Vec<_> = sent.iter().skip(1).step_by(2).cloned().collect();
-    letters::slow(&fleet, 5.0).await;
+    text_requests::slow_targets(&fleet, 5.0).await;
     let frozen = async {
-        let node = letters::wait_claimed(&fleet).await;
+        let node = text_requests::wait_claimed_execution(&fleet).await;
         fleet.nodes[node].agent.pause().await;
-        letters::slow(&fleet, 1.0).await;
+        text_requests::slow_targets(&fleet, 1.0).await;
         node
     };
     let drafts_then_go_on = async {
-        let (replies, node) = tokio::join!(letters::send_all(&fleet, &drafts), frozen);
+        let (replies, node) = tokio::join!(text_requests::send_all(&fleet, &drafts), frozen);
         fleet.nodes[node].agent.resume();
         replies
     };
-    let (first, second) = tokio::join!(drafts_then_go_on, letters::send_all(&fleet, &sends));
-    println!("agent frozen, idempotent: {}", reply::counts(&first));
-    println!("agent frozen, claimed: {}", reply::counts(&second));
-    assert!(first.iter().all(reply::Reply::is_whole), "{first:?}");
+    let (first, second) = tokio::join!(drafts_then_go_on, text_requests::send_all(&fleet, &sends));
+    println!("agent frozen, idempotent: {}", reply::summarize(&first));
+    println!("agent frozen, claimed: {}", reply::summarize(&second));
+    assert!(first.iter().all(reply::Reply::is_complete), "{first:?}");
     fleet.wait_ready().await;
-    let before = fleet.executions(letters::SERVICE).await;
-    letters::check(&drafts, &first, &before);
-    letters::check(&sends, &second, &before);
-    letters::check_works(&fleet, "frozen-after", 2).await;
-    let after = fleet.executions(letters::SERVICE).await;
-    reply::check_still(first.iter().chain(&second), &before, &after);
+    let before = fleet.service_executions(text_requests::SERVICE).await;
+    text_requests::check_replies(&drafts, &first, &before);
+    text_requests::check_replies(&sends, &second, &before);
+    text_requests::check_serving(&fleet, "frozen-after", 2).await;
+    let after = fleet.service_executions(text_requests::SERVICE).await;
+    reply::check_no_new_executions(first.iter().chain(&second), &before, &after);
 }
 
 // An engine crashes in the middle of a long text that its caller already reads. The request may be
@@ -249,13 +263,14 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_stream_goes_on_at_another_engine() {
     let fleet = start(false).await;
-    let letter = letters::Letter::new(letters::DRAFT, "crashed", 100).events(true);
-    letters::slow(&fleet, 5.0).await;
+    let letter =
+        text_requests::TextRequest::new(text_requests::IDEMPOTENT, "crashed", 100).events(true);
+    text_requests::slow_targets(&fleet, 5.0).await;
     let crash = async {
         let node = wait::until("text at a target", || async {
             for node in 0..fleet.nodes.len() {
                 let has_text = |row: &Value| row["busy"].as_f64().is_some_and(|busy| busy > 0.15);
-                if fleet.executed(node).await.iter().any(has_text) {
+                if fleet.target_executions(node).await.iter().any(has_text) {
                     return Some(node);
                 }
             }
@@ -263,15 +278,18 @@
         })
         .await;
         fleet.nodes[node].target.signal(signal::Signal::SIGKILL);
-        fleet.behave(1 - node, &json!({"slow": 1.0})).await;
+        fleet
+            .set_target_behaviour(1 - node, &json!({"slow": 1.0}))
+            .await;
         node
     };
     let (reply, crashed) = tokio::join!(letter.send(&fleet), crash);
-    let rows = fleet.executions(letters::SERVICE).await;
-    letters::check(&[letter], std::slice::from_ref(&reply), &rows);
-    assert!(reply.is_whole(), "{reply:?}");
-    let other = fleet.executed(1 - crashed).await;
-    let done = |row: &Value| row["outcome"] == "done" && row["request"].as_str() == reply.request();
+    let rows = fleet.service_executions(text_requests::SERVICE).await;
+    text_requests::check_replies(&[letter], std::slice::from_ref(&reply), &rows);
+    assert!(reply.is_complete(), "{reply:?}");
+    let other = fleet.target_executions(1 - crashed).await;
+    let done =
+        |row: &Value| row["outcome"] == "done" && row["request"].as_str() == reply.request_id();
     assert!(other.iter().any(done), "{other:?}");
 }
 
@@ -281,14 +299,15 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_resend_reads_the_same_pieces() {
     let fleet = start(false).await;
-    let letter = letters::Letter::new(letters::SEND, "again", 5).events(true);
+    let letter =
+        text_requests::TextRequest::new(text_requests::NON_IDEMPOTENT, "again", 5).events(true);
     let first = letter.send(&fleet).await;
     let second = letter.clone().entry(1).send(&fleet).await;
     assert!(
-        first.is_whole() && second.is_whole(),
+        first.is_complete() && second.is_complete(),
         "{first:?} {second:?}"
     );
-    assert_eq!(first.request(), second.request());
-    let rows = fleet.executions(letters::SERVICE).await;
-    letters::check(&[letter.clone(), letter], &[first, second], &rows);
+    assert_eq!(first.request_id(), second.request_id());
+    let rows = fleet.service_executions(text_requests::SERVICE).await;
+    text_requests::check_replies(&[letter.clone(), letter], &[first, second], &rows);
 }
--- a/laburnumcart_system/tests/entry_stop.rs
+++ b/laburnumcart_system/tests/entry_stop.rs
@@ -31,7 +31,7 @@
     let mut fleet = fleet::Fleet::start(plan).await;
     let calls = (0..REQUESTS).map(|number| {
         let body = json!({ "text": format!("statement {number}") });
-        let call = fleet::Call::new(sample::CHECK, sample::CLINIC, body);
+        let call = fleet::Call::new(sample::CHECK_PIPELINE, sample::CLINIC_TOKEN, body);
         if number.is_multiple_of(2) {
             call
         } else {
@@ -42,7 +42,7 @@
     let running = future::join_all(calls.iter().map(|call| fleet.call(0, call)));
     let stop = async {
         wait::until("engine at work", || async {
-            let rows = fleet.executions("rerankers").await;
+            let rows = fleet.service_executions("rerankers").await;
             (rows.len() >= REQUESTS).then_some(())
         })
         .await;
@@ -50,7 +50,10 @@
         tokio::time::sleep(time::Duration::from_millis(50)).await;
         let body = json!({ "text": "late" });
         fleet
-            .call(0, &fleet::Call::new(sample::CHECK, sample::CLINIC, body))
+            .call(
+                0,
+                &fleet::Call::new(sample::CHECK_PIPELINE, sample::CLINIC_TOKEN, body),
+            )
             .await
     };
     let (answers, late) = tokio::join!(running, stop);
@@ -72,7 +75,7 @@
     let process = &mut fleet.entries[0].process;
     let begun = tokio::time::Instant::now();
     let status = loop {
-        if let Some(status) = process.ended() {
+        if let Some(status) = process.exit_status() {
             break status;
         }
         assert!(
--- a/laburnumcart_system/tests/leaving.rs
+++ b/laburnumcart_system/tests/leaving.rs
@@ -8,9 +8,9 @@
 use futures_util::future;
 use laburnumcart_system::{
     fleet,
-    letters,
     process,
     reply,
+    text_requests,
     wait, //
 };
 use nix::sys::signal;
@@ -34,13 +34,14 @@
 async fn traffic(
     fleet: &fleet::Fleet,
     done: &atomic::AtomicBool,
-) -> Vec<(letters::Letter, reply::Reply)> {
+) -> Vec<(text_requests::TextRequest, reply::Reply)> {
     let callers = (0..CALLERS).map(|caller| async move {
         let mut all = Vec::new();
         while !done.load(atomic::Ordering::SeqCst) {
             let name = format!("caller-{caller}-{}", all.len());
-            let pipeline = [letters::DRAFT, letters::SEND][all.len() % 2];
-            let letter = letters::Letter::new(pipeline, &name, 1);
+            let pipeline =
+                [text_requests::IDEMPOTENT, text_requests::NON_IDEMPOTENT][all.len() % 2];
+            let letter = text_requests::TextRequest::new(pipeline, &name, 1);
             let letter = letter.entry(caller % fleet.entries.len());
             let reply = letter.send(fleet).await;
             all.push((letter, reply));
@@ -51,12 +52,23 @@
 }
 
 /// Checks requests that went on while others left: all whole, or refused as not run.
-async fn check_traffic(fleet: &fleet::Fleet, traffic: Vec<(letters::Letter, reply::Reply)>) {
+async fn check_traffic(
+    fleet: &fleet::Fleet,
+    traffic: Vec<(text_requests::TextRequest, reply::Reply)>,
+) {
     let (sent, replies): (Vec<_>, Vec<_>) = traffic.into_iter().unzip();
-    println!("meanwhile: {}", reply::counts(&replies));
-    letters::check(&sent, &replies, &fleet.executions(letters::SERVICE).await);
-    let certain = |reply: &reply::Reply| reply.is_whole() || reply.is_not_run();
-    assert!(replies.iter().all(certain), "{}", reply::counts(&replies));
+    println!("meanwhile: {}", reply::summarize(&replies));
+    text_requests::check_replies(
+        &sent,
+        &replies,
+        &fleet.service_executions(text_requests::SERVICE).await,
+    );
+    let certain = |reply: &reply::Reply| reply.is_complete() || reply.is_not_run();
+    assert!(
+        replies.iter().all(certain),
+        "{}",
+        reply::summarize(&replies)
+    );
 }
 
 /// Waits until a process says on its page that it leaves.
@@ -78,10 +90,10 @@
     let start = time::Instant::now();
     let (mut last, mut counts) = ((start, start), (0, 0.0));
     while !done.load(atomic::Ordering::SeqCst) {
-        let begun = fleet.executed(node).await.len();
-        let admin = fleet.nodes[node].admin;
+        let begun = fleet.target_executions(node).await.len();
+        let admin = fleet.nodes[node].admin_addr;
         let refused = "laburnum_agent_refused_total";
-        let refused = fleet.metric(admin, refused, "leaving").await;
+        let refused = fleet.sum_metric(admin, refused, "leaving").await;
         let now = time::Instant::now();
         if begun > counts.0 {
             last.0 = now;
@@ -100,7 +112,7 @@
     match way {
         Way::Signal => process.signal(signal::Signal::SIGTERM),
         Way::Drain => {
-            let (code, text) = fleet.ctl(&["drain", &peer.to_string()]);
+            let (code, text) = fleet.run_ctl(&["drain", &peer.to_string()]);
             assert_eq!(code, 0, "{text}");
         }
     }
@@ -110,14 +122,14 @@
 async fn wait_exit(what: &str, process: &mut process::Process) {
     let start = time::Instant::now();
     loop {
-        if let Some(status) = process.ended() {
+        if let Some(status) = process.exit_status() {
             let output = process.output();
             assert_eq!(status.code(), Some(0), "{what}: {output}");
             // Nothing was cut off at the limit of its stop.
             assert!(output.contains("event=stopped left=0"), "{what}: {output}");
             return;
         }
-        assert!(start.elapsed() < wait::LIMIT, "{what} does not end");
+        assert!(start.elapsed() < wait::TIMEOUT, "{what} does not end");
         time::sleep(time::Duration::from_millis(20)).await;
     }
 }
@@ -129,43 +141,49 @@
 // have taken on ends whole, new callers are told "not run" and when to come again.
 #[tokio::test(flavor = "multi_thread")]
 async fn work_in_flight_is_finished() {
-    let service = letters::service(3, "10ms");
-    let plan = fleet::Plan::new(vec![service], letters::bundle("50s"));
-    let plan = plan.entries(3).store(&["--list-lag", "30s"]);
+    let service = text_requests::service(3, "10ms");
+    let plan = fleet::Plan::new(vec![service], text_requests::bundle("50s"));
+    let plan = plan.entries(3).store_args(&["--list-lag", "30s"]);
     let mut fleet = fleet::Fleet::start(plan).await;
-    letters::wait_spread(&fleet).await;
+    text_requests::wait_all_targets_used(&fleet).await;
     agents_leave(&mut fleet).await;
     entries_leave(&mut fleet).await;
 }
 
 async fn agents_leave(fleet: &mut fleet::Fleet) {
     let leaving = [(1, Way::Signal), (2, Way::Drain)];
-    let long = letters::mixed("long", 6, LONG, 1);
+    let long = text_requests::mixed_requests("long", 6, LONG, 1);
     let done = atomic::AtomicBool::new(false);
     let part = async {
-        letters::wait_running(fleet, &[1, 2]).await;
+        text_requests::wait_executing(fleet, &[1, 2]).await;
         let begun = time::Instant::now();
         for (node, way) in leaving {
             let node = &fleet.nodes[node];
-            tell(fleet, way, &node.agent, node.peer);
+            tell(fleet, way, &node.agent, node.peer_addr);
         }
         for (node, _) in leaving {
-            wait_leaving(fleet, fleet.nodes[node].admin).await;
+            wait_leaving(fleet, fleet.nodes[node].admin_addr).await;
         }
         println!("both agents say so after {:?}", begun.elapsed());
         // What was admitted before has begun by the time that requests sent later are answered.
-        letters::check_works(fleet, "barrier", 3).await;
-        let before = [fleet.executed(1).await.len(), fleet.executed(2).await.len()];
+        text_requests::check_serving(fleet, "barrier", 3).await;
+        let before = [
+            fleet.target_executions(1).await.len(),
+            fleet.target_executions(2).await.len(),
+        ];
         for round in 0..5 {
-            letters::check_works(fleet, &format!("after-{round}"), 3).await;
+            text_requests::check_serving(fleet, &format!("after-{round}"), 3).await;
         }
-        let after = [fleet.executed(1).await.len(), fleet.executed(2).await.len()];
+        let after = [
+            fleet.target_executions(1).await.len(),
+            fleet.target_executions(2).await.len(),
+        ];
         assert_eq!(before, after, "executions after the notice");
         done.store(true, atomic::Ordering::SeqCst);
         begun
     };
     let (replies, begun, traffic, first, second) = tokio::join!(
-        letters::send_all(fleet, &long),
+        text_requests::send_all(fleet, &long),
         part,
         traffic(fleet, &done),
         last_calls(fleet, 1, &done),
@@ -178,9 +196,13 @@
         "last call turned away {:?} after the notice",
         since(refused)
     );
-    println!("streams in flight: {}", reply::counts(&replies));
-    assert!(replies.iter().all(reply::Reply::is_whole), "{replies:?}");
-    letters::check(&long, &replies, &fleet.executions(letters::SERVICE).await);
+    println!("streams in flight: {}", reply::summarize(&replies));
+    assert!(replies.iter().all(reply::Reply::is_complete), "{replies:?}");
+    text_requests::check_replies(
+        &long,
+        &replies,
+        &fleet.service_executions(text_requests::SERVICE).await,
+    );
     check_traffic(fleet, traffic).await;
     for (node, _) in leaving {
         wait_exit("agent", &mut fleet.nodes[node].agent).await;
@@ -189,36 +211,41 @@
 
 async fn entries_leave(fleet: &mut fleet::Fleet) {
     let leaving = [(1, Way::Signal), (2, Way::Drain)];
-    fleet.behave(0, &json!({"slow": 5.0})).await;
+    fleet.set_target_behaviour(0, &json!({"slow": 5.0})).await;
     let long: Vec<_> = [1, 2]
         .into_iter()
         .flat_map(|entry| {
-            let letters = letters::mixed(&format!("entry-{entry}"), 1, LONG, 1);
+            let letters = text_requests::mixed_requests(&format!("entry-{entry}"), 1, LONG, 1);
             letters.into_iter().map(move |letter| letter.entry(entry))
         })
         .collect();
     let part = async {
         wait::until("requests at both entries", || async {
             for (entry, _) in leaving {
-                let addr = fleet.entries[entry].callers;
-                if fleet.metric(addr, "laburnum_entry_running", "").await < 2.0 {
+                let addr = fleet.entries[entry].caller_addr;
+                if fleet.sum_metric(addr, "laburnum_entry_running", "").await < 2.0 {
                     return None;
                 }
             }
             Some(())
         })
         .await;
-        letters::wait_running(fleet, &[0]).await;
+        text_requests::wait_executing(fleet, &[0]).await;
         for (entry, way) in leaving {
             let entry = &fleet.entries[entry];
-            tell(fleet, way, &entry.process, entry.peer);
-            wait_leaving(fleet, entry.callers).await;
+            tell(fleet, way, &entry.process, entry.peer_addr);
+            wait_leaving(fleet, entry.caller_addr).await;
         }
         for (entry, _) in leaving {
-            let late = letters::mixed(&format!("late-{entry}"), 1, 1, 1);
+            let late = text_requests::mixed_requests(&format!("late-{entry}"), 1, 1, 1);
             for letter in late {
                 let reply = letter.entry(entry).send(fleet).await;
-                let reply::Reply::Refused { reason, retry, .. } = &reply else {
+                let reply::Reply::Refused {
+                    reason,
+                    retry_after: retry,
+                    ..
+                } = &reply
+                else {
                     panic!("taken on by a leaving entry: {reply:?}");
                 };
                 assert!(reply.is_not_run(), "{reply:?}");
@@ -226,14 +253,18 @@
                 assert!(retry.is_some_and(|seconds| seconds > 0), "{reply:?}");
             }
         }
-        fleet.behave(0, &json!({"slow": 1.0})).await;
+        fleet.set_target_behaviour(0, &json!({"slow": 1.0})).await;
     };
-    let (replies, ()) = tokio::join!(letters::send_all(fleet, &long), part);
-    println!("streams in flight: {}", reply::counts(&replies));
-    assert!(replies.iter().all(reply::Reply::is_whole), "{replies:?}");
-    letters::check(&long, &replies, &fleet.executions(letters::SERVICE).await);
+    let (replies, ()) = tokio::join!(text_requests::send_all(fleet, &long), part);
+    println!("streams in flight: {}", reply::summarize(&replies));
+    assert!(replies.iter().all(reply::Reply::is_complete), "{replies:?}");
+    text_requests::check_replies(
+        &long,
+        &replies,
+        &fleet.service_executions(text_requests::SERVICE).await,
+    );
     for (entry, _) in leaving {
         wait_exit("entry", &mut fleet.entries[entry].process).await;
     }
-    letters::check_works(fleet, "left", 1).await;
+    text_requests::check_serving(fleet, "left", 1).await;
 }
--- a/laburnumcart_system/tests/metrics.rs
+++ b/laburnumcart_system/tests/metrics.rs
@@ -149,10 +149,18 @@
 
 /// Offers work of each sort, with faults, so that each metric with labels has a value.
 async fn exercise(fleet: &fleet::Fleet) {
-    let check = fleet::Call::new(sample::CHECK, sample::CLINIC, json!({"case": 1}));
-    let open = fleet::Call::new(sample::OPEN, sample::FEDERATION, json!({"case": 2}));
+    let check = fleet::Call::new(
+        sample::CHECK_PIPELINE,
+        sample::CLINIC_TOKEN,
+        json!({"case": 1}),
+    );
+    let open = fleet::Call::new(
+        sample::OPEN_PIPELINE,
+        sample::FEDERATION_TOKEN,
+        json!({"case": 2}),
+    );
     let (unkeyed, keyed) = (open.clone(), open.key("a"));
-    let unknown = fleet::Call::new("no-such-pipeline", sample::CLINIC, json!({}));
+    let unknown = fleet::Call::new("no-such-pipeline", sample::CLINIC_TOKEN, json!({}));
     assert_eq!(fleet.call(0, &check).await.expect("an answer").status, 200);
     assert_eq!(fleet.call(0, &keyed).await.expect("an answer").status, 200);
     for refused in [&unkeyed, &unknown] {
@@ -162,16 +170,16 @@
     // The engine fails each attempt, so that its agent has a failure to count.
     let engine = fleet.nodes.iter().position(|n| n.service == "case-model");
     fleet
-        .behave(engine.expect("an engine"), &json!({"fail": 1.0}))
+        .set_target_behaviour(engine.expect("an engine"), &json!({"fail": 1.0}))
         .await;
     let failed = fleet.call(0, &check).await.expect("an answer");
     assert!(failed.status >= 500, "{}", failed.status);
-    fleet.store_faults(&json!({"down": true})).await;
+    fleet.set_store_faults(&json!({"down": true})).await;
 }
 
 /// A stranger without the fleet's secret knocks at every peer port.
 async fn knock(fleet: &fleet::Fleet) {
-    for addr in fleet.peers() {
+    for addr in fleet.peer_addrs() {
         let answer = fleet.http.get(addr, "/").await.expect("an answer");
         assert_eq!(answer.status, 401);
     }
@@ -196,9 +204,9 @@
     exercise(&fleet).await;
     knock(&fleet).await;
     let engine = fleet.nodes.iter().find(|n| n.service == "case-model");
-    let engine = engine.expect("an engine").admin;
+    let engine = engine.expect("an engine").admin_addr;
     let mut pages = Vec::new();
-    for addr in [fleet.entries[0].callers, engine] {
+    for addr in [fleet.entries[0].caller_addr, engine] {
         wait::until("failures of the object service", || async {
             let page = page(&fleet, addr).await;
             page.contains("laburnum_bundle_failures_total{")
--- a/laburnumcart_system/tests/operator.rs
+++ b/laburnumcart_system/tests/operator.rs
@@ -80,8 +80,8 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn no_bundle_is_in_force_before_the_first() {
     let plan = fleet::Plan::new(Vec::new(), Value::Null).entries(1);
-    let fleet = fleet::Fleet::launch(plan).await;
-    let (code, text) = fleet.ctl(&["status"]);
+    let fleet = fleet::Fleet::start_without_bundle(plan).await;
+    let (code, text) = fleet.run_ctl(&["status"]);
     assert_eq!(code, 0, "{text}");
     assert!(text.contains("no bundle was accepted yet"), "{text}");
     assert!(text.contains("in force in 0 of 1 processes"), "{text}");
@@ -93,12 +93,12 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn status_fails_while_a_process_is_silent() {
     let plan = fleet::Plan::new(Vec::new(), Value::Null).entries(1);
-    let fleet = fleet::Fleet::launch(plan).await;
-    let lives = fleet.peers()[0].to_string();
+    let fleet = fleet::Fleet::start_without_bundle(plan).await;
+    let lives = fleet.peer_addrs()[0].to_string();
     let silent = port::free().to_string();
-    let (code, text) = fleet.ctl(&["status", &lives]);
+    let (code, text) = fleet.run_ctl(&["status", &lives]);
     assert_eq!(code, 0, "{text}");
-    let (code, text) = fleet.ctl(&["status", &lives, &silent]);
+    let (code, text) = fleet.run_ctl(&["status", &lives, &silent]);
     assert_eq!(code, 4, "{text}");
     assert!(text.contains(&lives) && text.contains(&silent), "{text}");
 }
@@ -109,14 +109,14 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn an_entry_that_knows_no_agent_is_not_ready() {
     let plan = fleet::Plan::new(Vec::new(), Value::Null).entries(1);
-    let fleet = fleet::Fleet::launch(plan).await;
-    fleet.accept(&sample::bundle());
+    let fleet = fleet::Fleet::start_without_bundle(plan).await;
+    fleet.accept_bundle(&sample::bundle());
     wait::until("the bundle in force", || async {
-        let (_, text) = fleet.ctl(&["status"]);
+        let (_, text) = fleet.run_ctl(&["status"]);
         text.contains("in force in 1 of 1 processes").then_some(())
     })
     .await;
-    let addr = fleet.entries[0].callers;
+    let addr = fleet.entries[0].caller_addr;
     // The bundle is told to peers a moment before the entry admits by it.
     let told = wait::until("a state under the bundle", || async {
         let ready = http::Client::default().get(addr, "/readyz").await;
--- a/laburnumcart_system/tests/orders.rs
+++ b/laburnumcart_system/tests/orders.rs
@@ -24,7 +24,7 @@
         }},
         "pipelines": {"draft": {"stages": [{"name": "write", "service": "case-model"}]}},
         "teams": {"clinic": {
-            "tokens": [sample::digest(sample::CLINIC)],
+            "tokens": [sample::token_digest(sample::CLINIC_TOKEN)],
             "weight": 1,
             "pipelines": {"draft": {"deadline": "20s"}},
         }},
@@ -33,7 +33,7 @@
 
 /// Returns the models of the target and the term of the order that took effect last.
 async fn state(fleet: &fleet::Fleet) -> Option<Value> {
-    let state = fleet.target(0, "/v1/state").await?;
+    let state = fleet.get_target_page(0, "/v1/state").await?;
     Some(json!({"models": state["models"], "term": state["term"]}))
 }
 
@@ -47,7 +47,7 @@
 
 async fn wait_pending(fleet: &fleet::Fleet, is_wanted: impl Fn(u64) -> bool) {
     wait::until("orders under way", || async {
-        let page = fleet.target(0, "/admin/orders").await?;
+        let page = fleet.get_target_page(0, "/admin/orders").await?;
         is_wanted(page["pending"].as_u64()?).then_some(())
     })
     .await;
@@ -56,13 +56,13 @@
 /// Returns how many orders the first agent has given, those included that failed.
 async fn orders_given(fleet: &fleet::Fleet) -> f64 {
     let name = "laburnum_agent_orders_total";
-    fleet.metric(fleet.nodes[0].admin, name, "").await
+    fleet.sum_metric(fleet.nodes[0].admin_addr, name, "").await
 }
 
 /// Returns how often the first agent has called the object service, in vain or not.
 async fn store_calls(fleet: &fleet::Fleet) -> f64 {
     let name = "laburnum_agent_object_service_calls_total";
-    fleet.metric(fleet.nodes[0].admin, name, "").await
+    fleet.sum_metric(fleet.nodes[0].admin_addr, name, "").await
 }
 
 // An agent is paused while the target works on its order. The platform takes it for dead and starts
@@ -80,21 +80,25 @@
     let fleet = fleet::Fleet::start(plan).await;
     wait_model(&fleet, "case@1").await;
 
-    fleet.behave(0, &json!({"order_time": "1500ms"})).await;
-    fleet.accept(&bundle(orders, "case@2"));
+    fleet
+        .set_target_behaviour(0, &json!({"order_time": "1500ms"}))
+        .await;
+    fleet.accept_bundle(&bundle(orders, "case@2"));
     wait_pending(&fleet, |count| count > 0).await;
     let old = &fleet.nodes[0];
     let given = orders_given(&fleet).await;
     old.agent.pause().await;
 
-    fleet.accept(&bundle(orders, "case@3"));
-    let successor = fleet.succeed(0);
+    fleet.accept_bundle(&bundle(orders, "case@3"));
+    let successor = fleet.start_second_agent(0);
     let wanted = wait_model(&fleet, "case@3").await;
     wait_pending(&fleet, |count| count == 0).await;
     assert_eq!(wanted["term"], 2, "{wanted}");
 
-    fleet.behave(0, &json!({"order_time": "0ms"})).await;
-    fleet.store_faults(&json!({"down": true})).await;
+    fleet
+        .set_target_behaviour(0, &json!({"order_time": "0ms"}))
+        .await;
+    fleet.set_store_faults(&json!({"down": true})).await;
     old.agent.resume();
     // The order that it was paused in ends; of a fenced target it then tries more.
     let ended = if orders == "fenced" { 3.0 } else { 1.0 };
@@ -111,7 +115,7 @@
     })
     .await;
 
-    fleet.store_faults(&json!({})).await;
+    fleet.set_store_faults(&json!({})).await;
     if orders == "unfenced" {
         wait::until("the old agent to find its successor", || async {
             assert_eq!(state(&fleet).await?, wanted, "a stale order took effect");
--- a/laburnumcart_system/tests/pause.rs
+++ b/laburnumcart_system/tests/pause.rs
@@ -13,7 +13,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_paused_process_stands_still() {
     let plan = fleet::Plan::new(Vec::new(), Value::Null).entries(1);
-    let fleet = fleet::Fleet::launch(plan).await;
+    let fleet = fleet::Fleet::start_without_bundle(plan).await;
     let process = &fleet.entries[0].process;
     for _ in 0..ROUNDS {
         process.pause().await;
--- a/laburnumcart_system/tests/poison.rs
+++ b/laburnumcart_system/tests/poison.rs
@@ -51,7 +51,7 @@
     let promise = json!({"deadline": "20s", "priority": "normal"});
     let team = |token: &str| {
         json!({
-            "tokens": [sample::digest(token)],
+            "tokens": [sample::token_digest(token)],
             "weight": 1,
             "pipelines": {"check": promise, "other": promise, "open": promise},
             "queue_limit": 1000,
@@ -66,7 +66,7 @@
             "other": {"stages": stages},
             "open": {"idempotent": false, "stages": stages},
         },
-        "teams": {"clinic": team(sample::CLINIC), "federation": team(sample::FEDERATION)},
+        "teams": {"clinic": team(sample::CLINIC_TOKEN), "federation": team(sample::FEDERATION_TOKEN)},
         "claims": {"retention": "10m", "shards": 2},
     })
 }
@@ -82,7 +82,9 @@
 /// Sets the text that crashes targets; the empty text crashes none.
 async fn set_pill(fleet: &fleet::Fleet, text: &str) {
     for node in 0..TARGETS {
-        fleet.behave(node, &json!({"crash_on": text})).await;
+        fleet
+            .set_target_behaviour(node, &json!({"crash_on": text}))
+            .await;
     }
 }
 
@@ -116,7 +118,7 @@
 
     async fn send(&self, fleet: &fleet::Fleet, entry: usize, number: usize) {
         let body = Self::body(number);
-        let call = fleet::Call::new("check", sample::FEDERATION, body.clone());
+        let call = fleet::Call::new("check", sample::FEDERATION_TOKEN, body.clone());
         let answer = fleet.call(entry, &call).await;
         let right = expected::pool("encode", &body, &Value::Null);
         match answer {
@@ -191,7 +193,7 @@
 }
 
 impl Told {
-    fn new(answer: Result<http::Answer, http::Failure>) -> Self {
+    fn new(answer: Result<http::Response, http::Failure>) -> Self {
         let answer = answer.expect("an answer");
         let json = answer.json();
         let text = |name: &str| json[name].as_str().unwrap_or_default().to_owned();
@@ -247,7 +249,7 @@
 
 /// Sends the poison through the given entries at once.
 async fn round(fleet: &fleet::Fleet, entries: &[usize]) -> Vec<Told> {
-    let call = fleet::Call::new("check", sample::CLINIC, poison());
+    let call = fleet::Call::new("check", sample::CLINIC_TOKEN, poison());
     let sent = entries.iter().map(|entry| fleet.call(*entry, &call));
     let answers = future::join_all(sent).await;
     answers.into_iter().map(Told::new).collect()
@@ -275,7 +277,7 @@
         let mut since = time::Duration::ZERO;
         let mut turns = rounds.iter().cycle();
         while quiet < ROUNDS {
-            assert!(begun.elapsed() < wait::LIMIT, "never refused: {told:#?}");
+            assert!(begun.elapsed() < wait::TIMEOUT, "never refused: {told:#?}");
             let round = round(&fleet, turns.next().expect("a round")).await;
             if !round.iter().all(Told::is_refused_at_once) {
                 since = begun.elapsed();
@@ -301,7 +303,10 @@
     // With the fault gone, the same content of another team and of another pipeline is served,
     // as it is other content; the quarantine is not lifted by that.
     set_pill(&fleet, "").await;
-    for (pipeline, token) in [("check", sample::FEDERATION), ("other", sample::CLINIC)] {
+    for (pipeline, token) in [
+        ("check", sample::FEDERATION_TOKEN),
+        ("other", sample::CLINIC_TOKEN),
+    ] {
         let call = fleet::Call::new(pipeline, token, poison());
         let answer = fleet.call(0, &call).await.expect("an answer");
         assert_eq!(answer.status, 200, "{}", answer.body);
@@ -336,7 +341,7 @@
     let traffic = Traffic::default();
     let story = async {
         let send = |entry: usize, key: String| {
-            let call = fleet::Call::new("open", sample::CLINIC, poison()).key(key);
+            let call = fleet::Call::new("open", sample::CLINIC_TOKEN, poison()).key(key);
             let fleet = &fleet;
             async move { Told::new(fleet.call(entry, &call).await) }
         };
--- a/laburnumcart_system/tests/rollout.rs
+++ b/laburnumcart_system/tests/rollout.rs
@@ -25,7 +25,7 @@
 async fn start(entries: usize) -> fleet::Fleet {
     let plan = fleet::Plan::new(sample::services(1), sample::bundle()).entries(entries);
     let fleet = fleet::Fleet::start(plan).await;
-    rollout::in_force(&fleet, 1).await;
+    rollout::wait_in_force(&fleet, 1).await;
     fleet
 }
 
@@ -38,14 +38,14 @@
 /// Signs a bundle into a file of the fleet's folder.
 fn sign(fleet: &fleet::Fleet, bundle: &Value, out: &str) {
     let file = format!("{out}.json");
-    fleet.write(&file, &bundle.to_string());
-    let (code, text) = fleet.ctl(&["sign", &file, "--key", "key.json", "--out", out]);
+    fleet.write_file(&file, &bundle.to_string());
+    let (code, text) = fleet.run_ctl(&["sign", &file, "--key", "key.json", "--out", out]);
     assert_eq!(code, 0, "{text}");
 }
 
 /// Returns what `laburnumctl status` shows of the accepted head.
 fn head(fleet: &fleet::Fleet) -> Value {
-    let (code, text) = fleet.ctl(&["status", "--json"]);
+    let (code, text) = fleet.run_ctl(&["status", "--json"]);
     assert_eq!(code, 0, "{text}");
     let status: Value = serde_json::from_str(&text).expect("JSON");
     status["head"]["Ok"].clone()
@@ -72,7 +72,7 @@
     for file in &files {
         sign(&fleet, &titled(file), file);
     }
-    let accept = |file: &str| fleet.ctl(&["accept", file, "--on", "1"]);
+    let accept = |file: &str| fleet.run_ctl(&["accept", file, "--on", "1"]);
     let results: Vec<_> = thread::scope(|scope| {
         let operators = files.iter().map(|file| scope.spawn(move || accept(file)));
         let operators: Vec<_> = operators.collect();
@@ -84,7 +84,7 @@
     let won: Vec<_> = (0..6).filter(|n| results[*n].0 == 0).collect();
     let lost = results.iter().filter(|(code, _)| *code == LOST).count();
     assert_eq!((won.len(), lost), (1, 5), "{results:?}");
-    rollout::in_force(&fleet, 2).await;
+    rollout::wait_in_force(&fleet, 2).await;
     let digest = head(&fleet)["digest"]
         .as_str()
         .expect("a digest")
@@ -94,9 +94,9 @@
         "{results:?}, head {digest}"
     );
 
-    let (code, text) = fleet.ctl(&["rollback", "1", "--on", "2"]);
+    let (code, text) = fleet.run_ctl(&["rollback", "1", "--on", "2"]);
     assert_eq!(code, 0, "{text}");
-    rollout::in_force(&fleet, 3).await;
+    rollout::wait_in_force(&fleet, 3).await;
     let restored = head(&fleet);
     let first = restored["earlier"]
         .as_array()
@@ -114,13 +114,13 @@
     let fleet = start(1).await;
     let before = head(&fleet);
     sign(&fleet, &titled("honest"), "good.signed");
-    let good = fleet.read("good.signed");
+    let good = fleet.read_file("good.signed");
     let tampered = good.replace("honest", "forged");
     assert_ne!(good, tampered);
-    fleet.write("tampered.signed", &tampered);
-    let (code, text) = fleet.ctl(&["keygen", "--name", "stranger", "--out", "stranger.json"]);
+    fleet.write_file("tampered.signed", &tampered);
+    let (code, text) = fleet.run_ctl(&["keygen", "--name", "stranger", "--out", "stranger.json"]);
     assert_eq!(code, 0, "{text}");
-    fleet.write("plain.json", &titled("stranger").to_string());
+    fleet.write_file("plain.json", &titled("stranger").to_string());
     let stranger = [
         "sign",
         "plain.json",
@@ -129,22 +129,22 @@
         "--out",
         "stranger.signed",
     ];
-    let (code, text) = fleet.ctl(&stranger);
+    let (code, text) = fleet.run_ctl(&stranger);
     assert_eq!(code, 0, "{text}");
     for (file, expected) in [
         ("tampered.signed", 5),
         ("stranger.signed", 5),
         ("plain.json", 5),
     ] {
-        let (code, text) = fleet.ctl(&["accept", file]);
+        let (code, text) = fleet.run_ctl(&["accept", file]);
         assert_eq!(code, expected, "{file}: {text}");
         assert_eq!(head(&fleet), before, "{file}");
     }
     never_below(&fleet, 1).await;
-    rollout::in_force(&fleet, 1).await;
-    let (code, text) = fleet.ctl(&["accept", "good.signed", "--on", "1"]);
+    rollout::wait_in_force(&fleet, 1).await;
+    let (code, text) = fleet.run_ctl(&["accept", "good.signed", "--on", "1"]);
     assert_eq!(code, 0, "{text}");
-    rollout::in_force(&fleet, 2).await;
+    rollout::wait_in_force(&fleet, 2).await;
 }
 
 /// An intruder writes into the object service itself, past `laburnumctl`: a head that names an altered
@@ -153,11 +153,11 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn processes_refuse_what_is_written_past_the_operators() {
     let fleet = start(2).await;
-    let (_, text) = fleet.object("bundle/head").await.expect("the head");
+    let (_, text) = fleet.get_object("bundle/head").await.expect("the head");
     let mut forged: Value = serde_json::from_str(&text).expect("JSON");
     let digest = forged["digest"].as_str().expect("a digest").to_owned();
     let (_, envelope) = fleet
-        .object(&format!("bundle/objects/{digest}"))
+        .get_object(&format!("bundle/objects/{digest}"))
         .await
         .expect("a bundle");
     let altered = envelope.replace("sample", "forged");
@@ -167,37 +167,37 @@
         assert_ne!(*name, digest);
         let before = refusals(&fleet).await;
         fleet
-            .put(&format!("bundle/objects/{name}"), None, text)
+            .put_object(&format!("bundle/objects/{name}"), None, text)
             .await;
         forged["generation"] = json!(generation);
         forged["digest"] = json!(name);
-        let (version, _) = fleet.object("bundle/head").await.expect("the head");
+        let (version, _) = fleet.get_object("bundle/head").await.expect("the head");
         fleet
-            .put("bundle/head", Some(&version), &forged.to_string())
+            .put_object("bundle/head", Some(&version), &forged.to_string())
             .await;
         refused_everywhere(&fleet, &before).await;
         never_below(&fleet, 1).await;
-        rollout::in_force(&fleet, 1).await;
+        rollout::wait_in_force(&fleet, 1).await;
     }
-    fleet.accept(&titled("after the forged head"));
-    rollout::in_force(&fleet, 11).await;
+    fleet.accept_bundle(&titled("after the forged head"));
+    rollout::wait_in_force(&fleet, 11).await;
 
-    let (version, text) = fleet.object("bundle/head").await.expect("the head");
+    let (version, text) = fleet.get_object("bundle/head").await.expect("the head");
     let version = fleet
-        .put("bundle/head", Some(&version), "{\"generation\":13}")
+        .put_object("bundle/head", Some(&version), "{\"generation\":13}")
         .await;
     never_below(&fleet, 11).await;
-    rollout::in_force(&fleet, 11).await;
+    rollout::wait_in_force(&fleet, 11).await;
     // No operator can go on from what is no head; they restore it, as `laburnumctl` tells them.
-    fleet.put("bundle/head", Some(&version), &text).await;
-    fleet.accept(&titled("after the broken head"));
-    rollout::in_force(&fleet, 12).await;
+    fleet.put_object("bundle/head", Some(&version), &text).await;
+    fleet.accept_bundle(&titled("after the broken head"));
+    rollout::wait_in_force(&fleet, 12).await;
 }
 
 /// Returns how many bundles each process has refused for their signature or digest.
 async fn refusals(fleet: &fleet::Fleet) -> Vec<u64> {
     let mut counts = Vec::new();
-    for page in rollout::pages(fleet) {
+    for page in rollout::metrics_addrs(fleet) {
         let page = fleet.http.get(page, "/metrics").await;
         let body = page.expect("metrics").body;
         let mut lines = body.lines();
@@ -228,9 +228,9 @@
 async fn an_accepted_bundle_spreads_during_an_outage() {
     let mut fleet = start(2).await;
     let accepted = tokio::time::Instant::now();
-    fleet.accept(&titled("with the service up"));
+    fleet.accept_bundle(&titled("with the service up"));
     let called = accepted.elapsed();
-    let waited = rollout::in_force(&fleet, 2).await;
+    let waited = rollout::wait_in_force(&fleet, 2).await;
     println!("service up: {waited:?} after laburnumctl, which took {called:?}");
 
     // One process gets the bundle; all others are cut off from the service before they can.
@@ -239,23 +239,23 @@
         process.pause().await;
     }
     let first = &fleet.nodes[0];
-    fleet.accept(&titled("with the service down"));
+    fleet.accept_bundle(&titled("with the service down"));
     wait::until("the first process has it", || async {
-        let found = rollout::generation(&fleet, first.admin).await;
+        let found = rollout::generation(&fleet, first.admin_addr).await;
         (found == Some(3)).then_some(())
     })
     .await;
-    fleet.store_faults(&json!({"down": true})).await;
+    fleet.set_store_faults(&json!({"down": true})).await;
     for process in &stopped {
         process.resume();
     }
-    let waited = rollout::in_force(&fleet, 3).await;
+    let waited = rollout::wait_in_force(&fleet, 3).await;
     println!("service down, one process had it: {waited:?}");
 
     fleet.entries[1].process.kill();
     let restarted = tokio::time::Instant::now();
-    fleet.entries[1].process = fleet.restart("entry-1", "laburnum-entry");
-    rollout::in_force(&fleet, 3).await;
+    fleet.entries[1].process = fleet.restart_daemon("entry-1", "laburnum-entry");
+    rollout::wait_in_force(&fleet, 3).await;
     println!("started during the outage: {:?}", restarted.elapsed());
 }
 
@@ -265,27 +265,27 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn no_process_reverts_with_the_object_service() {
     let mut fleet = start(2).await;
-    let (_, old) = fleet.object("bundle/head").await.expect("the head");
-    let mut objects = fleet.objects("bundle/objects/").await;
-    objects.extend(fleet.objects("platform/instances/").await);
+    let (_, old) = fleet.get_object("bundle/head").await.expect("the head");
+    let mut objects = fleet.list_objects("bundle/objects/").await;
+    objects.extend(fleet.list_objects("platform/instances/").await);
     for (generation, title) in [(2, "second"), (3, "third")] {
-        fleet.accept(&titled(title));
-        rollout::in_force(&fleet, generation).await;
+        fleet.accept_bundle(&titled(title));
+        rollout::wait_in_force(&fleet, generation).await;
     }
-    fleet.store_faults(&json!({"stale": "10m"})).await;
+    fleet.set_store_faults(&json!({"stale": "10m"})).await;
     never_below(&fleet, 3).await;
 
     fleet.store.kill();
-    fleet.start_store().await;
+    fleet.restart_store_empty().await;
     never_below(&fleet, 3).await;
 
     for (key, value) in objects {
-        fleet.put(&key, None, &value).await;
+        fleet.put_object(&key, None, &value).await;
     }
-    fleet.put("bundle/head", None, &old).await;
+    fleet.put_object("bundle/head", None, &old).await;
     never_below(&fleet, 3).await;
     fleet.entries[1].process.kill();
-    fleet.entries[1].process = fleet.restart("entry-1", "laburnum-entry");
-    rollout::in_force(&fleet, 3).await;
+    fleet.entries[1].process = fleet.restart_daemon("entry-1", "laburnum-entry");
+    rollout::wait_in_force(&fleet, 3).await;
     never_below(&fleet, 3).await;
 }
--- a/laburnumcart_system/tests/slopes.rs
+++ b/laburnumcart_system/tests/slopes.rs
@@ -3,13 +3,13 @@
 use std::time;
 
 use laburnumcart_system::{
-    port, relay,
-    slopes::{
+    control_cost::{
         self,
         fit,
-        rig,
+        fixture,
         usage, //
     },
+    port, relay,
 };
 use rstest::rstest;
 use tokio::io::{
@@ -56,35 +56,35 @@
 #[test]
 fn use_of_a_process_with_an_odd_name() {
     let stat = "7 (a) b) S 1 7 7 0 -1 4194304 100 0 0 0 250 50 0 0 20 0 8 0 100 1 2";
-    assert_eq!(usage::cpu(stat), Some(3.0));
+    assert_eq!(usage::parse_cpu_seconds(stat), Some(3.0));
     assert_eq!(
-        usage::memory("VmPeak: 9 kB\nVmRSS:\t 1000 kB\n"),
+        usage::parse_memory_megabytes("VmPeak: 9 kB\nVmRSS:\t 1000 kB\n"),
         Some(1.024)
     );
-    assert_eq!(usage::cpu("nothing"), None);
+    assert_eq!(usage::parse_cpu_seconds("nothing"), None);
 }
 
 #[test]
 fn sum_of_a_metric() {
     let page = "# HELP lanes x\nlanes{a=\"1\"} 2\nlanes{a=\"2\"} 3\nlanes_total 9\n";
-    assert_eq!(rig::sum(page, "lanes"), Some(5.0));
-    assert_eq!(rig::sum(page, "absent"), None);
+    assert_eq!(fixture::sum_metric(page, "lanes"), Some(5.0));
+    assert_eq!(fixture::sum_metric(page, "absent"), None);
 }
 
 #[test]
 fn arguments() {
-    let parse = |args: &[&str]| slopes::parse(args.iter().map(ToString::to_string));
-    let all = slopes::Options {
-        sections: slopes::SECTIONS.to_vec(),
+    let parse = |args: &[&str]| control_cost::parse_args(args.iter().map(ToString::to_string));
+    let all = control_cost::Options {
+        sections: control_cost::SECTIONS.to_vec(),
         window: time::Duration::from_secs(60),
     };
-    assert_eq!(parse(&[]), Ok(slopes::Command::Run(all)));
-    let some = slopes::Options {
-        sections: vec![slopes::Section::Agent],
+    assert_eq!(parse(&[]), Ok(control_cost::Command::Run(all)));
+    let some = control_cost::Options {
+        sections: vec![control_cost::Section::Agent],
         window: time::Duration::from_secs(5),
     };
     let args = ["--section", "agent", "--window", "5"];
-    assert_eq!(parse(&args), Ok(slopes::Command::Run(some)));
+    assert_eq!(parse(&args), Ok(control_cost::Command::Run(some)));
     assert!(parse(&["--section", "nothing"]).is_err());
     assert!(parse(&["--nothing"]).is_err());
 }
@@ -100,7 +100,10 @@
     far.write_all(&[2; 5]).await.unwrap();
     far.read_exact(&mut [0; 3]).await.unwrap();
     near.read_exact(&mut [0; 5]).await.unwrap();
-    let bytes = relay::Bytes { forth: 3, back: 5 };
+    let bytes = relay::Bytes {
+        to_server: 3,
+        to_client: 5,
+    };
     laburnumcart_system::wait::until("bytes", || async { (relay.bytes() == bytes).then_some(()) })
         .await;
 }
--- a/laburnumcart_system/tests/traces.rs
+++ b/laburnumcart_system/tests/traces.rs
@@ -37,12 +37,16 @@
     let plan = plan.entries(1).traces(collector.addr);
     let mut fleet = fleet::Fleet::start(plan).await;
     let caller = format!("00-{TRACE}-{CALLER}-01");
-    let call = fleet::Call::new(sample::CHECK, sample::CLINIC, json!({"case": 1}));
+    let call = fleet::Call::new(
+        sample::CHECK_PIPELINE,
+        sample::CLINIC_TOKEN,
+        json!({"case": 1}),
+    );
     let answer = fleet.call(0, &call.traceparent(&caller)).await;
     assert_eq!(answer.expect("an answer").status, 200);
     let mut told = Vec::new();
     for service in SERVICES {
-        let executions = fleet.executions(service).await;
+        let executions = fleet.service_executions(service).await;
         assert_eq!(executions.len(), 1, "{service}");
         told.push(
             executions[0]["traceparent"]
@@ -60,7 +64,7 @@
     for process in nodes.chain(entries) {
         let name = process.name().to_owned();
         let process = std::cell::RefCell::new(process);
-        wait::until(&name, || async { process.borrow_mut().ended() }).await;
+        wait::until(&name, || async { process.borrow_mut().exit_status() }).await;
     }
     let mut spans = collector.spans();
     spans.retain(|span| span.trace_id == TRACE);
--- a/laburnumcart_system/tests/whole_path.rs
+++ b/laburnumcart_system/tests/whole_path.rs
@@ -45,7 +45,7 @@
 }
 
 /// Returns the answer's JSON, whether it came as one body or as the end of a stream of events.
-fn answer(answer: Result<http::Answer, http::Failure>) -> Value {
+fn answer(answer: Result<http::Response, http::Failure>) -> Value {
     let answer = answer.expect("an answer");
     assert_eq!(answer.status, 200, "{}", answer.body);
     if answer.header("content-type") == Some("text/event-stream") {
@@ -77,7 +77,7 @@
 /// Counts the executions of a service by request, whatever came of them.
 async fn executed(fleet: &fleet::Fleet, service: &str) -> collections::HashMap<String, usize> {
     let mut counts = collections::HashMap::new();
-    for row in fleet.executions(service).await {
+    for row in fleet.service_executions(service).await {
         let request = row["request"].as_str().expect("request").to_owned();
         *counts.entry(request).or_default() += 1;
     }
@@ -93,7 +93,7 @@
     let plan = fleet::Plan::new(sample::services(2), sample::bundle());
     let fleet = fleet::Fleet::start(plan).await;
     let check = |number: usize| {
-        let call = fleet::Call::new(sample::CHECK, sample::CLINIC, body(number));
+        let call = fleet::Call::new(sample::CHECK_PIPELINE, sample::CLINIC_TOKEN, body(number));
         if number.is_multiple_of(2) {
             call
         } else {
@@ -101,8 +101,12 @@
         }
     };
     let open = |number: usize| {
-        fleet::Call::new(sample::OPEN, sample::FEDERATION, body(number))
-            .key(format!("case-{number}"))
+        fleet::Call::new(
+            sample::OPEN_PIPELINE,
+            sample::FEDERATION_TOKEN,
+            body(number),
+        )
+        .key(format!("case-{number}"))
     };
     let checks = (0..IDEMPOTENT).map(|number| {
         let fleet = &fleet;
@@ -172,7 +176,7 @@
 async fn a_request_not_to_be_repeated_needs_a_key() {
     let plan = fleet::Plan::new(sample::services(1), sample::bundle()).entries(1);
     let fleet = fleet::Fleet::start(plan).await;
-    let call = fleet::Call::new(sample::OPEN, sample::CLINIC, body(1));
+    let call = fleet::Call::new(sample::OPEN_PIPELINE, sample::CLINIC_TOKEN, body(1));
     let answer = fleet.call(0, &call).await.expect("an answer");
     assert!((400..500).contains(&answer.status), "{}", answer.status);
     assert_eq!(
@@ -181,6 +185,6 @@
     );
     assert_eq!(answer.json()["verdict"], "not-run");
     assert_eq!(answer.json()["reason"], "key-missing");
-    assert!(fleet.executions("encoders").await.is_empty());
-    assert!(fleet.executions("clinic-desk").await.is_empty());
+    assert!(fleet.service_executions("encoders").await.is_empty());
+    assert!(fleet.service_executions("clinic-desk").await.is_empty());
 }
