--- a/laburnumcart_system/src/soak/faults.rs
+++ b/laburnumcart_system/src/soak/faults.rs
@@ -49,7 +49,7 @@
 /// Ends all faults.
 pub(super) async fn heal(testbed: &Testbed) {
     testbed.store.set_faults(memory::Faults::default());
-    testbed.store_relay.heal();
+    testbed.store_relay.resume();
     testbed.targets.lock().await.heal();
     testbed.gateways.lock().await.resume_all();
     testbed.history.lock().healed = Some(time::Instant::now());
@@ -95,21 +95,27 @@
             targets.crash(index).await.ok();
         }
         8 => {
-            let (forth, back) = (rng.random_bool(0.7), rng.random_bool(0.7));
+            let (to_server, to_client) = (rng.random_bool(0.7), rng.random_bool(0.7));
             let targets = testbed.targets.lock().await;
             let index = rng.random_range(0..targets.count());
             testbed
                 .history
                 .record_fault(format!("connections to target {index} stop forwarding"));
-            targets.silence(index, relay::Silence { forth, back });
+            targets.stall(
+                index,
+                relay::Stall {
+                    to_server,
+                    to_client,
+                },
+            );
         }
         9 => {
             testbed
                 .history
                 .record_fault("connections to the store stop forwarding".into());
-            testbed.store_relay.silence(relay::Silence {
-                forth: true,
-                back: true,
+            testbed.store_relay.stall(relay::Stall {
+                to_server: true,
+                to_client: true,
             });
         }
         _ => inject_store_fault(testbed, rng, length),
--- a/laburnumcart_system/src/soak/gateways.rs
+++ b/laburnumcart_system/src/soak/gateways.rs
@@ -83,7 +83,7 @@
     /// Restarts the gateways that have exited.
     pub(super) fn restart_ended(&mut self) {
         for gateway in &mut self.all {
-            if gateway.process.ended().is_some() {
+            if gateway.process.exit_status().is_some() {
                 gateway.process = spawn(&self.dir, &gateway.name, &gateway.settings);
             }
         }
--- a/laburnumcart_system/src/soak/targets.rs
+++ b/laburnumcart_system/src/soak/targets.rs
@@ -141,14 +141,14 @@
     }
 
     /// Holds back bytes on the current connections to one target.
-    pub(super) fn silence(&self, index: usize, silence: relay::Silence) {
-        self.running[index].relay.silence(silence);
+    pub(super) fn stall(&self, index: usize, stall: relay::Stall) {
+        self.running[index].relay.stall(stall);
     }
 
     /// Ends all faults of running targets.
     pub(super) fn heal(&self) {
         for (index, target) in self.running.iter().enumerate() {
-            target.relay.heal();
+            target.relay.resume();
             self.set(index, Mode::Good);
         }
     }
