--- a/laburnumcart_system/tests/agent_stop.rs
+++ b/laburnumcart_system/tests/agent_stop.rs
@@ -11,9 +11,7 @@
     wait, //
 };
 
-/// A target fails an attempt, and the caller is told. Then the agent is stopped. The entry has read
-/// the verdict, so that the agent need not keep it: it ends without waiting out its stop limit, and
-/// does not say that it cut work off. An agent that kept what nobody asks for would do both.
+// An agent that keeps a verdict which the entry has read waits out its stop limit for nothing.
 #[tokio::test(flavor = "multi_thread")]
 async fn settled_failure_holds_up_no_stop() {
     let plan = fleet::Plan::new(sample::services(1), sample::bundle()).entries(1);
@@ -33,7 +31,7 @@
     let agent = &mut fleet.nodes[engine].agent;
     agent.signal(Signal::SIGTERM);
     let agent = cell::RefCell::new(agent);
-    wait::until("the agent's end", || async {
+    wait::until("the agent to exit", || async {
         agent.borrow_mut().exit_status()
     })
     .await;
@@ -41,9 +39,7 @@
     assert!(log.contains("event=stopped left=0"), "{log}");
 }
 
-/// A target works longer than its agent's stop limit. The agent ends all the same, and the caller
-/// never gets the result. Whoever supervises the agent sees it by the exit code: a rolling restart
-/// that went on to the next instance would cut off work there too.
+// With exit code 0 a rolling restart would go on and cut off work at the next instance.
 #[tokio::test(flavor = "multi_thread")]
 async fn stop_that_cuts_work_off_fails() {
     let plan = fleet::Plan::new(sample::services(1), sample::bundle()).entries(1);
@@ -58,7 +54,7 @@
         sample::CLINIC_TOKEN,
         json!({"case": 1}),
     );
-    let stopped = async {
+    let stop = async {
         wait::until("an execution", || async {
             let all = fleet.service_executions("case-model").await;
             (!all.is_empty()).then_some(())
@@ -66,7 +62,7 @@
         .await;
         let agent = &fleet.nodes[engine].agent;
         agent.signal(Signal::SIGTERM);
-        wait::until("its last line", || async {
+        wait::until("the last log line of the agent", || async {
             agent
                 .output()
                 .contains("event=stopped left=1")
@@ -74,10 +70,10 @@
         })
         .await;
     };
-    // The caller is told when the agent's process is gone; either may come first.
-    let _ = tokio::join!(fleet.call(0, &call), stopped);
+    // The caller's response and the exit of the agent may come in either order.
+    let _ = tokio::join!(fleet.call(0, &call), stop);
     let agent = cell::RefCell::new(&mut fleet.nodes[engine].agent);
-    let status = wait::until("the agent's end", || async {
+    let status = wait::until("the agent to exit", || async {
         agent.borrow_mut().exit_status()
     })
     .await;
--- a/laburnumcart_system/tests/documents.rs
+++ b/laburnumcart_system/tests/documents.rs
@@ -1,4 +1,4 @@
-//! Pages for operators and developers against the code.
+//! Checks that the pages for operators and developers agree with the code.
 
 use std::{
     collections,
@@ -64,7 +64,7 @@
     assert!(page.contains(&version), "{version}");
 }
 
-/// Lists the commands of the overview, so that the cases above cannot lack a new one.
+// The cases above list the commands by hand and would miss a new one.
 #[test]
 fn no_command_is_without_a_case() {
     let overview = help("laburnumctl", &[]);
@@ -73,7 +73,7 @@
 }
 
 /// Adds the paths of the settings in a schema, such as `fleet.keys`.
-fn paths(schema: &Value, at: &str, all: &mut Vec<String>) {
+fn add_setting_paths(schema: &Value, at: &str, all: &mut Vec<String>) {
     let Some(properties) = schema["properties"].as_object() else {
         all.push(at.to_owned());
         return;
@@ -83,7 +83,7 @@
             "" => name.clone(),
             _ => format!("{at}.{name}"),
         };
-        paths(inner, &path, all);
+        add_setting_paths(inner, &path, all);
     }
 }
 
@@ -95,7 +95,7 @@
             continue;
         }
         let mut settings = Vec::new();
-        paths(&schema, "", &mut settings);
+        add_setting_paths(&schema, "", &mut settings);
         assert!(settings.len() > 3, "{name}: {settings:?}");
         for setting in settings {
             assert!(page.contains(&format!("`{setting}`")), "{name}: {setting}");
--- a/laburnumcart_system/tests/doubt.rs
+++ b/laburnumcart_system/tests/doubt.rs
@@ -1,5 +1,5 @@
-//! Connections between entries and agents that fall silent, and agents and engines that die or
-//! stand still, while requests are under way.
+//! Stalled connections between entries and agents, and agents and engines that crash or are paused
+//! while requests are in flight.
 
 use laburnumcart_system::{
     fleet,
@@ -21,22 +21,22 @@
 /// Pieces of text of a long generation.
 const TOKENS: u32 = 60;
 
-/// When a connection falls silent.
+/// Phase of a request in which connections stall.
 #[derive(Clone, Copy, Debug)]
 enum Phase {
-    /// Before the call is written.
+    /// Before the entry writes the call.
     Before,
-    /// After the target has begun.
+    /// After the target has started the execution.
     After,
-    /// In the middle of the text.
+    /// In the middle of the streamed text.
     Middle,
-    /// When the end mark is on its way.
+    /// Before the end mark reaches the entry.
     End,
 }
 
 const PHASES: [Phase; 4] = [Phase::Before, Phase::After, Phase::Middle, Phase::End];
 
-async fn start(relays: bool) -> fleet::Fleet {
+async fn start_fleet(relays: bool) -> fleet::Fleet {
     let plan = fleet::Plan::new(
         vec![text_requests::service(2, "300ms")],
         text_requests::bundle("20s"),
@@ -47,8 +47,8 @@
     fleet
 }
 
-/// Returns how many connections to agents the entries have given up.
-async fn breaks(fleet: &fleet::Fleet) -> f64 {
+/// Returns the number of connections to agents that the entries have closed as broken.
+async fn count_lane_breaks(fleet: &fleet::Fleet) -> f64 {
     let mut sum = 0.0;
     for entry in &fleet.entries {
         let name = "laburnum_entry_lane_breaks_total";
@@ -57,8 +57,8 @@
     sum
 }
 
-/// Returns how many calls of fenced sessions the agents have refused.
-async fn fenced(fleet: &fleet::Fleet) -> f64 {
+/// Returns the number of calls of fenced sessions that the agents have refused.
+async fn count_fenced(fleet: &fleet::Fleet) -> f64 {
     let mut sum = 0.0;
     for node in &fleet.nodes {
         let name = "laburnum_agent_refused_total";
@@ -67,7 +67,7 @@
     sum
 }
 
-/// Waits until targets execute `count` attempts that were not there before.
+/// Waits until targets have started `count` attempts beyond `before`.
 async fn wait_executions(fleet: &fleet::Fleet, before: usize, count: usize) {
     wait::until("executions", || async {
         let rows = fleet.service_executions(text_requests::SERVICE).await;
@@ -76,8 +76,13 @@
     .await;
 }
 
-/// Lets the connections fall silent in a phase.
-async fn fall_silent(fleet: &fleet::Fleet, phase: Phase, silence: relay::Stall, before: usize) {
+/// Stalls the connections in a phase.
+async fn stall_connections(
+    fleet: &fleet::Fleet,
+    phase: Phase,
+    silence: relay::Stall,
+    before: usize,
+) {
     let text = match phase {
         Phase::Before => return,
         Phase::After => {
@@ -93,15 +98,15 @@
     for node in &fleet.nodes {
         node.relay().stall_at_text(text, silence);
     }
-    wait::until("silence", || async {
+    wait::until("stalled connections", || async {
         let is_silent = |node: &fleet::Node| node.relay().is_stalled();
         fleet.nodes.iter().any(is_silent).then_some(())
     })
     .await;
 }
 
-/// Ends the silence, and shows that what was held back executes nothing.
-async fn heal(fleet: &fleet::Fleet, name: &str, replies: &[reply::Reply]) {
+/// Resumes the connections and checks that the bytes held back cause no execution.
+async fn resume_and_check(fleet: &fleet::Fleet, name: &str, replies: &[reply::Reply]) {
     let before = fleet.service_executions(text_requests::SERVICE).await;
     for node in &fleet.nodes {
         node.relay().resume();
@@ -116,11 +121,7 @@
     reply::check_no_new_executions(replies, &before, &after);
 }
 
-// Callers of both pipelines wait while all connections between entries and agents fall silent: in
-// both directions or in one, before the calls, after them, within the text or before the end mark.
-// New connections work. Each caller gets its own whole answer or a verdict that the targets' records
-// bear out, as the agent is asked over a new connection, which fences the old one: what the old one
-// still held, let go at last, executes nothing.
+// A stalled connection may deliver a call after the verdict; the agent must have fenced it by then.
 #[rstest]
 #[case::both(true, true)]
 #[case::forth(true, false)]
@@ -131,10 +132,10 @@
         to_server: forth,
         to_client: back,
     };
-    let fleet = start(true).await;
+    let fleet = start_fleet(true).await;
     for phase in PHASES {
         let name = format!("{phase:?}");
-        let (broken, refused) = (breaks(&fleet).await, fenced(&fleet).await);
+        let (broken, refused) = (count_lane_breaks(&fleet).await, count_fenced(&fleet).await);
         let before = fleet.service_executions(text_requests::SERVICE).await.len();
         if matches!(phase, Phase::Before) {
             fleet.nodes.iter().for_each(|n| n.relay().stall(silence));
@@ -142,28 +143,27 @@
         let sent = text_requests::mixed_requests(&name, COUNT, TOKENS, fleet.entries.len());
         let (replies, ()) = tokio::join!(
             text_requests::send_all(&fleet, &sent),
-            fall_silent(&fleet, phase, silence, before),
+            stall_connections(&fleet, phase, silence, before),
         );
         println!("{phase:?} {silence:?}: {}", reply::summarize(&replies));
         let rows = fleet.service_executions(text_requests::SERVICE).await;
         text_requests::check_replies(&sent, &replies, &rows);
-        // Only then was the silence noticed on each lane and its old session fenced. A call of a
-        // lane that still trusts its connection may arrive late and execute; that of a hedge's
-        // loser, say, whose caller was answered long ago.
+        // A lane that has not noticed the stall may still deliver a call and execute it, such as
+        // the slower attempt of a hedge; lanes whose connection is closed have been fenced.
         let silent = fleet
             .nodes
             .iter()
             .filter(|n| n.relay().is_stalled())
             .count();
         let lanes = (silent * fleet.entries.len()) as f64;
-        wait::until("connections given up", || async {
-            (breaks(&fleet).await >= broken + lanes).then_some(())
+        wait::until("connections closed", || async {
+            (count_lane_breaks(&fleet).await >= broken + lanes).then_some(())
         })
         .await;
-        heal(&fleet, &name, &replies).await;
+        resume_and_check(&fleet, &name, &replies).await;
         if forth && matches!(phase, Phase::Before) {
             wait::until("late calls to be refused", || async {
-                (fenced(&fleet).await > refused).then_some(())
+                (count_fenced(&fleet).await > refused).then_some(())
             })
             .await;
             let after = fleet.service_executions(text_requests::SERVICE).await;
@@ -172,20 +172,17 @@
     }
 }
 
-/// Splits replies by pipeline: those that may execute more than once, and the others.
-fn split(replies: &[reply::Reply]) -> (Vec<reply::Reply>, Vec<reply::Reply>) {
+/// Splits replies into those of idempotent and those of non-idempotent requests.
+fn split_by_pipeline(replies: &[reply::Reply]) -> (Vec<reply::Reply>, Vec<reply::Reply>) {
     let every = |first: usize| replies.iter().skip(first).step_by(2).cloned().collect();
     (every(0), every(1))
 }
 
-// An agent is killed while its target executes for both pipelines, and started again at its address.
-// The new process knows nothing of what the old one took on, and must not vouch for it: what may
-// be repeated is completed on the other engine, the rest ends as "may have run" and is never
-// executed again, not even when its caller sends it once more through the other entry.
+// A new agent process does not know the attempts of the old one and must not report "not run".
 #[tokio::test(flavor = "multi_thread")]
 async fn an_agent_is_killed_and_replaced() {
-    let mut fleet = start(false).await;
-    // So slow that nothing is done before the kill.
+    let mut fleet = start_fleet(false).await;
+    // Slow enough that no execution ends before the kill.
     text_requests::slow_targets(&fleet, 20.0).await;
     let sent = text_requests::mixed_requests("killed", COUNT, TOKENS, fleet.entries.len());
     let caught = async {
@@ -196,7 +193,7 @@
     };
     let (replies, killed) = tokio::join!(text_requests::send_all(&fleet, &sent), caught);
     println!("agent killed: {}", reply::summarize(&replies));
-    let (drafts, sends) = split(&replies);
+    let (drafts, sends) = split_by_pipeline(&replies);
     let lost = sends.iter().filter(|reply| !reply.is_complete()).count();
     assert!(lost > 0, "none was lost: {}", reply::summarize(&sends));
     assert!(drafts.iter().all(reply::Reply::is_complete), "{drafts:?}");
@@ -208,7 +205,7 @@
     let resent: Vec<_> = sent.iter().skip(1).step_by(2).cloned().collect();
     let resent: Vec<_> = resent.into_iter().map(|letter| letter.entry(1)).collect();
     let again = text_requests::send_all(&fleet, &resent).await;
-    println!("sent again: {}", reply::summarize(&again));
+    println!("resent: {}", reply::summarize(&again));
     let after = fleet.service_executions(text_requests::SERVICE).await;
     text_requests::check_replies(&resent, &again, &after);
     reply::check_no_new_executions(&replies, &before, &after);
@@ -222,13 +219,10 @@
     text_requests::check_serving(&fleet, "killed-after", 2).await;
 }
 
-// An agent stands still while its target executes for both pipelines; its connections stay open and
-// silent, and new ones are not answered. What may be repeated is completed on the other engine, the
-// rest waits. When the agent goes on, it is asked what became of the rest, and each caller gets the
-// one answer or a true verdict; nothing of what it finds in its old connections is executed.
+// A resumed agent finds calls in its old connections that were repeated or settled without it.
 #[tokio::test(flavor = "multi_thread")]
 async fn an_agent_stands_still_and_goes_on() {
-    let fleet = start(false).await;
+    let fleet = start_fleet(false).await;
     let sent = text_requests::mixed_requests("frozen", COUNT, TOKENS, fleet.entries.len());
     let drafts: Vec<_> = sent.iter().step_by(2).cloned().collect();
     let sends: Vec<_> = sent.iter().skip(1).step_by(2).cloned().collect();
@@ -239,12 +233,12 @@
         text_requests::slow_targets(&fleet, 1.0).await;
         node
     };
-    let drafts_then_go_on = async {
+    let drafts_then_resume = async {
         let (replies, node) = tokio::join!(text_requests::send_all(&fleet, &drafts), frozen);
         fleet.nodes[node].agent.resume();
         replies
     };
-    let (first, second) = tokio::join!(drafts_then_go_on, text_requests::send_all(&fleet, &sends));
+    let (first, second) = tokio::join!(drafts_then_resume, text_requests::send_all(&fleet, &sends));
     println!("agent frozen, idempotent: {}", reply::summarize(&first));
     println!("agent frozen, claimed: {}", reply::summarize(&second));
     assert!(first.iter().all(reply::Reply::is_complete), "{first:?}");
@@ -257,12 +251,10 @@
     reply::check_no_new_executions(first.iter().chain(&second), &before, &after);
 }
 
-// An engine crashes in the middle of a long text that its caller already reads. The request may be
-// repeated, so another engine goes on after the last piece that came, and the caller reads one text
-// without a gap or a repetition, as if there had been one engine.
+// The caller must read one text without a gap or a repetition when the engine crashes midway.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_stream_goes_on_at_another_engine() {
-    let fleet = start(false).await;
+    let fleet = start_fleet(false).await;
     let letter =
         text_requests::TextRequest::new(text_requests::IDEMPOTENT, "crashed", 100).events(true);
     text_requests::slow_targets(&fleet, 5.0).await;
@@ -293,12 +285,10 @@
     assert!(other.iter().any(done), "{other:?}");
 }
 
-// A caller reads the events of a request that executes at most once, and sends it again through the
-// other entry, which joins the kept answer. The pieces that it reads must join to the same text,
-// though they were generated for the first request: whoever shows the pieces shows the whole answer.
+// The kept answer was generated for the first request; its pieces must still join to its text.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_resend_reads_the_same_pieces() {
-    let fleet = start(false).await;
+    let fleet = start_fleet(false).await;
     let letter =
         text_requests::TextRequest::new(text_requests::NON_IDEMPOTENT, "again", 5).events(true);
     let first = letter.send(&fleet).await;
--- a/laburnumcart_system/tests/entry_stop.rs
+++ b/laburnumcart_system/tests/entry_stop.rs
@@ -13,7 +13,7 @@
 
 const REQUESTS: usize = 20;
 
-/// Services with an engine slow enough that its streams still run when the stop comes.
+/// Returns services with an engine so slow that streams are still running at the stop.
 fn services() -> Vec<fleet::Service> {
     let mut services = sample::services(1);
     services.retain(|service| service.name != "case-model");
@@ -22,9 +22,7 @@
     services
 }
 
-// An operator stops an entry with SIGTERM while callers wait for streams and whole answers. Each of
-// them gets its whole answer: the entry takes no new request, finishes those in flight, writes their
-// last bytes and only then exits, with code 0.
+// An entry that exits before the last bytes are written truncates responses on a planned stop.
 #[tokio::test(flavor = "multi_thread")]
 async fn sigterm_cuts_no_answer_off() {
     let plan = fleet::Plan::new(services(), sample::bundle()).entries(1);
@@ -41,7 +39,7 @@
     let calls: Vec<_> = calls.collect();
     let running = future::join_all(calls.iter().map(|call| fleet.call(0, call)));
     let stop = async {
-        wait::until("engine at work", || async {
+        wait::until("requests at the engine", || async {
             let rows = fleet.service_executions("rerankers").await;
             (rows.len() >= REQUESTS).then_some(())
         })
@@ -80,7 +78,7 @@
         }
         assert!(
             begun.elapsed() < time::Duration::from_secs(20),
-            "still runs"
+            "the entry still runs"
         );
         tokio::time::sleep(time::Duration::from_millis(20)).await;
     };
--- a/laburnumcart_system/tests/leaving.rs
+++ b/laburnumcart_system/tests/leaving.rs
@@ -1,4 +1,4 @@
-//! Agents and entries that are told to leave while requests are under way.
+//! Agents and entries that leave while requests are in flight.
 
 use std::{
     net,
@@ -17,21 +17,21 @@
 use serde_json::json;
 use tokio::time;
 
-/// Pieces of text of a stream that is in flight when a process is told to leave.
+/// Pieces of text of a stream that is in flight when a process begins to leave.
 const LONG: u32 = 300;
 
-/// Callers that send one request after the other meanwhile.
+/// Callers that send one request after another during the stop.
 const CALLERS: usize = 12;
 
-/// How a process is told to leave.
+/// How a process is asked to leave.
 #[derive(Clone, Copy, Debug)]
-enum Way {
+enum StopMethod {
     Signal,
     Drain,
 }
 
-/// Sends short requests through all entries until `done`, and returns what came of them.
-async fn traffic(
+/// Sends short requests through all entries until `done`, and returns their replies.
+async fn send_traffic(
     fleet: &fleet::Fleet,
     done: &atomic::AtomicBool,
 ) -> Vec<(text_requests::TextRequest, reply::Reply)> {
@@ -51,27 +51,27 @@
     future::join_all(callers).await.concat()
 }
 
-/// Checks requests that went on while others left: all whole, or refused as not run.
+/// Checks that requests sent during the stop are complete or refused as not run.
 async fn check_traffic(
     fleet: &fleet::Fleet,
     traffic: Vec<(text_requests::TextRequest, reply::Reply)>,
 ) {
     let (sent, replies): (Vec<_>, Vec<_>) = traffic.into_iter().unzip();
-    println!("meanwhile: {}", reply::summarize(&replies));
+    println!("during the stop: {}", reply::summarize(&replies));
     text_requests::check_replies(
         &sent,
         &replies,
         &fleet.service_executions(text_requests::SERVICE).await,
     );
-    let certain = |reply: &reply::Reply| reply.is_complete() || reply.is_not_run();
+    let is_certain = |reply: &reply::Reply| reply.is_complete() || reply.is_not_run();
     assert!(
-        replies.iter().all(certain),
+        replies.iter().all(is_certain),
         "{}",
         reply::summarize(&replies)
     );
 }
 
-/// Waits until a process says on its page that it leaves.
+/// Waits until `/readyz` of a process reports that it leaves.
 async fn wait_leaving(fleet: &fleet::Fleet, addr: net::SocketAddr) {
     wait::until("leaving", || async {
         let answer = fleet.http.get(addr, "/readyz").await.ok()?;
@@ -80,9 +80,9 @@
     .await;
 }
 
-/// Notes until `done` when a target last began an execution, and when its agent last turned a call
-/// away because it leaves.
-async fn last_calls(
+/// Returns the last time before `done` at which a target started an execution, and the last time at
+/// which its agent refused a call because it leaves.
+async fn watch_last_calls(
     fleet: &fleet::Fleet,
     node: usize,
     done: &atomic::AtomicBool,
@@ -107,38 +107,39 @@
     last
 }
 
-/// Tells a process to leave.
-fn tell(fleet: &fleet::Fleet, way: Way, process: &process::Process, peer: net::SocketAddr) {
-    match way {
-        Way::Signal => process.signal(signal::Signal::SIGTERM),
-        Way::Drain => {
+/// Asks a process to leave.
+fn request_stop(
+    fleet: &fleet::Fleet,
+    method: StopMethod,
+    process: &process::Process,
+    peer: net::SocketAddr,
+) {
+    match method {
+        StopMethod::Signal => process.signal(signal::Signal::SIGTERM),
+        StopMethod::Drain => {
             let (code, text) = fleet.run_ctl(&["drain", &peer.to_string()]);
             assert_eq!(code, 0, "{text}");
         }
     }
 }
 
-/// Waits until a process has ended, and checks that it counts its end as a success.
+/// Waits until a process has exited, and checks that it exited with success.
 async fn wait_exit(what: &str, process: &mut process::Process) {
     let start = time::Instant::now();
     loop {
         if let Some(status) = process.exit_status() {
             let output = process.output();
             assert_eq!(status.code(), Some(0), "{what}: {output}");
-            // Nothing was cut off at the limit of its stop.
+            // No work was cut off at the stop limit.
             assert!(output.contains("event=stopped left=0"), "{what}: {output}");
             return;
         }
-        assert!(start.elapsed() < wait::TIMEOUT, "{what} does not end");
+        assert!(start.elapsed() < wait::TIMEOUT, "{what} does not exit");
         time::sleep(time::Duration::from_millis(20)).await;
     }
 }
 
-// Streams are in flight at two targets when their agents are told to leave, one by SIGTERM and one
-// by an operator, while the platform's list says "live" for half a minute more. The streams end
-// whole, both agents exit with success, and once an agent has said that it leaves its target begins
-// nothing more, though callers go on. They notice nothing. Then the same with two entries: what they
-// have taken on ends whole, new callers are told "not run" and when to come again.
+// Agents and entries must leave before the instance list says so, without losing a request.
 #[tokio::test(flavor = "multi_thread")]
 async fn work_in_flight_is_finished() {
     let service = text_requests::service(3, "10ms");
@@ -146,26 +147,26 @@
     let plan = plan.entries(3).store_args(&["--list-lag", "30s"]);
     let mut fleet = fleet::Fleet::start(plan).await;
     text_requests::wait_all_targets_used(&fleet).await;
-    agents_leave(&mut fleet).await;
-    entries_leave(&mut fleet).await;
+    check_leaving_agents(&mut fleet).await;
+    check_leaving_entries(&mut fleet).await;
 }
 
-async fn agents_leave(fleet: &mut fleet::Fleet) {
-    let leaving = [(1, Way::Signal), (2, Way::Drain)];
+async fn check_leaving_agents(fleet: &mut fleet::Fleet) {
+    let leaving = [(1, StopMethod::Signal), (2, StopMethod::Drain)];
     let long = text_requests::mixed_requests("long", 6, LONG, 1);
     let done = atomic::AtomicBool::new(false);
     let part = async {
         text_requests::wait_executing(fleet, &[1, 2]).await;
         let begun = time::Instant::now();
-        for (node, way) in leaving {
+        for (node, method) in leaving {
             let node = &fleet.nodes[node];
-            tell(fleet, way, &node.agent, node.peer_addr);
+            request_stop(fleet, method, &node.agent, node.peer_addr);
         }
         for (node, _) in leaving {
             wait_leaving(fleet, fleet.nodes[node].admin_addr).await;
         }
-        println!("both agents say so after {:?}", begun.elapsed());
-        // What was admitted before has begun by the time that requests sent later are answered.
+        println!("both agents report it after {:?}", begun.elapsed());
+        // Calls admitted earlier have started once these later requests are answered.
         text_requests::check_serving(fleet, "barrier", 3).await;
         let before = [
             fleet.target_executions(1).await.len(),
@@ -178,22 +179,28 @@
             fleet.target_executions(1).await.len(),
             fleet.target_executions(2).await.len(),
         ];
-        assert_eq!(before, after, "executions after the notice");
+        assert_eq!(
+            before, after,
+            "executions after the agents reported that they leave"
+        );
         done.store(true, atomic::Ordering::SeqCst);
         begun
     };
     let (replies, begun, traffic, first, second) = tokio::join!(
         text_requests::send_all(fleet, &long),
         part,
-        traffic(fleet, &done),
-        last_calls(fleet, 1, &done),
-        last_calls(fleet, 2, &done),
+        send_traffic(fleet, &done),
+        watch_last_calls(fleet, 1, &done),
+        watch_last_calls(fleet, 2, &done),
     );
     let since = |last: time::Instant| last.saturating_duration_since(begun);
     let (begun, refused) = (first.0.max(second.0), first.1.max(second.1));
-    println!("last execution begun {:?} after the notice", since(begun));
     println!(
-        "last call turned away {:?} after the notice",
+        "last execution started {:?} after the request to leave",
+        since(begun)
+    );
+    println!(
+        "last call refused {:?} after the request to leave",
         since(refused)
     );
     println!("streams in flight: {}", reply::summarize(&replies));
@@ -209,8 +216,8 @@
     }
 }
 
-async fn entries_leave(fleet: &mut fleet::Fleet) {
-    let leaving = [(1, Way::Signal), (2, Way::Drain)];
+async fn check_leaving_entries(fleet: &mut fleet::Fleet) {
+    let leaving = [(1, StopMethod::Signal), (2, StopMethod::Drain)];
     fleet.set_target_behaviour(0, &json!({"slow": 5.0})).await;
     let long: Vec<_> = [1, 2]
         .into_iter()
@@ -231,9 +238,9 @@
         })
         .await;
         text_requests::wait_executing(fleet, &[0]).await;
-        for (entry, way) in leaving {
+        for (entry, method) in leaving {
             let entry = &fleet.entries[entry];
-            tell(fleet, way, &entry.process, entry.peer_addr);
+            request_stop(fleet, method, &entry.process, entry.peer_addr);
             wait_leaving(fleet, entry.caller_addr).await;
         }
         for (entry, _) in leaving {
@@ -246,7 +253,7 @@
                     ..
                 } = &reply
                 else {
-                    panic!("taken on by a leaving entry: {reply:?}");
+                    panic!("accepted by a leaving entry: {reply:?}");
                 };
                 assert!(reply.is_not_run(), "{reply:?}");
                 assert_eq!(reason, "leaving");
--- a/laburnumcart_system/tests/metrics.rs
+++ b/laburnumcart_system/tests/metrics.rs
@@ -1,4 +1,4 @@
-//! What the daemons export is what the operators' page says.
+//! Checks that the metrics of the daemons match the operators' page.
 
 use std::collections;
 
@@ -13,7 +13,7 @@
 /// The operators' page.
 const PAGE: &str = include_str!("../../docs/OPERATIONS.md");
 
-/// Ends of names that stand for units other than the base units.
+/// Suffixes of names that stand for units other than the base units.
 const NOT_BASE: [&str; 10] = [
     "ms",
     "millis",
@@ -27,7 +27,7 @@
     "percent",
 ];
 
-/// Most series of one metric here, where there are two teams, two pipelines and five services.
+/// Largest number of series of one metric with two teams, two pipelines and five services.
 const SERIES_MAX: usize = 64;
 
 /// One metric, as documented or as exported.
@@ -46,7 +46,7 @@
 }
 
 /// Returns the cells of each row of the table whose head starts with `first`.
-fn table(first: &str) -> Vec<Vec<String>> {
+fn table_rows(first: &str) -> Vec<Vec<String>> {
     let head = format!("| {first} |");
     let lines = PAGE.lines().skip_while(|line| !line.starts_with(&head));
     let rows = lines.skip(2).take_while(|line| line.starts_with('|'));
@@ -79,10 +79,10 @@
             },
         )
     };
-    table("metric").into_iter().map(row).collect()
+    table_rows("metric").into_iter().map(row).collect()
 }
 
-/// Names and values of the labels of a sample.
+/// Returns the names and values of the labels of a sample.
 fn labels(sample: &str) -> Vec<(String, String)> {
     let Some((_, rest)) = sample.split_once('{') else {
         return Vec::new();
@@ -148,7 +148,7 @@
 }
 
 /// Offers work of each sort, with faults, so that each metric with labels has a value.
-async fn exercise(fleet: &fleet::Fleet) {
+async fn cause_all_metrics(fleet: &fleet::Fleet) {
     let check = fleet::Call::new(
         sample::CHECK_PIPELINE,
         sample::CLINIC_TOKEN,
@@ -177,48 +177,47 @@
     fleet.set_store_faults(&json!({"down": true})).await;
 }
 
-/// A stranger without the fleet's secret knocks at every peer port.
-async fn knock(fleet: &fleet::Fleet) {
+/// Calls every peer port without the fleet's secret, which must be refused.
+async fn call_peers_unauthenticated(fleet: &fleet::Fleet) {
     for addr in fleet.peer_addrs() {
         let answer = fleet.http.get(addr, "/").await.expect("an answer");
         assert_eq!(answer.status, 401);
     }
 }
 
-async fn page(fleet: &fleet::Fleet, addr: std::net::SocketAddr) -> String {
+async fn metrics_page(fleet: &fleet::Fleet, addr: std::net::SocketAddr) -> String {
     fleet.http.get(addr, "/metrics").await.expect("a page").body
 }
 
-fn value(page: &str, sample: &str) -> f64 {
+fn sample_value(page: &str, sample: &str) -> f64 {
     let line = page.lines().find_map(|line| line.strip_prefix(sample));
     line.and_then(|rest| rest.trim().parse().ok())
         .unwrap_or(f64::NAN)
 }
 
-/// The daemons have done work, refused some, met a stranger and lost the object service. Each metric
-/// on their pages has its row in the operators' page, and each row has its metric.
+// A metric without a row in the operators' page, or a row without a metric, misleads operators.
 #[tokio::test(flavor = "multi_thread")]
 async fn each_metric_is_documented() {
     let plan = fleet::Plan::new(sample::services(1), sample::bundle()).entries(1);
     let fleet = fleet::Fleet::start(plan).await;
-    exercise(&fleet).await;
-    knock(&fleet).await;
+    cause_all_metrics(&fleet).await;
+    call_peers_unauthenticated(&fleet).await;
     let engine = fleet.nodes.iter().find(|n| n.service == "case-model");
     let engine = engine.expect("an engine").admin_addr;
     let mut pages = Vec::new();
     for addr in [fleet.entries[0].caller_addr, engine] {
         wait::until("failures of the object service", || async {
-            let page = page(&fleet, addr).await;
+            let page = metrics_page(&fleet, addr).await;
             page.contains("laburnum_bundle_failures_total{")
                 .then_some(())
         })
         .await;
-        pages.push(page(&fleet, addr).await);
+        pages.push(metrics_page(&fleet, addr).await);
     }
     let documented = documented();
     let mut found = collections::BTreeMap::new();
     for page in &pages {
-        assert_eq!(value(page, "laburnum_peer_refused_total"), 1.0);
+        assert_eq!(sample_value(page, "laburnum_peer_refused_total"), 1.0);
         assert!(!page.contains("no-such-pipeline"), "a caller chose a label");
         for (name, metric) in exported(page) {
             let row = documented.get(&name);
@@ -237,8 +236,8 @@
 #[test]
 fn units_labels_and_alerts_are_named() {
     let first = |cells: &Vec<String>| cells[0].clone();
-    let alerts: Vec<String> = table("alert").iter().map(first).collect();
-    let known: Vec<String> = table("label").iter().map(first).collect();
+    let alerts: Vec<String> = table_rows("alert").iter().map(first).collect();
+    let known: Vec<String> = table_rows("label").iter().map(first).collect();
     let known: Vec<&str> = known.iter().flat_map(|names| names.split(", ")).collect();
     assert!(!alerts.is_empty() && !known.is_empty());
     let documented = documented();
--- a/laburnumcart_system/tests/operator.rs
+++ b/laburnumcart_system/tests/operator.rs
@@ -1,4 +1,4 @@
-//! What a new operator meets first: the examples, and a fleet without a bundle.
+//! First steps of an operator: the examples, and a fleet without a bundle.
 
 use std::{
     fs,
@@ -24,7 +24,7 @@
         .join(name)
 }
 
-fn run(program: &str, args: &[&str]) -> (Option<i32>, String) {
+fn run_program(program: &str, args: &[&str]) -> (Option<i32>, String) {
     let output = Command::new(process::binary(program))
         .args(args)
         .output()
@@ -43,11 +43,11 @@
 #[case::quetzal_agent("laburnum-agent", "quetzal/agent.json")]
 fn settings_of_the_examples_have_no_fault(#[case] program: &str, #[case] file: &str) {
     let file = example(file).display().to_string();
-    let (code, text) = run(program, &["--settings", &file, "--check"]);
+    let (code, text) = run_program(program, &["--settings", &file, "--check"]);
     assert_eq!(code, Some(0), "{text}");
 }
 
-/// The settings of `laburnumctl` are read before the file that it is to verify.
+// `laburnumctl` reads its settings before the file that it verifies.
 #[rstest]
 #[case("araya")]
 #[case("quetzal")]
@@ -58,7 +58,7 @@
     let bundle = example(&format!("{user}/bundle.json"))
         .display()
         .to_string();
-    let (code, text) = run("laburnumctl", &["verify", &bundle, "--settings", &settings]);
+    let (code, text) = run_program("laburnumctl", &["verify", &bundle, "--settings", &settings]);
     assert_eq!(code, Some(5), "{text}");
     assert!(text.contains("not a signed bundle"), "{text}");
 }
@@ -76,7 +76,7 @@
     assert!(read("bundle")["services"][service].is_object(), "{service}");
 }
 
-/// Processes run and no bundle was accepted. Status counts none of them as having it in force.
+// A process without a bundle must not count as having it in force.
 #[tokio::test(flavor = "multi_thread")]
 async fn no_bundle_is_in_force_before_the_first() {
     let plan = fleet::Plan::new(Vec::new(), Value::Null).entries(1);
@@ -87,25 +87,21 @@
     assert!(text.contains("in force in 0 of 1 processes"), "{text}");
 }
 
-/// One process of the fleet does not answer. Status shows the others and says so by its exit code:
-/// a script that waits for a bundle to be in force everywhere would take the partial view for the
-/// whole one.
+// A script that waits for a bundle to be in force everywhere must not accept a partial view.
 #[tokio::test(flavor = "multi_thread")]
 async fn status_fails_while_a_process_is_silent() {
     let plan = fleet::Plan::new(Vec::new(), Value::Null).entries(1);
     let fleet = fleet::Fleet::start_without_bundle(plan).await;
-    let lives = fleet.peer_addrs()[0].to_string();
+    let running = fleet.peer_addrs()[0].to_string();
     let silent = port::free().to_string();
-    let (code, text) = fleet.run_ctl(&["status", &lives]);
+    let (code, text) = fleet.run_ctl(&["status", &running]);
     assert_eq!(code, 0, "{text}");
-    let (code, text) = fleet.run_ctl(&["status", &lives, &silent]);
+    let (code, text) = fleet.run_ctl(&["status", &running, &silent]);
     assert_eq!(code, 4, "{text}");
-    assert!(text.contains(&lives) && text.contains(&silent), "{text}");
+    assert!(text.contains(&running) && text.contains(&silent), "{text}");
 }
 
-/// An entry starts before any instance is listed. The balancer must send it no caller: each would be
-/// refused, while other entries may know targets. So it says that it is not ready, though it has a
-/// bundle.
+// A load balancer would send callers to an entry that must refuse them for lack of targets.
 #[tokio::test(flavor = "multi_thread")]
 async fn an_entry_that_knows_no_agent_is_not_ready() {
     let plan = fleet::Plan::new(Vec::new(), Value::Null).entries(1);
@@ -117,13 +113,13 @@
     })
     .await;
     let addr = fleet.entries[0].caller_addr;
-    // The bundle is told to peers a moment before the entry admits by it.
-    let told = wait::until("a state under the bundle", || async {
+    // Peers receive the bundle shortly before the entry admits requests under it.
+    let state = wait::until("a state under the bundle", || async {
         let ready = http::Client::default().get(addr, "/readyz").await;
         let ready = ready.expect("an answer");
         assert_eq!(ready.status, 503);
-        let told = ready.body.trim().to_owned();
-        (told != "no-bundle").then_some(told)
+        let state = ready.body.trim().to_owned();
+        (state != "no-bundle").then_some(state)
     });
-    assert_eq!(told.await, "no-target");
+    assert_eq!(state.await, "no-target");
 }
--- a/laburnumcart_system/tests/orders.rs
+++ b/laburnumcart_system/tests/orders.rs
@@ -1,4 +1,4 @@
-//! Orders of an agent that stands still while another takes over its target.
+//! Orders of a paused agent whose target another agent takes over.
 
 use laburnumcart_system::{
     fleet,
@@ -11,7 +11,7 @@
     json, //
 };
 
-/// Returns a bundle whose engines must have one model.
+/// Returns a bundle that orders engines to load one model.
 fn bundle(orders: &str, model: &str) -> Value {
     json!({
         "format": 1,
@@ -31,45 +31,41 @@
     })
 }
 
-/// Returns the models of the target and the term of the order that took effect last.
-async fn state(fleet: &fleet::Fleet) -> Option<Value> {
+/// Returns the models of the target and the term of the last effective order.
+async fn target_state(fleet: &fleet::Fleet) -> Option<Value> {
     let state = fleet.get_target_page(0, "/v1/state").await?;
     Some(json!({"models": state["models"], "term": state["term"]}))
 }
 
 async fn wait_model(fleet: &fleet::Fleet, model: &str) -> Value {
     wait::until(model, || async {
-        let state = state(fleet).await?;
+        let state = target_state(fleet).await?;
         (state["models"] == json!([model])).then_some(state)
     })
     .await
 }
 
 async fn wait_pending(fleet: &fleet::Fleet, is_wanted: impl Fn(u64) -> bool) {
-    wait::until("orders under way", || async {
+    wait::until("pending orders", || async {
         let page = fleet.get_target_page(0, "/admin/orders").await?;
         is_wanted(page["pending"].as_u64()?).then_some(())
     })
     .await;
 }
 
-/// Returns how many orders the first agent has given, those included that failed.
-async fn orders_given(fleet: &fleet::Fleet) -> f64 {
+/// Returns the number of orders that the first agent has sent, including failed ones.
+async fn count_orders(fleet: &fleet::Fleet) -> f64 {
     let name = "laburnum_agent_orders_total";
     fleet.sum_metric(fleet.nodes[0].admin_addr, name, "").await
 }
 
-/// Returns how often the first agent has called the object service, in vain or not.
-async fn store_calls(fleet: &fleet::Fleet) -> f64 {
+/// Returns the number of calls of the first agent to the object service, including failed ones.
+async fn count_store_calls(fleet: &fleet::Fleet) -> f64 {
     let name = "laburnum_agent_object_service_calls_total";
     fleet.sum_metric(fleet.nodes[0].admin_addr, name, "").await
 }
 
-// An agent is paused while the target works on its order. The platform takes it for dead and starts
-// another agent for the target, and operators want another model by then. The successor gives its
-// own order. When the old agent goes on it still believes in the old bundle, as the object
-// service is down: a target that checks numbers refuses what it orders, and one that does not is
-// ordered nothing without the object service's word. The target keeps the model that is wanted.
+// A resumed agent still holds the old bundle; its orders must not undo those of its successor.
 #[rstest]
 #[case::fenced("fenced")]
 #[case::unfenced("unfenced")]
@@ -86,7 +82,7 @@
     fleet.accept_bundle(&bundle(orders, "case@2"));
     wait_pending(&fleet, |count| count > 0).await;
     let old = &fleet.nodes[0];
-    let given = orders_given(&fleet).await;
+    let given = count_orders(&fleet).await;
     old.agent.pause().await;
 
     fleet.accept_bundle(&bundle(orders, "case@3"));
@@ -100,25 +96,37 @@
         .await;
     fleet.set_store_faults(&json!({"down": true})).await;
     old.agent.resume();
-    // The order that it was paused in ends; of a fenced target it then tries more.
+    // The interrupted order ends; a fenced target refuses it, so the agent sends more.
     let ended = if orders == "fenced" { 3.0 } else { 1.0 };
-    wait::until("the old agent to go on", || async {
-        assert_eq!(state(&fleet).await?, wanted, "a stale order took effect");
-        (orders_given(&fleet).await >= given + ended).then_some(())
+    wait::until("the old agent to continue", || async {
+        assert_eq!(
+            target_state(&fleet).await?,
+            wanted,
+            "a stale order took effect"
+        );
+        (count_orders(&fleet).await >= given + ended).then_some(())
     })
     .await;
-    // It looks at the target and asks the object service in vain.
-    let asked = store_calls(&fleet).await;
-    wait::until("the old agent to ask", || async {
-        assert_eq!(state(&fleet).await?, wanted, "a stale order took effect");
-        (store_calls(&fleet).await >= asked + 5.0).then_some(())
+    // The agent polls the target and calls the object service, which is down.
+    let asked = count_store_calls(&fleet).await;
+    wait::until("calls of the old agent to the object service", || async {
+        assert_eq!(
+            target_state(&fleet).await?,
+            wanted,
+            "a stale order took effect"
+        );
+        (count_store_calls(&fleet).await >= asked + 5.0).then_some(())
     })
     .await;
 
     fleet.set_store_faults(&json!({})).await;
     if orders == "unfenced" {
         wait::until("the old agent to find its successor", || async {
-            assert_eq!(state(&fleet).await?, wanted, "a stale order took effect");
+            assert_eq!(
+                target_state(&fleet).await?,
+                wanted,
+                "a stale order took effect"
+            );
             old.agent
                 .output()
                 .contains("event=superseded")
@@ -126,6 +134,6 @@
         })
         .await;
     }
-    assert_eq!(state(&fleet).await, Some(wanted));
+    assert_eq!(target_state(&fleet).await, Some(wanted));
     drop(successor);
 }
--- a/laburnumcart_system/tests/poison.rs
+++ b/laburnumcart_system/tests/poison.rs
@@ -1,4 +1,4 @@
-//! A request that crashes each target that executes it, beside innocent ones.
+//! A request that crashes each target that executes it, beside requests of other callers.
 
 use std::{
     collections,
@@ -29,23 +29,23 @@
 use tokio::time::Instant;
 
 /// Text that crashes each target that executes it.
-const PILL: &str = "this crashes the model";
+const POISON_TEXT: &str = "this crashes the model";
 
 const TARGETS: usize = 5;
 
-/// Innocent requests in flight through each entry.
+/// Requests of other callers in flight through each entry.
 const CALLERS: usize = 8;
 
-/// Answers to wait for before the poison comes, so that retries have a budget.
+/// Answers to wait for before the poison request, so that the retry budget is filled.
 const WARM: usize = 400;
 
-/// Most targets that crash after the first crash was noticed.
+/// Largest number of targets that crash after the first crash is detected.
 const AFTER_DETECTION: usize = 2;
 
-/// Rounds of poison after the first one that was refused at once through both entries.
+/// Consecutive rounds in which both entries refuse the poison request at once.
 const ROUNDS: usize = 10;
 
-/// Returns pipelines of one stage; all run on the same targets.
+/// Returns a bundle whose pipelines have one stage each, on the same targets.
 fn bundle() -> Value {
     let stages = json!([{"name": "encode", "service": "encoders"}]);
     let promise = json!({"deadline": "20s", "priority": "normal"});
@@ -71,16 +71,16 @@
     })
 }
 
-async fn start() -> fleet::Fleet {
+async fn start_fleet() -> fleet::Fleet {
     let args = ["--service-time", "20ms", "--restart", "700ms"];
     let service = fleet::Service::new("encoders", "pool", TARGETS).args(&args);
     let fleet = fleet::Fleet::start(fleet::Plan::new(vec![service], bundle())).await;
-    set_pill(&fleet, PILL).await;
+    set_poison_text(&fleet, POISON_TEXT).await;
     fleet
 }
 
 /// Sets the text that crashes targets; the empty text crashes none.
-async fn set_pill(fleet: &fleet::Fleet, text: &str) {
+async fn set_poison_text(fleet: &fleet::Fleet, text: &str) {
     for node in 0..TARGETS {
         fleet
             .set_target_behaviour(node, &json!({"crash_on": text}))
@@ -89,17 +89,17 @@
 }
 
 fn poison() -> Value {
-    json!({"applicant": 7, "text": PILL})
+    json!({"applicant": 7, "text": POISON_TEXT})
 }
 
-/// Innocent traffic through both entries and what came of it.
+/// Requests of other callers through both entries, and their results.
 #[derive(Default)]
 struct Traffic {
     stop: AtomicBool,
     next: AtomicUsize,
     done: AtomicUsize,
-    /// Contents that needed more than one attempt.
-    again: Mutex<Vec<usize>>,
+    /// Numbers of the requests that needed more than one attempt.
+    retried: Mutex<Vec<usize>>,
     lost: Mutex<Vec<String>>,
 }
 
@@ -108,7 +108,7 @@
         json!({"applicant": number, "text": "an innocent statement"})
     }
 
-    /// Sends one request after the other through an entry until told to stop.
+    /// Sends one request after another through an entry until `stop` is set.
     async fn run(&self, fleet: &fleet::Fleet, entry: usize) {
         while !self.stop.load(Ordering::Relaxed) {
             let number = self.next.fetch_add(1, Ordering::Relaxed);
@@ -125,7 +125,7 @@
             Ok(answer) if answer.status == 200 && answer.json()["output"] == right => {
                 self.done.fetch_add(1, Ordering::Relaxed);
                 if answer.json()["stages"][0]["attempts"] != 1 {
-                    self.again.lock().unwrap().push(number);
+                    self.retried.lock().unwrap().push(number);
                 }
             }
             other => self
@@ -136,19 +136,19 @@
         }
     }
 
-    /// Waits until so many requests have been answered from now on.
+    /// Waits until `count` more requests have been answered.
     async fn wait(&self, count: usize) {
         let until = self.done.load(Ordering::Relaxed) + count;
-        wait::until("innocent answers", || async {
+        wait::until("answers to other callers", || async {
             (self.done.load(Ordering::Relaxed) >= until).then_some(())
         })
         .await;
     }
 
-    /// Checks that nothing was lost and that what ran beside the poison is served now.
+    /// Resends the retried requests and checks that no request was lost.
     async fn check(&self, fleet: &fleet::Fleet) {
-        let again = self.again.lock().unwrap().clone();
-        let resent = again.iter().flat_map(|number| {
+        let retried = self.retried.lock().unwrap().clone();
+        let resent = retried.iter().flat_map(|number| {
             let send = move |entry| self.send(fleet, entry, *number);
             (0..fleet.entries.len()).map(send)
         });
@@ -157,42 +157,42 @@
         println!(
             "innocents answered={} retried={} lost={}",
             self.done.load(Ordering::Relaxed),
-            again.len(),
+            retried.len(),
             lost.len()
         );
         assert!(lost.is_empty(), "{lost:#?}");
     }
 }
 
-/// Runs innocent traffic through all entries while `story` runs.
-async fn beside_innocents(
+/// Runs requests of other callers through all entries while `scenario` runs.
+async fn run_beside_traffic(
     fleet: &fleet::Fleet,
     traffic: &Traffic,
-    story: impl Future<Output = ()>,
+    scenario: impl Future<Output = ()>,
 ) {
     let callers = (0..CALLERS * fleet.entries.len())
         .map(|number| traffic.run(fleet, number % fleet.entries.len()));
-    let story = async {
+    let scenario = async {
         traffic.wait(WARM).await;
-        story.await;
+        scenario.await;
         traffic.wait(WARM).await;
         traffic.stop.store(true, Ordering::Relaxed);
     };
-    tokio::join!(future::join_all(callers), story);
+    tokio::join!(future::join_all(callers), scenario);
     traffic.check(fleet).await;
 }
 
-/// What a caller was told of one poisonous request.
+/// Error response to a poison request.
 #[derive(Debug)]
-struct Told {
+struct Refusal {
     verdict: String,
     reason: String,
     request: String,
-    /// Whether the answer says when to come again.
+    /// Whether the response has a Retry-After header.
     retry: bool,
 }
 
-impl Told {
+impl Refusal {
     fn new(answer: Result<http::Response, http::Failure>) -> Self {
         let answer = answer.expect("an answer");
         let json = answer.json();
@@ -211,7 +211,7 @@
     }
 }
 
-/// Returns what all targets have executed; waits for those that are down.
+/// Returns the executions of all targets; waits for those that are restarting.
 async fn executions(fleet: &fleet::Fleet) -> Vec<Value> {
     let mut all = Vec::new();
     for node in &fleet.nodes {
@@ -234,32 +234,31 @@
     counts
 }
 
-/// Checks what callers were told against what the targets executed; returns the executions of the
-/// poison, each of which has crashed a target.
-async fn crashes(fleet: &fleet::Fleet, told: &[Told]) -> usize {
+/// Checks the verdicts against the executions of the targets; returns the number of executions of
+/// the poison, each of which has crashed a target.
+async fn check_and_count_crashes(fleet: &fleet::Fleet, refusals: &[Refusal]) -> usize {
     let counts = executed(fleet).await;
-    let count = |told: &Told| counts.get(&told.request).copied().unwrap_or(0);
-    for told in told {
-        let ran = count(told) > 0;
-        assert!(told.verdict == "may-have-run" || !ran, "{told:?} ran");
-        assert!(told.reason != "quarantined" || told.retry, "{told:?}");
+    let count = |refusal: &Refusal| counts.get(&refusal.request).copied().unwrap_or(0);
+    for refusal in refusals {
+        let ran = count(refusal) > 0;
+        assert!(refusal.verdict == "may-have-run" || !ran, "{refusal:?} ran");
+        assert!(
+            refusal.reason != "quarantined" || refusal.retry,
+            "{refusal:?}"
+        );
     }
-    told.iter().map(count).sum()
+    refusals.iter().map(count).sum()
 }
 
-/// Sends the poison through the given entries at once.
-async fn round(fleet: &fleet::Fleet, entries: &[usize]) -> Vec<Told> {
+/// Sends the poison request through the given entries at once.
+async fn send_round(fleet: &fleet::Fleet, entries: &[usize]) -> Vec<Refusal> {
     let call = fleet::Call::new("check", sample::CLINIC_TOKEN, poison());
     let sent = entries.iter().map(|entry| fleet.call(*entry, &call));
     let answers = future::join_all(sent).await;
-    answers.into_iter().map(Told::new).collect()
+    answers.into_iter().map(Refusal::new).collect()
 }
 
-// A caller sends a request that crashes each target that executes it, and sends it again under a
-// new id whenever it fails, through one entry after the other or through both at once. Others' work
-// is on the same targets all the time. The entries hear of the crashes from different agents. All
-// others get their right answers and none of them is taken for the poison, few targets crash, and
-// the poison is refused at once through both entries in the end.
+// Resends under new ids must not crash every target, nor get other callers' requests quarantined.
 #[rstest]
 #[case::alternately(vec![vec![0], vec![1]], 0)]
 #[case::at_once(vec![vec![0, 1], vec![1, 0]], 1)]
@@ -268,41 +267,43 @@
     #[case] rounds: Vec<Vec<usize>>,
     #[case] beside_first: usize,
 ) {
-    let fleet = start().await;
+    let fleet = start_fleet().await;
     let traffic = Traffic::default();
-    let story = async {
+    let scenario = async {
         let begun = Instant::now();
-        let mut told: Vec<Told> = Vec::new();
+        let mut refusals: Vec<Refusal> = Vec::new();
         let mut quiet = 0;
         let mut since = time::Duration::ZERO;
-        let mut turns = rounds.iter().cycle();
+        let mut schedule = rounds.iter().cycle();
         while quiet < ROUNDS {
-            assert!(begun.elapsed() < wait::TIMEOUT, "never refused: {told:#?}");
-            let round = round(&fleet, turns.next().expect("a round")).await;
-            if !round.iter().all(Told::is_refused_at_once) {
+            assert!(
+                begun.elapsed() < wait::TIMEOUT,
+                "never refused: {refusals:#?}"
+            );
+            let round = send_round(&fleet, schedule.next().expect("a round")).await;
+            if !round.iter().all(Refusal::is_refused_at_once) {
                 since = begun.elapsed();
                 quiet = 0;
             } else {
                 quiet += 1;
             }
-            told.extend(round);
+            refusals.extend(round);
         }
-        let crashes = crashes(&fleet, &told).await;
+        let crashes = check_and_count_crashes(&fleet, &refusals).await;
         println!(
             "crashes={crashes} sent={} refused_after={since:?}",
-            told.len()
+            refusals.len()
         );
-        // What was sent at the same moment as the first may crash a target before any is known
-        // to have crashed.
+        // Requests sent together with the first may crash a target before any crash is known.
         assert!(
             crashes <= 1 + AFTER_DETECTION.min(1 + beside_first),
-            "{told:#?}"
+            "{refusals:#?}"
         );
     };
-    beside_innocents(&fleet, &traffic, story).await;
-    // With the fault gone, the same content of another team and of another pipeline is served,
-    // as it is other content; the quarantine is not lifted by that.
-    set_pill(&fleet, "").await;
+    run_beside_traffic(&fleet, &traffic, scenario).await;
+    // Content of another team or pipeline is other content, so it is served once the fault is gone;
+    // that does not lift the quarantine.
+    set_poison_text(&fleet, "").await;
     for (pipeline, token) in [
         ("check", sample::FEDERATION_TOKEN),
         ("other", sample::CLINIC_TOKEN),
@@ -312,14 +313,14 @@
         assert_eq!(answer.status, 200, "{}", answer.body);
     }
     assert!(
-        round(&fleet, &[0, 1])
+        send_round(&fleet, &[0, 1])
             .await
             .iter()
-            .all(Told::is_refused_at_once)
+            .all(Refusal::is_refused_at_once)
     );
 }
 
-/// Counts the executions of requests that must not be repeated, by request.
+/// Counts the executions of non-idempotent requests, by request.
 async fn executed_once(fleet: &fleet::Fleet) -> collections::HashMap<String, usize> {
     let mut counts = collections::HashMap::new();
     for row in executions(fleet).await {
@@ -331,39 +332,39 @@
     counts
 }
 
-// A caller sends a request that must not execute twice; it crashes its target. The caller sends it
-// again and again with the same key, through both entries at once. It has executed once in all, and
-// every answer says that it may have run. Then the caller takes new keys, which makes new requests
-// of it: each executes once at most, and in the end they are refused as not run.
+// A resend with the same key must not run; new keys make new requests until they are refused.
 #[tokio::test(flavor = "multi_thread")]
 async fn poison_not_to_be_repeated_executes_once() {
-    let fleet = start().await;
+    let fleet = start_fleet().await;
     let traffic = Traffic::default();
-    let story = async {
+    let scenario = async {
         let send = |entry: usize, key: String| {
             let call = fleet::Call::new("open", sample::CLINIC_TOKEN, poison()).key(key);
             let fleet = &fleet;
-            async move { Told::new(fleet.call(entry, &call).await) }
+            async move { Refusal::new(fleet.call(entry, &call).await) }
         };
         for _ in 0..5 {
             let both = (0..2).map(|entry| send(entry, "case".into()));
-            for told in future::join_all(both).await {
-                assert_eq!(told.verdict, "may-have-run", "{told:?}");
+            for refusal in future::join_all(both).await {
+                assert_eq!(refusal.verdict, "may-have-run", "{refusal:?}");
             }
         }
         let counts = executed_once(&fleet).await;
         assert_eq!(counts.values().sum::<usize>(), 1, "{counts:?}");
-        let mut told = Vec::new();
+        let mut refusals = Vec::new();
         for number in 0..ROUNDS {
             let both = (0..2).map(|entry| send(entry, format!("case-{number}-{entry}")));
-            told.extend(future::join_all(both).await);
+            refusals.extend(future::join_all(both).await);
         }
         let counts = executed_once(&fleet).await;
         assert!(counts.values().all(|count| *count == 1), "{counts:?}");
-        println!("crashes={} sent={}", counts.len(), told.len());
-        assert!(counts.len() <= 1 + AFTER_DETECTION, "{told:#?}");
-        let last = told.iter().rev().take(2);
-        assert!(last.into_iter().all(Told::is_refused_at_once), "{told:#?}");
+        println!("crashes={} sent={}", counts.len(), refusals.len());
+        assert!(counts.len() <= 1 + AFTER_DETECTION, "{refusals:#?}");
+        let last = refusals.iter().rev().take(2);
+        assert!(
+            last.into_iter().all(Refusal::is_refused_at_once),
+            "{refusals:#?}"
+        );
     };
-    beside_innocents(&fleet, &traffic, story).await;
+    run_beside_traffic(&fleet, &traffic, scenario).await;
 }
--- a/laburnumcart_system/tests/rollout.rs
+++ b/laburnumcart_system/tests/rollout.rs
@@ -1,4 +1,4 @@
-//! Bundles that are rolled out by racing operators, during outages and over stale reads.
+//! Rollout of bundles by racing operators, during outages and with stale reads.
 
 use std::{
     thread,
@@ -16,27 +16,27 @@
     json, //
 };
 
-/// Exit code of `laburnumctl` when another operator got ahead.
-const LOST: i32 = 3;
+/// Exit code of `laburnumctl` when another operator changed the head first.
+const EXIT_LOST: i32 = 3;
 
-/// Reads of every process after a failure in which none may show an older generation.
-const LOOKS: usize = 25;
+/// Number of polls in which no process may report an older generation.
+const POLLS: usize = 25;
 
-async fn start(entries: usize) -> fleet::Fleet {
+async fn start_fleet(entries: usize) -> fleet::Fleet {
     let plan = fleet::Plan::new(sample::services(1), sample::bundle()).entries(entries);
     let fleet = fleet::Fleet::start(plan).await;
     rollout::wait_in_force(&fleet, 1).await;
     fleet
 }
 
-fn titled(title: &str) -> Value {
+fn bundle_with_title(title: &str) -> Value {
     let mut bundle = sample::bundle();
     bundle["title"] = json!(title);
     bundle
 }
 
 /// Signs a bundle into a file of the fleet's folder.
-fn sign(fleet: &fleet::Fleet, bundle: &Value, out: &str) {
+fn sign_bundle(fleet: &fleet::Fleet, bundle: &Value, out: &str) {
     let file = format!("{out}.json");
     fleet.write_file(&file, &bundle.to_string());
     let (code, text) = fleet.run_ctl(&["sign", &file, "--key", "key.json", "--out", out]);
@@ -44,16 +44,16 @@
 }
 
 /// Returns what `laburnumctl status` shows of the accepted head.
-fn head(fleet: &fleet::Fleet) -> Value {
+fn accepted_head(fleet: &fleet::Fleet) -> Value {
     let (code, text) = fleet.run_ctl(&["status", "--json"]);
     assert_eq!(code, 0, "{text}");
     let status: Value = serde_json::from_str(&text).expect("JSON");
     status["head"]["Ok"].clone()
 }
 
-/// Looks at every process for a while; none may show a generation below the given one.
-async fn never_below(fleet: &fleet::Fleet, least: u64) {
-    for _ in 0..LOOKS {
+/// Polls every process and checks that none reports a generation below `least`.
+async fn check_never_below(fleet: &fleet::Fleet, least: u64) {
+    for _ in 0..POLLS {
         let found = rollout::generations(fleet).await;
         let below = |found: &Option<u64>| found.is_some_and(|found| found < least);
         assert!(!found.iter().any(below), "{found:?}, was at {least}");
@@ -62,15 +62,13 @@
     }
 }
 
-/// Six operators accept six different bundles on top of the same generation at once. One is told that
-/// it won, the five others that they lost, and every process comes under the winner's bundle. Then one
-/// rolls back: the old bundle comes into force under a new generation, and nowhere does a number fall.
+// Of concurrent accepts one may win; a rollback must not lower the generation anywhere.
 #[tokio::test(flavor = "multi_thread")]
 async fn of_racing_operators_one_wins_and_the_others_are_told() {
-    let fleet = start(2).await;
+    let fleet = start_fleet(2).await;
     let files: Vec<_> = (0..6).map(|n| format!("race-{n}.signed")).collect();
     for file in &files {
-        sign(&fleet, &titled(file), file);
+        sign_bundle(&fleet, &bundle_with_title(file), file);
     }
     let accept = |file: &str| fleet.run_ctl(&["accept", file, "--on", "1"]);
     let results: Vec<_> = thread::scope(|scope| {
@@ -82,10 +80,13 @@
             .collect()
     });
     let won: Vec<_> = (0..6).filter(|n| results[*n].0 == 0).collect();
-    let lost = results.iter().filter(|(code, _)| *code == LOST).count();
+    let lost = results
+        .iter()
+        .filter(|(code, _)| *code == EXIT_LOST)
+        .count();
     assert_eq!((won.len(), lost), (1, 5), "{results:?}");
     rollout::wait_in_force(&fleet, 2).await;
-    let digest = head(&fleet)["digest"]
+    let digest = accepted_head(&fleet)["digest"]
         .as_str()
         .expect("a digest")
         .to_owned();
@@ -97,7 +98,7 @@
     let (code, text) = fleet.run_ctl(&["rollback", "1", "--on", "2"]);
     assert_eq!(code, 0, "{text}");
     rollout::wait_in_force(&fleet, 3).await;
-    let restored = head(&fleet);
+    let restored = accepted_head(&fleet);
     let first = restored["earlier"]
         .as_array()
         .expect("a history")
@@ -106,21 +107,19 @@
     assert_eq!(first.expect("the first")["digest"], restored["digest"]);
 }
 
-/// An operator is handed a signed bundle whose text was altered, one that is signed by a key nobody
-/// trusts, and one that is not signed. Each is refused with the exit code of a rejected bundle; neither
-/// the head nor any process changes, and the next good bundle follows on.
+// A bundle that was altered, signed by an untrusted key or not signed must not be accepted.
 #[tokio::test(flavor = "multi_thread")]
 async fn bad_bundles_change_nothing() {
-    let fleet = start(1).await;
-    let before = head(&fleet);
-    sign(&fleet, &titled("honest"), "good.signed");
+    let fleet = start_fleet(1).await;
+    let before = accepted_head(&fleet);
+    sign_bundle(&fleet, &bundle_with_title("honest"), "good.signed");
     let good = fleet.read_file("good.signed");
     let tampered = good.replace("honest", "forged");
     assert_ne!(good, tampered);
     fleet.write_file("tampered.signed", &tampered);
     let (code, text) = fleet.run_ctl(&["keygen", "--name", "stranger", "--out", "stranger.json"]);
     assert_eq!(code, 0, "{text}");
-    fleet.write_file("plain.json", &titled("stranger").to_string());
+    fleet.write_file("plain.json", &bundle_with_title("stranger").to_string());
     let stranger = [
         "sign",
         "plain.json",
@@ -138,21 +137,19 @@
     ] {
         let (code, text) = fleet.run_ctl(&["accept", file]);
         assert_eq!(code, expected, "{file}: {text}");
-        assert_eq!(head(&fleet), before, "{file}");
+        assert_eq!(accepted_head(&fleet), before, "{file}");
     }
-    never_below(&fleet, 1).await;
+    check_never_below(&fleet, 1).await;
     rollout::wait_in_force(&fleet, 1).await;
     let (code, text) = fleet.run_ctl(&["accept", "good.signed", "--on", "1"]);
     assert_eq!(code, 0, "{text}");
     rollout::wait_in_force(&fleet, 2).await;
 }
 
-/// An intruder writes into the object service itself, past `laburnumctl`: a head that names an altered
-/// bundle, one that names a signed bundle by a digest that is not its own, and one that is no head. No process takes them in; each counts the refusal and goes on
-/// under what is in force, and the operators' next bundle gets through.
+// Whoever can write to the object service must not put a bundle in force without a signature.
 #[tokio::test(flavor = "multi_thread")]
 async fn processes_refuse_what_is_written_past_the_operators() {
-    let fleet = start(2).await;
+    let fleet = start_fleet(2).await;
     let (_, text) = fleet.get_object("bundle/head").await.expect("the head");
     let mut forged: Value = serde_json::from_str(&text).expect("JSON");
     let digest = forged["digest"].as_str().expect("a digest").to_owned();
@@ -175,26 +172,26 @@
         fleet
             .put_object("bundle/head", Some(&version), &forged.to_string())
             .await;
-        refused_everywhere(&fleet, &before).await;
-        never_below(&fleet, 1).await;
+        wait_refused_everywhere(&fleet, &before).await;
+        check_never_below(&fleet, 1).await;
         rollout::wait_in_force(&fleet, 1).await;
     }
-    fleet.accept_bundle(&titled("after the forged head"));
+    fleet.accept_bundle(&bundle_with_title("after the forged head"));
     rollout::wait_in_force(&fleet, 11).await;
 
     let (version, text) = fleet.get_object("bundle/head").await.expect("the head");
     let version = fleet
         .put_object("bundle/head", Some(&version), "{\"generation\":13}")
         .await;
-    never_below(&fleet, 11).await;
+    check_never_below(&fleet, 11).await;
     rollout::wait_in_force(&fleet, 11).await;
-    // No operator can go on from what is no head; they restore it, as `laburnumctl` tells them.
+    // Operators cannot replace an invalid head; they restore it, as `laburnumctl` advises.
     fleet.put_object("bundle/head", Some(&version), &text).await;
-    fleet.accept_bundle(&titled("after the broken head"));
+    fleet.accept_bundle(&bundle_with_title("after the broken head"));
     rollout::wait_in_force(&fleet, 12).await;
 }
 
-/// Returns how many bundles each process has refused for their signature or digest.
+/// Returns the number of bundles that each process has refused for their signature or digest.
 async fn refusals(fleet: &fleet::Fleet) -> Vec<u64> {
     let mut counts = Vec::new();
     for page in rollout::metrics_addrs(fleet) {
@@ -212,7 +209,7 @@
 }
 
 /// Waits until every process has refused one more bundle than before.
-async fn refused_everywhere(fleet: &fleet::Fleet, before: &[u64]) {
+async fn wait_refused_everywhere(fleet: &fleet::Fleet, before: &[u64]) {
     wait::until("refusals counted everywhere", || async {
         let now = refusals(fleet).await;
         let more = now.iter().zip(before).all(|(now, before)| now > before);
@@ -221,25 +218,23 @@
     .await;
 }
 
-/// A bundle is accepted and the object service goes down at that moment. Processes that had not read
-/// the head hear of it from those that had, by their heartbeats. An entry that is started during the
-/// outage has never reached the service; it asks its peers. The times are printed.
+// Processes that cannot reach the object service must get the bundle by heartbeats or from peers.
 #[tokio::test(flavor = "multi_thread")]
 async fn an_accepted_bundle_spreads_during_an_outage() {
-    let mut fleet = start(2).await;
+    let mut fleet = start_fleet(2).await;
     let accepted = tokio::time::Instant::now();
-    fleet.accept_bundle(&titled("with the service up"));
+    fleet.accept_bundle(&bundle_with_title("with the service up"));
     let called = accepted.elapsed();
     let waited = rollout::wait_in_force(&fleet, 2).await;
     println!("service up: {waited:?} after laburnumctl, which took {called:?}");
 
-    // One process gets the bundle; all others are cut off from the service before they can.
+    // The paused processes lose the object service before they can read the new head.
     let stopped: Vec<_> = fleet.daemons().skip(1).collect();
     for process in &stopped {
         process.pause().await;
     }
     let first = &fleet.nodes[0];
-    fleet.accept_bundle(&titled("with the service down"));
+    fleet.accept_bundle(&bundle_with_title("with the service down"));
     wait::until("the first process has it", || async {
         let found = rollout::generation(&fleet, first.admin_addr).await;
         (found == Some(3)).then_some(())
@@ -259,33 +254,31 @@
     println!("started during the outage: {:?}", restarted.elapsed());
 }
 
-/// The object service answers from minutes ago, then comes back empty after a restart, then with an
-/// old head only. Callers' rules must not go back to an older bundle: no process ever shows a lower
-/// generation, and an entry that starts meanwhile under the old head is brought up by its peers.
+// Stale reads, an empty object service or an old head must not bring an older bundle into force.
 #[tokio::test(flavor = "multi_thread")]
 async fn no_process_reverts_with_the_object_service() {
-    let mut fleet = start(2).await;
+    let mut fleet = start_fleet(2).await;
     let (_, old) = fleet.get_object("bundle/head").await.expect("the head");
     let mut objects = fleet.list_objects("bundle/objects/").await;
     objects.extend(fleet.list_objects("platform/instances/").await);
     for (generation, title) in [(2, "second"), (3, "third")] {
-        fleet.accept_bundle(&titled(title));
+        fleet.accept_bundle(&bundle_with_title(title));
         rollout::wait_in_force(&fleet, generation).await;
     }
     fleet.set_store_faults(&json!({"stale": "10m"})).await;
-    never_below(&fleet, 3).await;
+    check_never_below(&fleet, 3).await;
 
     fleet.store.kill();
     fleet.restart_store_empty().await;
-    never_below(&fleet, 3).await;
+    check_never_below(&fleet, 3).await;
 
     for (key, value) in objects {
         fleet.put_object(&key, None, &value).await;
     }
     fleet.put_object("bundle/head", None, &old).await;
-    never_below(&fleet, 3).await;
+    check_never_below(&fleet, 3).await;
     fleet.entries[1].process.kill();
     fleet.entries[1].process = fleet.restart_daemon("entry-1", "laburnum-entry");
     rollout::wait_in_force(&fleet, 3).await;
-    never_below(&fleet, 3).await;
+    check_never_below(&fleet, 3).await;
 }
--- a/laburnumcart_system/tests/schemas.rs
+++ b/laburnumcart_system/tests/schemas.rs
@@ -1,4 +1,4 @@
-//! The committed schemas are those of the types.
+//! Checks that the committed schemas match the types.
 
 use std::{
     fs,
@@ -7,7 +7,7 @@
 
 use laburnumcart_system::schema;
 
-/// A difference is mended by `cargo run -p laburnumcart_system --example schemas docs/schema`.
+// To update the schemas, run `cargo run -p laburnumcart_system --example schemas docs/schema`.
 #[test]
 fn no_committed_schema_has_drifted() {
     let folder = path::Path::new(env!("CARGO_MANIFEST_DIR")).join("../docs/schema");
--- a/laburnumcart_system/tests/together.rs
+++ b/laburnumcart_system/tests/together.rs
@@ -1,4 +1,4 @@
-//! Several failures at once, under requests of both pipelines.
+//! Combined failures while requests of both pipelines are in flight.
 
 use std::collections;
 
@@ -22,7 +22,7 @@
 /// Pieces of text of one answer.
 const TOKENS: u32 = 40;
 
-async fn start(targets: usize, relays: bool) -> fleet::Fleet {
+async fn start_fleet(targets: usize, relays: bool) -> fleet::Fleet {
     let plan = fleet::Plan::new(
         vec![text_requests::service(targets, "300ms")],
         text_requests::bundle("20s"),
@@ -33,13 +33,13 @@
     fleet
 }
 
-/// Returns the requests that execute at most once.
-fn sends(letters: &[text_requests::TextRequest]) -> Vec<text_requests::TextRequest> {
+/// Returns the non-idempotent ones of mixed requests.
+fn non_idempotent(letters: &[text_requests::TextRequest]) -> Vec<text_requests::TextRequest> {
     letters.iter().skip(1).step_by(2).cloned().collect()
 }
 
-/// Starts a killed agent again, in place of the old one once its address is free.
-async fn replace_agent(fleet: &fleet::Fleet, node: usize) -> process::Process {
+/// Restarts a killed agent once its address is free.
+async fn restart_agent_process(fleet: &fleet::Fleet, node: usize) -> process::Process {
     let node = &fleet.nodes[node];
     wait::until("the agent's address to be free", || async {
         let answer = fleet.http.get(node.admin_addr, "/healthz").await;
@@ -51,14 +51,10 @@
     process
 }
 
-// The object service is down when one agent is killed and the connections to another fall silent.
-// Requests are in flight and more come. What may be repeated is answered by targets that can be
-// reached; claims are refused as "not run", with a time to come again, as none can be made durable;
-// what the dead agent held "may have run". The agent comes back during the outage and gets the
-// bundle from the entries. After the faults everything works, and what was held back runs nothing.
+// Without durable claims requests must be refused while an agent is dead and another is stalled.
 #[tokio::test(flavor = "multi_thread")]
 async fn object_service_down_agent_killed_connections_silent() {
-    let mut fleet = start(3, true).await;
+    let mut fleet = start_fleet(3, true).await;
     text_requests::slow_targets(&fleet, 10.0).await;
     let first = text_requests::mixed_requests("first", COUNT, TOKENS, 2);
     let second = text_requests::mixed_requests("second", COUNT, TOKENS, 2);
@@ -73,7 +69,7 @@
         });
         text_requests::slow_targets(&fleet, 1.0).await;
         let replies = text_requests::send_all(&fleet, &second).await;
-        (replies, killed, replace_agent(&fleet, killed).await)
+        (replies, killed, restart_agent_process(&fleet, killed).await)
     };
     let (in_flight, (during, killed, agent)) =
         tokio::join!(text_requests::send_all(&fleet, &first), faults);
@@ -96,19 +92,16 @@
     reply::check_no_new_executions(in_flight.iter().chain(&during), &before, &after);
 }
 
-/// Returns the non-idempotent requests among executions.
-fn claimed(rows: &[Value]) -> collections::HashSet<String> {
+/// Returns the ids of the non-idempotent requests among executions.
+fn non_idempotent_ids(rows: &[Value]) -> collections::HashSet<String> {
     let rows = rows.iter().filter(|row| row["idempotent"] == false);
     rows.map(|row| row["request"].to_string()).collect()
 }
 
-// An entry is killed while a target crashes under what it executes. Callers of the dead entry get
-// nothing and send again through the other one under the same keys. The other entry's callers get
-// whole answers or true verdicts. No key is executed a second time: whoever sends again gets the
-// first answer, "may have run", or an execution if there provably was none.
+// A resend through the other entry must not execute a key that the dead entry has executed.
 #[tokio::test(flavor = "multi_thread")]
 async fn entry_killed_target_crashed() {
-    let mut fleet = start(2, false).await;
+    let mut fleet = start_fleet(2, false).await;
     text_requests::slow_targets(&fleet, 5.0).await;
     let sent = text_requests::mixed_requests("first", COUNT, TOKENS, 2);
     let faults = async {
@@ -123,12 +116,15 @@
     };
     let (replies, (crashed, lost)) = tokio::join!(text_requests::send_all(&fleet, &sent), faults);
     println!("first: {}", reply::summarize(&replies));
-    // The crashed target's own record is gone; what it showed just before counts as well.
+    // The crashed target has lost its record, so the copy read before the crash is added.
     let rows = [fleet.target_executions(1 - crashed).await, lost.clone()].concat();
     text_requests::check_replies(&sent, &replies, &rows);
-    let resent: Vec<_> = sends(&sent).into_iter().map(|l| l.entry(1)).collect();
+    let resent: Vec<_> = non_idempotent(&sent)
+        .into_iter()
+        .map(|l| l.entry(1))
+        .collect();
     let again = text_requests::send_all(&fleet, &resent).await;
-    println!("sent again: {}", reply::summarize(&again));
+    println!("resent: {}", reply::summarize(&again));
     fleet.nodes[crashed].target.kill();
     fleet.entries[0].process.kill();
     fleet.restart_target(crashed);
@@ -137,7 +133,7 @@
     let after = [fleet.service_executions(text_requests::SERVICE).await, lost].concat();
     text_requests::check_replies(&resent, &again, &after);
     reply::check_no_new_executions(&replies, &rows, &after);
-    let executed = claimed(&after).len();
+    let executed = non_idempotent_ids(&after).len();
     assert!(
         executed <= resent.len(),
         "{executed} executions of {COUNT} keys"
@@ -145,13 +141,10 @@
     text_requests::wait_serving(&fleet, "restarted", 2).await;
 }
 
-// One agent stands still, operators have a bundle accepted, and another agent is told to leave, while
-// requests are in flight and more come. The third target carries on, the leaving agent finishes
-// what it has and exits with success. When the first agent goes on it comes under the new bundle,
-// tells what became of its attempts, and executes nothing that was decided without it.
+// A resumed agent must not execute calls that were settled without it, nor keep the old bundle.
 #[tokio::test(flavor = "multi_thread")]
 async fn agent_frozen_bundle_accepted_other_agent_leaving() {
-    let mut fleet = start(3, false).await;
+    let mut fleet = start_fleet(3, false).await;
     text_requests::slow_targets(&fleet, 5.0).await;
     let first = text_requests::mixed_requests("first", COUNT, TOKENS, 2);
     let second = text_requests::mixed_requests("second", COUNT, TOKENS, 2);
@@ -167,7 +160,7 @@
         assert_eq!(code, 0, "{text}");
         text_requests::slow_targets(&fleet, 1.0).await;
         let drafts: Vec<_> = second.iter().step_by(2).cloned().collect();
-        let claimed = sends(&second);
+        let claimed = non_idempotent(&second);
         let claimed = async { text_requests::send_all(&fleet, &claimed).await };
         let drafts = async {
             let replies = text_requests::send_all(&fleet, &drafts).await;
@@ -185,7 +178,7 @@
         reply::summarize(&drafts)
     );
     println!("during the faults, claimed: {}", reply::summarize(&claimed));
-    wait::until("the agent to leave", || async {
+    wait::until("the agent to exit", || async {
         let answer = fleet
             .http
             .get(fleet.nodes[left].admin_addr, "/healthz")
@@ -197,7 +190,7 @@
     text_requests::check_replies(&first, &in_flight, &before);
     let during: Vec<_> = second.iter().step_by(2).cloned().collect();
     text_requests::check_replies(&during, &drafts, &before);
-    text_requests::check_replies(&sends(&second), &claimed, &before);
+    text_requests::check_replies(&non_idempotent(&second), &claimed, &before);
     wait::until("the new bundle", || async {
         let admin = fleet.nodes[frozen].admin_addr;
         let generation = fleet
--- a/laburnumcart_system/tests/traces.rs
+++ b/laburnumcart_system/tests/traces.rs
@@ -1,4 +1,4 @@
-//! Spans of one request, across all processes that it passes.
+//! Spans of one request across all processes that handle it.
 
 use nix::sys::signal::Signal;
 use serde_json::json;
@@ -26,10 +26,7 @@
     spans.iter().filter(fits).collect()
 }
 
-/// A caller within a trace of its own sends a request of four stages. The collector gets one span for
-/// each hop: the request at the entry, a child of the caller's span; under it an attempt for each
-/// stage; under each of these the execution at the agent, and under that the call of the target.
-/// The target is told of that last span. Nothing else belongs to the trace.
+// A span with the wrong parent, or a missing one, breaks the trace of a request across processes.
 #[tokio::test(flavor = "multi_thread")]
 async fn spans_of_a_request_form_one_chain() {
     let collector = collector::Collector::start().await;
@@ -44,18 +41,18 @@
     );
     let answer = fleet.call(0, &call.traceparent(&caller)).await;
     assert_eq!(answer.expect("an answer").status, 200);
-    let mut told = Vec::new();
+    let mut received = Vec::new();
     for service in SERVICES {
         let executions = fleet.service_executions(service).await;
         assert_eq!(executions.len(), 1, "{service}");
-        told.push(
+        received.push(
             executions[0]["traceparent"]
                 .as_str()
-                .expect("told")
+                .expect("received")
                 .to_owned(),
         );
     }
-    // A process sends what waits when it stops.
+    // Processes send their buffered spans when they stop.
     for daemon in fleet.daemons() {
         daemon.signal(Signal::SIGTERM);
     }
@@ -82,8 +79,8 @@
         assert_eq!(targets.len(), 1, "{spans:#?}");
         assert_eq!(targets[0].instance, executions[0].instance);
         let parent = format!("00-{TRACE}-{}-01", targets[0].span_id);
-        let place = told.iter().position(|told| *told == parent);
-        let place = place.expect("a target that was told of its span");
+        let place = received.iter().position(|received| *received == parent);
+        let place = place.expect("a target that received the context of its span");
         agents.push(format!("agent-{}-0", SERVICES[place]));
         assert_eq!(targets[0].instance, agents[agents.len() - 1]);
     }
--- a/laburnumcart_system/tests/whole_path.rs
+++ b/laburnumcart_system/tests/whole_path.rs
@@ -1,4 +1,4 @@
-//! A request's whole way through the real binaries, as separate processes.
+//! Requests through all stages of a fleet of separate processes.
 
 use std::collections;
 
@@ -17,18 +17,18 @@
 const IDEMPOTENT: usize = 200;
 const CLAIMED: usize = 50;
 
-/// Most executions beyond one a stage: the hedge ratio of the bundle, 5% of all stages.
+/// Largest number of hedges: the hedge ratio of the bundle, 5% of all stages.
 const HEDGES: usize = (IDEMPOTENT * 4 + CLAIMED * 4) / 20;
 
-/// Tokens that the stand-in engine of the sample generates.
+/// Tokens that the fake engine of the sample generates.
 const TOKENS: u32 = 12;
 
 fn body(number: usize) -> Value {
     json!({"applicant": number, "text": format!("statement {number}").repeat(20)})
 }
 
-/// What the stages before the last one must yield for an input.
-fn front(input: &Value) -> Value {
+/// Returns the expected output of the stages before the last one.
+fn front_stages_output(input: &Value) -> Value {
     ["encode", "retrieve", "rerank"]
         .iter()
         .fold(Value::Null, |previous, stage| {
@@ -37,25 +37,25 @@
 }
 
 fn check_output(input: &Value) -> Value {
-    expected::generated("generate", input, &front(input), TOKENS)
+    expected::generated("generate", input, &front_stages_output(input), TOKENS)
 }
 
 fn open_output(input: &Value) -> Value {
-    expected::pool("open", input, &front(input))
+    expected::pool("open", input, &front_stages_output(input))
 }
 
-/// Returns the answer's JSON, whether it came as one body or as the end of a stream of events.
-fn answer(answer: Result<http::Response, http::Failure>) -> Value {
+/// Returns the JSON of a response, from its body or from the last event of its stream.
+fn output_json(answer: Result<http::Response, http::Failure>) -> Value {
     let answer = answer.expect("an answer");
     assert_eq!(answer.status, 200, "{}", answer.body);
     if answer.header("content-type") == Some("text/event-stream") {
-        return streamed(&answer.body);
+        return joined_stream(&answer.body);
     }
     answer.json()
 }
 
-/// Checks that the pieces of a stream join to the text of its end, and returns the end.
-fn streamed(text: &str) -> Value {
+/// Returns the last event of a stream after checking that its pieces join to the whole text.
+fn joined_stream(text: &str) -> Value {
     let mut pieces = String::new();
     let mut end = Value::Null;
     for event in text.split("\n\n").filter(|event| !event.trim().is_empty()) {
@@ -74,7 +74,7 @@
     end
 }
 
-/// Counts the executions of a service by request, whatever came of them.
+/// Counts the executions of a service by request, whatever their outcome.
 async fn executed(fleet: &fleet::Fleet, service: &str) -> collections::HashMap<String, usize> {
     let mut counts = collections::HashMap::new();
     for row in fleet.service_executions(service).await {
@@ -84,10 +84,7 @@
     counts
 }
 
-// Callers send 250 requests at once through two entries, a fifth of them not to be repeated, and
-// each must get the answer that its own input yields, as JSON or as events. Then each target's own
-// record is read: the fifth executed each of its stages once. The others may be hedged when a target
-// is slow, within the bundle's budget; what was hedged is counted as well.
+// Concurrent requests must not get each other's answers nor execute more often than hedging allows.
 #[tokio::test(flavor = "multi_thread")]
 async fn every_request_gets_its_own_answer() {
     let plan = fleet::Plan::new(sample::services(2), sample::bundle());
@@ -118,11 +115,11 @@
     });
     let (checks, opens) = tokio::join!(future::join_all(checks), future::join_all(opens));
     for (number, reply) in checks.into_iter().enumerate() {
-        assert_eq!(answer(reply)["output"], check_output(&body(number)));
+        assert_eq!(output_json(reply)["output"], check_output(&body(number)));
     }
     let mut cases = collections::HashSet::new();
     for (number, reply) in opens.into_iter().enumerate() {
-        let reply = answer(reply);
+        let reply = output_json(reply);
         assert_eq!(reply["output"], open_output(&body(number)));
         cases.insert(reply["request"].as_str().expect("request").to_owned());
     }
@@ -145,7 +142,7 @@
         assert!(claimed.all(|(_, count)| *count == 1), "{service}");
         surplus += counts.values().map(|count| count - 1).sum::<usize>();
     }
-    assert!(surplus <= HEDGES, "{surplus} executions too many");
+    assert!(surplus <= HEDGES, "{surplus} surplus executions");
     check_shards(&fleet).await;
     check_processes(&fleet);
 }
@@ -170,8 +167,7 @@
     }
 }
 
-// A caller sends a non-idempotent request without a key. It could not be told from its own resend,
-// so it is refused as "not run" before any stage executes.
+// Without a key an entry cannot distinguish a non-idempotent request from its resend.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_request_not_to_be_repeated_needs_a_key() {
     let plan = fleet::Plan::new(sample::services(1), sample::bundle()).entries(1);
