--- a/laburnumcart_system/tests/doubt.rs
+++ b/laburnumcart_system/tests/doubt.rs
@@ -77,18 +77,13 @@
 }
 
 /// Stalls the connections in a phase.
-async fn stall_connections(
-    fleet: &fleet::Fleet,
-    phase: Phase,
-    silence: relay::Stall,
-    before: usize,
-) {
+async fn stall_connections(fleet: &fleet::Fleet, phase: Phase, stall: relay::Stall, before: usize) {
     let text = match phase {
         Phase::Before => return,
         Phase::After => {
             wait_executions(fleet, before, COUNT).await;
             for node in &fleet.nodes {
-                node.relay().stall(silence);
+                node.relay().stall(stall);
             }
             return;
         }
@@ -96,11 +91,11 @@
         Phase::End => "\"state\":\"done\"",
     };
     for node in &fleet.nodes {
-        node.relay().stall_at_text(text, silence);
+        node.relay().stall_at_text(text, stall);
     }
     wait::until("stalled connections", || async {
-        let is_silent = |node: &fleet::Node| node.relay().is_stalled();
-        fleet.nodes.iter().any(is_silent).then_some(())
+        let is_stalled = |node: &fleet::Node| node.relay().is_stalled();
+        fleet.nodes.iter().any(is_stalled).then_some(())
     })
     .await;
 }
@@ -112,8 +107,8 @@
         node.relay().resume();
     }
     wait::until("held bytes to arrive", || async {
-        let is_free = |node: &fleet::Node| !node.relay().is_holding_bytes();
-        fleet.nodes.iter().all(is_free).then_some(())
+        let is_drained = |node: &fleet::Node| !node.relay().is_holding_bytes();
+        fleet.nodes.iter().all(is_drained).then_some(())
     })
     .await;
     text_requests::check_serving(fleet, &format!("{name}-fresh"), fleet.entries.len()).await;
@@ -128,7 +123,7 @@
 #[case::back(false, true)]
 #[tokio::test(flavor = "multi_thread")]
 async fn silent_connections(#[case] forth: bool, #[case] back: bool) {
-    let silence = relay::Stall {
+    let stall = relay::Stall {
         to_server: forth,
         to_client: back,
     };
@@ -138,24 +133,24 @@
         let (broken, refused) = (count_lane_breaks(&fleet).await, count_fenced(&fleet).await);
         let before = fleet.service_executions(text_requests::SERVICE).await.len();
         if matches!(phase, Phase::Before) {
-            fleet.nodes.iter().for_each(|n| n.relay().stall(silence));
+            fleet.nodes.iter().for_each(|n| n.relay().stall(stall));
         }
         let sent = text_requests::mixed_requests(&name, COUNT, TOKENS, fleet.entries.len());
         let (replies, ()) = tokio::join!(
             text_requests::send_all(&fleet, &sent),
-            stall_connections(&fleet, phase, silence, before),
+            stall_connections(&fleet, phase, stall, before),
         );
-        println!("{phase:?} {silence:?}: {}", reply::summarize(&replies));
+        println!("{phase:?} {stall:?}: {}", reply::summarize(&replies));
         let rows = fleet.service_executions(text_requests::SERVICE).await;
         text_requests::check_replies(&sent, &replies, &rows);
         // A lane that has not noticed the stall may still deliver a call and execute it, such as
         // the slower attempt of a hedge; lanes whose connection is closed have been fenced.
-        let silent = fleet
+        let stalled = fleet
             .nodes
             .iter()
             .filter(|n| n.relay().is_stalled())
             .count();
-        let lanes = (silent * fleet.entries.len()) as f64;
+        let lanes = (stalled * fleet.entries.len()) as f64;
         wait::until("connections closed", || async {
             (count_lane_breaks(&fleet).await >= broken + lanes).then_some(())
         })
@@ -193,23 +188,33 @@
     };
     let (replies, killed) = tokio::join!(text_requests::send_all(&fleet, &sent), caught);
     println!("agent killed: {}", reply::summarize(&replies));
-    let (drafts, sends) = split_by_pipeline(&replies);
-    let lost = sends.iter().filter(|reply| !reply.is_complete()).count();
-    assert!(lost > 0, "none was lost: {}", reply::summarize(&sends));
-    assert!(drafts.iter().all(reply::Reply::is_complete), "{drafts:?}");
+    let (idempotent, non_idempotent) = split_by_pipeline(&replies);
+    let lost = non_idempotent
+        .iter()
+        .filter(|reply| !reply.is_complete())
+        .count();
+    assert!(
+        lost > 0,
+        "none was lost: {}",
+        reply::summarize(&non_idempotent)
+    );
+    assert!(
+        idempotent.iter().all(reply::Reply::is_complete),
+        "{idempotent:?}"
+    );
     fleet.nodes[killed].agent.kill();
     fleet.restart_agent(killed);
     fleet.wait_ready().await;
     let before = fleet.service_executions(text_requests::SERVICE).await;
     text_requests::check_replies(&sent, &replies, &before);
     let resent: Vec<_> = sent.iter().skip(1).step_by(2).cloned().collect();
-    let resent: Vec<_> = resent.into_iter().map(|letter| letter.entry(1)).collect();
+    let resent: Vec<_> = resent.into_iter().map(|request| request.entry(1)).collect();
     let again = text_requests::send_all(&fleet, &resent).await;
     println!("resent: {}", reply::summarize(&again));
     let after = fleet.service_executions(text_requests::SERVICE).await;
     text_requests::check_replies(&resent, &again, &after);
     reply::check_no_new_executions(&replies, &before, &after);
-    for (first, second) in sends.iter().zip(&again) {
+    for (first, second) in non_idempotent.iter().zip(&again) {
         assert_eq!(
             first.is_complete(),
             second.is_complete(),
@@ -224,28 +229,31 @@
 async fn an_agent_stands_still_and_goes_on() {
     let fleet = start_fleet(false).await;
     let sent = text_requests::mixed_requests("frozen", COUNT, TOKENS, fleet.entries.len());
-    let drafts: Vec<_> = sent.iter().step_by(2).cloned().collect();
-    let sends: Vec<_> = sent.iter().skip(1).step_by(2).cloned().collect();
+    let idempotent: Vec<_> = sent.iter().step_by(2).cloned().collect();
+    let non_idempotent: Vec<_> = sent.iter().skip(1).step_by(2).cloned().collect();
     text_requests::slow_targets(&fleet, 5.0).await;
-    let frozen = async {
+    let paused = async {
         let node = text_requests::wait_claimed_execution(&fleet).await;
         fleet.nodes[node].agent.pause().await;
         text_requests::slow_targets(&fleet, 1.0).await;
         node
     };
-    let drafts_then_resume = async {
-        let (replies, node) = tokio::join!(text_requests::send_all(&fleet, &drafts), frozen);
+    let idempotent_then_resume = async {
+        let (replies, node) = tokio::join!(text_requests::send_all(&fleet, &idempotent), paused);
         fleet.nodes[node].agent.resume();
         replies
     };
-    let (first, second) = tokio::join!(drafts_then_resume, text_requests::send_all(&fleet, &sends));
+    let (first, second) = tokio::join!(
+        idempotent_then_resume,
+        text_requests::send_all(&fleet, &non_idempotent)
+    );
     println!("agent frozen, idempotent: {}", reply::summarize(&first));
     println!("agent frozen, claimed: {}", reply::summarize(&second));
     assert!(first.iter().all(reply::Reply::is_complete), "{first:?}");
     fleet.wait_ready().await;
     let before = fleet.service_executions(text_requests::SERVICE).await;
-    text_requests::check_replies(&drafts, &first, &before);
-    text_requests::check_replies(&sends, &second, &before);
+    text_requests::check_replies(&idempotent, &first, &before);
+    text_requests::check_replies(&non_idempotent, &second, &before);
     text_requests::check_serving(&fleet, "frozen-after", 2).await;
     let after = fleet.service_executions(text_requests::SERVICE).await;
     reply::check_no_new_executions(first.iter().chain(&second), &before, &after);
@@ -255,7 +263,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_stream_goes_on_at_another_engine() {
     let fleet = start_fleet(false).await;
-    let letter =
+    let request =
         text_requests::TextRequest::new(text_requests::IDEMPOTENT, "crashed", 100).events(true);
     text_requests::slow_targets(&fleet, 5.0).await;
     let crash = async {
@@ -275,9 +283,9 @@
             .await;
         node
     };
-    let (reply, crashed) = tokio::join!(letter.send(&fleet), crash);
+    let (reply, crashed) = tokio::join!(request.send(&fleet), crash);
     let rows = fleet.service_executions(text_requests::SERVICE).await;
-    text_requests::check_replies(&[letter], std::slice::from_ref(&reply), &rows);
+    text_requests::check_replies(&[request], std::slice::from_ref(&reply), &rows);
     assert!(reply.is_complete(), "{reply:?}");
     let other = fleet.target_executions(1 - crashed).await;
     let done =
@@ -289,15 +297,15 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_resend_reads_the_same_pieces() {
     let fleet = start_fleet(false).await;
-    let letter =
+    let request =
         text_requests::TextRequest::new(text_requests::NON_IDEMPOTENT, "again", 5).events(true);
-    let first = letter.send(&fleet).await;
-    let second = letter.clone().entry(1).send(&fleet).await;
+    let first = request.send(&fleet).await;
+    let second = request.clone().entry(1).send(&fleet).await;
     assert!(
         first.is_complete() && second.is_complete(),
         "{first:?} {second:?}"
     );
     assert_eq!(first.request_id(), second.request_id());
     let rows = fleet.service_executions(text_requests::SERVICE).await;
-    text_requests::check_replies(&[letter.clone(), letter], &[first, second], &rows);
+    text_requests::check_replies(&[request.clone(), request], &[first, second], &rows);
 }
--- a/laburnumcart_system/tests/leaving.rs
+++ b/laburnumcart_system/tests/leaving.rs
@@ -41,10 +41,10 @@
             let name = format!("caller-{caller}-{}", all.len());
             let pipeline =
                 [text_requests::IDEMPOTENT, text_requests::NON_IDEMPOTENT][all.len() % 2];
-            let letter = text_requests::TextRequest::new(pipeline, &name, 1);
-            let letter = letter.entry(caller % fleet.entries.len());
-            let reply = letter.send(fleet).await;
-            all.push((letter, reply));
+            let request = text_requests::TextRequest::new(pipeline, &name, 1);
+            let request = request.entry(caller % fleet.entries.len());
+            let reply = request.send(fleet).await;
+            all.push((request, reply));
         }
         all
     });
@@ -222,8 +222,10 @@
     let long: Vec<_> = [1, 2]
         .into_iter()
         .flat_map(|entry| {
-            let letters = text_requests::mixed_requests(&format!("entry-{entry}"), 1, LONG, 1);
-            letters.into_iter().map(move |letter| letter.entry(entry))
+            let requests = text_requests::mixed_requests(&format!("entry-{entry}"), 1, LONG, 1);
+            requests
+                .into_iter()
+                .map(move |request| request.entry(entry))
         })
         .collect();
     let part = async {
@@ -245,8 +247,8 @@
         }
         for (entry, _) in leaving {
             let late = text_requests::mixed_requests(&format!("late-{entry}"), 1, 1, 1);
-            for letter in late {
-                let reply = letter.entry(entry).send(fleet).await;
+            for request in late {
+                let reply = request.entry(entry).send(fleet).await;
                 let reply::Reply::Refused {
                     reason,
                     retry_after: retry,
--- a/laburnumcart_system/tests/metrics.rs
+++ b/laburnumcart_system/tests/metrics.rs
@@ -147,7 +147,7 @@
     assert!(samples.len() <= SERIES_MAX, "{name}: {}", samples.len());
 }
 
-/// Offers work of each sort, with faults, so that each metric with labels has a value.
+/// Sends requests of each kind, with faults, so that each metric with labels has a value.
 async fn cause_all_metrics(fleet: &fleet::Fleet) {
     let check = fleet::Call::new(
         sample::CHECK_PIPELINE,
--- a/laburnumcart_system/tests/slopes.rs
+++ b/laburnumcart_system/tests/slopes.rs
@@ -1,4 +1,4 @@
-//! The arithmetic of the slopes and what is read for them.
+//! Line fits of the control cost and the measurements that they use.
 
 use std::time;
 
@@ -94,12 +94,12 @@
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
     let dest = listener.local_addr().unwrap();
     let relay = relay::Relay::start(port::free(), dest).await.unwrap();
-    let mut near = tokio::net::TcpStream::connect(relay.addr()).await.unwrap();
-    let (mut far, _) = listener.accept().await.unwrap();
-    near.write_all(&[1; 3]).await.unwrap();
-    far.write_all(&[2; 5]).await.unwrap();
-    far.read_exact(&mut [0; 3]).await.unwrap();
-    near.read_exact(&mut [0; 5]).await.unwrap();
+    let mut client = tokio::net::TcpStream::connect(relay.addr()).await.unwrap();
+    let (mut server, _) = listener.accept().await.unwrap();
+    client.write_all(&[1; 3]).await.unwrap();
+    server.write_all(&[2; 5]).await.unwrap();
+    server.read_exact(&mut [0; 3]).await.unwrap();
+    client.read_exact(&mut [0; 5]).await.unwrap();
     let bytes = relay::Bytes {
         to_server: 3,
         to_client: 5,
--- a/laburnumcart_system/tests/together.rs
+++ b/laburnumcart_system/tests/together.rs
@@ -34,8 +34,8 @@
 }
 
 /// Returns the non-idempotent ones of mixed requests.
-fn non_idempotent(letters: &[text_requests::TextRequest]) -> Vec<text_requests::TextRequest> {
-    letters.iter().skip(1).step_by(2).cloned().collect()
+fn non_idempotent(requests: &[text_requests::TextRequest]) -> Vec<text_requests::TextRequest> {
+    requests.iter().skip(1).step_by(2).cloned().collect()
 }
 
 /// Restarts a killed agent once its address is free.
@@ -151,31 +151,31 @@
     let mut bundle = text_requests::bundle("20s");
     bundle["title"] = json!("letters, second edition");
     let faults = async {
-        let frozen = text_requests::wait_claimed_execution(&fleet).await;
-        let left = (frozen + 1) % 3;
+        let paused = text_requests::wait_claimed_execution(&fleet).await;
+        let left = (paused + 1) % 3;
         text_requests::wait_executing(&fleet, &[left]).await;
-        fleet.nodes[frozen].agent.pause().await;
+        fleet.nodes[paused].agent.pause().await;
         fleet.accept_bundle(&bundle);
         let (code, text) = fleet.run_ctl(&["drain", &fleet.nodes[left].peer_addr.to_string()]);
         assert_eq!(code, 0, "{text}");
         text_requests::slow_targets(&fleet, 1.0).await;
-        let drafts: Vec<_> = second.iter().step_by(2).cloned().collect();
+        let idempotent: Vec<_> = second.iter().step_by(2).cloned().collect();
         let claimed = non_idempotent(&second);
         let claimed = async { text_requests::send_all(&fleet, &claimed).await };
-        let drafts = async {
-            let replies = text_requests::send_all(&fleet, &drafts).await;
-            fleet.nodes[frozen].agent.resume();
+        let idempotent = async {
+            let replies = text_requests::send_all(&fleet, &idempotent).await;
+            fleet.nodes[paused].agent.resume();
             replies
         };
-        let (drafts, claimed) = tokio::join!(drafts, claimed);
-        (frozen, left, drafts, claimed)
+        let (idempotent, claimed) = tokio::join!(idempotent, claimed);
+        (paused, left, idempotent, claimed)
     };
-    let (in_flight, (frozen, left, drafts, claimed)) =
+    let (in_flight, (paused, left, idempotent, claimed)) =
         tokio::join!(text_requests::send_all(&fleet, &first), faults);
     println!("in flight: {}", reply::summarize(&in_flight));
     println!(
         "during the faults, idempotent: {}",
-        reply::summarize(&drafts)
+        reply::summarize(&idempotent)
     );
     println!("during the faults, claimed: {}", reply::summarize(&claimed));
     wait::until("the agent to exit", || async {
@@ -189,10 +189,10 @@
     let before = fleet.service_executions(text_requests::SERVICE).await;
     text_requests::check_replies(&first, &in_flight, &before);
     let during: Vec<_> = second.iter().step_by(2).cloned().collect();
-    text_requests::check_replies(&during, &drafts, &before);
+    text_requests::check_replies(&during, &idempotent, &before);
     text_requests::check_replies(&non_idempotent(&second), &claimed, &before);
     wait::until("the new bundle", || async {
-        let admin = fleet.nodes[frozen].admin_addr;
+        let admin = fleet.nodes[paused].admin_addr;
         let generation = fleet
             .sum_metric(admin, "laburnum_bundle_generation", "")
             .await;
@@ -201,7 +201,7 @@
     .await;
     text_requests::wait_serving(&fleet, "after", 2).await;
     let after = fleet.service_executions(text_requests::SERVICE).await;
-    let old = in_flight.iter().chain(&drafts).chain(&claimed);
+    let old = in_flight.iter().chain(&idempotent).chain(&claimed);
     reply::check_no_new_executions(old, &before, &after);
     let mut ended = None;
     for _ in 0..500 {
--- a/laburnumcart_system/tests/traces.rs
+++ b/laburnumcart_system/tests/traces.rs
@@ -79,9 +79,9 @@
         assert_eq!(targets.len(), 1, "{spans:#?}");
         assert_eq!(targets[0].instance, executions[0].instance);
         let parent = format!("00-{TRACE}-{}-01", targets[0].span_id);
-        let place = received.iter().position(|received| *received == parent);
-        let place = place.expect("a target that received the context of its span");
-        agents.push(format!("agent-{}-0", SERVICES[place]));
+        let index = received.iter().position(|context| *context == parent);
+        let index = index.expect("a target that received the context of its span");
+        agents.push(format!("agent-{}-0", SERVICES[index]));
         assert_eq!(targets[0].instance, agents[agents.len() - 1]);
     }
     agents.sort();
--- a/laburnumcart_system/tests/whole_path.rs
+++ b/laburnumcart_system/tests/whole_path.rs
@@ -123,9 +123,9 @@
         assert_eq!(reply["output"], open_output(&body(number)));
         cases.insert(reply["request"].as_str().expect("request").to_owned());
     }
-    let desk = executed(&fleet, "clinic-desk").await;
-    assert_eq!(desk.len(), CLAIMED);
-    assert!(desk.keys().all(|request| cases.contains(request)));
+    let opened = executed(&fleet, "clinic-desk").await;
+    assert_eq!(opened.len(), CLAIMED);
+    assert!(opened.keys().all(|request| cases.contains(request)));
     assert_eq!(executed(&fleet, "case-model").await.len(), IDEMPOTENT);
     let mut surplus = 0;
     for service in [
@@ -147,7 +147,7 @@
     check_processes(&fleet);
 }
 
-/// Checks that the claims are spread over as many shards as the bundle says.
+/// Checks that the claims are spread over the number of shards in the bundle.
 async fn check_shards(fleet: &fleet::Fleet) {
     let page = "/v1/objects/claims/shards";
     let answer = fleet.http.get(fleet.store_addr, page).await;
