--- a/laburnumcart_system/tests/doubt.rs
+++ b/laburnumcart_system/tests/doubt.rs
@@ -226,7 +226,7 @@
 
 // A resumed agent finds calls in its old connections that were repeated or settled without it.
 #[tokio::test(flavor = "multi_thread")]
-async fn an_agent_stands_still_and_goes_on() {
+async fn a_paused_agent_settles_its_attempts() {
     let fleet = start_fleet(false).await;
     let sent = text_requests::mixed_requests("frozen", COUNT, TOKENS, fleet.entries.len());
     let idempotent: Vec<_> = sent.iter().step_by(2).cloned().collect();
--- a/laburnumcart_system/tests/leaving.rs
+++ b/laburnumcart_system/tests/leaving.rs
@@ -144,6 +144,7 @@
 async fn work_in_flight_is_finished() {
     let service = text_requests::service(3, "10ms");
     let plan = fleet::Plan::new(vec![service], text_requests::bundle("50s"));
+    // The instance list keeps showing the leaving processes as live.
     let plan = plan.entries(3).store_args(&["--list-lag", "30s"]);
     let mut fleet = fleet::Fleet::start(plan).await;
     text_requests::wait_all_targets_used(&fleet).await;
--- a/laburnumcart_system/tests/orders.rs
+++ b/laburnumcart_system/tests/orders.rs
@@ -67,8 +67,8 @@
 
 // A resumed agent still holds the old bundle; its orders must not undo those of its successor.
 #[rstest]
-#[case::fenced("fenced")]
-#[case::unfenced("unfenced")]
+#[case::fenced("fenced")] // The target refuses orders of an earlier term.
+#[case::unfenced("unfenced")] // The agent sends no order without the object service.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_paused_agent_changes_nothing(#[case] orders: &'static str) {
     let service = fleet::Service::new("case-model", "engine", 1).args(&["--orders", orders]);
--- a/laburnumcart_system/tests/poison.rs
+++ b/laburnumcart_system/tests/poison.rs
@@ -37,13 +37,13 @@
 const CALLERS: usize = 8;
 
 /// Answers to wait for before the poison request, so that the retry budget is filled.
-const WARM: usize = 400;
+const WARM_UP_ANSWERS: usize = 400;
 
 /// Largest number of targets that crash after the first crash is detected.
 const AFTER_DETECTION: usize = 2;
 
 /// Consecutive rounds in which both entries refuse the poison request at once.
-const ROUNDS: usize = 10;
+const REFUSED_ROUNDS: usize = 10;
 
 /// Returns a bundle whose pipelines have one stage each, on the same targets.
 fn bundle() -> Value {
@@ -109,7 +109,7 @@
     }
 
     /// Sends one request after another through an entry until `stop` is set.
-    async fn run(&self, fleet: &fleet::Fleet, entry: usize) {
+    async fn send_until_stopped(&self, fleet: &fleet::Fleet, entry: usize) {
         while !self.stop.load(Ordering::Relaxed) {
             let number = self.next.fetch_add(1, Ordering::Relaxed);
             self.send(fleet, entry, number).await;
@@ -137,7 +137,7 @@
     }
 
     /// Waits until `count` more requests have been answered.
-    async fn wait(&self, count: usize) {
+    async fn wait_answered(&self, count: usize) {
         let until = self.done.load(Ordering::Relaxed) + count;
         wait::until("answers to other callers", || async {
             (self.done.load(Ordering::Relaxed) >= until).then_some(())
@@ -146,7 +146,7 @@
     }
 
     /// Resends the retried requests and checks that no request was lost.
-    async fn check(&self, fleet: &fleet::Fleet) {
+    async fn check_none_lost(&self, fleet: &fleet::Fleet) {
         let retried = self.retried.lock().unwrap().clone();
         let resent = retried.iter().flat_map(|number| {
             let send = move |entry| self.send(fleet, entry, *number);
@@ -171,15 +171,15 @@
     scenario: impl Future<Output = ()>,
 ) {
     let callers = (0..CALLERS * fleet.entries.len())
-        .map(|number| traffic.run(fleet, number % fleet.entries.len()));
+        .map(|number| traffic.send_until_stopped(fleet, number % fleet.entries.len()));
     let scenario = async {
-        traffic.wait(WARM).await;
+        traffic.wait_answered(WARM_UP_ANSWERS).await;
         scenario.await;
-        traffic.wait(WARM).await;
+        traffic.wait_answered(WARM_UP_ANSWERS).await;
         traffic.stop.store(true, Ordering::Relaxed);
     };
     tokio::join!(future::join_all(callers), scenario);
-    traffic.check(fleet).await;
+    traffic.check_none_lost(fleet).await;
 }
 
 /// Error response to a poison request.
@@ -272,10 +272,10 @@
     let scenario = async {
         let begun = Instant::now();
         let mut refusals: Vec<Refusal> = Vec::new();
-        let mut quiet = 0;
+        let mut refused_rounds = 0;
         let mut since = time::Duration::ZERO;
         let mut schedule = rounds.iter().cycle();
-        while quiet < ROUNDS {
+        while refused_rounds < REFUSED_ROUNDS {
             assert!(
                 begun.elapsed() < wait::TIMEOUT,
                 "never refused: {refusals:#?}"
@@ -283,9 +283,9 @@
             let round = send_round(&fleet, schedule.next().expect("a round")).await;
             if !round.iter().all(Refusal::is_refused_at_once) {
                 since = begun.elapsed();
-                quiet = 0;
+                refused_rounds = 0;
             } else {
-                quiet += 1;
+                refused_rounds += 1;
             }
             refusals.extend(round);
         }
@@ -321,7 +321,7 @@
 }
 
 /// Counts the executions of non-idempotent requests, by request.
-async fn executed_once(fleet: &fleet::Fleet) -> collections::HashMap<String, usize> {
+async fn count_non_idempotent(fleet: &fleet::Fleet) -> collections::HashMap<String, usize> {
     let mut counts = collections::HashMap::new();
     for row in executions(fleet).await {
         if row["idempotent"] == false {
@@ -349,14 +349,14 @@
                 assert_eq!(refusal.verdict, "may-have-run", "{refusal:?}");
             }
         }
-        let counts = executed_once(&fleet).await;
+        let counts = count_non_idempotent(&fleet).await;
         assert_eq!(counts.values().sum::<usize>(), 1, "{counts:?}");
         let mut refusals = Vec::new();
-        for number in 0..ROUNDS {
+        for number in 0..REFUSED_ROUNDS {
             let both = (0..2).map(|entry| send(entry, format!("case-{number}-{entry}")));
             refusals.extend(future::join_all(both).await);
         }
-        let counts = executed_once(&fleet).await;
+        let counts = count_non_idempotent(&fleet).await;
         assert!(counts.values().all(|count| *count == 1), "{counts:?}");
         println!("crashes={} sent={}", counts.len(), refusals.len());
         assert!(counts.len() <= 1 + AFTER_DETECTION, "{refusals:#?}");
--- a/laburnumcart_system/tests/slopes.rs
+++ b/laburnumcart_system/tests/slopes.rs
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn use_of_a_process_with_an_odd_name() {
+fn usage_of_a_process_with_a_bracket_in_its_name() {
     let stat = "7 (a) b) S 1 7 7 0 -1 4194304 100 0 0 0 250 50 0 0 20 0 8 0 100 1 2";
     assert_eq!(usage::parse_cpu_seconds(stat), Some(3.0));
     assert_eq!(
--- a/laburnumcart_system/tests/soak.rs
+++ b/laburnumcart_system/tests/soak.rs
@@ -24,7 +24,7 @@
 #[case(22, false, false, true)]
 #[case(23, true, true, true)]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn promises_hold_under_faults(
+async fn guarantees_hold_under_faults(
     #[case] seed: u64,
     #[case] evacuations: bool,
     #[case] target_signals: bool,
--- a/laburnumcart_system/tests/whole_path.rs
+++ b/laburnumcart_system/tests/whole_path.rs
@@ -169,7 +169,7 @@
 
 // Without a key an entry cannot distinguish a non-idempotent request from its resend.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_request_not_to_be_repeated_needs_a_key() {
+async fn a_non_idempotent_request_needs_a_key() {
     let plan = fleet::Plan::new(sample::services(1), sample::bundle()).entries(1);
     let fleet = fleet::Fleet::start(plan).await;
     let call = fleet::Call::new(sample::OPEN_PIPELINE, sample::CLINIC_TOKEN, body(1));
