--- a/laburnumcart_system/tests/entry_stop.rs
+++ b/laburnumcart_system/tests/entry_stop.rs
@@ -13,7 +13,7 @@
 
 const REQUESTS: usize = 20;
 
-/// Services with an engine slow enough that its streams still run when the stop comes.
+/// Returns services with an engine so slow that streams are still running at the stop.
 fn services() -> Vec<fleet::Service> {
     let mut services = sample::services(1);
     services.retain(|service| service.name != "case-model");
@@ -22,16 +22,14 @@
     services
 }
 
-// An operator stops an entry with SIGTERM while callers wait for streams and whole answers. Each of
-// them gets its whole answer: the entry takes no new request, finishes those in flight, writes their
-// last bytes and only then exits, with code 0.
+// An entry that exits before the last bytes are written truncates responses on a planned stop.
 #[tokio::test(flavor = "multi_thread")]
 async fn sigterm_cuts_no_answer_off() {
     let plan = fleet::Plan::new(services(), sample::bundle()).entries(1);
     let mut fleet = fleet::Fleet::start(plan).await;
     let calls = (0..REQUESTS).map(|number| {
         let body = json!({ "text": format!("statement {number}") });
-        let call = fleet::Call::new(sample::CHECK, sample::CLINIC, body);
+        let call = fleet::Call::new(sample::CHECK_PIPELINE, sample::CLINIC_TOKEN, body);
         if number.is_multiple_of(2) {
             call
         } else {
@@ -41,8 +39,8 @@
     let calls: Vec<_> = calls.collect();
     let running = future::join_all(calls.iter().map(|call| fleet.call(0, call)));
     let stop = async {
-        wait::until("engine at work", || async {
-            let rows = fleet.executions("rerankers").await;
+        wait::until("requests at the engine", || async {
+            let rows = fleet.service_executions("rerankers").await;
             (rows.len() >= REQUESTS).then_some(())
         })
         .await;
@@ -50,7 +48,10 @@
         tokio::time::sleep(time::Duration::from_millis(50)).await;
         let body = json!({ "text": "late" });
         fleet
-            .call(0, &fleet::Call::new(sample::CHECK, sample::CLINIC, body))
+            .call(
+                0,
+                &fleet::Call::new(sample::CHECK_PIPELINE, sample::CLINIC_TOKEN, body),
+            )
             .await
     };
     let (answers, late) = tokio::join!(running, stop);
@@ -72,12 +73,12 @@
     let process = &mut fleet.entries[0].process;
     let begun = tokio::time::Instant::now();
     let status = loop {
-        if let Some(status) = process.ended() {
+        if let Some(status) = process.exit_status() {
             break status;
         }
         assert!(
             begun.elapsed() < time::Duration::from_secs(20),
-            "still runs"
+            "the entry still runs"
         );
         tokio::time::sleep(time::Duration::from_millis(20)).await;
     };
--- a/laburnumcart_system/tests/traces.rs
+++ b/laburnumcart_system/tests/traces.rs
@@ -1,4 +1,4 @@
-//! Spans of one request, across all processes that it passes.
+//! Spans of one request across all processes that handle it.
 
 use nix::sys::signal::Signal;
 use serde_json::json;
@@ -26,10 +26,7 @@
     spans.iter().filter(fits).collect()
 }
 
-/// A caller within a trace of its own sends a request of four stages. The collector gets one span for
-/// each hop: the request at the entry, a child of the caller's span; under it an attempt for each
-/// stage; under each of these the execution at the agent, and under that the call of the target.
-/// The target is told of that last span. Nothing else belongs to the trace.
+// A span with the wrong parent, or a missing one, breaks the trace of a request across processes.
 #[tokio::test(flavor = "multi_thread")]
 async fn spans_of_a_request_form_one_chain() {
     let collector = collector::Collector::start().await;
@@ -37,21 +34,25 @@
     let plan = plan.entries(1).traces(collector.addr);
     let mut fleet = fleet::Fleet::start(plan).await;
     let caller = format!("00-{TRACE}-{CALLER}-01");
-    let call = fleet::Call::new(sample::CHECK, sample::CLINIC, json!({"case": 1}));
+    let call = fleet::Call::new(
+        sample::CHECK_PIPELINE,
+        sample::CLINIC_TOKEN,
+        json!({"case": 1}),
+    );
     let answer = fleet.call(0, &call.traceparent(&caller)).await;
     assert_eq!(answer.expect("an answer").status, 200);
-    let mut told = Vec::new();
+    let mut received = Vec::new();
     for service in SERVICES {
-        let executions = fleet.executions(service).await;
+        let executions = fleet.service_executions(service).await;
         assert_eq!(executions.len(), 1, "{service}");
-        told.push(
+        received.push(
             executions[0]["traceparent"]
                 .as_str()
-                .expect("told")
+                .expect("received")
                 .to_owned(),
         );
     }
-    // A process sends what waits when it stops.
+    // Processes send their buffered spans when they stop.
     for daemon in fleet.daemons() {
         daemon.signal(Signal::SIGTERM);
     }
@@ -60,7 +61,7 @@
     for process in nodes.chain(entries) {
         let name = process.name().to_owned();
         let process = std::cell::RefCell::new(process);
-        wait::until(&name, || async { process.borrow_mut().ended() }).await;
+        wait::until(&name, || async { process.borrow_mut().exit_status() }).await;
     }
     let mut spans = collector.spans();
     spans.retain(|span| span.trace_id == TRACE);
@@ -78,9 +79,9 @@
         assert_eq!(targets.len(), 1, "{spans:#?}");
         assert_eq!(targets[0].instance, executions[0].instance);
         let parent = format!("00-{TRACE}-{}-01", targets[0].span_id);
-        let place = told.iter().position(|told| *told == parent);
-        let place = place.expect("a target that was told of its span");
-        agents.push(format!("agent-{}-0", SERVICES[place]));
+        let index = received.iter().position(|context| *context == parent);
+        let index = index.expect("a target that received the context of its span");
+        agents.push(format!("agent-{}-0", SERVICES[index]));
         assert_eq!(targets[0].instance, agents[agents.len() - 1]);
     }
     agents.sort();
