--- a/laburnumcart_system/src/http.rs
+++ b/laburnumcart_system/src/http.rs
@@ -1,4 +1,4 @@
-//! Small HTTP client for tests.
+//! HTTP client for tests.
 
 use std::{
     net,
@@ -11,16 +11,16 @@
     rt, //
 };
 
-/// Longest time a test waits for one answer.
+/// Longest wait for one response.
 const TIMEOUT: time::Duration = time::Duration::from_secs(60);
 
-/// Client that keeps no idle connection, so that a killed process is noticed at once.
+/// Client that keeps no idle connections, so that requests fail once the server is killed.
 #[derive(Clone, Debug)]
 pub struct Client {
     inner: legacy::Client<legacy::connect::HttpConnector, http_body_util::Full<bytes::Bytes>>,
 }
 
-/// A whole answer.
+/// A complete response.
 #[derive(Clone, Debug)]
 pub struct Response {
     /// HTTP status.
@@ -31,19 +31,19 @@
     pub body: String,
 }
 
-/// Why there is no whole answer.
+/// Reason why there is no complete response.
 #[derive(Clone, Debug, derive_more::Display, derive_more::Error)]
 pub enum Failure {
-    /// The connection failed or ended early.
+    /// The connection failed or was closed early.
     #[display("connection failed")]
     Connection,
-    /// No answer within the limit.
-    #[display("no answer")]
+    /// No response within the timeout.
+    #[display("no response within the timeout")]
     Timeout,
 }
 
 impl Response {
-    /// Parses the body as JSON; `null` when it is not.
+    /// Parses the body as JSON; returns `null` if it is not JSON.
     pub fn json(&self) -> serde_json::Value {
         serde_json::from_str(&self.body).unwrap_or_default()
     }
@@ -64,12 +64,12 @@
 }
 
 impl Client {
-    /// Sends a request and reads the whole answer.
+    /// Sends a request and reads the complete response.
     pub async fn send(&self, request: http::Request<String>) -> Result<Response, Failure> {
         let request = request.map(|body| http_body_util::Full::new(bytes::Bytes::from(body)));
         let call = async {
-            let answer = self.inner.request(request).await;
-            let (parts, body) = answer.map_err(|_| Failure::Connection)?.into_parts();
+            let response = self.inner.request(request).await;
+            let (parts, body) = response.map_err(|_| Failure::Connection)?.into_parts();
             let body = body.collect().await.map_err(|_| Failure::Connection)?;
             Ok(Response {
                 status: parts.status.as_u16(),
@@ -82,14 +82,14 @@
             .unwrap_or(Err(Failure::Timeout))
     }
 
-    /// Reads a page.
+    /// Sends a GET request.
     pub async fn get(&self, addr: net::SocketAddr, path: &str) -> Result<Response, Failure> {
         let request = http::Request::get(format!("http://{addr}{path}"));
         self.send(request.body(String::new()).expect("request"))
             .await
     }
 
-    /// Posts JSON.
+    /// Sends a POST request with a JSON body.
     pub async fn post(
         &self,
         addr: net::SocketAddr,
--- a/laburnumcart_system/src/keygen.rs
+++ b/laburnumcart_system/src/keygen.rs
@@ -1,4 +1,4 @@
-//! Signing keys of a fleet.
+//! Generates the signing key of a fleet.
 
 use std::{
     path,
@@ -9,7 +9,7 @@
 
 use crate::process;
 
-/// Has `laburnumctl` generate a signing key and returns it.
+/// Generates a signing key with `laburnumctl` and returns its output.
 pub(crate) fn generate_key(dir: &path::Path) -> Value {
     let output = Command::new(process::binary("laburnumctl"))
         .current_dir(dir)
--- a/laburnumcart_system/src/relay.rs
+++ b/laburnumcart_system/src/relay.rs
@@ -1,4 +1,4 @@
-//! A TCP relay between two processes that can fall silent.
+//! A TCP relay that can stall its connections, for tests of network faults.
 
 use std::{
     io, net,
@@ -17,50 +17,51 @@
     sync::watch, //
 };
 
-/// Bytes that one step of a relay passes on.
-const STEP: usize = 16 * 1024;
+/// Size of the buffer for one read, in bytes.
+const BUFFER_BYTES: usize = 16 * 1024;
 
-/// What happens to bytes on the connections that exist now; new ones always work.
+/// Directions in which existing connections hold bytes back; new connections are not affected.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Stall {
-    /// Bytes from the caller are held back.
+    /// Whether bytes from the client are held back.
     pub to_server: bool,
-    /// Bytes to the caller are held back.
+    /// Whether bytes to the client are held back.
     pub to_client: bool,
 }
 
-/// Which connections a [`Stall`] applies to: those with a number up to `last`.
+/// A [`Stall`] and the connections that it applies to: those numbered up to `last`.
 #[derive(Clone, Copy, Debug, Default)]
-struct Rule {
-    silence: Stall,
+struct StallRule {
+    stall: Stall,
     last: u64,
 }
 
-/// Bytes that a relay has passed on.
+/// Number of bytes that a relay has forwarded.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Bytes {
-    /// From callers.
+    /// Bytes from clients to the server.
     pub to_server: u64,
-    /// To callers.
+    /// Bytes from the server to clients.
     pub to_client: u64,
 }
 
-/// What the relay's tasks share.
+/// State shared by the tasks of a relay.
 #[derive(Debug)]
 struct Shared {
-    rule: watch::Sender<Rule>,
+    rule: watch::Sender<StallRule>,
+    /// Number of connections accepted so far.
     count: atomic::AtomicU64,
-    /// Directions of connections that hold bytes back.
+    /// Number of tasks that are holding bytes back or writing them.
     held: atomic::AtomicUsize,
-    /// Bytes passed on from callers.
+    /// Bytes forwarded from clients.
     to_server: atomic::AtomicU64,
-    /// Bytes passed on to callers.
+    /// Bytes forwarded to clients.
     to_client: atomic::AtomicU64,
-    /// Text that begins a silence when it is on its way to a caller.
+    /// Text that starts a stall when it is read from the server.
     trigger: sync::Mutex<Option<(Vec<u8>, Stall)>>,
 }
 
-/// Relay with one listening address and one destination.
+/// Relay from one listening address to one destination; it stops accepting when it is dropped.
 #[derive(Debug)]
 pub struct Relay {
     addr: net::SocketAddr,
@@ -69,11 +70,11 @@
 }
 
 impl Relay {
-    /// Listens on `addr` and passes on to `dest`.
+    /// Listens on `addr` and forwards to `dest`.
     pub async fn start(addr: net::SocketAddr, dest: net::SocketAddr) -> io::Result<Self> {
         let listener = tokio::net::TcpListener::bind(addr).await?;
         let shared = sync::Arc::new(Shared {
-            rule: watch::Sender::new(Rule::default()),
+            rule: watch::Sender::new(StallRule::default()),
             count: atomic::AtomicU64::new(0),
             held: atomic::AtomicUsize::new(0),
             to_server: atomic::AtomicU64::new(0),
@@ -84,12 +85,12 @@
         Ok(Self { addr, shared, task })
     }
 
-    /// Returns its address.
+    /// Returns the address that the relay listens on.
     pub fn addr(&self) -> net::SocketAddr {
         self.addr
     }
 
-    /// Returns how many bytes it has passed on.
+    /// Returns the number of bytes forwarded so far.
     pub fn bytes(&self) -> Bytes {
         Bytes {
             to_server: self.shared.to_server.load(atomic::Ordering::Relaxed),
@@ -97,31 +98,31 @@
         }
     }
 
-    /// Silences all connections that exist now; bytes are held, not lost.
-    pub fn stall(&self, silence: Stall) {
-        self.shared.stall(silence);
+    /// Stalls all existing connections; bytes are held back, not lost.
+    pub fn stall(&self, stall: Stall) {
+        self.shared.stall(stall);
     }
 
-    /// Silences all connections that exist when `text` is next on its way to a caller, before it
-    /// passes.
-    pub fn stall_at_text(&self, text: &str, silence: Stall) {
-        *self.shared.trigger() = Some((text.into(), silence));
+    /// Stalls all connections that exist when `text` is next read from the server, before forwarding
+    /// it.
+    pub fn stall_at_text(&self, text: &str, stall: Stall) {
+        *self.shared.trigger() = Some((text.into(), stall));
     }
 
-    /// Reports whether a silence has begun and was not ended.
+    /// Reports whether a stall is in effect.
     pub fn is_stalled(&self) -> bool {
-        self.shared.rule.borrow().silence != Stall::default()
+        self.shared.rule.borrow().stall != Stall::default()
     }
 
-    /// Reports whether bytes are held back.
+    /// Reports whether bytes are being held back.
     pub fn is_holding_bytes(&self) -> bool {
         self.shared.held.load(atomic::Ordering::SeqCst) > 0
     }
 
-    /// Lets the held bytes go on.
+    /// Ends the stall, or cancels a pending one, and forwards the held bytes.
     pub fn resume(&self) {
         *self.shared.trigger() = None;
-        self.shared.rule.send_replace(Rule::default());
+        self.shared.rule.send_replace(StallRule::default());
     }
 }
 
@@ -132,9 +133,9 @@
 }
 
 impl Shared {
-    fn stall(&self, silence: Stall) {
+    fn stall(&self, stall: Stall) {
         let last = self.count.load(atomic::Ordering::SeqCst);
-        self.rule.send_replace(Rule { silence, last });
+        self.rule.send_replace(StallRule { stall, last });
     }
 
     fn trigger(&self) -> sync::MutexGuard<'_, Option<(Vec<u8>, Stall)>> {
@@ -143,12 +144,12 @@
             .unwrap_or_else(sync::PoisonError::into_inner)
     }
 
-    /// Begins the silence that waits for a text which `bytes` hold.
-    fn look(&self, bytes: &[u8]) {
+    /// Starts the pending stall if `bytes` contain its text.
+    fn stall_on_trigger(&self, bytes: &[u8]) {
         let mut trigger = self.trigger();
         let is_in = |text: &[u8]| bytes.windows(text.len()).any(|part| part == text);
-        if let Some((_, silence)) = trigger.take_if(|(text, _)| is_in(text)) {
-            self.stall(silence);
+        if let Some((_, stall)) = trigger.take_if(|(text, _)| is_in(text)) {
+            self.stall(stall);
         }
     }
 }
@@ -158,49 +159,61 @@
     dest: net::SocketAddr,
     shared: sync::Arc<Shared>,
 ) {
-    while let Ok((near, _)) = listener.accept().await {
+    while let Ok((client, _)) = listener.accept().await {
         let number = shared.count.fetch_add(1, atomic::Ordering::SeqCst) + 1;
-        let Ok(far) = tokio::net::TcpStream::connect(dest).await else {
+        let Ok(server) = tokio::net::TcpStream::connect(dest).await else {
             continue;
         };
-        let (near_in, near_out) = near.into_split();
-        let (far_in, far_out) = far.into_split();
-        let forth = move |rule: &Rule| number <= rule.last && rule.silence.to_server;
-        let back = move |rule: &Rule| number <= rule.last && rule.silence.to_client;
-        tokio::spawn(pump(near_in, far_out, shared.clone(), false, forth));
-        tokio::spawn(pump(far_in, near_out, shared.clone(), true, back));
+        let (client_in, client_out) = client.into_split();
+        let (server_in, server_out) = server.into_split();
+        let stalls_to_server = move |rule: &StallRule| number <= rule.last && rule.stall.to_server;
+        let stalls_to_client = move |rule: &StallRule| number <= rule.last && rule.stall.to_client;
+        tokio::spawn(forward(
+            client_in,
+            server_out,
+            shared.clone(),
+            false,
+            stalls_to_server,
+        ));
+        tokio::spawn(forward(
+            server_in,
+            client_out,
+            shared.clone(),
+            true,
+            stalls_to_client,
+        ));
     }
 }
 
-async fn pump(
+async fn forward(
     mut from: tcp::OwnedReadHalf,
     mut to: tcp::OwnedWriteHalf,
     shared: sync::Arc<Shared>,
-    looks: bool,
-    holds: impl Fn(&Rule) -> bool,
+    to_client: bool,
+    is_stalled: impl Fn(&StallRule) -> bool,
 ) {
     let mut rule = shared.rule.subscribe();
-    let mut buffer = vec![0; STEP];
+    let mut buffer = vec![0; BUFFER_BYTES];
     loop {
         let Ok(count) = from.read(&mut buffer).await else {
             return;
         };
         let bytes = &buffer[..count];
-        if looks {
-            shared.look(bytes);
+        if to_client {
+            shared.stall_on_trigger(bytes);
         }
         shared.held.fetch_add(1, atomic::Ordering::SeqCst);
-        let free = rule.wait_for(|rule| !holds(rule)).await.is_ok();
-        let sent = free && count > 0 && to.write_all(bytes).await.is_ok();
+        let released = rule.wait_for(|rule| !is_stalled(rule)).await.is_ok();
+        let sent = released && count > 0 && to.write_all(bytes).await.is_ok();
         shared.held.fetch_sub(1, atomic::Ordering::SeqCst);
         if !sent {
             return;
         }
-        let passed = if looks {
+        let forwarded = if to_client {
             &shared.to_client
         } else {
             &shared.to_server
         };
-        passed.fetch_add(count as u64, atomic::Ordering::Relaxed);
+        forwarded.fetch_add(count as u64, atomic::Ordering::Relaxed);
     }
 }
--- a/laburnumcart_system/src/reply.rs
+++ b/laburnumcart_system/src/reply.rs
@@ -1,4 +1,4 @@
-//! What a caller got, and what the targets' own records must show of it.
+//! Replies to callers, and checks of them against the executions that targets recorded.
 
 use std::collections;
 
@@ -6,62 +6,62 @@
 
 use crate::http;
 
-/// What a caller got for one request.
+/// Reply to one request as its caller received it.
 #[derive(Clone, Debug)]
 pub enum Reply {
-    /// A whole answer.
+    /// A complete response.
     Complete {
-        /// Request.
+        /// Request ID.
         request: String,
         /// Output of the last stage.
         output: Value,
     },
     /// A refusal.
     Refused {
-        /// Request, if it was read that far.
+        /// Request ID; absent if the request was refused before it had one.
         request: Option<String>,
-        /// Whether it may have run.
+        /// `not-run` or `may-have-run`.
         verdict: String,
-        /// Cause.
+        /// Reason of the refusal.
         reason: String,
-        /// Seconds after which to come again.
+        /// Delay in seconds before the caller should resend.
         retry_after: Option<u64>,
     },
-    /// The connection ended without an answer, which only the end of the entry excuses.
+    /// The connection ended without a response; valid only if the entry has ended.
     NoResponse,
 }
 
 impl Reply {
-    /// Reads an answer, whether it came as one body or as a stream of events.
+    /// Parses a response, either a JSON body or a stream of events.
     ///
     /// # Panics
     ///
-    /// Panics when a stream's pieces do not join to the text of its end.
-    pub fn from_response(answer: Result<http::Response, http::Failure>) -> Self {
-        let Ok(answer) = answer else {
+    /// Panics when the chunks of a stream do not add up to the text in its `end` event.
+    pub fn from_response(response: Result<http::Response, http::Failure>) -> Self {
+        let Ok(response) = response else {
             return Self::NoResponse;
         };
-        let retry = answer.header("retry-after").and_then(|r| r.parse().ok());
-        if answer.header("content-type") != Some("text/event-stream") {
-            return match answer.status {
-                200 => Self::complete(&answer.json()),
-                _ => Self::refused(&answer.json(), retry),
+        let retry_after = response.header("retry-after").and_then(|r| r.parse().ok());
+        if response.header("content-type") != Some("text/event-stream") {
+            return match response.status {
+                200 => Self::complete(&response.json()),
+                _ => Self::refused(&response.json(), retry_after),
             };
         }
-        let mut pieces = String::new();
-        for event in answer.body.split("\n\n") {
+        let mut chunks = String::new();
+        for event in response.body.split("\n\n") {
             let field = |name: &str| event.lines().find_map(|line| line.strip_prefix(name));
             let data = field("data:").unwrap_or_default();
             let data: Value = serde_json::from_str(data).unwrap_or_default();
             match field("event:").map(str::trim) {
-                Some("chunk") => pieces.push_str(data["text"].as_str().expect("text")),
-                // Headers are sent before the outcome is known.
+                Some("chunk") => chunks.push_str(data["text"].as_str().expect("text")),
+                // The status of a stream is sent before its outcome is known.
                 Some("error") => {
-                    let retry = data["retry_after_ms"].as_u64();
-                    return Self::refused(&data, retry.map(|ms| ms.div_ceil(1000)));
+                    let delay_ms = data["retry_after_ms"].as_u64();
+                    return Self::refused(&data, delay_ms.map(|ms| ms.div_ceil(1000)));
                 }
                 Some("end") => {
-                    assert_eq!(data["output"]["text"], pieces, "pieces of {data}");
+                    assert_eq!(data["output"]["text"], chunks, "chunks of {data}");
                     return Self::complete(&data);
                 }
                 _ => {}
@@ -77,16 +77,16 @@
         }
     }
 
-    fn refused(body: &Value, retry: Option<u64>) -> Self {
+    fn refused(body: &Value, retry_after: Option<u64>) -> Self {
         Self::Refused {
             request: text(&body["request"]),
             verdict: text(&body["verdict"]).expect("verdict"),
             reason: text(&body["reason"]).expect("reason"),
-            retry_after: retry,
+            retry_after,
         }
     }
 
-    /// Returns the request, if it is known.
+    /// Returns the request ID, if the reply holds one.
     pub fn request_id(&self) -> Option<&str> {
         match self {
             Self::Complete { request, .. } => Some(request),
@@ -95,12 +95,12 @@
         }
     }
 
-    /// Reports whether the answer is whole.
+    /// Reports whether the reply is a complete response.
     pub fn is_complete(&self) -> bool {
         matches!(self, Self::Complete { .. })
     }
 
-    /// Reports whether the request was refused as "not run".
+    /// Reports whether the request was refused with the verdict `not-run`.
     pub fn is_not_run(&self) -> bool {
         matches!(self, Self::Refused { verdict, .. } if verdict == "not-run")
     }
@@ -110,16 +110,16 @@
     value.as_str().map(str::to_owned)
 }
 
-/// Counts replies as whole, not run, may have run and nothing.
+/// Returns the number of replies of each kind as text: complete, verdict and reason, no response.
 pub fn summarize<'a>(replies: impl IntoIterator<Item = &'a Reply>) -> String {
     let mut counts = collections::BTreeMap::<String, usize>::new();
     for reply in replies {
         let name = match reply {
-            Reply::Complete { .. } => "whole".to_owned(),
+            Reply::Complete { .. } => "complete".to_owned(),
             Reply::Refused {
                 verdict, reason, ..
             } => format!("{verdict} ({reason})"),
-            Reply::NoResponse => "nothing".to_owned(),
+            Reply::NoResponse => "no response".to_owned(),
         };
         *counts.entry(name).or_default() += 1;
     }
@@ -127,19 +127,19 @@
     counts.collect::<Vec<_>>().join(", ")
 }
 
-/// Checks replies against the executions that the targets have recorded.
+/// Checks replies against the executions that the targets recorded.
 ///
 /// # Panics
 ///
-/// Panics when a whole answer is not the expected one, a request that was refused as "not run" has
-/// an execution, or a stage of a non-idempotent request has two.
+/// Panics when a complete response does not hold the expected output, a request refused as `not-run`
+/// has an execution, or a stage of a non-idempotent request has two.
 pub fn check_replies<'a>(
     replies: impl IntoIterator<Item = (&'a Reply, &'a Value)>,
     rows: &[Value],
 ) {
     for (reply, expected) in replies {
         if let Reply::Complete { output, .. } = reply {
-            assert_eq!(output, expected, "another answer: {reply:?}");
+            assert_eq!(output, expected, "wrong output: {reply:?}");
         }
         if reply.is_not_run() {
             let request = reply.request_id();
@@ -147,7 +147,10 @@
                 .iter()
                 .filter(|row| request.is_some() && row["request"].as_str() == request)
                 .collect();
-            assert!(ran.is_empty(), "not run, yet executed: {reply:?} {ran:?}");
+            assert!(
+                ran.is_empty(),
+                "executed despite the verdict not-run: {reply:?} {ran:?}"
+            );
         }
     }
     let mut seen = collections::HashMap::new();
@@ -159,11 +162,11 @@
     }
 }
 
-/// Checks that nothing was executed for `old` requests beyond the attempts in `before`.
+/// Checks that the requests of `old` have no attempts in `after` beyond those in `before`.
 ///
 /// # Panics
 ///
-/// Panics when there is such an execution.
+/// Panics when there is one.
 pub fn check_no_new_executions<'a>(
     old: impl IntoIterator<Item = &'a Reply>,
     before: &[Value],
@@ -177,6 +180,6 @@
     for row in after {
         let is_old = row["request"].as_str().is_some_and(|r| old.contains(r));
         let is_known = row["attempt"].as_str().is_some_and(|a| known.contains(a));
-        assert!(!is_old || is_known, "executed late: {row}");
+        assert!(!is_old || is_known, "executed after the fault: {row}");
     }
 }
--- a/laburnumcart_system/src/rollout.rs
+++ b/laburnumcart_system/src/rollout.rs
@@ -1,4 +1,4 @@
-//! What the processes of a fleet say about the bundle in force.
+//! Generation of the bundle in force in the processes of a fleet.
 
 use std::{
     net,
@@ -12,35 +12,35 @@
     wait, //
 };
 
-/// Name of the metric that shows the generation in force.
-const GENERATION: &str = "laburnum_bundle_generation ";
+/// Prefix of the sample that shows the generation in force.
+const GENERATION_METRIC: &str = "laburnum_bundle_generation ";
 
-/// Returns the addresses of the pages of all daemons.
+/// Returns the addresses at which all daemons serve their metrics.
 pub fn metrics_addrs(fleet: &fleet::Fleet) -> Vec<net::SocketAddr> {
     let agents = fleet.nodes.iter().map(|node| node.admin_addr);
     let entries = fleet.entries.iter().map(|entry| entry.caller_addr);
     entries.chain(agents).collect()
 }
 
-/// Returns the generation in force in a process, if it answers.
-pub async fn generation(fleet: &fleet::Fleet, page: net::SocketAddr) -> Option<u64> {
-    let answer = fleet.http.get(page, "/metrics").await.ok()?;
-    let mut lines = answer.body.lines();
-    lines.find_map(|line| line.strip_prefix(GENERATION)?.trim().parse().ok())
+/// Returns the generation in force in a process, or `None` if it does not respond.
+pub async fn generation(fleet: &fleet::Fleet, addr: net::SocketAddr) -> Option<u64> {
+    let response = fleet.http.get(addr, "/metrics").await.ok()?;
+    let mut lines = response.body.lines();
+    lines.find_map(|line| line.strip_prefix(GENERATION_METRIC)?.trim().parse().ok())
 }
 
 /// Returns the generation in force in each process.
 pub async fn generations(fleet: &fleet::Fleet) -> Vec<Option<u64>> {
-    let all = metrics_addrs(fleet);
-    let all = all.into_iter().map(|page| generation(fleet, page));
+    let addrs = metrics_addrs(fleet);
+    let all = addrs.into_iter().map(|addr| generation(fleet, addr));
     future::join_all(all).await
 }
 
-/// Waits until a generation is in force in every process; returns how long that took.
+/// Waits until a generation is in force in every process, and returns the time that it took.
 ///
 /// # Panics
 ///
-/// Panics when a process shows a higher one.
+/// Panics when a process reports a higher generation.
 pub async fn wait_in_force(fleet: &fleet::Fleet, wanted: u64) -> time::Duration {
     let start = tokio::time::Instant::now();
     let what = format!("generation {wanted} in force everywhere");
--- a/laburnumcart_system/src/sample.rs
+++ b/laburnumcart_system/src/sample.rs
@@ -1,4 +1,4 @@
-//! A small bundle with one pipeline of each sort, and the services that it needs.
+//! A small bundle with an idempotent and a non-idempotent pipeline, and the services that it needs.
 
 use serde_json::{
     Value,
@@ -14,10 +14,10 @@
 /// Bearer token of the team `federation`.
 pub const FEDERATION_TOKEN: &str = "token-of-the-federation-0123456789ab";
 
-/// Four stages; a request may execute more than once.
+/// Idempotent pipeline of four stages: a request may execute more than once.
 pub const CHECK_PIPELINE: &str = "eligibility-check";
 
-/// Four stages that end in a plain service; a request executes at most once.
+/// Non-idempotent pipeline of four stages: a request executes at most once.
 pub const OPEN_PIPELINE: &str = "open-case";
 
 /// Returns the services of the bundle with the given number of targets each.
@@ -36,13 +36,13 @@
 /// Returns the bundle.
 pub fn bundle() -> Value {
     let stage = |name: &str, service: &str| json!({"name": name, "service": service});
-    let front = [
+    let common = [
         stage("encode", "encoders"),
         stage("retrieve", "retrievers"),
         stage("rerank", "rerankers"),
     ];
-    let with = |last: Value| {
-        let mut stages = front.to_vec();
+    let stages_with = |last: Value| {
+        let mut stages = common.to_vec();
         stages.push(last);
         stages
     };
@@ -57,8 +57,8 @@
             "clinic-desk": {"kind": "pool"},
         },
         "pipelines": {
-            CHECK_PIPELINE: {"stages": with(stage("generate", "case-model"))},
-            OPEN_PIPELINE: {"idempotent": false, "stages": with(stage("open", "clinic-desk"))},
+            CHECK_PIPELINE: {"stages": stages_with(stage("generate", "case-model"))},
+            OPEN_PIPELINE: {"idempotent": false, "stages": stages_with(stage("open", "clinic-desk"))},
         },
         "teams": {
             "clinic": team(CLINIC_TOKEN, 3),
@@ -69,16 +69,16 @@
 }
 
 fn team(token: &str, weight: u32) -> Value {
-    let promise = json!({"deadline": "30s", "priority": "normal"});
+    let terms = json!({"deadline": "30s", "priority": "normal"});
     json!({
         "tokens": [token_digest(token)],
         "weight": weight,
-        "pipelines": {CHECK_PIPELINE: promise, OPEN_PIPELINE: promise},
+        "pipelines": {CHECK_PIPELINE: terms, OPEN_PIPELINE: terms},
         "queue_limit": 1000,
     })
 }
 
-/// Returns the SHA-256 of a token as the bundle holds it.
+/// Returns the SHA-256 digest of a token in the form that the bundle holds.
 pub fn token_digest(token: &str) -> String {
     let bytes = sha2::Sha256::digest(token.as_bytes());
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
--- a/laburnumcart_system/src/schema.rs
+++ b/laburnumcart_system/src/schema.rs
@@ -1,4 +1,4 @@
-//! JSON Schemas of everything that operators write.
+//! JSON Schemas of bundles and settings files.
 
 use serde_json::Value;
 
@@ -7,7 +7,7 @@
     document, //
 };
 
-/// Returns the name of each document and its schema, which `docs/schema/<name>.json` holds.
+/// Returns the name and the schema of each document; they are stored in `docs/schema/<name>.json`.
 pub fn all() -> [(&'static str, Value); 5] {
     [
         ("bundle", document::schema::<bundle::Bundle>()),
@@ -30,7 +30,7 @@
     ]
 }
 
-/// Returns the text of a schema as its file holds it.
+/// Returns the contents of a schema's file.
 pub fn text(schema: &Value) -> String {
     format!("{schema:#}\n")
 }
--- a/laburnumcart_system/src/text_requests.rs
+++ b/laburnumcart_system/src/text_requests.rs
@@ -1,4 +1,4 @@
-//! A bundle whose pipelines generate text on one service of engines, for tests of failures.
+//! Requests that generate text on one service of engines, for tests of failures.
 
 use std::{
     collections,
@@ -22,19 +22,19 @@
     wait, //
 };
 
-/// One stage; a request may execute more than once.
+/// Idempotent pipeline: a request may execute more than once.
 pub const IDEMPOTENT: &str = "draft-letter";
 
-/// One stage; a request executes at most once.
+/// Non-idempotent pipeline: a request executes at most once.
 pub const NON_IDEMPOTENT: &str = "send-letter";
 
-/// The service of both.
+/// Service that executes both pipelines.
 pub const SERVICE: &str = "case-model";
 
-/// Name of the stage.
+/// The only stage of both pipelines.
 const STAGE: &str = "write";
 
-/// Returns the service with its stand-ins; the first piece of text takes `prefill`, each 10 ms.
+/// Returns the service with fake targets that prefill for `prefill` and then take 10 ms a token.
 pub fn service(targets: usize, prefill: &'static str) -> fleet::Service {
     fleet::Service::new(SERVICE, "engine", targets).args(&[
         "--slots",
@@ -48,9 +48,9 @@
     ])
 }
 
-/// Returns the bundle, with a deadline for all requests.
+/// Returns the bundle with one deadline for all requests.
 pub fn bundle(deadline: &str) -> Value {
-    let promise = json!({"deadline": deadline, "priority": "normal"});
+    let terms = json!({"deadline": deadline, "priority": "normal"});
     let stages = json!([{"name": STAGE, "service": SERVICE}]);
     json!({
         "format": 1,
@@ -64,7 +64,7 @@
             "clinic": {
                 "tokens": [sample::token_digest(sample::CLINIC_TOKEN)],
                 "weight": 1,
-                "pipelines": {IDEMPOTENT: promise, NON_IDEMPOTENT: promise},
+                "pipelines": {IDEMPOTENT: terms, NON_IDEMPOTENT: terms},
                 "queue_limit": 1000,
             },
         },
@@ -73,7 +73,7 @@
     })
 }
 
-/// One request of a caller, different from all others.
+/// One request with a body and key of its own.
 #[derive(Clone, Debug)]
 pub struct TextRequest {
     entry: usize,
@@ -81,11 +81,11 @@
     body: Value,
     key: String,
     events: bool,
-    /// What its answer must be.
+    /// Output that a complete response must hold.
     pub expected: Value,
 }
 
-/// Makes targets slow by a factor, so that they finish nothing before a fault; 1 ends that.
+/// Slows all targets down by a factor, so that no work ends before a fault; 1 restores the speed.
 pub async fn slow_targets(fleet: &fleet::Fleet, factor: f64) {
     for node in 0..fleet.nodes.len() {
         fleet
@@ -95,7 +95,7 @@
 }
 
 impl TextRequest {
-    /// Describes a request for `tokens` pieces of text; `name` makes it unlike all others.
+    /// Describes a request for `tokens` tokens; `name` must be unique.
     pub fn new(pipeline: &'static str, name: &str, tokens: u32) -> Self {
         let body = json!({"letter": name, "pipeline": pipeline, "tokens": tokens});
         Self {
@@ -108,21 +108,21 @@
         }
     }
 
-    /// Sets the entry to send it to.
+    /// Sets the entry that the request goes to.
     #[must_use]
     pub fn entry(mut self, entry: usize) -> Self {
         self.entry = entry;
         self
     }
 
-    /// Asks for a stream of events.
+    /// Sets whether the response is a stream of events.
     #[must_use]
     pub fn events(mut self, events: bool) -> Self {
         self.events = events;
         self
     }
 
-    /// Sends it and returns the reply.
+    /// Sends the request and returns the reply.
     pub async fn send(&self, fleet: &fleet::Fleet) -> reply::Reply {
         let mut call = fleet::Call::new(self.pipeline, sample::CLINIC_TOKEN, self.body.clone());
         if self.pipeline == NON_IDEMPOTENT {
@@ -135,69 +135,78 @@
     }
 }
 
-/// Describes `count` requests of each pipeline, spread over entries, as JSON and as events.
+/// Describes `count` requests of each pipeline, half of them streamed, spread over the entries.
 pub fn mixed_requests(name: &str, count: usize, tokens: u32, entries: usize) -> Vec<TextRequest> {
-    let letter = |number: usize| {
+    let request = |number: usize| {
         let pipeline = [IDEMPOTENT, NON_IDEMPOTENT][number % 2];
         TextRequest::new(pipeline, &format!("{name}-{number}"), tokens)
             .entry(number / 2 % entries)
             .events(number / 2 / entries % 2 == 1)
     };
-    (0..2 * count).map(letter).collect()
+    (0..2 * count).map(request).collect()
 }
 
-/// Sends all at once and returns the replies in order.
-pub async fn send_all(fleet: &fleet::Fleet, letters: &[TextRequest]) -> Vec<reply::Reply> {
-    future::join_all(letters.iter().map(|letter| letter.send(fleet))).await
+/// Sends all requests concurrently and returns the replies in order.
+pub async fn send_all(fleet: &fleet::Fleet, requests: &[TextRequest]) -> Vec<reply::Reply> {
+    future::join_all(requests.iter().map(|request| request.send(fleet))).await
 }
 
-/// Checks the replies to letters against the targets' records.
+/// Checks the replies against the executions that the targets recorded.
 ///
 /// # Panics
 ///
 /// Panics as [`reply::check_replies`] does.
-pub fn check_replies(letters: &[TextRequest], replies: &[reply::Reply], rows: &[Value]) {
-    let expected = letters.iter().map(|letter| &letter.expected);
+pub fn check_replies(requests: &[TextRequest], replies: &[reply::Reply], rows: &[Value]) {
+    let expected = requests.iter().map(|request| &request.expected);
     reply::check_replies(replies.iter().zip(expected), rows);
 }
 
-/// Checks that fresh requests of both pipelines succeed at once through the first `entries`.
+/// Checks that new requests of both pipelines succeed through the first `entries`.
 ///
 /// # Panics
 ///
-/// Panics when one does not.
+/// Panics when a request does not succeed on its first submission.
 pub async fn check_serving(fleet: &fleet::Fleet, name: &str, entries: usize) {
-    let fresh = mixed_requests(name, 2 * entries, 5, entries);
-    let replies = send_all(fleet, &fresh).await;
-    check_replies(&fresh, &replies, &fleet.service_executions(SERVICE).await);
-    let whole = replies.iter().all(reply::Reply::is_complete);
-    assert!(whole, "{name}: {}", reply::summarize(&replies));
+    let requests = mixed_requests(name, 2 * entries, 5, entries);
+    let replies = send_all(fleet, &requests).await;
+    check_replies(
+        &requests,
+        &replies,
+        &fleet.service_executions(SERVICE).await,
+    );
+    let all_complete = replies.iter().all(reply::Reply::is_complete);
+    assert!(all_complete, "{name}: {}", reply::summarize(&replies));
 }
 
-/// Waits until fresh requests of both pipelines succeed through the first `entries`.
+/// Waits until new requests of both pipelines succeed through the first `entries`.
 ///
 /// # Panics
 ///
-/// Panics when they do not within the limit, or get what [`reply::check_replies`] does not accept.
+/// Panics on a timeout, or when [`reply::check_replies`] rejects a reply.
 pub async fn wait_serving(fleet: &fleet::Fleet, name: &str, entries: usize) {
     let round = atomic::AtomicU32::new(0);
-    wait::until("fresh requests to succeed", || async {
+    wait::until("new requests to succeed", || async {
         let round = round.fetch_add(1, atomic::Ordering::Relaxed);
-        let fresh = mixed_requests(&format!("{name}-{round}"), 2 * entries, 5, entries);
-        let replies = send_all(fleet, &fresh).await;
-        check_replies(&fresh, &replies, &fleet.service_executions(SERVICE).await);
+        let requests = mixed_requests(&format!("{name}-{round}"), 2 * entries, 5, entries);
+        let replies = send_all(fleet, &requests).await;
+        check_replies(
+            &requests,
+            &replies,
+            &fleet.service_executions(SERVICE).await,
+        );
         replies.iter().all(reply::Reply::is_complete).then_some(())
     })
     .await;
 }
 
-/// Waits until a target executes a request that executes at most once, and returns its number.
+/// Waits until a target executes a non-idempotent request, and returns the index of its node.
 pub async fn wait_claimed_execution(fleet: &fleet::Fleet) -> usize {
     wait::until("an execution under a claim", || async {
         for node in 0..fleet.nodes.len() {
             let rows = fleet.target_executions(node).await;
-            let runs = |row: &Value| row["idempotent"] == false && row["outcome"] == "running";
-            if rows.iter().any(runs) {
+            let is_running =
+                |row: &Value| row["idempotent"] == false && row["outcome"] == "running";
+            if rows.iter().any(is_running) {
                 return Some(node);
             }
         }
@@ -206,7 +215,7 @@
     .await
 }
 
-/// Waits until each of some targets executes something.
+/// Waits until each of the given targets executes a request.
 pub async fn wait_executing(fleet: &fleet::Fleet, nodes: &[usize]) {
     wait::until("executions", || async {
         for node in nodes {
@@ -220,37 +229,34 @@
     .await;
 }
 
-/// Waits until every entry sends work to every target.
+/// Waits until every entry has dispatched work to every target.
 ///
-/// An entry is ready as soon as it has called all agents; that a target takes work it hears later.
+/// An entry reports readiness once it is connected to all agents, but an agent may report later that
+/// its target accepts work.
 pub async fn wait_all_targets_used(fleet: &fleet::Fleet) {
     let seen = sync::Mutex::new(collections::HashSet::new());
-    wait::until("work on every way", || async {
+    wait::until("work from every entry on every target", || async {
         for entry in 0..fleet.entries.len() {
             let name = format!("spread-{entry}-{:x}", rand::random::<u32>());
             let count = 2 * fleet.nodes.len();
-            let letters =
+            let requests =
                 (0..count).map(|n| TextRequest::new(IDEMPOTENT, &format!("{name}-{n}"), 1));
-            let letters: Vec<_> = letters.map(|letter| letter.entry(entry)).collect();
-            let replies = send_all(fleet, &letters).await;
-            let requests: collections::HashSet<_> = replies
+            let requests: Vec<_> = requests.map(|request| request.entry(entry)).collect();
+            let replies = send_all(fleet, &requests).await;
+            let ids: collections::HashSet<_> = replies
                 .iter()
                 .filter_map(reply::Reply::request_id)
                 .collect();
             for node in 0..fleet.nodes.len() {
                 let rows = fleet.target_executions(node).await;
-                let ours = |row: &Value| {
-                    row["request"]
-                        .as_str()
-                        .is_some_and(|r| requests.contains(r))
-                };
+                let ours = |row: &Value| row["request"].as_str().is_some_and(|r| ids.contains(r));
                 if rows.iter().any(ours) {
                     seen.lock().expect("no panic").insert((entry, node));
                 }
             }
         }
-        let ways = fleet.entries.len() * fleet.nodes.len();
-        (seen.lock().expect("no panic").len() == ways).then_some(())
+        let pairs = fleet.entries.len() * fleet.nodes.len();
+        (seen.lock().expect("no panic").len() == pairs).then_some(())
     })
     .await;
 }
--- a/laburnumcart_system/src/wait.rs
+++ b/laburnumcart_system/src/wait.rs
@@ -5,17 +5,17 @@
     time, //
 };
 
-/// Longest wait for a condition that must come true; long, as the machine may be busy.
+/// Longest wait for a condition; generous, since the host may be overloaded.
 pub const TIMEOUT: time::Duration = time::Duration::from_secs(60);
 
-/// Pause between two looks at a condition.
-const STEP: time::Duration = time::Duration::from_millis(20);
+/// Time between two checks of a condition.
+const POLL_INTERVAL: time::Duration = time::Duration::from_millis(20);
 
 /// Waits until `condition` returns a value.
 ///
 /// # Panics
 ///
-/// Panics with `what` when the condition does not come true within [`TIMEOUT`].
+/// Panics with `what` when the condition does not hold within [`TIMEOUT`].
 pub async fn until<T, F>(what: &str, mut condition: impl FnMut() -> F) -> T
 where
     F: future::Future<Output = Option<T>>,
@@ -26,6 +26,6 @@
             return value;
         }
         assert!(start.elapsed() < TIMEOUT, "{what}: not within {TIMEOUT:?}");
-        tokio::time::sleep(STEP).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
