--- a/laburnumcart_system/examples/schemas.rs
+++ b/laburnumcart_system/examples/schemas.rs
@@ -1,4 +1,4 @@
-//! Writes the schemas of bundles and settings into a folder.
+//! Writes the JSON Schemas of bundles and settings files into a folder.
 //!
 //! `cargo run -p laburnumcart_system --example schemas docs/schema`
 
--- a/laburnumcart_system/src/collector.rs
+++ b/laburnumcart_system/src/collector.rs
@@ -1,4 +1,4 @@
-//! A collector of traces, as far as tests need one: OTLP over HTTP, JSON.
+//! Minimal trace collector for tests: OTLP over HTTP with JSON bodies.
 
 use std::{
     net,
@@ -21,24 +21,25 @@
     task,
 };
 
-const ANSWER: &[u8] =
+/// Response to every export.
+const RESPONSE: &[u8] =
     b"HTTP/1.1 200 OK\r\ncontent-type: application/json\r\ncontent-length: 2\r\n\r\n{}";
 
-/// One span as it came in.
+/// One received span.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct Span {
-    /// Process that sent it.
+    /// Instance that sent the span.
     #[serde(skip)]
     pub instance: String,
-    /// Trace that it belongs to.
+    /// ID of the trace.
     pub trace_id: String,
-    /// Its identity in the trace.
+    /// ID of the span.
     pub span_id: String,
-    /// Span that it is a child of; empty for a root.
+    /// ID of the parent span; empty for a root span.
     #[serde(default)]
     pub parent_span_id: String,
-    /// Name.
+    /// Name of the span.
     pub name: String,
 }
 
@@ -71,10 +72,10 @@
     spans: Vec<Span>,
 }
 
-/// A running collector; it ends when it is dropped.
+/// A running collector; it stops accepting connections when it is dropped.
 #[derive(Debug)]
 pub struct Collector {
-    /// Address that it listens on.
+    /// Address that the collector listens on.
     pub addr: net::SocketAddr,
     spans: Arc<Mutex<Vec<Span>>>,
     task: task::JoinHandle<()>,
@@ -85,7 +86,7 @@
     ///
     /// # Panics
     ///
-    /// Panics when no port can be had.
+    /// Panics when no port is free.
     pub async fn start() -> Self {
         let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await;
         let listener = listener.expect("a port");
@@ -102,7 +103,7 @@
         Self { addr, spans, task }
     }
 
-    /// Returns what has come in so far.
+    /// Returns the spans received so far.
     pub fn spans(&self) -> Vec<Span> {
         lock(&self.spans).clone()
     }
@@ -118,19 +119,19 @@
     spans.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Serves the exports of one connection until it ends.
+/// Serves the exports on one connection until it is closed.
 async fn serve(stream: tokio::net::TcpStream, spans: Arc<Mutex<Vec<Span>>>) {
     let mut stream = io::BufReader::new(stream);
-    while let Some(body) = read(&mut stream).await {
-        lock(&spans).extend(parse(&body));
-        if stream.write_all(ANSWER).await.is_err() {
+    while let Some(body) = read_body(&mut stream).await {
+        lock(&spans).extend(parse_spans(&body));
+        if stream.write_all(RESPONSE).await.is_err() {
             return;
         }
     }
 }
 
-/// Reads the body of one export; `None` at the end of the connection.
-async fn read(stream: &mut io::BufReader<tokio::net::TcpStream>) -> Option<Vec<u8>> {
+/// Reads the body of one export; returns `None` when the connection is closed.
+async fn read_body(stream: &mut io::BufReader<tokio::net::TcpStream>) -> Option<Vec<u8>> {
     let mut length = 0;
     loop {
         let mut line = String::new();
@@ -150,7 +151,7 @@
     Some(body)
 }
 
-fn parse(body: &[u8]) -> Vec<Span> {
+fn parse_spans(body: &[u8]) -> Vec<Span> {
     let export: Export = serde_json::from_slice(body).expect("an export of spans");
     let mut all = Vec::new();
     for group in export.resource_spans {
--- a/laburnumcart_system/src/fleet.rs
+++ b/laburnumcart_system/src/fleet.rs
@@ -1,4 +1,4 @@
-//! A whole system of separate processes on loopback.
+//! A complete system of separate processes on loopback.
 
 mod call;
 mod directory;
@@ -34,10 +34,10 @@
     },
 };
 
-/// Secret that the fleet's processes share.
+/// Secret shared by all processes of the fleet.
 pub const SECRET: &str = "fleet-secret-for-tests-only-0123456789";
 
-/// Data centres that targets and entries are spread over.
+/// Data centres; targets and entries are assigned to them in turn.
 pub const DATA_CENTRES: [&str; 3] = ["dc-a", "dc-b", "dc-c"];
 
 /// One target with its agent.
@@ -45,21 +45,21 @@
 pub struct Node {
     /// Name of the target.
     pub name: String,
-    /// Service that it belongs to.
+    /// Service that the target belongs to.
     pub service: &'static str,
-    /// Address of the stand-in.
+    /// Address of the fake target.
     pub target_addr: net::SocketAddr,
-    /// Address of the agent for peers.
+    /// Address at which the agent serves peers.
     pub peer_addr: net::SocketAddr,
-    /// Address of the agent's metrics.
+    /// Address at which the agent serves metrics and health checks.
     pub admin_addr: net::SocketAddr,
-    /// The stand-in.
+    /// Process of the fake target.
     pub target: process::Process,
-    /// The agent.
+    /// Process of the agent.
     pub agent: process::Process,
-    /// Between the entries and the agent, if planned.
+    /// Relay between the entries and the agent, if the plan has relays.
     relay: Option<relay::Relay>,
-    /// Arguments of the stand-in.
+    /// Arguments of the fake target.
     args: Vec<String>,
 }
 
@@ -68,34 +68,35 @@
 pub struct Entry {
     /// Name of the instance.
     pub name: String,
-    /// Address for callers.
+    /// Address at which the entry serves callers.
     pub caller_addr: net::SocketAddr,
-    /// Address for peers.
+    /// Address at which the entry serves peers.
     pub peer_addr: net::SocketAddr,
-    /// The process.
+    /// Process of the entry.
     pub process: process::Process,
 }
 
-/// A running system; everything ends when it is dropped.
+/// A running system; all its processes are killed when it is dropped.
 #[derive(Debug)]
 pub struct Fleet {
     dir: directory::Directory,
     plan: Plan,
     /// Address of the object service.
     pub store_addr: net::SocketAddr,
-    /// The object service.
+    /// Process of the object service.
     pub store: process::Process,
     /// Targets with their agents.
     pub nodes: Vec<Node>,
-    /// Entries.
+    /// All entries.
     pub entries: Vec<Entry>,
-    /// Client for tests.
+    /// HTTP client of the test.
     pub http: http::Client,
+    /// Signing key, as `laburnumctl keygen` prints it.
     key: Value,
 }
 
 impl Fleet {
-    /// Starts all processes, accepts the bundle and waits until every one is ready.
+    /// Starts all processes, accepts the bundle and waits until all processes are ready.
     pub async fn start(plan: Plan) -> Self {
         let fleet = Self::start_without_bundle(plan).await;
         fleet.accept_bundle(&fleet.plan.bundle);
@@ -103,7 +104,7 @@
         fleet
     }
 
-    /// Starts all processes without a bundle and waits until every one answers.
+    /// Starts all processes without a bundle and waits until all processes are healthy.
     pub async fn start_without_bundle(plan: Plan) -> Self {
         let dir = directory::Directory::new();
         let http = http::Client::default();
@@ -132,13 +133,11 @@
             fleet.add_entry(number).await;
         }
         for node in &fleet.nodes {
-            fleet
-                .wait_page(&node.name, node.admin_addr, "/healthz")
-                .await;
+            fleet.wait_ok(&node.name, node.admin_addr, "/healthz").await;
         }
         for entry in &fleet.entries {
             fleet
-                .wait_page(&entry.name, entry.caller_addr, "/healthz")
+                .wait_ok(&entry.name, entry.caller_addr, "/healthz")
                 .await;
         }
         fleet
@@ -173,13 +172,13 @@
             "telemetry": self.plan.telemetry(),
             "stop_limit": self.plan.stop_limit,
         });
-        let agent = self.daemon(&format!("agent-{name}"), "laburnum-agent", &settings);
+        let agent = self.start_daemon(&format!("agent-{name}"), "laburnum-agent", &settings);
         let relay = match self.plan.relays {
             true => relay::Relay::start(port::free(), peer).await.ok(),
             false => None,
         };
-        let listed = relay.as_ref().map_or(peer, relay::Relay::addr);
-        self.register_instance(&name, data_centre, "agent", Some(service.name), listed)
+        let reachable = relay.as_ref().map_or(peer, relay::Relay::addr);
+        self.register_instance(&name, data_centre, "agent", Some(service.name), reachable)
             .await;
         self.nodes.push(Node {
             name,
@@ -210,7 +209,7 @@
             "telemetry": self.plan.telemetry(),
             "stop_limit": self.plan.stop_limit,
         });
-        let process = self.daemon(&name, "laburnum-entry", &settings);
+        let process = self.start_daemon(&name, "laburnum-entry", &settings);
         self.register_instance(&name, data_centre, "entry", None, peer)
             .await;
         self.entries.push(Entry {
@@ -221,27 +220,27 @@
         });
     }
 
-    /// Starts a daemon again with its settings of before.
+    /// Starts a daemon with its existing settings file.
     pub fn restart_daemon(&self, name: &str, program: &str) -> process::Process {
         let file = self.dir.0.join(format!("{name}.json"));
         let args = ["--settings".into(), file.display().to_string()];
         process::Process::start(&self.dir.0, name, program, &args)
     }
 
-    /// Runs `laburnumctl` and returns its exit code and what it printed.
+    /// Runs `laburnumctl` and returns its exit code and its output.
     pub fn run_ctl(&self, args: &[&str]) -> (i32, String) {
         let file = self.dir.0.join("ctl.json");
         let settings = json!({
             "fleet": self.fleet_settings(&self.peer_addrs()),
             "platform": {"address": self.store_addr.to_string()},
         });
-        // Operators race each other here; none may read a file that another has begun to write.
-        let draft = self
+        // Tests run the tool concurrently, so the settings file must be replaced atomically.
+        let temporary = self
             .dir
             .0
             .join(format!("ctl-{:016x}", rand::random::<u64>()));
-        fs::write(&draft, settings.to_string()).expect("settings");
-        fs::rename(&draft, &file).expect("settings");
+        fs::write(&temporary, settings.to_string()).expect("settings");
+        fs::rename(&temporary, &file).expect("settings");
         let output = Command::new(process::binary("laburnumctl"))
             .current_dir(&self.dir.0)
             .args(args)
@@ -253,7 +252,7 @@
         (output.status.code().unwrap_or(-1), text)
     }
 
-    /// Signs a bundle and has it accepted.
+    /// Signs a bundle and accepts it.
     pub fn accept_bundle(&self, bundle: &Value) {
         fs::write(self.dir.0.join("bundle.json"), bundle.to_string()).expect("bundle");
         let sign = [
@@ -269,7 +268,7 @@
         assert_eq!(code, 0, "{text}");
     }
 
-    /// Sends a request to an entry and returns the whole answer.
+    /// Sends a call to an entry and returns the complete response.
     pub async fn call(
         &self,
         entry: usize,
@@ -279,50 +278,56 @@
         self.http.send(call.request(addr)).await
     }
 
-    /// Returns what the stand-ins of a service have executed, as their pages show it.
+    /// Returns the executions that all targets of a service have recorded.
     pub async fn service_executions(&self, service: &str) -> Vec<Value> {
         let mut all = Vec::new();
         for node in self.nodes.iter().filter(|node| node.service == service) {
-            let answer = self.http.get(node.target_addr, "/admin/executions").await;
-            if let Some(Value::Array(rows)) = answer.ok().map(|a| a.json()["executions"].take()) {
+            let response = self.http.get(node.target_addr, "/admin/executions").await;
+            if let Some(Value::Array(rows)) = response.ok().map(|a| a.json()["executions"].take()) {
                 all.extend(rows);
             }
         }
         all
     }
 
-    /// Sets the faults of the object service.
+    /// Sets the faults that the object service injects.
     pub async fn set_store_faults(&self, faults: &Value) {
-        let answer = self
+        let response = self
             .http
             .post(self.store_addr, "/admin/faults", faults)
             .await;
-        assert!(answer.is_ok_and(|a| a.status < 300), "faults not taken");
+        assert!(
+            response.is_ok_and(|a| a.status < 300),
+            "object service rejected the faults"
+        );
     }
 
-    /// Sets the behaviour of a stand-in.
+    /// Sets the behaviour of the fake target of a node.
     pub async fn set_target_behaviour(&self, node: usize, behaviour: &Value) {
         let addr = self.nodes[node].target_addr;
-        let answer = self.http.post(addr, "/admin/behave", behaviour).await;
-        assert!(answer.is_ok_and(|a| a.status < 300), "behaviour not taken");
+        let response = self.http.post(addr, "/admin/behave", behaviour).await;
+        assert!(
+            response.is_ok_and(|a| a.status < 300),
+            "target rejected the behaviour"
+        );
     }
 
-    /// Waits until every entry and agent reports readiness.
+    /// Waits until all entries and agents report readiness and all entries are connected to all agents.
     pub async fn wait_ready(&self) {
         for node in &self.nodes {
-            self.wait_page(&node.name, node.admin_addr, "/readyz").await;
+            self.wait_ok(&node.name, node.admin_addr, "/readyz").await;
         }
         for entry in &self.entries {
-            self.wait_page(&entry.name, entry.caller_addr, "/readyz")
+            self.wait_ok(&entry.name, entry.caller_addr, "/readyz")
                 .await;
             self.wait_lanes(entry).await;
         }
     }
 
-    /// Waits until an entry has a connection to every agent.
+    /// Waits until an entry is connected to all agents.
     async fn wait_lanes(&self, entry: &Entry) {
         let wanted = format!("laburnum_entry_lanes {}", self.nodes.len());
-        wait::until(&format!("{} {wanted}", entry.name), || async {
+        wait::until(&format!("{wanted} at {}", entry.name), || async {
             let page = self.http.get(entry.caller_addr, "/metrics").await.ok()?;
             let mut lines = page.body.lines();
             lines.any(|line| line == wanted).then_some(())
@@ -337,13 +342,13 @@
         entries.chain(agents).collect()
     }
 
-    /// Returns all processes that are part of the product.
+    /// Returns the processes of all agents and entries.
     pub fn daemons(&self) -> impl Iterator<Item = &process::Process> {
         let agents = self.nodes.iter().map(|node| &node.agent);
         agents.chain(self.entries.iter().map(|entry| &entry.process))
     }
 
-    /// Writes an object of the platform's list of instances.
+    /// Adds an instance to the platform's list of instances.
     pub async fn register_instance(
         &self,
         name: &str,
@@ -365,31 +370,34 @@
             self.store_addr
         );
         let request = hyper::Request::put(uri).header("if-none-match", "*");
-        let answer = self
+        let response = self
             .http
             .send(request.body(value.to_string()).expect("request"))
             .await;
-        assert!(answer.is_ok_and(|a| a.status < 300), "instance not listed");
+        assert!(
+            response.is_ok_and(|a| a.status < 300),
+            "object service rejected the instance"
+        );
     }
 
-    /// Returns the folder of settings, logs and operators' files.
+    /// Returns the folder of settings, logs and files of `laburnumctl`.
     pub(crate) fn folder(&self) -> &path::Path {
         &self.dir.0
     }
 
     pub(crate) async fn wait_healthy(&self, addr: net::SocketAddr) {
-        self.wait_page("store", addr, "/healthz").await;
+        self.wait_ok("store", addr, "/healthz").await;
     }
 
-    async fn wait_page(&self, name: &str, addr: net::SocketAddr, page: &str) {
-        wait::until(&format!("{name} {page}"), || async {
-            let answer = self.http.get(addr, page).await.ok()?;
-            (answer.status == 200).then_some(())
+    async fn wait_ok(&self, name: &str, addr: net::SocketAddr, page: &str) {
+        wait::until(&format!("{page} of {name} to succeed"), || async {
+            let response = self.http.get(addr, page).await.ok()?;
+            (response.status == 200).then_some(())
         })
         .await;
     }
 
-    fn daemon(&self, name: &str, program: &str, settings: &Value) -> process::Process {
+    fn start_daemon(&self, name: &str, program: &str, settings: &Value) -> process::Process {
         let file = self.dir.0.join(format!("{name}.json"));
         fs::write(&file, settings.to_string()).expect("settings");
         self.restart_daemon(name, program)
--- a/laburnumcart_system/src/fleet/call.rs
+++ b/laburnumcart_system/src/fleet/call.rs
@@ -1,4 +1,4 @@
-//! A caller's request.
+//! Requests of callers.
 
 use std::net;
 
@@ -15,14 +15,14 @@
     pub body: Value,
     /// Idempotency key.
     pub key: Option<String>,
-    /// Whether the answer is wanted as a stream of events.
+    /// Whether to request a stream of events.
     pub events: bool,
-    /// Position in the caller's trace.
+    /// Value of the `traceparent` header.
     pub traceparent: Option<&'a str>,
 }
 
 impl<'a> Call<'a> {
-    /// Describes a request with a JSON answer and no key.
+    /// Describes a request for a JSON response without an idempotency key.
     pub fn new(pipeline: &'a str, token: &'a str, body: Value) -> Self {
         Self {
             pipeline,
@@ -41,20 +41,21 @@
         self
     }
 
-    /// Asks for a stream of events.
+    /// Requests a stream of events.
     #[must_use]
     pub fn events(mut self) -> Self {
         self.events = true;
         self
     }
 
-    /// Names the caller's span.
+    /// Sets the caller's span.
     #[must_use]
     pub fn traceparent(mut self, parent: &'a str) -> Self {
         self.traceparent = Some(parent);
         self
     }
 
+    /// Returns the HTTP request for the entry at `addr`.
     pub(super) fn request(&self, addr: net::SocketAddr) -> hyper::Request<String> {
         let uri = format!("http://{addr}/v1/pipelines/{}", self.pipeline);
         let mut request = hyper::Request::post(uri)
--- a/laburnumcart_system/src/fleet/directory.rs
+++ b/laburnumcart_system/src/fleet/directory.rs
@@ -1,11 +1,11 @@
-//! Files of a fleet.
+//! Temporary folder of a fleet.
 
 use std::{
     fs,
     path, //
 };
 
-/// A temporary folder that is removed when dropped, unless the test panics.
+/// A temporary folder that is removed when it is dropped, unless the test panics.
 #[derive(Debug)]
 pub(super) struct Directory(pub(super) path::PathBuf);
 
--- a/laburnumcart_system/src/fleet/faults.rs
+++ b/laburnumcart_system/src/fleet/faults.rs
@@ -1,4 +1,4 @@
-//! What tests of failures do to a fleet, and what they read of it.
+//! Restarts of processes and queries of targets and metrics, for tests of failures.
 
 use std::net;
 
@@ -21,9 +21,9 @@
 /// A second agent for a target that has one.
 #[derive(Debug)]
 pub struct SecondAgent {
-    /// Address of its pages.
+    /// Address at which the agent serves metrics and health checks.
     pub admin_addr: net::SocketAddr,
-    /// The process.
+    /// Process of the agent.
     pub process: process::Process,
 }
 
@@ -32,20 +32,20 @@
     ///
     /// # Panics
     ///
-    /// Panics when the fleet was not planned with relays.
+    /// Panics when the plan has no relays.
     pub fn relay(&self) -> &relay::Relay {
-        self.relay.as_ref().expect("a fleet with relays")
+        self.relay.as_ref().expect("plan with relays")
     }
 }
 
 impl Fleet {
-    /// Starts an agent again at its address of before.
+    /// Restarts an agent with the same settings and addresses.
     pub fn restart_agent(&mut self, node: usize) {
         let name = format!("agent-{}", self.nodes[node].name);
         self.nodes[node].agent = self.restart_daemon(&name, "laburnum-agent");
     }
 
-    /// Starts a target again at its address of before, with an empty record.
+    /// Restarts a target at the same address, without recorded executions.
     pub fn restart_target(&mut self, node: usize) {
         let node = &mut self.nodes[node];
         let name = format!("target-{}", node.name);
@@ -53,17 +53,17 @@
         node.target = process::Process::start(&self.dir.0, &name, program, &node.args);
     }
 
-    /// Starts an entry again at its addresses of before.
+    /// Restarts an entry with the same settings and addresses.
     pub fn restart_entry(&mut self, entry: usize) {
         let name = self.entries[entry].name.clone();
         self.entries[entry].process = self.restart_daemon(&name, "laburnum-entry");
     }
 
-    /// Starts another agent for the target of a node, as a platform does that takes the first one
-    /// for dead.
+    /// Starts a second agent for the target of a node, as a platform does after it wrongly declares
+    /// the first agent dead.
     pub fn start_second_agent(&self, node: usize) -> SecondAgent {
-        let old = &self.nodes[node];
-        let name = format!("successor-{}", old.name);
+        let first = &self.nodes[node];
+        let name = format!("successor-{}", first.name);
         let admin = port::free();
         let settings = json!({
             "instance": name,
@@ -71,28 +71,28 @@
             "peer": port::free().to_string(),
             "admin": admin.to_string(),
             "target": {
-                "name": old.name,
-                "service": old.service,
-                "address": old.target_addr.to_string(),
+                "name": first.name,
+                "service": first.service,
+                "address": first.target_addr.to_string(),
             },
             "fleet": self.fleet_settings(&[]),
             "platform": {"address": self.store_addr.to_string()},
         });
-        let process = self.daemon(&name, "laburnum-agent", &settings);
+        let process = self.start_daemon(&name, "laburnum-agent", &settings);
         SecondAgent {
             admin_addr: admin,
             process,
         }
     }
 
-    /// Reads a page of a stand-in target as JSON.
+    /// Returns a page of a fake target as JSON; `None` while the target does not respond.
     pub async fn get_target_page(&self, node: usize, page: &str) -> Option<Value> {
         let addr = self.nodes[node].target_addr;
-        let answer = self.http.get(addr, page).await.ok()?;
-        (answer.status == 200).then(|| answer.json())
+        let response = self.http.get(addr, page).await.ok()?;
+        (response.status == 200).then(|| response.json())
     }
 
-    /// Returns what one stand-in has executed; nothing while it does not answer.
+    /// Returns the executions that one target has recorded; empty while it does not respond.
     pub async fn target_executions(&self, node: usize) -> Vec<Value> {
         let page = self.get_target_page(node, "/admin/executions").await;
         match page.map(|mut page| page["executions"].take()) {
@@ -101,10 +101,10 @@
         }
     }
 
-    /// Sums all samples of a metric on a process's page whose labels hold `label`.
+    /// Returns the sum of all samples of a metric of a process whose labels contain `label`.
     pub async fn sum_metric(&self, addr: net::SocketAddr, name: &str, label: &str) -> f64 {
-        let answer = self.http.get(addr, "/metrics").await;
-        let text = answer.map(|answer| answer.body).unwrap_or_default();
+        let response = self.http.get(addr, "/metrics").await;
+        let text = response.map(|response| response.body).unwrap_or_default();
         let samples = text.lines().filter_map(|line| line.rsplit_once(' '));
         samples
             .filter(|(sample, _)| {
--- a/laburnumcart_system/src/fleet/plan.rs
+++ b/laburnumcart_system/src/fleet/plan.rs
@@ -1,4 +1,4 @@
-//! What a system is made of.
+//! Description of the processes of a fleet.
 
 use std::net;
 
@@ -7,7 +7,7 @@
     json, //
 };
 
-/// One service and its stand-in targets.
+/// One service and its fake targets.
 #[derive(Clone, Debug)]
 pub struct Service {
     /// Name in the bundle.
@@ -16,7 +16,7 @@
     pub kind: &'static str,
     /// Number of targets.
     pub targets: usize,
-    /// More arguments for each stand-in.
+    /// Additional arguments of each fake target.
     pub args: Vec<&'static str>,
 }
 
@@ -31,7 +31,7 @@
         }
     }
 
-    /// Adds arguments for each stand-in.
+    /// Adds arguments of each fake target.
     #[must_use]
     pub fn args(mut self, args: &[&'static str]) -> Self {
         self.args.extend(args);
@@ -39,7 +39,7 @@
     }
 }
 
-/// What to start.
+/// Processes to start and their settings.
 #[derive(Clone, Debug)]
 pub struct Plan {
     pub(super) entries: usize,
@@ -52,7 +52,7 @@
 }
 
 impl Plan {
-    /// Plans two entries, the given services and a bundle.
+    /// Plans two entries, the given services and the bundle.
     pub fn new(services: Vec<Service>, bundle: Value) -> Self {
         Self {
             entries: 2,
@@ -79,28 +79,28 @@
         self
     }
 
-    /// Puts a relay in front of each agent, whose address the platform lists.
+    /// Puts a relay in front of each agent; the list of instances holds the address of the relay.
     #[must_use]
     pub fn with_relays(mut self) -> Self {
         self.relays = true;
         self
     }
 
-    /// Adds arguments for the stand-in of the object service.
+    /// Adds arguments of the fake object service.
     #[must_use]
     pub fn store_args(mut self, args: &[&'static str]) -> Self {
         self.store_args.extend(args);
         self
     }
 
-    /// Has entries and agents send their spans to a collector.
+    /// Sets the collector that entries and agents send their spans to.
     #[must_use]
     pub fn traces(mut self, collector: net::SocketAddr) -> Self {
         self.traces = Some(collector);
         self
     }
 
-    /// Returns the settings of logs and traces.
+    /// Returns the `telemetry` settings.
     pub(super) fn telemetry(&self) -> Value {
         json!({"level": "info", "traces": self.traces})
     }
--- a/laburnumcart_system/src/lib.rs
+++ b/laburnumcart_system/src/lib.rs
@@ -1,4 +1,4 @@
-//! Runs the real binaries as separate processes on loopback, for tests of the whole.
+//! Runs the real binaries as separate processes on loopback, for end-to-end tests.
 
 pub mod case_requests;
 pub mod collector;
--- a/laburnumcart_system/src/process.rs
+++ b/laburnumcart_system/src/process.rs
@@ -1,4 +1,4 @@
-//! One child process of a test.
+//! Child processes of a test.
 
 use std::{
     env,
@@ -15,7 +15,7 @@
 
 use crate::wait;
 
-/// A running binary; killed when dropped.
+/// A running binary; it is killed when it is dropped.
 #[derive(Debug)]
 pub struct Process {
     name: String,
@@ -23,7 +23,7 @@
     log: path::PathBuf,
 }
 
-/// Returns the path of a binary of this workspace, beside the test's own.
+/// Returns the path of a binary of this workspace, searched in the folders above the test's own.
 ///
 /// # Panics
 ///
@@ -39,11 +39,11 @@
 }
 
 impl Process {
-    /// Starts a binary of this workspace with its output in `<dir>/<name>.log`.
+    /// Starts a binary of this workspace and appends its output to `<dir>/<name>.log`.
     ///
     /// # Panics
     ///
-    /// Panics when it cannot be started.
+    /// Panics when the binary cannot be started.
     pub fn start(dir: &path::Path, name: &str, program: &str, args: &[String]) -> Self {
         let log = dir.join(format!("{name}.log"));
         let out = fs::File::options()
@@ -65,47 +65,47 @@
         }
     }
 
-    /// Returns the name that it was started with.
+    /// Returns the name that the process was started with.
     pub fn name(&self) -> &str {
         &self.name
     }
 
-    /// Returns the number of the process.
+    /// Returns the process ID.
     pub fn id(&self) -> u32 {
         self.child.id()
     }
 
-    /// Returns what it has printed so far.
+    /// Returns the output of the process so far.
     pub fn output(&self) -> String {
         fs::read_to_string(&self.log).unwrap_or_default()
     }
 
-    /// Sends a signal.
+    /// Sends a signal to the process.
     pub fn signal(&self, signal: signal::Signal) {
         let id = unistd::Pid::from_raw(self.child.id().cast_signed());
-        // A process that has already ended is not an error here: tests wait for its end.
+        // The process may have ended already; tests wait for its end separately.
         let _ = signal::kill(id, signal);
     }
 
-    /// Stops it where it is, and waits until it stands still.
+    /// Suspends the process and waits until all its threads are stopped.
     ///
-    /// One of its threads takes the signal and stops the others. Until that thread gets the
-    /// processor the others go on, on a busy host for long enough to read and answer what is sent
-    /// after the signal. A test that takes the process for standing still would be wrong then.
+    /// One thread takes the signal and stops the others, which run on until that thread is
+    /// scheduled. On a busy host that is long enough to read and answer a message sent after the
+    /// signal, so a test must not rely on the signal alone.
     pub async fn pause(&self) {
         self.signal(signal::Signal::SIGSTOP);
-        wait::until(&format!("{} stands still", self.name), || async {
+        wait::until(&format!("threads of {} to stop", self.name), || async {
             self.is_paused().then_some(())
         })
         .await;
     }
 
-    /// Lets it go on after [`Process::pause`].
+    /// Resumes the process after [`Process::pause`].
     pub fn resume(&self) {
         self.signal(signal::Signal::SIGCONT);
     }
 
-    /// Reports whether each of its threads is stopped.
+    /// Reports whether all threads of the process are stopped.
     pub fn is_paused(&self) -> bool {
         let tasks = fs::read_dir(format!("/proc/{}/task", self.id()));
         tasks.is_ok_and(|tasks| {
@@ -117,18 +117,18 @@
         })
     }
 
-    /// Returns its exit status if it has ended.
+    /// Returns the exit status, if the process has ended.
     pub fn exit_status(&mut self) -> Option<process::ExitStatus> {
         self.child.try_wait().ok().flatten()
     }
 
-    /// Ends it at once and waits for it.
+    /// Kills the process and waits for its end.
     pub fn kill(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 
-    /// Returns what its open descriptors point to.
+    /// Returns the targets of the open file descriptors of the process.
     pub fn descriptors(&self) -> io::Result<Vec<String>> {
         let mut links = Vec::new();
         for entry in fs::read_dir(format!("/proc/{}/fd", self.id()))? {
@@ -140,7 +140,7 @@
         Ok(links)
     }
 
-    /// Returns the numbers of its child processes.
+    /// Returns the process IDs of the child processes.
     pub fn children(&self) -> Vec<u32> {
         let path = format!("/proc/{0}/task/{0}/children", self.id());
         let text = fs::read_to_string(path).unwrap_or_default();
@@ -156,7 +156,9 @@
     }
 }
 
-/// Reads the state of a thread, which stands behind its name in brackets.
+/// Reports whether the text of `/proc/PID/task/TID/stat` shows a stopped thread.
+///
+/// The state follows the thread's name, which is enclosed in parentheses.
 fn is_stopped(stat: &str) -> bool {
     let state = stat.rsplit_once(") ").map(|(_, rest)| rest);
     state.is_some_and(|rest| rest.starts_with(['T', 't']))
