--- a/laburnumcart_system/src/bin/laburnum-slopes.rs
+++ b/laburnumcart_system/src/bin/laburnum-slopes.rs
@@ -1,4 +1,4 @@
-//! Prints the slopes of the cost of control.
+//! Measures the cost of the control plane and prints its fitted slopes.
 
 use std::{
     env,
--- a/laburnumcart_system/src/control_cost.rs
+++ b/laburnumcart_system/src/control_cost.rs
@@ -1,7 +1,7 @@
-//! Measures what control costs as the fleet grows, with the real binaries on loopback.
+//! Measures the cost of the control plane by fleet size, with the real binaries on loopback.
 //!
-//! Each section varies one size and fits a line through its points. Processor time and bytes of a
-//! process hold on a busy machine too; times by the clock do not.
+//! Each section varies one size and fits a line through its points. Processor time and byte counts
+//! remain valid on a busy host; wall-clock times do not.
 
 pub mod bundles;
 pub mod fake_agents;
@@ -28,23 +28,23 @@
 #[display(rename_all = "kebab-case")]
 #[from_str(rename_all = "kebab-case")]
 pub enum Section {
-    /// Entry by lanes to agents, with its calls of the object service.
+    /// Cost of an entry by its lanes to agents, with its calls to the object service.
     Entry,
-    /// Entry by agents in the list of instances.
+    /// Cost of an entry by the agents in the list of instances.
     List,
-    /// Entry by entries in the list of instances, before services of few targets.
+    /// Cost of an entry by the entries in the list of instances, with few targets in each service.
     Peers,
-    /// Agent by lanes of entries, with its calls of the object service.
+    /// Cost of an agent by the lanes of entries to it, with its calls to the object service.
     Agent,
-    /// Both by teams in the bundle.
+    /// Cost of entries and agents by the teams in the bundle.
     Bundle,
-    /// Both by facts in the table.
+    /// Cost of an entry by the crashes in its table of facts.
     Facts,
-    /// Both by requests.
+    /// Cost of an entry and its agents by requests.
     Traffic,
 }
 
-/// All sections in the order of the page.
+/// All sections in the order in which they are printed.
 pub const SECTIONS: [Section; 7] = [
     Section::Entry,
     Section::List,
@@ -55,36 +55,36 @@
     Section::Traffic,
 ];
 
-/// A command line that is not understood.
+/// Error in the command line.
 #[derive(Clone, Debug, Display, Eq, Error, PartialEq)]
 pub enum UsageError {
-    /// Unknown option or missing value.
+    /// An option is unknown or lacks its value.
     #[display("{_0}")]
     Syntax(#[error(not(source))] String),
-    /// A value that is not of the wanted kind.
+    /// The value of an option is invalid.
     #[display("invalid value {_0:?}")]
     Value(#[error(not(source))] String),
 }
 
-/// What the command line asks for.
+/// Action that the command line requests.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Command {
-    /// Print the text and exit.
+    /// Prints the text and exits.
     Help(String),
-    /// Measure.
+    /// Measures the sections.
     Run(Options),
 }
 
-/// What to measure.
+/// Sections to measure and the length of a measurement.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Options {
     /// Sections in order.
     pub sections: Vec<Section>,
-    /// Time over which the cost at rest is taken.
+    /// Time over which the idle cost is measured.
     pub window: time::Duration,
 }
 
-/// Parses the arguments after the program's name.
+/// Parses the arguments that follow the program's name.
 pub fn parse_args(args: impl IntoIterator<Item = String>) -> Result<Command, UsageError> {
     let mut options = getopts::Options::new();
     options
@@ -99,23 +99,23 @@
         ));
     }
     let names = matches.opt_strs("section");
-    let named: Result<Vec<Section>, _> = names.iter().map(|name| value(name)).collect();
+    let sections: Result<Vec<Section>, _> = names.iter().map(|name| parse_value(name)).collect();
     let window = matches.opt_str("window").unwrap_or_else(|| "60".into());
-    let sections = match named? {
-        none if none.is_empty() => SECTIONS.to_vec(),
-        some => some,
+    let sections = match sections? {
+        empty if empty.is_empty() => SECTIONS.to_vec(),
+        sections => sections,
     };
     Ok(Command::Run(Options {
         sections,
-        window: time::Duration::from_secs(value(&window)?),
+        window: time::Duration::from_secs(parse_value(&window)?),
     }))
 }
 
-fn value<T: str::FromStr>(text: &str) -> Result<T, UsageError> {
+fn parse_value<T: str::FromStr>(text: &str) -> Result<T, UsageError> {
     text.parse().map_err(|_| UsageError::Value(text.into()))
 }
 
-/// Runs the sections one after another and prints a table for each.
+/// Measures the sections one after another and prints their tables.
 pub async fn measure_sections(options: &Options) {
     for section in &options.sections {
         let window = options.window;
--- a/laburnumcart_system/src/control_cost/bundles.rs
+++ b/laburnumcart_system/src/control_cost/bundles.rs
@@ -1,4 +1,4 @@
-//! Cost of an accepted bundle, by its teams.
+//! Cost of accepting a bundle, by its teams.
 
 use std::time;
 
@@ -11,14 +11,14 @@
     fleet, process,
 };
 
-/// Teams of the bundle at each point.
+/// Number of teams in the bundle at each point.
 const TEAMS: [usize; 4] = [10, 100, 1000, 2500];
 
-/// Accepted bundles at each point, so that ticks of the clock count little.
+/// Bundles accepted at each point; several reduce the error from the resolution of clock ticks.
 const ROUNDS: usize = 8;
 
-/// Time in which an accepted bundle's work ends everywhere.
-const SETTLE: time::Duration = time::Duration::from_millis(500);
+/// Time after which all processes have finished the work for an accepted bundle.
+const SETTLE_TIME: time::Duration = time::Duration::from_millis(500);
 
 const COLUMNS: [&str; 6] = [
     "bundle KB",
@@ -29,14 +29,14 @@
     "KB fetched by each",
 ];
 
-/// Measures an entry and an agent; the second table holds times by the clock.
+/// Measures entries and agents; the second table holds wall-clock times.
 pub async fn measure() -> Vec<fit::Table> {
     let title = "Each accepted bundle, by its teams (28 pipelines of five stages)";
     let mut table = fit::Table::new(title, "teams", &COLUMNS);
     let title = "Accept until in force at the last of four processes (by the clock, upper figures)";
     let mut times = fit::Table::new(title, "teams", &["mean ms", "longest ms"]);
     for teams in TEAMS {
-        let point = point(teams).await;
+        let point = measure_point(teams).await;
         table.push(teams as f64, point.values);
         times.push(teams as f64, point.times);
     }
@@ -48,33 +48,35 @@
     times: Vec<f64>,
 }
 
-async fn point(teams: usize) -> Point {
+async fn measure_point(teams: usize) -> Point {
     let services = ["pool".to_owned()];
     let bundle = |title: &str| fixture::bundle(&services, teams, title);
-    let mut rig = fixture::Fixture::start(bundle("first")).await;
+    let mut fixture = fixture::Fixture::start(bundle("first")).await;
     let service = fleet::Service::new("pool", "pool", 2);
     for number in 0..2 {
-        rig.fleet.add_node(&service, number).await;
-        rig.fleet.add_entry(number).await;
+        fixture.fleet.add_node(&service, number).await;
+        fixture.fleet.add_entry(number).await;
     }
-    rig.fleet.wait_ready().await;
-    tokio::time::sleep(SETTLE).await;
-    let before = usages(&rig);
+    fixture.fleet.wait_ready().await;
+    tokio::time::sleep(SETTLE_TIME).await;
+    let before = usages(&fixture);
     let mut fetched = 0.0;
     let mut times = Vec::new();
     for round in 0..ROUNDS {
-        let calls = rig.store_traffic().await;
-        // What the command line reads and writes is not counted.
-        let relayed = std::mem::replace(&mut rig.fleet.store_addr, rig.store_addr);
-        rig.fleet.accept_bundle(&bundle(&format!("round {round}")));
-        rig.fleet.store_addr = relayed;
+        let before_accept = fixture.store_traffic().await;
+        // The traffic of `laburnumctl` must not be counted, so it bypasses the relay.
+        let relayed = std::mem::replace(&mut fixture.fleet.store_addr, fixture.store_addr);
+        fixture
+            .fleet
+            .accept_bundle(&bundle(&format!("round {round}")));
+        fixture.fleet.store_addr = relayed;
         let accepted = tokio::time::Instant::now();
-        in_force(&rig, (round + 2) as f64).await;
+        wait_in_force(&fixture, (round + 2) as f64).await;
         times.push(accepted.elapsed().as_secs_f64() * 1e3);
-        tokio::time::sleep(SETTLE).await;
-        fetched += rig.store_traffic().await.bytes - calls.bytes;
+        tokio::time::sleep(SETTLE_TIME).await;
+        fetched += fixture.store_traffic().await.bytes - before_accept.bytes;
     }
-    let after = usages(&rig);
+    let after = usages(&fixture);
     let rounds = ROUNDS as f64;
     let cpu = |i: usize| (after[i].cpu_seconds - before[i].cpu_seconds) * 1e3 / rounds;
     let values = vec![
@@ -93,20 +95,21 @@
     }
 }
 
-/// Returns the use of two entries and two agents.
-fn usages(rig: &fixture::Fixture) -> Vec<usage::Usage> {
-    let entries = rig.fleet.entries.iter().map(|e| &e.process);
-    let agents = rig.fleet.nodes.iter().map(|n| &n.agent);
+/// Returns the resource usage of the two entries, then of the two agents.
+fn usages(fixture: &fixture::Fixture) -> Vec<usage::Usage> {
+    let entries = fixture.fleet.entries.iter().map(|e| &e.process);
+    let agents = fixture.fleet.nodes.iter().map(|n| &n.agent);
     let all: Vec<&process::Process> = entries.chain(agents).collect();
     all.into_iter().map(usage::Usage::of).collect()
 }
 
-/// Waits until all processes have a generation in force.
-async fn in_force(rig: &fixture::Fixture, generation: f64) {
-    let entries = rig.fleet.entries.iter().map(|e| e.caller_addr);
-    let agents = rig.fleet.nodes.iter().map(|n| n.admin_addr);
+/// Waits until a generation is in force in all processes.
+async fn wait_in_force(fixture: &fixture::Fixture, generation: f64) {
+    let entries = fixture.fleet.entries.iter().map(|e| e.caller_addr);
+    let agents = fixture.fleet.nodes.iter().map(|n| n.admin_addr);
     for addr in entries.chain(agents) {
-        rig.wait_metric(addr, "laburnum_bundle_generation", generation)
+        fixture
+            .wait_metric(addr, "laburnum_bundle_generation", generation)
             .await;
     }
 }
--- a/laburnumcart_system/src/control_cost/fake_agents.rs
+++ b/laburnumcart_system/src/control_cost/fake_agents.rs
@@ -1,4 +1,4 @@
-//! Agents in this process that only answer heartbeats.
+//! Fake agents in this process that only respond to heartbeats.
 
 use std::{
     io,
@@ -29,12 +29,12 @@
 
 use crate::fleet;
 
-/// An agent that listens until it is dropped.
+/// A fake agent; it listens until it is dropped.
 #[derive(Debug)]
 pub struct FakeAgent {
-    /// Name in the list of instances.
+    /// Name of the instance.
     pub name: String,
-    /// Service in the list of instances.
+    /// Service of the instance.
     pub service: String,
     state: sync::Arc<State>,
     handle: peer::Handle,
@@ -43,12 +43,12 @@
 #[derive(Debug)]
 struct State {
     report: agent::Report,
-    /// Facts for the next heartbeat.
-    news: sync::Mutex<Option<facts::Facts>>,
+    /// Facts for the response to the next heartbeat.
+    pending_facts: sync::Mutex<Option<facts::Facts>>,
 }
 
 impl FakeAgent {
-    /// Starts an agent of a service on a free port.
+    /// Starts a fake agent of a service on a free port.
     pub fn start(name: &str, service: &str, data_centre: &str) -> io::Result<Self> {
         let invalid = |e: id::ParseError| io::Error::other(e.to_string());
         let report = agent::Report {
@@ -63,7 +63,7 @@
         };
         let state = sync::Arc::new(State {
             report,
-            news: sync::Mutex::default(),
+            pending_facts: sync::Mutex::default(),
         });
         let listener = net::TcpListener::bind((net::Ipv4Addr::LOCALHOST, 0))?;
         let secrets = [fleet::SECRET.parse().map_err(io::Error::other)?];
@@ -77,14 +77,18 @@
         })
     }
 
-    /// Returns its address.
+    /// Returns the address that the agent listens on.
     pub fn addr(&self) -> net::SocketAddr {
         self.handle.addr()
     }
 
-    /// Sends facts with the answer to the next heartbeat.
+    /// Sends facts with the response to the next heartbeat.
     pub fn send_facts(&self, facts: facts::Facts) {
-        *self.state.news.lock().expect("lock is not poisoned") = Some(facts);
+        *self
+            .state
+            .pending_facts
+            .lock()
+            .expect("lock is not poisoned") = Some(facts);
     }
 }
 
@@ -92,16 +96,25 @@
 
 impl Methods {
     fn report(&self) -> agent::Report {
-        let news = self.0.news.lock().expect("lock is not poisoned").take();
+        let facts = self
+            .0
+            .pending_facts
+            .lock()
+            .expect("lock is not poisoned")
+            .take();
         agent::Report {
-            facts: news.unwrap_or_default(),
+            facts: facts.unwrap_or_default(),
             ..self.0.report.clone()
         }
     }
 }
 
-fn unknown<T>() -> RpcResult<T> {
-    let error = types::ErrorObjectOwned::owned(agent::UNKNOWN, "executes nothing", None::<()>);
+fn unknown_attempt<T>() -> RpcResult<T> {
+    let error = types::ErrorObjectOwned::owned(
+        agent::UNKNOWN,
+        "fake agents execute no attempts",
+        None::<()>,
+    );
     Err(error)
 }
 
@@ -116,15 +129,15 @@
     }
 
     async fn start(&self, _: stage::Call) -> RpcResult<stage::Progress> {
-        unknown()
+        unknown_attempt()
     }
 
     async fn next(&self, _: stage::Next) -> RpcResult<stage::Progress> {
-        unknown()
+        unknown_attempt()
     }
 
     async fn query(&self, _: stage::Query) -> RpcResult<stage::Progress> {
-        unknown()
+        unknown_attempt()
     }
 
     async fn cancel(&self, _: stage::Cancel) -> RpcResult<()> {
--- a/laburnumcart_system/src/control_cost/fit.rs
+++ b/laburnumcart_system/src/control_cost/fit.rs
@@ -1,33 +1,33 @@
-//! Lines through points, and tables of them.
+//! Linear regression, and tables of measurements with their fits.
 
 use std::fmt;
 
-/// Line `intercept + slope x`, with the root mean square of what it leaves.
+/// Line `intercept + slope x` fitted to points, with the root mean square of its residuals.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Fit {
-    /// Change for each unit of the size.
+    /// Change of the value for each unit of the size.
     pub slope: f64,
     /// Value at size zero.
     pub intercept: f64,
-    /// Root mean square of the differences from the line.
+    /// Root mean square of the residuals.
     pub residual: f64,
 }
 
 impl Fit {
-    /// Fits by least squares; `None` for fewer than two different sizes.
+    /// Fits a line by least squares; returns `None` for fewer than two different sizes.
     pub fn new(points: &[(f64, f64)]) -> Option<Self> {
         let count = points.len() as f64;
         let mean_x = points.iter().map(|p| p.0).sum::<f64>() / count;
         let mean_y = points.iter().map(|p| p.1).sum::<f64>() / count;
-        let spread: f64 = points.iter().map(|p| (p.0 - mean_x).powi(2)).sum();
-        if spread <= 0.0 {
+        let sum_xx: f64 = points.iter().map(|p| (p.0 - mean_x).powi(2)).sum();
+        if sum_xx <= 0.0 {
             return None;
         }
-        let joint: f64 = points.iter().map(|p| (p.0 - mean_x) * (p.1 - mean_y)).sum();
-        let slope = joint / spread;
+        let sum_xy: f64 = points.iter().map(|p| (p.0 - mean_x) * (p.1 - mean_y)).sum();
+        let slope = sum_xy / sum_xx;
         let intercept = mean_y - slope * mean_x;
-        let off = |p: &(f64, f64)| (p.1 - intercept - slope * p.0).powi(2);
-        let residual = (points.iter().map(off).sum::<f64>() / count).sqrt();
+        let squared_residual = |p: &(f64, f64)| (p.1 - intercept - slope * p.0).powi(2);
+        let residual = (points.iter().map(squared_residual).sum::<f64>() / count).sqrt();
         Some(Self {
             slope,
             intercept,
@@ -36,7 +36,7 @@
     }
 }
 
-/// Values of several quantities at several sizes; prints as a table with a fit of each.
+/// Values of several quantities at several sizes; displayed with the fit of each quantity.
 #[derive(Clone, Debug)]
 pub struct Table {
     title: &'static str,
@@ -46,7 +46,7 @@
 }
 
 impl Table {
-    /// Creates an empty table; `size` names what is varied.
+    /// Creates an empty table; `size` is the title of the column of sizes.
     pub fn new(title: &'static str, size: &'static str, columns: &[&'static str]) -> Self {
         Self {
             title,
@@ -61,18 +61,24 @@
         self.rows.push((size, values.into()));
     }
 
-    /// Returns the fit of a column.
+    /// Returns the fit of a column; `None` for fewer than two different sizes.
     pub fn fit(&self, column: usize) -> Option<Fit> {
         let point = |(size, values): &(f64, Vec<f64>)| Some((*size, *values.get(column)?));
         let points: Option<Vec<_>> = self.rows.iter().map(point).collect();
         Fit::new(&points?)
     }
 
-    fn line(&self, out: &mut fmt::Formatter<'_>, name: &str, pick: fn(Fit) -> f64) -> fmt::Result {
+    /// Writes the row of one parameter of the fits.
+    fn write_fit_row(
+        &self,
+        out: &mut fmt::Formatter<'_>,
+        name: &str,
+        pick: fn(Fit) -> f64,
+    ) -> fmt::Result {
         write!(out, "| {name} |")?;
         for column in 0..self.columns.len() {
             match self.fit(column) {
-                Some(fit) => write!(out, " {} |", number(pick(fit)))?,
+                Some(fit) => write!(out, " {} |", format_number(pick(fit)))?,
                 None => write!(out, " |")?,
             }
         }
@@ -86,17 +92,17 @@
         writeln!(out, "| {} | {} |", self.size, self.columns.join(" | "))?;
         writeln!(out, "|---|{}", "---|".repeat(self.columns.len()))?;
         for (size, values) in &self.rows {
-            let values: Vec<_> = values.iter().map(|v| number(*v)).collect();
+            let values: Vec<_> = values.iter().map(|v| format_number(*v)).collect();
             writeln!(out, "| {size} | {} |", values.join(" | "))?;
         }
-        self.line(out, "slope", |fit| fit.slope)?;
-        self.line(out, "intercept", |fit| fit.intercept)?;
-        self.line(out, "residual", |fit| fit.residual)
+        self.write_fit_row(out, "slope", |fit| fit.slope)?;
+        self.write_fit_row(out, "intercept", |fit| fit.intercept)?;
+        self.write_fit_row(out, "residual", |fit| fit.residual)
     }
 }
 
-/// Writes a number with three digits or more.
-fn number(value: f64) -> String {
+/// Formats a number with a precision that depends on its magnitude.
+fn format_number(value: f64) -> String {
     let digits = match value.abs() {
         v if v >= 100.0 || v == 0.0 => 0,
         v if v >= 10.0 => 1,
--- a/laburnumcart_system/src/control_cost/fixture.rs
+++ b/laburnumcart_system/src/control_cost/fixture.rs
@@ -1,4 +1,4 @@
-//! What the sections have in common: a system with an object service of its own.
+//! Fixture of the measurements: a system with its own object service.
 
 use std::{
     net,
@@ -23,40 +23,40 @@
 /// Data centre of all processes.
 pub const DATA_CENTRE: &str = fleet::DATA_CENTRES[0];
 
-/// Pipelines of the bundle.
+/// Number of pipelines in the bundle.
 const PIPELINES: usize = 28;
 
-/// Pipelines that a team may call.
-const PROMISES: usize = 2;
+/// Number of pipelines that a team may call.
+const TEAM_PIPELINES: usize = 2;
 
-/// A system whose processes reach the object service through a relay that counts.
+/// A system whose processes reach the object service through a relay that counts bytes.
 #[derive(Debug)]
 pub struct Fixture {
-    /// The processes.
+    /// Processes of the system.
     pub fleet: fleet::Fleet,
     /// Address of the object service behind the relay.
     pub store_addr: net::SocketAddr,
-    /// The relay.
+    /// Relay in front of the object service.
     pub store_relay: relay::Relay,
 }
 
-/// Calls and bytes at the object service up to now.
+/// Calls and bytes at the object service since its start.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct StoreTraffic {
-    /// Reads and lists.
+    /// Number of reads and lists.
     pub reads: f64,
-    /// Writes.
+    /// Number of writes.
     pub writes: f64,
-    /// Watches.
+    /// Number of watches.
     pub watches: f64,
-    /// Bytes both ways, without TCP/IP headers.
+    /// Bytes in both directions, without TCP/IP headers.
     pub bytes: f64,
 }
 
 impl Fixture {
-    /// Starts an object service and has a bundle accepted.
+    /// Starts an object service and accepts a bundle.
     pub async fn start(bundle: Value) -> Self {
-        // The rates are not what is measured here.
+        // The rate limits of the object service must not affect the measurement.
         let rates = ["--reads", "100000/s", "--writes", "100000/s"];
         let plan = fleet::Plan::new(Vec::new(), bundle);
         let mut fleet = fleet::Fleet::start(plan.entries(0).store_args(&rates)).await;
@@ -71,7 +71,7 @@
         }
     }
 
-    /// Returns what the object service has been asked.
+    /// Returns the traffic of the object service so far.
     pub async fn store_traffic(&self) -> StoreTraffic {
         let answer = self.fleet.http.get(self.store_addr, "/admin/counts").await;
         let total = answer.expect("counts").json()["total"].take();
@@ -85,9 +85,9 @@
         }
     }
 
-    /// Waits until a sum of a metric's samples has at least a value.
+    /// Waits until the sum of a metric's samples is at least `least`.
     pub async fn wait_metric(&self, addr: net::SocketAddr, metric: &str, least: f64) {
-        wait::until(&format!("{metric} of {least}"), || async {
+        wait::until(&format!("{metric} of at least {least}"), || async {
             let page = self.fleet.http.get(addr, "/metrics").await.ok()?;
             (sum_metric(&page.body, metric)? >= least).then_some(())
         })
@@ -95,7 +95,7 @@
     }
 }
 
-/// Returns the sum of a metric's samples on a page, `None` when it has none.
+/// Returns the sum of a metric's samples on a page; `None` if there are no samples.
 pub fn sum_metric(page: &str, metric: &str) -> Option<f64> {
     let samples = page.lines().filter_map(|line| {
         let (name, value) = line.rsplit_once(' ')?;
@@ -105,16 +105,16 @@
     samples.reduce(|a, b| a + b)
 }
 
-/// What one process uses in a window.
+/// Resource usage of one process over a window.
 #[derive(Clone, Copy, Debug)]
 pub struct WindowUsage {
-    /// Share of a core.
+    /// Average share of a processor core.
     pub core: f64,
     /// Resident memory in megabytes at the end.
     pub memory: f64,
 }
 
-/// Measures a process over a window.
+/// Measures the resource usage of a process over a window.
 pub async fn measure_window(process: &process::Process, window: time::Duration) -> WindowUsage {
     let (start, before) = (tokio::time::Instant::now(), usage::Usage::of(process));
     tokio::time::sleep(window).await;
@@ -125,7 +125,7 @@
     }
 }
 
-/// Returns a bundle of 28 pipelines with five stages each over `services`, for so many teams.
+/// Returns a bundle of 28 pipelines with five stages each over `services`, for `teams` teams.
 pub fn bundle(services: &[String], teams: usize, title: &str) -> Value {
     let service = |number: usize| &services[number % services.len()];
     let stage = |pipeline: usize, number: usize| json!({"name": format!("stage-{number}"), "service": service(pipeline + number)});
@@ -148,12 +148,12 @@
 }
 
 fn team(number: usize) -> Value {
-    let promise = json!({"deadline": "10s", "priority": "normal"});
-    let pipelines: serde_json::Map<_, _> = (0..PROMISES)
+    let terms = json!({"deadline": "10s", "priority": "normal"});
+    let pipelines: serde_json::Map<_, _> = (0..TEAM_PIPELINES)
         .map(|p| {
             (
                 format!("pipeline-{}", (number + p) % PIPELINES),
-                promise.clone(),
+                terms.clone(),
             )
         })
         .collect();
--- a/laburnumcart_system/src/control_cost/gossip.rs
+++ b/laburnumcart_system/src/control_cost/gossip.rs
@@ -1,4 +1,4 @@
-//! Cost of the facts that heartbeats carry, by their number.
+//! Cost of spreading facts by heartbeats, by their number.
 
 use std::time;
 
@@ -20,22 +20,22 @@
     port, relay,
 };
 
-/// Crashes in the table at each point.
-const FACTS: [usize; 4] = [0, 100, 500, 2000];
+/// Number of crashes sent at each point.
+const CRASHES: [usize; 4] = [0, 100, 500, 2000];
 
-/// Content that ran at each crash.
+/// Suspects of each crash: fingerprints of the content that was running.
 const SUSPECTS: usize = 8;
 
-/// Lanes of the entry.
+/// Number of lanes of the entry.
 const LANES: usize = 32;
 
-/// Time in which news reaches all lanes.
-const SPREAD: time::Duration = time::Duration::from_secs(6);
+/// Time in which facts reach all lanes.
+const SPREAD_TIME: time::Duration = time::Duration::from_secs(6);
 
-/// Time at rest.
-const REST: time::Duration = time::Duration::from_secs(20);
+/// Time over which the idle cost is measured.
+const IDLE_TIME: time::Duration = time::Duration::from_secs(20);
 
-/// Measures an entry with 32 lanes that is told facts by one agent.
+/// Measures an entry with 32 lanes that receives facts from one agent.
 pub async fn measure() -> Vec<fit::Table> {
     let title = "Entry with 32 lanes, by crashes told at once (8 suspects each)";
     let columns = [
@@ -46,16 +46,17 @@
         "memory MB",
     ];
     let mut table = fit::Table::new(title, "crashes", &columns);
-    let points = future::join_all(FACTS.map(point)).await;
-    for (count, values) in FACTS.iter().zip(points) {
+    let points = future::join_all(CRASHES.map(measure_point)).await;
+    for (count, values) in CRASHES.iter().zip(points) {
         table.push(*count as f64, values);
     }
     vec![table]
 }
 
-async fn point(count: usize) -> Vec<f64> {
+/// Returns the values of the columns for a number of crashes.
+async fn measure_point(count: usize) -> Vec<f64> {
     let names: Vec<_> = (0..4).map(|n| format!("service-{n}")).collect();
-    let mut rig = fixture::Fixture::start(fixture::bundle(&names, 10, "slopes")).await;
+    let mut fixture = fixture::Fixture::start(fixture::bundle(&names, 10, "slopes")).await;
     let mut fakes = Vec::new();
     for number in 0..LANES {
         let service = &names[number % names.len()];
@@ -72,7 +73,8 @@
         } else {
             fake.addr()
         };
-        rig.fleet
+        fixture
+            .fleet
             .register_instance(
                 &fake.name,
                 fixture::DATA_CENTRE,
@@ -82,30 +84,36 @@
             )
             .await;
     }
-    rig.fleet.add_entry(0).await;
-    let callers = rig.fleet.entries[0].caller_addr;
-    rig.wait_metric(callers, "laburnum_entry_lanes", LANES as f64)
+    fixture.fleet.add_entry(0).await;
+    let callers = fixture.fleet.entries[0].caller_addr;
+    fixture
+        .wait_metric(callers, "laburnum_entry_lanes", LANES as f64)
         .await;
-    tokio::time::sleep(SPREAD).await;
-    let process = &rig.fleet.entries[0].process;
-    let (bytes, before) = (relay.bytes(), usage::Usage::of(process));
-    fakes[1].send_facts(crashes(count));
-    tokio::time::sleep(SPREAD).await;
-    let (told, spread) = (relay.bytes(), usage::Usage::of(process));
-    let rest = fixture::measure_window(process, REST).await;
-    let end = relay.bytes();
-    let idle = (end.to_server + end.to_client - told.to_server - told.to_client) as f64
-        / REST.as_secs_f64();
+    tokio::time::sleep(SPREAD_TIME).await;
+    let process = &fixture.fleet.entries[0].process;
+    let (bytes_before, usage_before) = (relay.bytes(), usage::Usage::of(process));
+    fakes[1].send_facts(random_crashes(count));
+    tokio::time::sleep(SPREAD_TIME).await;
+    let (bytes_after_spread, usage_after) = (relay.bytes(), usage::Usage::of(process));
+    let idle_usage = fixture::measure_window(process, IDLE_TIME).await;
+    let bytes_at_end = relay.bytes();
+    let idle_rate = (bytes_at_end.to_server + bytes_at_end.to_client
+        - bytes_after_spread.to_server
+        - bytes_after_spread.to_client) as f64
+        / IDLE_TIME.as_secs_f64();
     vec![
-        (spread.cpu_seconds - before.cpu_seconds) * 1e3,
-        (told.to_server + told.to_client - bytes.to_server - bytes.to_client) as f64,
-        rest.core * 100.0,
-        idle,
-        rest.memory,
+        (usage_after.cpu_seconds - usage_before.cpu_seconds) * 1e3,
+        (bytes_after_spread.to_server + bytes_after_spread.to_client
+            - bytes_before.to_server
+            - bytes_before.to_client) as f64,
+        idle_usage.core * 100.0,
+        idle_rate,
+        idle_usage.memory,
     ]
 }
 
-fn crashes(count: usize) -> facts::Facts {
+/// Returns facts that hold the given number of crashes.
+fn random_crashes(count: usize) -> facts::Facts {
     let crash = || facts::Crash {
         id: id::Incarnation::random(),
         suspects: (0..SUSPECTS).map(|_| id::Fingerprint::random()).collect(),
--- a/laburnumcart_system/src/control_cost/idle.rs
+++ b/laburnumcart_system/src/control_cost/idle.rs
@@ -1,4 +1,4 @@
-//! Cost at rest: heartbeats, watches, looks at the target.
+//! Idle cost: heartbeats, watches and probes of the target.
 
 use std::time;
 
@@ -14,30 +14,30 @@
     fleet, port, relay,
 };
 
-/// Agents of a service when the number of lanes is varied by the number of services; no more than
-/// an entry keeps lanes to, however many services there are.
-const GROUP: usize = 8;
+/// Agents of each service when the number of services is varied; an entry keeps lanes to at least
+/// this many agents of a service, whatever the number of services.
+const SERVICE_AGENTS: usize = 8;
 
-/// Lanes of an entry at each point.
+/// Number of lanes of the entry at each point.
 const LANES: [usize; 4] = [8, 32, 128, 512];
 
-/// Agents of four services in the list at each point.
-const LISTED: [usize; 4] = [40, 160, 320, 670];
+/// Number of agents in the list of instances at each point.
+const LISTED_AGENTS: [usize; 4] = [40, 160, 320, 670];
 
-/// Services when the list is varied: the engines of four models.
-const MODELS: usize = 4;
+/// Number of services when the listed agents are varied.
+const LIST_SERVICES: usize = 4;
 
-/// Entries in the list at each point.
-const PEERS: [usize; 4] = [1, 50, 150, 350];
+/// Number of entries in the list of instances at each point.
+const LISTED_ENTRIES: [usize; 4] = [1, 50, 150, 350];
 
-/// Services, and targets of each, when the entries in the list are varied.
-const SMALL: (usize, usize) = (12, 5);
+/// Number of services, and of targets in each, when the listed entries are varied.
+const SMALL_SERVICES: (usize, usize) = (12, 5);
 
-/// Lanes of entries at an agent at each point.
-const ENTRIES: [usize; 4] = [4, 16, 64, 256];
+/// Number of lanes to the agent at each point.
+const AGENT_LANES: [usize; 4] = [4, 16, 64, 256];
 
-/// Time for connections and first looks to settle.
-const SETTLE: time::Duration = time::Duration::from_secs(5);
+/// Time for connections and the first probes to settle.
+const SETTLE_TIME: time::Duration = time::Duration::from_secs(5);
 
 const COLUMNS: [&str; 7] = [
     "core %",
@@ -49,55 +49,61 @@
     "watches/s",
 ];
 
-/// Measures entries by the number of their lanes.
+/// Measures an entry by the number of its lanes.
 pub async fn measure_entry_lanes(window: time::Duration) -> fit::Table {
     let title = "Entry at rest, by lanes to agents (8 agents of each service)";
     let mut table = fit::Table::new(title, "lanes", &COLUMNS);
-    let points = LANES.map(|count| entry(count, count / GROUP, 1, window));
+    let points = LANES.map(|count| measure_entry(count, count / SERVICE_AGENTS, 1, window));
     for (count, values) in LANES.iter().zip(future::join_all(points).await) {
         table.push(*count as f64, values);
     }
     table
 }
 
-/// Measures entries by the number of agents of four services in the list.
+/// Measures an entry by the number of listed agents of four services.
 pub async fn measure_listed_agents(window: time::Duration) -> fit::Table {
     let title = "Entry at rest, by agents in the list (four services)";
     let mut table = fit::Table::new(title, "agents", &COLUMNS);
-    let points = LISTED.map(|count| entry(count, MODELS, 1, window));
-    for (count, values) in LISTED.iter().zip(future::join_all(points).await) {
+    let points = LISTED_AGENTS.map(|count| measure_entry(count, LIST_SERVICES, 1, window));
+    for (count, values) in LISTED_AGENTS.iter().zip(future::join_all(points).await) {
         table.push(*count as f64, values);
     }
     table
 }
 
-/// Measures entries by the number of entries in the list, before services of few targets.
+/// Measures an entry by the number of listed entries, with few targets in each service.
 pub async fn measure_listed_entries(window: time::Duration) -> fit::Table {
     let title = "Entry at rest, by entries in the list (12 services with 5 agents each)";
     let mut table = fit::Table::new(title, "entries", &COLUMNS);
-    let (services, targets) = SMALL;
-    let points = PEERS.map(|count| entry(services * targets, services, count, window));
-    for (count, values) in PEERS.iter().zip(future::join_all(points).await) {
+    let (services, targets) = SMALL_SERVICES;
+    let points =
+        LISTED_ENTRIES.map(|count| measure_entry(services * targets, services, count, window));
+    for (count, values) in LISTED_ENTRIES.iter().zip(future::join_all(points).await) {
         table.push(*count as f64, values);
     }
     table
 }
 
-/// Measures agents by the number of lanes of entries to them.
+/// Measures an agent by the number of lanes of entries to it.
 pub async fn measure_agent_lanes(window: time::Duration) -> fit::Table {
     let title = "Agent at rest, by lanes of entries";
     let mut table = fit::Table::new(title, "lanes", &COLUMNS);
-    let points = ENTRIES.map(|count| agent(count, window));
-    for (count, values) in ENTRIES.iter().zip(future::join_all(points).await) {
+    let points = AGENT_LANES.map(|count| measure_agent(count, window));
+    for (count, values) in AGENT_LANES.iter().zip(future::join_all(points).await) {
         table.push(*count as f64, values);
     }
     table
 }
 
-/// Measures one of `entries` entries before `count` agents of so many services.
-async fn entry(count: usize, services: usize, entries: usize, window: time::Duration) -> Vec<f64> {
+/// Measures one of `entries` listed entries with `count` agents of `services` services.
+async fn measure_entry(
+    count: usize,
+    services: usize,
+    entries: usize,
+    window: time::Duration,
+) -> Vec<f64> {
     let names: Vec<_> = (0..services).map(|n| format!("service-{n}")).collect();
-    let mut rig = fixture::Fixture::start(fixture::bundle(&names, 10, "slopes")).await;
+    let mut fixture = fixture::Fixture::start(fixture::bundle(&names, 10, "slopes")).await;
     let mut fakes = Vec::new();
     let mut lane = None;
     for number in 0..count {
@@ -111,34 +117,41 @@
             let relay = lane.insert(relay.expect("relay to an agent"));
             addr = relay.addr();
         }
-        rig.fleet
+        fixture
+            .fleet
             .register_instance(&name, fixture::DATA_CENTRE, "agent", Some(service), addr)
             .await;
         fakes.push(fake);
     }
     for number in 1..entries {
-        // Nothing listens there: entries call each other only for claims.
+        // No process listens at this address, as entries call each other only for claims.
         let (name, addr) = (format!("entry-{number}"), port::free());
-        rig.fleet
+        fixture
+            .fleet
             .register_instance(&name, fixture::DATA_CENTRE, "entry", None, addr)
             .await;
     }
-    rig.fleet.add_entry(0).await;
-    let callers = rig.fleet.entries[0].caller_addr;
-    let least = count.min(services * GROUP) as f64;
-    rig.wait_metric(callers, "laburnum_entry_lanes", least)
+    fixture.fleet.add_entry(0).await;
+    let callers = fixture.fleet.entries[0].caller_addr;
+    let least = count.min(services * SERVICE_AGENTS) as f64;
+    fixture
+        .wait_metric(callers, "laburnum_entry_lanes", least)
         .await;
     let lane = lane.expect("at least one agent");
-    measure(&rig, &lane, window, |rig| &rig.fleet.entries[0].process).await
+    measure_process(&fixture, &lane, window, |fixture| {
+        &fixture.fleet.entries[0].process
+    })
+    .await
 }
 
-/// Measures one agent with so many lanes to it.
-async fn agent(count: usize, window: time::Duration) -> Vec<f64> {
-    let mut rig = fixture::Fixture::start(fixture::bundle(&["pool".into()], 10, "slopes")).await;
+/// Measures one agent with `count` lanes to it.
+async fn measure_agent(count: usize, window: time::Duration) -> Vec<f64> {
+    let mut fixture =
+        fixture::Fixture::start(fixture::bundle(&["pool".into()], 10, "slopes")).await;
     let service = fleet::Service::new("pool", "pool", 1);
-    rig.fleet.add_node(&service, 0).await;
-    rig.fleet.wait_ready().await;
-    let peer = rig.fleet.nodes[0].peer_addr;
+    fixture.fleet.add_node(&service, 0).await;
+    fixture.fleet.wait_ready().await;
+    let peer = fixture.fleet.nodes[0].peer_addr;
     let relay = relay::Relay::start(port::free(), peer).await;
     let relay = relay.expect("relay to the agent");
     let mut open = lanes::Lanes::default();
@@ -146,33 +159,37 @@
     for number in 1..count {
         open.open(peer, number).await;
     }
-    measure(&rig, &relay, window, |rig| &rig.fleet.nodes[0].agent).await
+    measure_process(&fixture, &relay, window, |fixture| {
+        &fixture.fleet.nodes[0].agent
+    })
+    .await
 }
 
-/// Returns the values of [`COLUMNS`].
-async fn measure(
-    rig: &fixture::Fixture,
+/// Measures a process and returns the values of [`COLUMNS`].
+async fn measure_process(
+    fixture: &fixture::Fixture,
     lane: &relay::Relay,
     window: time::Duration,
     process: impl Fn(&fixture::Fixture) -> &crate::process::Process,
 ) -> Vec<f64> {
-    tokio::time::sleep(SETTLE).await;
-    let (calls, bytes, start) = (
-        rig.store_traffic().await,
+    tokio::time::sleep(SETTLE_TIME).await;
+    let (traffic, bytes, start) = (
+        fixture.store_traffic().await,
         lane.bytes(),
         tokio::time::Instant::now(),
     );
-    let spent = fixture::measure_window(process(rig), window).await;
-    let (after, passed) = (rig.store_traffic().await, lane.bytes());
+    let usage = fixture::measure_window(process(fixture), window).await;
+    let (traffic_after, bytes_after) = (fixture.store_traffic().await, lane.bytes());
     let seconds = start.elapsed().as_secs_f64();
-    let lane_bytes = passed.to_server + passed.to_client - bytes.to_server - bytes.to_client;
+    let lane_bytes =
+        bytes_after.to_server + bytes_after.to_client - bytes.to_server - bytes.to_client;
     vec![
-        spent.core * 100.0,
-        spent.memory,
+        usage.core * 100.0,
+        usage.memory,
         lane_bytes as f64 / seconds,
-        (after.bytes - calls.bytes) / seconds,
-        (after.reads - calls.reads) / seconds,
-        (after.writes - calls.writes) / seconds,
-        (after.watches - calls.watches) / seconds,
+        (traffic_after.bytes - traffic.bytes) / seconds,
+        (traffic_after.reads - traffic.reads) / seconds,
+        (traffic_after.writes - traffic.writes) / seconds,
+        (traffic_after.watches - traffic.watches) / seconds,
     ]
 }
--- a/laburnumcart_system/src/control_cost/lanes.rs
+++ b/laburnumcart_system/src/control_cost/lanes.rs
@@ -1,4 +1,4 @@
-//! Lanes of entries in this process that only send heartbeats.
+//! Lanes of fake entries in this process that only send heartbeats.
 
 use std::{
     net,
@@ -20,19 +20,19 @@
 
 use crate::fleet;
 
-/// Time between two heartbeats of an entry without attempts in flight.
+/// Heartbeat interval of an entry without attempts in flight.
 pub const HEARTBEAT_INTERVAL: time::Duration = time::Duration::from_secs(2);
 
-/// Lanes that beat until they are dropped.
+/// Lanes that send heartbeats until they are dropped.
 #[derive(Debug, Default)]
 pub struct Lanes(tokio::task::JoinSet<()>);
 
 impl Lanes {
-    /// Opens a lane to the agent at `addr` and returns when it was greeted.
+    /// Opens a lane to the agent at `addr` and completes the handshake.
     ///
     /// # Panics
     ///
-    /// Panics when the agent does not answer.
+    /// Panics when the agent does not respond.
     pub async fn open(&mut self, addr: net::SocketAddr, number: usize) {
         let secret = fleet::SECRET.parse().expect("secret");
         let limits = peer::Limits::default();
@@ -48,23 +48,23 @@
             peer: None,
             facts: facts::Facts::default(),
         };
-        client.hello(hello).await.expect("answer to hello");
-        self.0.spawn(beat(client, session));
+        client.hello(hello).await.expect("response to hello");
+        self.0.spawn(send_heartbeats(client, session));
     }
 }
 
-async fn beat(client: peer::Client, session: lane::Session) {
+async fn send_heartbeats(client: peer::Client, session: lane::Session) {
     let mut ticks = tokio::time::interval(HEARTBEAT_INTERVAL);
     loop {
         ticks.tick().await;
         let facts = None;
-        let answer = client
+        let response = client
             .beat(agent::Heartbeat {
                 session,
                 peer: None,
                 facts,
             })
             .await;
-        answer.expect("answer to a heartbeat");
+        response.expect("response to a heartbeat");
     }
 }
--- a/laburnumcart_system/src/control_cost/traffic.rs
+++ b/laburnumcart_system/src/control_cost/traffic.rs
@@ -1,4 +1,4 @@
-//! Cost of a request, which is data path and not control.
+//! Cost of a request, which belongs to the data path and not to the control plane.
 
 use serde_json::json;
 
@@ -10,13 +10,13 @@
     fleet, sample,
 };
 
-/// Requests at each point.
+/// Number of requests at each point.
 const REQUESTS: [usize; 4] = [0, 100, 200, 400];
 
-/// Requests in flight.
-const FLIGHT: usize = 8;
+/// Number of requests sent concurrently.
+const CONCURRENCY: usize = 8;
 
-/// Measures an entry and its five agents; the slope is the cost of a request of four stages.
+/// Measures an entry and its five agents; the slope is the cost of one request of four stages.
 pub async fn measure() -> fit::Table {
     let title = "Traffic (data path): one entry, four stages, 12 tokens in the last";
     let columns = ["entry CPU ms", "CPU ms of all agents"];
@@ -24,30 +24,30 @@
     let plan = fleet::Plan::new(sample::services(1), sample::bundle()).entries(1);
     let fleet = fleet::Fleet::start(plan).await;
     for count in REQUESTS {
-        let before = spent(&fleet);
-        send(&fleet, count).await;
-        let after = spent(&fleet);
+        let before = cpu_seconds(&fleet);
+        send_requests(&fleet, count).await;
+        let after = cpu_seconds(&fleet);
         let values = [after.0 - before.0, after.1 - before.1];
         table.push(count as f64, values.map(|seconds| seconds * 1e3));
     }
     table
 }
 
-async fn send(fleet: &fleet::Fleet, count: usize) {
+async fn send_requests(fleet: &fleet::Fleet, count: usize) {
     let call = |number: usize| async move {
         let body = json!({"applicant": number, "text": format!("statement {number}")});
         let call = fleet::Call::new(sample::CHECK_PIPELINE, sample::CLINIC_TOKEN, body);
-        let answer = fleet.call(0, &call).await.expect("an answer");
-        assert_eq!(answer.status, 200, "{}", answer.body);
+        let response = fleet.call(0, &call).await.expect("a response");
+        assert_eq!(response.status, 200, "{}", response.body);
     };
     let numbers: Vec<_> = (0..count).collect();
-    for batch in numbers.chunks(FLIGHT) {
+    for batch in numbers.chunks(CONCURRENCY) {
         futures_util::future::join_all(batch.iter().map(|n| call(*n))).await;
     }
 }
 
-/// Returns the processor seconds of the entry and of all agents.
-fn spent(fleet: &fleet::Fleet) -> (f64, f64) {
+/// Returns the processor time of the entry and of all agents in seconds.
+fn cpu_seconds(fleet: &fleet::Fleet) -> (f64, f64) {
     let agents = fleet
         .nodes
         .iter()
