--- a/laburnumcart_system/src/control_cost/fixture.rs
+++ b/laburnumcart_system/src/control_cost/fixture.rs
@@ -73,8 +73,8 @@
 
     /// Returns the traffic of the object service so far.
     pub async fn store_traffic(&self) -> StoreTraffic {
-        let answer = self.fleet.http.get(self.store_addr, "/admin/counts").await;
-        let total = answer.expect("counts").json()["total"].take();
+        let response = self.fleet.http.get(self.store_addr, "/admin/counts").await;
+        let total = response.expect("counts").json()["total"].take();
         let count = |name: &str| total[name].as_f64().unwrap_or_default();
         let bytes = self.store_relay.bytes();
         StoreTraffic {
--- a/laburnumcart_system/src/fleet.rs
+++ b/laburnumcart_system/src/fleet.rs
@@ -389,6 +389,7 @@
         self.wait_ok("store", addr, "/healthz").await;
     }
 
+    /// Waits until a page responds with status 200.
     async fn wait_ok(&self, name: &str, addr: net::SocketAddr, page: &str) {
         wait::until(&format!("{page} of {name} to succeed"), || async {
             let response = self.http.get(addr, page).await.ok()?;
@@ -397,6 +398,7 @@
         .await;
     }
 
+    /// Writes the settings file of a daemon and starts it.
     fn start_daemon(&self, name: &str, program: &str, settings: &Value) -> process::Process {
         let file = self.dir.0.join(format!("{name}.json"));
         fs::write(&file, settings.to_string()).expect("settings");
--- a/laburnumcart_system/src/relay.rs
+++ b/laburnumcart_system/src/relay.rs
@@ -50,9 +50,9 @@
 struct Shared {
     rule: watch::Sender<StallRule>,
     /// Number of connections accepted so far.
-    count: atomic::AtomicU64,
+    connection_count: atomic::AtomicU64,
     /// Number of tasks that are holding bytes back or writing them.
-    held: atomic::AtomicUsize,
+    held_count: atomic::AtomicUsize,
     /// Bytes forwarded from clients.
     to_server: atomic::AtomicU64,
     /// Bytes forwarded to clients.
@@ -75,13 +75,13 @@
         let listener = tokio::net::TcpListener::bind(addr).await?;
         let shared = sync::Arc::new(Shared {
             rule: watch::Sender::new(StallRule::default()),
-            count: atomic::AtomicU64::new(0),
-            held: atomic::AtomicUsize::new(0),
+            connection_count: atomic::AtomicU64::new(0),
+            held_count: atomic::AtomicUsize::new(0),
             to_server: atomic::AtomicU64::new(0),
             to_client: atomic::AtomicU64::new(0),
             trigger: sync::Mutex::new(None),
         });
-        let task = tokio::spawn(accept(listener, dest, shared.clone()));
+        let task = tokio::spawn(accept_connections(listener, dest, shared.clone()));
         Ok(Self { addr, shared, task })
     }
 
@@ -106,7 +106,7 @@
     /// Stalls all connections that exist when `text` is next read from the server, before forwarding
     /// it.
     pub fn stall_at_text(&self, text: &str, stall: Stall) {
-        *self.shared.trigger() = Some((text.into(), stall));
+        *self.shared.lock_trigger() = Some((text.into(), stall));
     }
 
     /// Reports whether a stall is in effect.
@@ -116,12 +116,12 @@
 
     /// Reports whether bytes are being held back.
     pub fn is_holding_bytes(&self) -> bool {
-        self.shared.held.load(atomic::Ordering::SeqCst) > 0
+        self.shared.held_count.load(atomic::Ordering::SeqCst) > 0
     }
 
     /// Ends the stall, or cancels a pending one, and forwards the held bytes.
     pub fn resume(&self) {
-        *self.shared.trigger() = None;
+        *self.shared.lock_trigger() = None;
         self.shared.rule.send_replace(StallRule::default());
     }
 }
@@ -134,11 +134,11 @@
 
 impl Shared {
     fn stall(&self, stall: Stall) {
-        let last = self.count.load(atomic::Ordering::SeqCst);
+        let last = self.connection_count.load(atomic::Ordering::SeqCst);
         self.rule.send_replace(StallRule { stall, last });
     }
 
-    fn trigger(&self) -> sync::MutexGuard<'_, Option<(Vec<u8>, Stall)>> {
+    fn lock_trigger(&self) -> sync::MutexGuard<'_, Option<(Vec<u8>, Stall)>> {
         self.trigger
             .lock()
             .unwrap_or_else(sync::PoisonError::into_inner)
@@ -146,7 +146,7 @@
 
     /// Starts the pending stall if `bytes` contain its text.
     fn stall_on_trigger(&self, bytes: &[u8]) {
-        let mut trigger = self.trigger();
+        let mut trigger = self.lock_trigger();
         let is_in = |text: &[u8]| bytes.windows(text.len()).any(|part| part == text);
         if let Some((_, stall)) = trigger.take_if(|(text, _)| is_in(text)) {
             self.stall(stall);
@@ -154,13 +154,17 @@
     }
 }
 
-async fn accept(
+/// Accepts connections and forwards each of them in both directions.
+async fn accept_connections(
     listener: tokio::net::TcpListener,
     dest: net::SocketAddr,
     shared: sync::Arc<Shared>,
 ) {
     while let Ok((client, _)) = listener.accept().await {
-        let number = shared.count.fetch_add(1, atomic::Ordering::SeqCst) + 1;
+        let number = shared
+            .connection_count
+            .fetch_add(1, atomic::Ordering::SeqCst)
+            + 1;
         let Ok(server) = tokio::net::TcpStream::connect(dest).await else {
             continue;
         };
@@ -185,6 +189,7 @@
     }
 }
 
+/// Forwards the bytes of one direction until it is closed or fails.
 async fn forward(
     mut from: tcp::OwnedReadHalf,
     mut to: tcp::OwnedWriteHalf,
@@ -202,10 +207,10 @@
         if to_client {
             shared.stall_on_trigger(bytes);
         }
-        shared.held.fetch_add(1, atomic::Ordering::SeqCst);
+        shared.held_count.fetch_add(1, atomic::Ordering::SeqCst);
         let released = rule.wait_for(|rule| !is_stalled(rule)).await.is_ok();
         let sent = released && count > 0 && to.write_all(bytes).await.is_ok();
-        shared.held.fetch_sub(1, atomic::Ordering::SeqCst);
+        shared.held_count.fetch_sub(1, atomic::Ordering::SeqCst);
         if !sent {
             return;
         }
