--- a/laburnumcart_system/src/control_cost/idle.rs
+++ b/laburnumcart_system/src/control_cost/idle.rs
@@ -24,7 +24,7 @@
 /// Number of agents in the list of instances at each point.
 const LISTED_AGENTS: [usize; 4] = [40, 160, 320, 670];
 
-/// Number of services when the listed agents are varied.
+/// Number of services when the listed agents are varied; stands for the engines of four models.
 const LIST_SERVICES: usize = 4;
 
 /// Number of entries in the list of instances at each point.
