--- a/laburnumcart_gateway/src/control.rs
+++ b/laburnumcart_gateway/src/control.rs
@@ -73,22 +73,17 @@
 /// Evacuations are watched only if `has_evacuations`, as each call to the store has a cost.
 pub async fn run<S: store::Store + Clone>(
     store: S,
-    directory: Arc<dyn dialect::Directory>,
+    layout: Arc<dyn dialect::StoreLayout>,
     view: Arc<view::View>,
     own: view::Member,
     cache: Arc<cache::Cache>,
     has_evacuations: bool,
 ) {
-    let key = format!("{}/{}", directory.members_prefix(), own.instance);
+    let key = format!("{}/{}", layout.members_prefix(), own.instance);
     let (direct, member) = (store.clone(), own.clone());
     let signals = cache.signals.clone();
-    let store = relayed_store::RelayedStore::new(
-        store,
-        own.clone(),
-        view.clone(),
-        directory.clone(),
-        signals,
-    );
+    let store =
+        relayed_store::RelayedStore::new(store, own.clone(), view.clone(), layout.clone(), signals);
     let settings = |wait, longest, spread| follow::Settings {
         wait,
         interval: CALL_INTERVAL,
@@ -98,20 +93,19 @@
     let returns = follow::Recovery::default();
     let table = TableObserver {
         view: view.clone(),
-        directory: directory.clone(),
+        layout: layout.clone(),
         sent_at: freshness::BootTime::default(),
         version: store::Version::default(),
     };
-    let targets = targets::Observer::new(view.clone(), directory.clone());
+    let targets = targets::Observer::new(view.clone(), layout.clone());
     let members = members::Observer::new(view.clone(), own);
     let evacuations = evacuations::Observer::new(view.clone());
     let table = cache::Publisher::new(table, Topic::Table, &cache);
     let targets = cache::Publisher::new(targets, Topic::Targets, &cache);
     let members = cache::Publisher::new(members, Topic::Members, &cache);
     let evacuations = cache::Publisher::new(evacuations, Topic::Evacuations, &cache);
-    let follower = |topic: Topic, settings| {
-        follow::follower(store.clone(), topic.prefix(&*directory), settings)
-    };
+    let follower =
+        |topic: Topic, settings| follow::follower(store.clone(), topic.prefix(&*layout), settings);
     let (follows, _table) = follower(
         Topic::Table,
         settings(WATCH_WAIT, TABLE_RETRY_MAX, CALL_INTERVAL),
@@ -191,7 +185,7 @@
 /// Activates configurations read from the store.
 struct TableObserver {
     view: Arc<view::View>,
-    directory: Arc<dyn dialect::Directory>,
+    layout: Arc<dyn dialect::StoreLayout>,
     /// Start of the current call.
     sent_at: freshness::BootTime,
     version: store::Version,
@@ -206,7 +200,7 @@
         let object = snapshot.objects.values().next();
         if let Some(object) = object.filter(|o| o.version > self.version) {
             self.version = object.version;
-            match self.directory.parse_table(&object.value) {
+            match self.layout.parse_table(&object.value) {
                 Ok(table) => {
                     let (version, routes) = (table.version, table.route_count());
                     let taken = self.view.set_table(table);
--- a/laburnumcart_gateway/src/control/targets.rs
+++ b/laburnumcart_gateway/src/control/targets.rs
@@ -98,15 +98,15 @@
 /// Publishes the targets.
 pub(super) struct Observer {
     view: Arc<view::View>,
-    directory: Arc<dyn dialect::Directory>,
+    layout: Arc<dyn dialect::StoreLayout>,
     state: Arc<Mutex<State>>,
 }
 
 impl Observer {
-    pub(super) fn new(view: Arc<view::View>, directory: Arc<dyn dialect::Directory>) -> Self {
+    pub(super) fn new(view: Arc<view::View>, layout: Arc<dyn dialect::StoreLayout>) -> Self {
         Self {
             view,
-            directory,
+            layout,
             state: Arc::default(),
         }
     }
@@ -116,7 +116,7 @@
     /// Applies an entry and returns whether the usable targets changed.
     fn apply_entry(
         &mut self,
-        directory: &dyn dialect::Directory,
+        layout: &dyn dialect::StoreLayout,
         object: &store::Object,
         now: Instant,
     ) -> bool {
@@ -132,7 +132,7 @@
             return false;
         }
         let name = key.rsplit_once('/').map_or(key.as_str(), |(_, name)| name);
-        match directory.parse_target(name, &object.value) {
+        match layout.parse_target(name, &object.value) {
             Ok(entry) => self.apply_target(entry, object, now),
             Err(error) => self.reject_entry(object, error, now),
         }
@@ -293,7 +293,7 @@
         state.last_read = state.last_read.max(Some(read));
         let mut changed = first;
         for object in snapshot.objects.values() {
-            changed |= state.apply_entry(&*self.directory, object, now);
+            changed |= state.apply_entry(&*self.layout, object, now);
         }
         let grace = is_restored.then_some(now + OUTAGE_GRACE);
         changed |= state.remove_missing(&snapshot.objects, grace, now);
--- a/laburnumcart_gateway/src/dialect.rs
+++ b/laburnumcart_gateway/src/dialect.rs
@@ -190,7 +190,7 @@
 }
 
 /// Layout and encoding of the platform's store.
-pub trait Directory: Send + Sync + 'static {
+pub trait StoreLayout: Send + Sync + 'static {
     /// Returns the key of the configuration.
     fn table_key(&self) -> &'static str;
 
--- a/laburnumcart_gateway/src/lib.rs
+++ b/laburnumcart_gateway/src/lib.rs
@@ -1,7 +1,7 @@
 //! HTTP gateway: ingress by host and path, batched stages, model engines and plain services.
 //!
 //! The crate is independent of the platform: header names, the form of calls to targets and the
-//! contents of the store are supplied by a [`dialect::Dialect`] and a [`dialect::Directory`].
+//! contents of the store are supplied by a [`dialect::Dialect`] and a [`dialect::StoreLayout`].
 
 pub mod admission;
 pub mod balancer;
--- a/laburnumcart_gateway/src/relay.rs
+++ b/laburnumcart_gateway/src/relay.rs
@@ -48,12 +48,12 @@
 
 impl Topic {
     /// Returns the key prefix of the topic in the store.
-    pub fn prefix(self, directory: &dyn dialect::Directory) -> &'static str {
+    pub fn prefix(self, layout: &dyn dialect::StoreLayout) -> &'static str {
         match self {
-            Self::Table => directory.table_key(),
-            Self::Targets => directory.targets_prefix(),
-            Self::Members => directory.members_prefix(),
-            Self::Evacuations => directory.evacuations_prefix(),
+            Self::Table => layout.table_key(),
+            Self::Targets => layout.targets_prefix(),
+            Self::Members => layout.members_prefix(),
+            Self::Evacuations => layout.evacuations_prefix(),
         }
     }
 }
--- a/laburnumcart_gateway/src/relay/relayed_store.rs
+++ b/laburnumcart_gateway/src/relay/relayed_store.rs
@@ -75,7 +75,7 @@
     store: S,
     own: view::Member,
     view: Arc<view::View>,
-    directory: Arc<dyn dialect::Directory>,
+    layout: Arc<dyn dialect::StoreLayout>,
     links: links::Links,
     signals: Arc<signals::Signals>,
     /// Versions of target signals merged from each peer, valid for one incarnation of the peer.
@@ -111,7 +111,7 @@
         store: S,
         own: view::Member,
         view: Arc<view::View>,
-        directory: Arc<dyn dialect::Directory>,
+        layout: Arc<dyn dialect::StoreLayout>,
         signals: Arc<signals::Signals>,
     ) -> Self {
         Self(Arc::new(Shared {
@@ -119,7 +119,7 @@
             store,
             own,
             view,
-            directory,
+            layout,
             signals,
             signal_versions: Mutex::default(),
             standing: Mutex::default(),
@@ -166,7 +166,7 @@
             Topic::Members,
             Topic::Evacuations,
         ];
-        let has_prefix = |topic: &Topic| topic.prefix(&*self.directory) == prefix;
+        let has_prefix = |topic: &Topic| topic.prefix(&*self.layout) == prefix;
         topics.into_iter().find(has_prefix)
     }
 
--- a/laburnumcart_gateway/src/run.rs
+++ b/laburnumcart_gateway/src/run.rs
@@ -74,7 +74,7 @@
     /// HTTP protocol of the platform.
     pub dialect: Arc<dyn dialect::Dialect>,
     /// Layout and encoding of the platform's store.
-    pub directory: Arc<dyn dialect::Directory>,
+    pub layout: Arc<dyn dialect::StoreLayout>,
 }
 
 /// Runs a gateway until a signal stops it.
@@ -131,11 +131,11 @@
     let cache = Arc::new(cache::Cache::new(target_signals));
     let _peers = serve_peers(&gateway, &own, &cache, peer_listener)?;
     let _admin = serve_admin(&gateway, registry, admin_listener)?;
-    let followed = (platform.store, platform.directory, view.clone(), own);
-    let (store, directory, shared, own) = followed;
+    let followed = (platform.store, platform.layout, view.clone(), own);
+    let (store, layout, shared, own) = followed;
     let has_evacuations = settings.bounds.evacuation.is_some();
     let _control =
-        thread::spawn(move || control::run(store, directory, shared, own, cache, has_evacuations))?;
+        thread::spawn(move || control::run(store, layout, shared, own, cache, has_evacuations))?;
     tokio::spawn(gateway.clone().follow_changes());
     tokio::spawn(starvation::monitor(counters));
     tokio::spawn(gateway.dispatcher.clone().run());
