--- a/laburnumcart_fakes/src/store.rs
+++ b/laburnumcart_fakes/src/store.rs
@@ -99,8 +99,8 @@
         listener.set_nonblocking(true)?;
         let addr = listener.local_addr()?;
         let memory = memory::Memory::builder()
-            .start(first_revision())
-            .lag(INSTANCES_PREFIX, self.lag)
+            .initial_revision(first_revision())
+            .stale_reads(INSTANCES_PREFIX, self.lag)
             .build();
         let shared = sync::Arc::new(Shared {
             memory: memory.clone(),
--- a/laburnumcart_fakes/src/store/handlers.rs
+++ b/laburnumcart_fakes/src/store/handlers.rs
@@ -102,7 +102,7 @@
         return Err(Refusal::Status(StatusCode::BAD_REQUEST));
     };
     ctx.state().admit(counts::Kind::Write, &key)?;
-    let status = match ctx.state().memory.remove(&key, version).await? {
+    let status = match ctx.state().memory.delete_if_present(&key, version).await? {
         true => StatusCode::NO_CONTENT,
         false => StatusCode::NOT_FOUND,
     };
--- a/laburnumcart_gateway/src/control.rs
+++ b/laburnumcart_gateway/src/control.rs
@@ -111,24 +111,24 @@
         settings(WATCH_WAIT, TABLE_RETRY_MAX, CALL_INTERVAL),
     );
     let table = follows
-        .observe(table)
+        .with_observer(table)
         .share_recovery(&returns)
         .duplicate_after(TABLE_PROBE_DELAY);
     let (follows, _targets) = follower(
         Topic::Targets,
         settings(WATCH_WAIT, RETRY_MAX, BUSY_INTERVAL),
     );
-    let targets = follows.observe(targets).share_recovery(&returns);
+    let targets = follows.with_observer(targets).share_recovery(&returns);
     let (follows, listed) = follower(
         Topic::Members,
         settings(MEMBERS_WATCH_WAIT, RETRY_MAX, BUSY_INTERVAL),
     );
-    let members = follows.observe(members).share_recovery(&returns);
+    let members = follows.with_observer(members).share_recovery(&returns);
     let (follows, _evacuations) = follower(
         Topic::Evacuations,
         settings(WATCH_WAIT, RETRY_MAX, CALL_INTERVAL),
     );
-    let evacuations = follows.observe(evacuations).share_recovery(&returns);
+    let evacuations = follows.with_observer(evacuations).share_recovery(&returns);
     let evacuations = async {
         match has_evacuations {
             true => evacuations.run().await,
--- a/laburnumcart_platform/src/budget.rs
+++ b/laburnumcart_platform/src/budget.rs
@@ -67,7 +67,7 @@
     }
 
     /// Drops all tokens, after the service itself has refused a call because of its rate limit.
-    pub fn empty(&mut self, now: Instant) {
+    pub fn drop_tokens(&mut self, now: Instant) {
         self.refill(now);
         self.tokens = 0.0;
     }
--- a/laburnumcart_platform/src/client.rs
+++ b/laburnumcart_platform/src/client.rs
@@ -55,7 +55,7 @@
     timeout: time::Duration,
     /// Longest time that a call waits for the budget.
     budget_wait: time::Duration,
-    answer_max: usize,
+    max_response_size: usize,
     control: sync::Mutex<Control>,
     metrics: metrics::Metrics,
 }
@@ -147,7 +147,12 @@
             Cost::Watch(wait) => (None, self.timeout + wait),
         };
         let index = self.current.load(atomic::Ordering::Relaxed) % self.addrs.len();
-        let sent = protocol::send(&self.http, self.addrs[index], request, self.answer_max);
+        let sent = protocol::send(
+            &self.http,
+            self.addrs[index],
+            request,
+            self.max_response_size,
+        );
         let result = match tokio::time::timeout(limit, sent).await {
             Ok(result) => result,
             Err(_) => Err(store::Failure::Unanswered),
@@ -229,8 +234,8 @@
             .is_ok_and(protocol::Response::is_rate_limited)
         {
             match cost {
-                Cost::Write => control.budget.writes.empty(now),
-                Cost::Read | Cost::Watch(_) => control.budget.reads.empty(now),
+                Cost::Write => control.budget.writes.drop_tokens(now),
+                Cost::Read | Cost::Watch(_) => control.budget.reads.drop_tokens(now),
             }
         }
         let open = control.breaker.is_open();
--- a/laburnumcart_platform/src/client/builder.rs
+++ b/laburnumcart_platform/src/client/builder.rs
@@ -1,4 +1,4 @@
-//! Builder of the HTTP client.
+//! Builder of the object service client.
 
 use std::{
     net,
@@ -41,9 +41,9 @@
     /// No address of the service is given.
     #[display("no address of the object service is configured")]
     Addresses,
-    /// The number of connections is zero.
-    #[display("object service client has a limit of 0 connections")]
-    Connections,
+    /// The maximum number of calls in flight is zero.
+    #[display("object service client has a limit of 0 calls in flight")]
+    MaxCalls,
 }
 
 /// Builder of a [`Client`].
@@ -51,9 +51,9 @@
 pub struct Builder {
     addrs: Vec<net::SocketAddr>,
     timeout: unit::Period,
-    idle: unit::Period,
-    connections: usize,
-    answer_max: unit::Size,
+    idle_timeout: unit::Period,
+    max_calls: usize,
+    max_response_size: unit::Size,
     rates: budget::Rates,
     budget_wait: unit::Period,
     breaker: breaker::Limits,
@@ -66,46 +66,50 @@
             timeout: unit::Period::from_secs(2),
             // If the service closes an idle connection while a write is sent on it, the outcome of
             // the write is unknown. Closing idle connections first makes that rare.
-            idle: unit::Period::from_secs(3),
-            connections: 8,
-            answer_max: unit::Size(64 << 20),
+            idle_timeout: unit::Period::from_secs(3),
+            max_calls: 8,
+            max_response_size: unit::Size(64 << 20),
             rates: budget::Rates::default(),
             budget_wait: unit::Period::default(),
             breaker: breaker::Limits::default(),
         }
     }
 
-    /// Sets the timeout of a call, to which a watch adds its wait; 2 s unless set.
+    /// Sets the timeout of a call; 2 s unless set.
+    ///
+    /// The timeout of a watch is longer by the time that the watch waits for a change.
     pub fn timeout(mut self, timeout: unit::Period) -> Self {
         self.timeout = timeout;
         self
     }
 
     /// Sets the time after which an idle connection is closed; 3 s unless set.
-    pub fn idle(mut self, idle: unit::Period) -> Self {
-        self.idle = idle;
+    pub fn idle_timeout(mut self, timeout: unit::Period) -> Self {
+        self.idle_timeout = timeout;
         self
     }
 
     /// Sets the maximum number of calls in flight, apart from watches; 8 unless set.
-    pub fn connections(mut self, connections: usize) -> Self {
-        self.connections = connections;
+    pub fn max_calls(mut self, max_calls: usize) -> Self {
+        self.max_calls = max_calls;
         self
     }
 
     /// Sets the maximum size of a response; 64 MiB unless set.
-    pub fn answer_max(mut self, size: unit::Size) -> Self {
-        self.answer_max = size;
+    pub fn max_response_size(mut self, size: unit::Size) -> Self {
+        self.max_response_size = size;
         self
     }
 
-    /// Sets this process's share of the service's rate limits.
+    /// Sets this process's share of the service's rate limits, the budget of its calls.
     pub fn rates(mut self, rates: budget::Rates) -> Self {
         self.rates = rates;
         self
     }
 
-    /// Sets how long a call waits for the process's own budget; not at all unless set.
+    /// Sets how long a call waits until the limits set by [`Builder::rates`] allow it.
+    ///
+    /// Unless set, a call above these limits fails at once.
     pub fn budget_wait(mut self, wait: unit::Period) -> Self {
         self.budget_wait = wait;
         self
@@ -122,8 +126,8 @@
         if self.addrs.is_empty() {
             return Err(BuildError::Addresses);
         }
-        if self.connections == 0 {
-            return Err(BuildError::Connections);
+        if self.max_calls == 0 {
+            return Err(BuildError::MaxCalls);
         }
         let now = Instant::now();
         let control = Control {
@@ -131,12 +135,12 @@
             budget: budget::Budget::new(self.rates, now),
         };
         let inner = Inner {
-            http: http_client(self.timeout.0 / 2, self.idle.0, self.connections),
+            http: http_client(self.timeout.0 / 2, self.idle_timeout.0, self.max_calls),
             current: atomic::AtomicUsize::new(0),
-            slots: Semaphore::new(self.connections),
+            slots: Semaphore::new(self.max_calls),
             timeout: self.timeout.0,
             budget_wait: self.budget_wait.0,
-            answer_max: self.answer_max.0.try_into().unwrap_or(usize::MAX),
+            max_response_size: self.max_response_size.0.try_into().unwrap_or(usize::MAX),
             control: sync::Mutex::new(control),
             metrics: metrics::Metrics::default(),
             addrs: self.addrs,
@@ -147,17 +151,17 @@
     }
 }
 
-/// Creates the HTTP client with its connection pool.
+/// Creates the hyper client with its connection pool.
 ///
 /// A call that is dropped before its response is complete closes its connection, so that no later
 /// call gets a silent connection or the rest of an earlier response.
-fn http_client(connect: time::Duration, idle: time::Duration, connections: usize) -> super::Http {
+fn http_client(connect: time::Duration, idle: time::Duration, max_idle: usize) -> super::Http {
     let mut connector = legacy::connect::HttpConnector::new();
     connector.set_nodelay(true);
     connector.set_connect_timeout(Some(connect));
     legacy::Client::builder(rt::TokioExecutor::new())
         .pool_timer(rt::TokioTimer::new())
         .pool_idle_timeout(idle)
-        .pool_max_idle_per_host(connections)
+        .pool_max_idle_per_host(max_idle)
         .build(connector)
 }
--- a/laburnumcart_platform/src/follow.rs
+++ b/laburnumcart_platform/src/follow.rs
@@ -216,7 +216,7 @@
 impl<S: store::Store> Follower<S> {
     /// Sets the hooks that are called around each call.
     #[must_use]
-    pub fn observe(mut self, observer: impl Observer + 'static) -> Self {
+    pub fn with_observer(mut self, observer: impl Observer + 'static) -> Self {
         self.observer = Some(Box::new(observer));
         self
     }
--- a/laburnumcart_platform/src/memory.rs
+++ b/laburnumcart_platform/src/memory.rs
@@ -66,16 +66,16 @@
 /// Builder of a [`Memory`].
 #[derive(Clone, Debug)]
 pub struct Builder {
-    history: usize,
-    start: store::Revision,
+    kept_changes: usize,
+    initial_revision: store::Revision,
     lag: Option<Lag>,
 }
 
 impl Default for Builder {
     fn default() -> Self {
         Self {
-            history: history::DEFAULT_CHANGES,
-            start: store::Revision(0),
+            kept_changes: history::DEFAULT_CHANGES,
+            initial_revision: store::Revision(0),
             lag: None,
         }
     }
@@ -83,19 +83,19 @@
 
 impl Builder {
     /// Sets the number of changes kept for watches from an earlier revision.
-    pub fn history(mut self, changes: usize) -> Self {
-        self.history = changes;
+    pub fn kept_changes(mut self, changes: usize) -> Self {
+        self.kept_changes = changes;
         self
     }
 
     /// Sets the revision before the first write.
-    pub fn start(mut self, revision: store::Revision) -> Self {
-        self.start = revision;
+    pub fn initial_revision(mut self, revision: store::Revision) -> Self {
+        self.initial_revision = revision;
         self
     }
 
     /// Makes reads, lists and watches of keys under `prefix` return the state of `period` ago.
-    pub fn lag(mut self, prefix: impl Into<String>, period: unit::Period) -> Self {
+    pub fn stale_reads(mut self, prefix: impl Into<String>, period: unit::Period) -> Self {
         self.lag = Some(Lag {
             prefix: prefix.into(),
             period: period.0,
@@ -106,12 +106,12 @@
     /// Creates the service.
     pub fn build(self) -> Memory {
         let inner = Inner {
-            history: history::History::new(self.start, self.history),
+            history: history::History::new(self.initial_revision, self.kept_changes),
             faults: Faults::default(),
         };
         let shared = Shared {
             inner: sync::Mutex::new(inner),
-            changed: tokio::sync::watch::Sender::new(self.start),
+            changed: tokio::sync::watch::Sender::new(self.initial_revision),
             lag: self.lag,
         };
         Memory {
@@ -160,7 +160,11 @@
     }
 
     /// Deletes an object like [`store::Store::delete`]; returns whether it existed.
-    pub async fn remove(&self, key: &str, version: store::Version) -> Result<bool, store::Failure> {
+    pub async fn delete_if_present(
+        &self,
+        key: &str,
+        version: store::Version,
+    ) -> Result<bool, store::Failure> {
         check_key(key)?;
         self.apply_faults().await?;
         self.write(|history| history.delete(key, version, Instant::now()))
@@ -273,7 +277,7 @@
     }
 
     async fn delete(&self, key: &str, version: store::Version) -> Result<(), store::Failure> {
-        self.remove(key, version).await.map(|_| ())
+        self.delete_if_present(key, version).await.map(|_| ())
     }
 
     async fn list(&self, prefix: &str) -> Result<store::Listing, store::Failure> {
--- a/laburnumcart_platform/tests/client.rs
+++ b/laburnumcart_platform/tests/client.rs
@@ -17,8 +17,8 @@
     let none = client::Client::builder([]).build();
     assert_eq!(none.err(), Some(client::BuildError::Addresses));
     let addr = net::SocketAddr::from(([127, 0, 0, 1], 1));
-    let none = client::Client::builder([addr]).connections(0).build();
-    assert_eq!(none.err(), Some(client::BuildError::Connections));
+    let none = client::Client::builder([addr]).max_calls(0).build();
+    assert_eq!(none.err(), Some(client::BuildError::MaxCalls));
 }
 
 #[tokio::test]
--- a/laburnumcart_platform/tests/follow.rs
+++ b/laburnumcart_platform/tests/follow.rs
@@ -172,7 +172,7 @@
 #[tokio::test(start_paused = true)]
 async fn lagging_prefix_arrives_after_its_lag() {
     let lag = unit::Period::from_secs(10);
-    let memory = memory::Memory::builder().lag("p/", lag).build();
+    let memory = memory::Memory::builder().stale_reads("p/", lag).build();
     let mut mirror = start(memory.clone());
     wait_for_values(&mut mirror, &[]).await;
     create(&memory, "p/a", "1").await;
--- a/laburnumcart_platform/tests/memory.rs
+++ b/laburnumcart_platform/tests/memory.rs
@@ -46,7 +46,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn history_is_bounded() {
-    let memory = memory::Memory::builder().history(3).build();
+    let memory = memory::Memory::builder().kept_changes(3).build();
     for key in ["a", "b", "c", "d", "e"] {
         create(&memory, key, "1").await;
     }
