--- a/laburnumcart/src/batch/estimate.rs
+++ b/laburnumcart/src/batch/estimate.rs
@@ -45,18 +45,18 @@
     pub fn estimate_time(&self, spec: &Spec, now: Instant) -> time::Duration {
         let throughput = self.targets.throughput(now);
         let positions = [self.position(spec, now)];
-        let [turn] = self.completion_times(spec, positions, &throughput, now);
-        turn
+        let [completion] = self.completion_times(spec, positions, &throughput, now);
+        completion
     }
 
     /// Returns the estimated completion time, from now on, of a job that has yet to arrive.
     pub fn estimate_future(&self, spec: &Spec, now: Instant) -> forecast::Estimate {
         let throughput = self.targets.throughput(now);
         let positions = [self.position(spec, now), (true, now)];
-        let [turn, behind] = self.completion_times(spec, positions, &throughput, now);
+        let [by_rank, after_on_time] = self.completion_times(spec, positions, &throughput, now);
         forecast::Estimate {
-            turn: unit::Period(turn.min(ESTIMATE_MAX)),
-            behind: unit::Period(behind.min(ESTIMATE_MAX)),
+            by_rank: unit::Period(by_rank.min(ESTIMATE_MAX)),
+            after_on_time: unit::Period(after_on_time.min(ESTIMATE_MAX)),
         }
     }
 
--- a/laburnumcart/src/forecast.rs
+++ b/laburnumcart/src/forecast.rs
@@ -35,9 +35,11 @@
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Estimate {
     /// If the job is served by its rank and due time.
-    pub turn: unit::Period,
+    #[serde(rename = "turn")]
+    pub by_rank: unit::Period,
     /// If the job is served after all jobs that are on time.
-    pub behind: unit::Period,
+    #[serde(rename = "behind")]
+    pub after_on_time: unit::Period,
 }
 
 /// A stage of a request.
@@ -86,8 +88,8 @@
 ///     after: after.to_vec(),
 ///     duration: ms(300),
 ///     estimate: Some(forecast::Estimate {
-///         turn: unit::Period(ms(queue)),
-///         behind: unit::Period(ms(9000)),
+///         by_rank: unit::Period(ms(queue)),
+///         after_on_time: unit::Period(ms(9000)),
 ///     }),
 /// };
 /// let time = forecast::TimeBudget {
@@ -111,7 +113,8 @@
     } else {
         LATE_SHARE
     };
-    let late = completion_time(stages, |_, estimate| estimate.behind.0).saturating_add(time.rest);
+    let late =
+        completion_time(stages, |_, estimate| estimate.after_on_time.0).saturating_add(time.rest);
     if late <= time.remaining.mul_f64(share) {
         return Judgement::Late;
     }
@@ -120,8 +123,8 @@
 
 /// Returns the estimated time of a stage, with the margin added to its wait.
 fn with_margin(stage: &Stage, estimate: &Estimate) -> time::Duration {
-    let turn = estimate.turn.0;
-    turn.saturating_add(turn.saturating_sub(stage.duration).mul_f64(WAIT_MARGIN))
+    let by_rank = estimate.by_rank.0;
+    by_rank.saturating_add(by_rank.saturating_sub(stage.duration).mul_f64(WAIT_MARGIN))
 }
 
 /// Returns the time until the last stage ends.
--- a/laburnumcart/tests/batch/estimate.rs
+++ b/laburnumcart/tests/batch/estimate.rs
@@ -45,12 +45,12 @@
     for id in 0..10 {
         queue.announce(id, spec.clone());
     }
-    let behind = queue.estimate_future(&spec, now);
-    assert!(behind.turn.0 > empty.turn.0 + 500 * MS, "{behind:?}");
+    let loaded = queue.estimate_future(&spec, now);
+    assert!(loaded.by_rank.0 > empty.by_rank.0 + 500 * MS, "{loaded:?}");
     for id in 0..5 {
         queue.withdraw(id);
     }
-    assert!(queue.estimate_future(&spec, now).turn < behind.turn);
+    assert!(queue.estimate_future(&spec, now).by_rank < loaded.by_rank);
     // The rest are dropped at their due time, as their announcers may have crashed.
     queue.expire(now + 1000 * MS);
     let later = batch::Spec::new(4, SIZE, now + 1900 * MS);
--- a/laburnumcart/tests/forecast.rs
+++ b/laburnumcart/tests/forecast.rs
@@ -10,18 +10,22 @@
 
 const MS: time::Duration = time::Duration::from_millis(1);
 
-/// Returns a stage of 300 ms with an estimate of `turn` and `behind` in milliseconds.
-fn stage(after: &[usize], turn: u32, behind: u32) -> forecast::Stage {
+/// Returns a stage that takes 300 ms and is done after these estimated milliseconds in its queue.
+///
+/// `by_rank` holds for a job served in its order, `after_on_time` for one served after all others
+/// that are on time.
+fn stage(after: &[usize], by_rank: u32, after_on_time: u32) -> forecast::Stage {
     forecast::Stage {
         after: after.to_vec(),
         duration: 300 * MS,
         estimate: Some(forecast::Estimate {
-            turn: unit::Period(turn * MS),
-            behind: unit::Period(behind * MS),
+            by_rank: unit::Period(by_rank * MS),
+            after_on_time: unit::Period(after_on_time * MS),
         }),
     }
 }
 
+/// Stages that take at most 900 ms are on time: 1100 ms of slack less 200 ms after the last stage.
 const TIME: forecast::TimeBudget = forecast::TimeBudget {
     slack: time::Duration::from_millis(1100),
     remaining: time::Duration::from_millis(6000),
@@ -59,10 +63,10 @@
 }
 
 #[test]
-fn a_late_request_is_admitted_if_it_ends_early_enough() {
+fn a_late_request_is_admitted_if_it_ends_well_before_its_deadline() {
     let stages = [stage(&[], 300, 300), stage(&[0], 2000, 2700)];
     assert_eq!(forecast::judge(&stages, TIME), forecast::Judgement::Late);
-    // After the others it would take more than half of the remaining time.
+    // Served after all that are on time, it would take more than half of the time to its deadline.
     let stages = [stage(&[], 300, 300), stage(&[0], 2000, 2900)];
     let judged = forecast::judge(&stages, TIME);
     assert!(matches!(judged, forecast::Judgement::Refused(_)));
@@ -85,7 +89,7 @@
 }
 
 #[test]
-fn parallel_stages_take_the_longest_time() {
+fn parallel_stages_take_as_long_as_the_longest_one() {
     let stages = [
         stage(&[], 300, 300),
         stage(&[], 300, 300),
--- a/laburnumcart_gateway/src/pipeline/admit.rs
+++ b/laburnumcart_gateway/src/pipeline/admit.rs
@@ -81,17 +81,17 @@
         forecast_stages: &[forecast::Stage],
         time: forecast::TimeBudget,
     ) {
-        let turn = |stage: &forecast::Stage| {
-            let turn = stage.estimate.map(|estimate| estimate.turn.0);
-            turn.map_or("?".into(), |turn| turn.as_millis().to_string())
+        let queue_time = |stage: &forecast::Stage| {
+            let time = stage.estimate.map(|estimate| estimate.by_rank.0);
+            time.map_or("?".into(), |time| time.as_millis().to_string())
         };
-        let turns: Vec<_> = forecast_stages.iter().map(turn).collect();
+        let queue_times: Vec<_> = forecast_stages.iter().map(queue_time).collect();
         event!(
             Info,
             "forecast",
             request = self.request.call.attempt,
             judgement = judgement,
-            queues_ms = turns.join(","),
+            queues_ms = queue_times.join(","),
             slack_ms = time.slack.as_millis(),
             left_ms = time.remaining.as_millis(),
             again = time.is_repeat
