--- a/laburnumcart/src/estimate.rs
+++ b/laburnumcart/src/estimate.rs
@@ -105,7 +105,7 @@
     }
 }
 
-/// Refuses a request, as not run, if it is not expected to finish before its deadline.
+/// Refuses a request that is not expected to finish before its deadline; its verdict is `not-run`.
 ///
 /// A request that misses its deadline wastes capacity and delays the requests after it.
 ///
--- a/laburnumcart/tests/signing.rs
+++ b/laburnumcart/tests/signing.rs
@@ -95,7 +95,7 @@
     assert_eq!(trust.verify(&envelope.to_text(), None), Err(refused));
 }
 
-/// During a rotation, processes with the old, the new or both keys accept signatures by their keys.
+/// Processes that trust the old key, the new one or both must accept signatures by a trusted key.
 #[test]
 fn keys_are_rotated_without_a_gap() {
     let (old, new) = (key(), key());
