--- a/laburnumcart_daemon/src/launch.rs
+++ b/laburnumcart_daemon/src/launch.rs
@@ -13,9 +13,9 @@
 
 /// Parses the command line, loads the settings, starts the logs and calls `run`.
 ///
-/// Returns exit code 0 after printing a text or checking valid settings, 2 for an invalid command
-/// line or invalid settings, and otherwise the code that `run` returns. With 2, nothing has been
-/// opened or changed.
+/// Returns exit code 0 after printing the help or the version or checking valid settings, 2 for an
+/// invalid command line or invalid settings, and otherwise the code that `run` returns. With 2,
+/// nothing has been opened or changed.
 pub fn launch<T: settings::Settings>(
     program: &args::Program,
     run: impl FnOnce(T) -> process::ExitCode,
