--- a/laburnumcart_agent/src/execute.rs
+++ b/laburnumcart_agent/src/execute.rs
@@ -112,7 +112,7 @@
     job: &job::Job,
     caller_span: Option<traces::Traceparent>,
 ) -> job::Outcome {
-    let Some(kind) = shared.snapshot.load().kind() else {
+    let Some(kind) = shared.snapshot.load().service_kind() else {
         return job::Outcome::NotRun(verdict::Reason::NoBundle, None);
     };
     let mut crashes = shared.crashes.subscribe();
--- a/laburnumcart_agent/src/run.rs
+++ b/laburnumcart_agent/src/run.rs
@@ -16,7 +16,7 @@
     bundle,
     event,
     metrics,
-    process as usage,
+    process as process_metrics,
     stop,
     traces, //
 };
@@ -52,7 +52,7 @@
     let served = runtime.and_then(|runtime| runtime.block_on(serve(settings)));
     match served {
         // The exit code is how a supervisor learns that attempts were cut off.
-        Ok(left) if left > 0 => process::ExitCode::FAILURE,
+        Ok(cut_off) if cut_off > 0 => process::ExitCode::FAILURE,
         Ok(_) => process::ExitCode::SUCCESS,
         Err(error) => {
             event!(Error, "failed", error = error);
@@ -66,7 +66,7 @@
     let mut signals = stop::Signals::listen()?;
     let _traces = traces::launch("laburnum-agent", &settings.instance, &settings.telemetry);
     let metrics = metrics::Metrics::new();
-    usage::register(&metrics);
+    process_metrics::register(&metrics);
     let peer = net::TcpListener::bind(settings.peer)?;
     let listener = net::TcpListener::bind(settings.admin)?;
     let store = client::Client::builder([settings.platform.address])
@@ -88,10 +88,10 @@
         signal = signals.next() => event!(Info, "stopping", cause = signal),
         () = agent.shared().wait_for_drain() => event!(Info, "stopping", cause = "drain"),
     }
-    let left = agent.stop().await;
-    event!(Info, "stopped", left = left);
+    let cut_off = agent.stop().await;
+    event!(Info, "stopped", left = cut_off);
     admin.stop();
-    Ok(left)
+    Ok(cut_off)
 }
 
 fn bundle_options(settings: &settings::Settings) -> Result<bundle::Options, document::Faults> {
@@ -104,8 +104,8 @@
     if shared.is_leaving() {
         return Err("leaving".into());
     }
-    if snapshot.kind().is_none() {
-        return Err("no bundle with the target's service".into());
+    if snapshot.service_kind().is_none() {
+        return Err("no bundle in force contains the target's service".into());
     }
     if !snapshot.ready {
         return Err("target does not answer".into());
--- a/laburnumcart_agent/src/service.rs
+++ b/laburnumcart_agent/src/service.rs
@@ -82,7 +82,7 @@
         if self.shared.is_leaving() {
             return Err(verdict::Refusal::not_run(verdict::Reason::Leaving));
         }
-        if snapshot.kind().is_none() {
+        if snapshot.service_kind().is_none() {
             return Err(verdict::Refusal::not_run(verdict::Reason::NoBundle));
         }
         if !snapshot.ready {
--- a/laburnumcart_agent/src/snapshot.rs
+++ b/laburnumcart_agent/src/snapshot.rs
@@ -27,7 +27,7 @@
 
 impl Snapshot {
     /// Returns the kind of the target's service, which decides the protocol.
-    pub fn kind(&self) -> Option<bundle::Kind> {
+    pub fn service_kind(&self) -> Option<bundle::Kind> {
         self.service.as_ref().map(|service| service.kind)
     }
 
--- a/laburnumcart_agent/tests/agent/fixture.rs
+++ b/laburnumcart_agent/tests/agent/fixture.rs
@@ -98,7 +98,7 @@
     bounded(async {
         loop {
             let snapshot = shared.snapshot.load_full();
-            if snapshot.ready && snapshot.kind().is_some() {
+            if snapshot.ready && snapshot.service_kind().is_some() {
                 return;
             }
             tokio::time::sleep(time::Duration::from_millis(10)).await;
