--- a/laburnumcart_entry/src/callers/event_stream.rs
+++ b/laburnumcart_entry/src/callers/event_stream.rs
@@ -40,7 +40,10 @@
     driven: Option<driver::Execution>,
     /// Completes when the caller has disconnected.
     disconnected: pin::Pin<Box<dyn Future<Output = ()>>>,
+    /// Guard that keeps the request in flight until the body is dropped; set with the last event.
     work: Option<stop::Work>,
+    /// Whether the body was pending once before its end, so that the server writes the last event
+    /// before it drops the body.
     has_yielded: bool,
 }
 
