--- a/laburnumcart_gateway/src/control.rs
+++ b/laburnumcart_gateway/src/control.rs
@@ -1,4 +1,7 @@
 //! Control thread: watches the store and registers this process there.
+//!
+//! The configuration is one object of the store, which is parsed into a
+//! [`laburnumcart::ingress::Table`] and followed as [`Topic::Table`].
 
 mod evacuations;
 mod members;
@@ -36,22 +39,25 @@
 
 /// Timeout of a watch of the configuration, the targets or the evacuations.
 ///
-/// The end of a watch confirms that nothing has changed; a silent connection hides changes for as
-/// long. Peers accept data up to 1.7 s old from this process: two waits and a slow response.
+/// The end of a watch confirms that nothing has changed. On a silent connection, changes go
+/// unnoticed until the watch times out. Peers accept data up to 1.7 s old from this process: two
+/// waits and a slow response.
 const WATCH_WAIT: unit::Period = unit::Period::from_millis(750);
 
 /// Timeout of a watch of the members, whose failures also show on their connections.
 const MEMBERS_WATCH_WAIT: unit::Period = unit::Period::from_secs(5);
 
 /// Longest pause between reads of the configuration while the store is unavailable.
-const TABLE_RETRY_MAX: unit::Period = unit::Period::from_millis(400);
+const CONFIG_RETRY_MAX: unit::Period = unit::Period::from_millis(400);
 
 /// Time after which a second call reads the configuration while the first gets no response.
 ///
 /// A store that is merely slow responds sooner.
-const TABLE_PROBE_DELAY: unit::Period = unit::Period::from_millis(350);
+const CONFIG_DUPLICATE_DELAY: unit::Period = unit::Period::from_millis(350);
 
-/// Longest pause between reads of the other topics, which retry once the configuration is read.
+/// Longest pause between reads of the other topics while the store is unavailable.
+///
+/// Once one topic is read, usually the configuration, [`follow::Recovery`] ends the pauses of all.
 const RETRY_MAX: unit::Period = unit::Period::from_millis(1500);
 
 /// Minimum time between two calls, so that a burst of changes is read by one call.
@@ -61,8 +67,9 @@
 
 /// Minimum time between two calls while targets or members keep changing.
 ///
-/// A change is delayed by it at a reader and again at the processes that ask the reader. Both fit
-/// into the 2 s after which a leaving target must get no more work.
+/// A change is delayed by this time at a reader, a process that watches the store for others, and
+/// again at the processes that ask the reader. Both delays fit into the 2 s after which a leaving
+/// target must get no more work.
 const BUSY_INTERVAL: unit::Period = unit::Period::from_millis(400);
 
 /// Pause before another attempt to write this process's entry.
@@ -81,17 +88,22 @@
 ) {
     let key = format!("{}/{}", layout.members_prefix(), own.instance);
     let (direct, member) = (store.clone(), own.clone());
-    let signals = cache.signals.clone();
-    let store =
-        relayed_store::RelayedStore::new(store, own.clone(), view.clone(), layout.clone(), signals);
-    let settings = |wait, longest, spread| follow::Settings {
+    let target_signals = cache.signals.clone();
+    let store = relayed_store::RelayedStore::new(
+        store,
+        own.clone(),
+        view.clone(),
+        layout.clone(),
+        target_signals,
+    );
+    let settings = |wait, pause_max, interval_max| follow::Settings {
         wait,
         interval: CALL_INTERVAL,
-        longest_interval: spread,
-        longest_pause: longest,
+        longest_interval: interval_max,
+        longest_pause: pause_max,
     };
-    let returns = follow::Recovery::default();
-    let table = TableObserver {
+    let recovery = follow::Recovery::default();
+    let config = ConfigObserver {
         view: view.clone(),
         layout: layout.clone(),
         sent_at: freshness::BootTime::default(),
@@ -100,50 +112,53 @@
     let targets = targets::Observer::new(view.clone(), layout.clone());
     let members = members::Observer::new(view.clone(), own);
     let evacuations = evacuations::Observer::new(view.clone());
-    let table = cache::Publisher::new(table, Topic::Table, &cache);
+    let config = cache::Publisher::new(config, Topic::Table, &cache);
     let targets = cache::Publisher::new(targets, Topic::Targets, &cache);
     let members = cache::Publisher::new(members, Topic::Members, &cache);
     let evacuations = cache::Publisher::new(evacuations, Topic::Evacuations, &cache);
-    let follower =
+    let create_follower =
         |topic: Topic, settings| follow::follower(store.clone(), topic.prefix(&*layout), settings);
-    let (follows, _table) = follower(
+    // A follower runs until the receiver of its snapshots is dropped.
+    let (follower, _config_snapshots) = create_follower(
         Topic::Table,
-        settings(WATCH_WAIT, TABLE_RETRY_MAX, CALL_INTERVAL),
+        settings(WATCH_WAIT, CONFIG_RETRY_MAX, CALL_INTERVAL),
     );
-    let table = follows
-        .with_observer(table)
-        .share_recovery(&returns)
-        .duplicate_after(TABLE_PROBE_DELAY);
-    let (follows, _targets) = follower(
+    let config = follower
+        .with_observer(config)
+        .share_recovery(&recovery)
+        .duplicate_after(CONFIG_DUPLICATE_DELAY);
+    let (follower, _target_snapshots) = create_follower(
         Topic::Targets,
         settings(WATCH_WAIT, RETRY_MAX, BUSY_INTERVAL),
     );
-    let targets = follows.with_observer(targets).share_recovery(&returns);
-    let (follows, listed) = follower(
+    let targets = follower.with_observer(targets).share_recovery(&recovery);
+    let (follower, member_snapshots) = create_follower(
         Topic::Members,
         settings(MEMBERS_WATCH_WAIT, RETRY_MAX, BUSY_INTERVAL),
     );
-    let members = follows.with_observer(members).share_recovery(&returns);
-    let (follows, _evacuations) = follower(
+    let members = follower.with_observer(members).share_recovery(&recovery);
+    let (follower, _evacuation_snapshots) = create_follower(
         Topic::Evacuations,
         settings(WATCH_WAIT, RETRY_MAX, CALL_INTERVAL),
     );
-    let evacuations = follows.with_observer(evacuations).share_recovery(&returns);
+    let evacuations = follower
+        .with_observer(evacuations)
+        .share_recovery(&recovery);
     let evacuations = async {
         match has_evacuations {
             true => evacuations.run().await,
             false => view.set_evacuated(evacuation::Evacuated::new()),
         }
     };
-    let entry = register_member(direct, key, member, listed.clone());
+    let registration = register_member(direct, key, member, member_snapshots.clone());
     tokio::join!(
-        table.run(),
+        config.run(),
         targets.run(),
         members.run(),
         evacuations,
-        store.sync_signals(),
-        store.publish_signals(),
-        entry
+        store.sync_target_signals(),
+        store.publish_target_signals(),
+        registration
     );
 }
 
@@ -155,12 +170,12 @@
     store: impl store::Store,
     key: String,
     own: view::Member,
-    mut members: watch::Receiver<Arc<follow::Snapshot>>,
+    mut snapshots: watch::Receiver<Arc<follow::Snapshot>>,
 ) {
     let value = serde_json::to_string(&own).expect("a member is valid JSON");
     // The follower that sends snapshots ends together with this task.
-    let mut known = match members.wait_for(|members| members.listed).await {
-        Ok(members) => members.objects.get(&key).map(|object| object.version),
+    let mut known = match snapshots.wait_for(|snapshot| snapshot.listed).await {
+        Ok(snapshot) => snapshot.objects.get(&key).map(|object| object.version),
         Err(_) => return,
     };
     loop {
@@ -174,7 +189,8 @@
         };
         event!(Warn, "entry-failed", key = key, error = failure);
         tokio::time::sleep(REGISTER_RETRY_PAUSE).await;
-        // The write may have succeeded after all, or the listing was taken before it.
+        // The failed write may have been stored, or the listing may lack a later write of an
+        // earlier incarnation; either changes the version to expect.
         match store.get(&key).await {
             Ok(object) => known = object.map(|object| object.version),
             Err(error) => event!(Warn, "entry-unread", key = key, error = error),
@@ -183,7 +199,7 @@
 }
 
 /// Activates configurations read from the store.
-struct TableObserver {
+struct ConfigObserver {
     view: Arc<view::View>,
     layout: Arc<dyn dialect::StoreLayout>,
     /// Start of the current call.
@@ -191,7 +207,7 @@
     version: store::Version,
 }
 
-impl follow::Observer for TableObserver {
+impl follow::Observer for ConfigObserver {
     fn before_call(&mut self) {
         self.sent_at = clock::now();
     }
@@ -203,13 +219,14 @@
             match self.layout.parse_table(&object.value) {
                 Ok(table) => {
                     let (version, routes) = (table.version, table.route_count());
-                    let taken = self.view.set_table(table);
+                    // False if the active configuration is as new or newer.
+                    let is_activated = self.view.set_table(table);
                     event!(
                         Info,
                         "table",
                         version = version,
                         routes = routes,
-                        taken = taken
+                        taken = is_activated
                     );
                 }
                 // The active configuration stays, but its freshness is no longer confirmed.
--- a/laburnumcart_gateway/src/relay/relayed_store.rs
+++ b/laburnumcart_gateway/src/relay/relayed_store.rs
@@ -130,14 +130,14 @@
     /// Gets target signals from peers at the start, retrying until one answers.
     ///
     /// A process that reads the store itself asks its peers for nothing else.
-    pub async fn sync_signals(&self) {
+    pub async fn sync_target_signals(&self) {
         while !self.0.pull_signals().await {
             tokio::time::sleep(SYNC_RETRY_PAUSE).await;
         }
     }
 
     /// Reports target signals received by this process to the readers, until the process ends.
-    pub async fn publish_signals(&self) {
+    pub async fn publish_target_signals(&self) {
         let mut version = self.0.signals.subscribe();
         let mut reported = version.borrow().local;
         loop {
--- a/laburnumcart_gateway/src/relay/signals.rs
+++ b/laburnumcart_gateway/src/relay/signals.rs
@@ -3,8 +3,8 @@
 //! A rate limit applies to all processes together, and a shutdown concerns all of them, but each
 //! process only sees the responses to its own requests. In a large fleet most processes would keep
 //! sending for a long time before they notice, and hold back for a long time after a limit has
-//! ended. Therefore each process reports signals to the readers, and receives those of all others
-//! together with the list of targets.
+//! ended. Therefore each process reports signals to the readers, the processes that watch the store
+//! for the others, and receives the signals of all others together with the list of targets.
 
 use std::{
     collections,
@@ -30,13 +30,15 @@
 
 use crate::view;
 
-/// Time for which the end of a limit is reported to peers, and a shutdown to the readers.
+/// Time for which the end of a limit is reported to peers.
+///
+/// Shutdowns and failed requests are reported to the readers for the same time.
 const CHANGE_RETENTION: time::Duration = time::Duration::from_secs(10);
 
 /// Time after which an unconfirmed limit or shutdown is forgotten.
 ///
-/// The target may no longer exist. It is longer than the longest time between two probes of a
-/// limited target by the whole fleet.
+/// The state is dropped because the target may no longer exist. This time is longer than the
+/// longest one between two probes of a limited target by the whole fleet.
 const STATE_RETENTION: time::Duration = time::Duration::from_secs(1800);
 
 /// Maximum number of signals that are merged from one message of a peer.
@@ -62,7 +64,7 @@
 pub struct TargetSignal {
     /// Name of the target.
     pub target: id::TargetName,
-    /// Start time of the target.
+    /// Start time of the target, which identifies one run of it.
     pub life: id::Life,
     /// Signal that the target gave.
     pub signal: Signal,
@@ -102,7 +104,9 @@
 struct RemovedTarget {
     /// Time at which its absence was noticed.
     at: Instant,
-    /// Value of [`Version::all`] at which the failures there are reported to peers.
+    /// Value of [`Version::all`] since which the failures at the target are to be reported.
+    ///
+    /// Peers that have an earlier version don't know them yet.
     version: u64,
 }
 
@@ -164,7 +168,8 @@
 
     /// Updates which targets are still listed.
     ///
-    /// Failures at targets that are not are reported to peers, as the target may have crashed.
+    /// A target with failures that is no longer listed may have crashed, so its failures are
+    /// reported to peers.
     pub fn update_listed(&self, is_listed: impl Fn(&id::TargetLife) -> bool) {
         let now = Instant::now();
         let mut log = view::lock(&self.failures);
@@ -220,7 +225,8 @@
                 name: signal.target.clone(),
                 life: signal.life,
             };
-            // A signal older than this process's clock is too old to matter.
+            // An `Instant` cannot be earlier than the start of the clock. A signal given before
+            // that is too old to matter.
             let at = now.checked_sub(signal.age.0);
             if let (Some(failed), Signal::Failed(content, ran)) = (at, signal.signal) {
                 let failure = poison::Failure {
