--- a/laburnumcart_gateway/src/relay/relayed_store.rs
+++ b/laburnumcart_gateway/src/relay/relayed_store.rs
@@ -75,7 +75,7 @@
     store: S,
     own: view::Member,
     view: Arc<view::View>,
-    directory: Arc<dyn dialect::Directory>,
+    layout: Arc<dyn dialect::StoreLayout>,
     links: links::Links,
     signals: Arc<signals::Signals>,
     /// Versions of target signals merged from each peer, valid for one incarnation of the peer.
@@ -111,7 +111,7 @@
         store: S,
         own: view::Member,
         view: Arc<view::View>,
-        directory: Arc<dyn dialect::Directory>,
+        layout: Arc<dyn dialect::StoreLayout>,
         signals: Arc<signals::Signals>,
     ) -> Self {
         Self(Arc::new(Shared {
@@ -119,7 +119,7 @@
             store,
             own,
             view,
-            directory,
+            layout,
             signals,
             signal_versions: Mutex::default(),
             standing: Mutex::default(),
@@ -130,14 +130,14 @@
     /// Gets target signals from peers at the start, retrying until one answers.
     ///
     /// A process that reads the store itself asks its peers for nothing else.
-    pub async fn sync_signals(&self) {
+    pub async fn sync_target_signals(&self) {
         while !self.0.pull_signals().await {
             tokio::time::sleep(SYNC_RETRY_PAUSE).await;
         }
     }
 
     /// Reports target signals received by this process to the readers, until the process ends.
-    pub async fn publish_signals(&self) {
+    pub async fn publish_target_signals(&self) {
         let mut version = self.0.signals.subscribe();
         let mut reported = version.borrow().local;
         loop {
@@ -166,7 +166,7 @@
             Topic::Members,
             Topic::Evacuations,
         ];
-        let has_prefix = |topic: &Topic| topic.prefix(&*self.directory) == prefix;
+        let has_prefix = |topic: &Topic| topic.prefix(&*self.layout) == prefix;
         topics.into_iter().find(has_prefix)
     }
 
