--- a/laburnumcart_fakes/src/bin/laburnum-fake-target.rs
+++ b/laburnumcart_fakes/src/bin/laburnum-fake-target.rs
@@ -84,7 +84,7 @@
     if let Some(unit::Share(spread)) = matches.opt_get("spread")? {
         settings.spread = spread;
     }
-    settings.orders = match matches.opt_str("orders").as_deref() {
+    settings.order_fencing = match matches.opt_str("orders").as_deref() {
         None | Some("fenced") => bundle::Orders::Fenced,
         Some("unfenced") => bundle::Orders::Unfenced,
         Some(other) => return Err(format!("unknown orders: {other}").into()),
--- a/laburnumcart_fakes/src/load/cost.rs
+++ b/laburnumcart_fakes/src/load/cost.rs
@@ -35,7 +35,8 @@
     /// Completed requests that used the stage.
     pub completed: u64,
     /// Useful target-seconds per completed request.
-    pub each: f64,
+    #[serde(rename = "each")]
+    pub per_request: f64,
 }
 
 /// Cost of a load.
@@ -43,7 +44,7 @@
 pub struct Summary {
     /// Costs by stage.
     pub stages: collections::BTreeMap<String, Stage>,
-    /// Executions of a non-idempotent request and stage after the first one, at any target.
+    /// Executions of a stage of a non-idempotent request in excess of one, over all targets.
     pub repeated: u64,
     /// Targets whose records could not be read, so that their cost is missing.
     pub unreachable: Vec<id::TargetName>,
@@ -131,7 +132,7 @@
         }
     }
     for stage in summary.stages.values_mut() {
-        stage.each = stage.useful / stage.completed.max(1) as f64;
+        stage.per_request = stage.useful / stage.completed.max(1) as f64;
     }
     summary
 }
@@ -148,7 +149,7 @@
                 stage.completed,
                 stage.useful,
                 stage.wasted,
-                stage.each * 1e3,
+                stage.per_request * 1e3,
             )?;
         }
         writeln!(f, "non-idempotent repeated={}", self.repeated)?;
--- a/laburnumcart_fakes/src/load/report.rs
+++ b/laburnumcart_fakes/src/load/report.rs
@@ -178,7 +178,8 @@
     /// Latency of direct calls.
     pub direct: Quantiles,
     /// Difference per stage.
-    pub each: Quantiles,
+    #[serde(rename = "each")]
+    pub per_stage: Quantiles,
 }
 
 /// Result of a load.
@@ -247,15 +248,15 @@
         let pair = |((stages, _), system): (&(usize, bool), &Tally)| {
             let direct = self.compared.get(&(*stages, true))?.latency;
             let system = system.latency;
-            let each = |a: f64, b: f64| (a - b) / *stages as f64;
+            let per_stage = |a: f64, b: f64| (a - b) / *stages as f64;
             Some(Overhead {
                 stages: *stages,
                 system,
                 direct,
-                each: Quantiles {
-                    p50: each(system.p50, direct.p50),
-                    p90: each(system.p90, direct.p90),
-                    p99: each(system.p99, direct.p99),
+                per_stage: Quantiles {
+                    p50: per_stage(system.p50, direct.p50),
+                    p90: per_stage(system.p90, direct.p90),
+                    p99: per_stage(system.p99, direct.p99),
                 },
             })
         };
@@ -283,8 +284,8 @@
                 overhead.system.p99,
                 overhead.direct.p50,
                 overhead.direct.p99,
-                overhead.each.p50,
-                overhead.each.p99,
+                overhead.per_stage.p50,
+                overhead.per_stage.p99,
             )?;
         }
         Ok(())
--- a/laburnumcart_fakes/src/measure/case.rs
+++ b/laburnumcart_fakes/src/measure/case.rs
@@ -21,8 +21,12 @@
 /// Age of delayed load reports.
 const LATE_LOAD_AGE: time::Duration = time::Duration::from_secs(5);
 
-/// Every n-th target is killed.
-const KILL_INTERVAL: usize = 5;
+/// Duration of the case with delayed load reports; longer than their age, so that reports of the
+/// case's own load arrive before its end.
+const LATE_LOAD_DURATION: time::Duration = time::Duration::from_secs(8);
+
+/// Number of targets of which one is killed.
+const TARGETS_PER_KILL: usize = 5;
 
 /// A load with a disturbance.
 #[derive(Clone, Debug)]
@@ -124,7 +128,7 @@
     };
     let all_targets = plan.targets().map(|(name, _)| name.clone()).collect();
     cases.push(
-        Case::new("load reports 5 s late", 0.9, plan, LATE_LOAD_AGE * 8 / 5).with_fault(
+        Case::new("load reports 5 s late", 0.9, plan, LATE_LOAD_DURATION).with_fault(
             0.0,
             all_targets,
             late,
@@ -158,11 +162,11 @@
     targets.keys().next().cloned().unwrap()
 }
 
-/// Returns the targets to kill, spread over the services.
+/// Returns one in [`TARGETS_PER_KILL`] targets, spread over the services.
 fn killed_targets(plan: &plan::Plan) -> Vec<id::TargetName> {
     let targets = plan.targets().map(|(name, _)| name.clone());
     targets
-        .skip(KILL_INTERVAL - 1)
-        .step_by(KILL_INTERVAL)
+        .skip(TARGETS_PER_KILL - 1)
+        .step_by(TARGETS_PER_KILL)
         .collect()
 }
--- a/laburnumcart_fakes/src/measure/figures.rs
+++ b/laburnumcart_fakes/src/measure/figures.rs
@@ -132,7 +132,7 @@
         let stages = || reports.iter().filter_map(|r| r.cost.stages.get(name));
         let wasted = stages().map(|s| s.wasted / s.completed.max(1) as f64);
         Cost {
-            useful: Spread::of(stages().map(|s| s.each)),
+            useful: Spread::of(stages().map(|s| s.per_request)),
             wasted: Spread::of(wasted),
         }
     };
--- a/laburnumcart_fakes/src/target/behaviour.rs
+++ b/laburnumcart_fakes/src/target/behaviour.rs
@@ -21,8 +21,9 @@
     pub fail: f64,
     /// Whether a failing call fails at its start instead of halfway.
     pub fail_fast: bool,
-    /// Delay between the acceptance of an order and its effect.
-    pub order_time: unit::Period,
+    /// Delay between accepting an order to load or unload models and applying it.
+    #[serde(rename = "order_time")]
+    pub order_delay: unit::Period,
     /// Age of the reported load; `None` for the value from the settings.
     pub load_lag: Option<unit::Period>,
 }
@@ -35,7 +36,7 @@
             slow: 1.0,
             fail: 0.0,
             fail_fast: false,
-            order_time: unit::Period(time::Duration::ZERO),
+            order_delay: unit::Period(time::Duration::ZERO),
             load_lag: None,
         }
     }
@@ -60,9 +61,9 @@
     /// See [`Behaviour::fail_fast`].
     #[serde(skip_serializing_if = "Option::is_none")]
     pub fail_fast: Option<bool>,
-    /// See [`Behaviour::order_time`].
-    #[serde(skip_serializing_if = "Option::is_none")]
-    pub order_time: Option<unit::Period>,
+    /// See [`Behaviour::order_delay`].
+    #[serde(rename = "order_time", skip_serializing_if = "Option::is_none")]
+    pub order_delay: Option<unit::Period>,
     /// See [`Behaviour::load_lag`].
     #[serde(skip_serializing_if = "Option::is_none")]
     pub load_lag: Option<unit::Period>,
@@ -81,7 +82,7 @@
         self.slow = change.slow.unwrap_or(self.slow);
         self.fail = change.fail.unwrap_or(self.fail);
         self.fail_fast = change.fail_fast.unwrap_or(self.fail_fast);
-        self.order_time = change.order_time.unwrap_or(self.order_time);
+        self.order_delay = change.order_delay.unwrap_or(self.order_delay);
         self.load_lag = change.load_lag.or(self.load_lag);
     }
 }
--- a/laburnumcart_fakes/src/target/engine.rs
+++ b/laburnumcart_fakes/src/target/engine.rs
@@ -111,8 +111,9 @@
         }
     }
 
-    pub(super) fn add_busy(&self, busy: time::Duration) {
-        self.state.ledger.lock().unwrap().add_busy(self.id, busy);
+    pub(super) fn add_target_time(&self, time: time::Duration) {
+        let mut ledger = self.state.ledger.lock().unwrap();
+        ledger.add_target_time(self.id, time);
     }
 
     pub(super) fn mark_cached(&self) {
@@ -167,7 +168,8 @@
         () = registration.cancelled() => return Err(Refusal::Cancelled),
     };
     let execution = RunningExecution::start(state, &call);
-    if state.crash_on_poison(&call.raw) {
+    if state.crash_if_poison(&call.raw) {
+        // The crash stops the server, which drops this call without a response.
         return future::pending().await;
     }
     let fails = state.draw_failure();
@@ -261,8 +263,9 @@
             () = self.state.simulate_work(mean.mul_f64(slowdown)) => false,
             () = self.registration.cancelled() => true,
         };
+        // All sequences advance at the same time, so each uses an equal share of the target.
         self.execution
-            .add_busy(start.elapsed().div_f64(slowdown * count));
+            .add_target_time(start.elapsed().div_f64(slowdown * count));
         if cancelled {
             self.execution.finish(ledger::Outcome::Cancelled);
         }
--- a/laburnumcart_fakes/src/target/ledger.rs
+++ b/laburnumcart_fakes/src/target/ledger.rs
@@ -41,7 +41,7 @@
     pub idempotent: bool,
     /// State or outcome.
     pub outcome: Outcome,
-    /// Seconds of the whole target that it took.
+    /// Target-seconds that it used: its time multiplied by its share of the target.
     pub busy: f64,
     /// `traceparent` header of the call.
     #[serde(default, skip_serializing_if = "Option::is_none")]
@@ -74,7 +74,7 @@
 pub struct Cost {
     /// Costs by stage name.
     pub stages: collections::BTreeMap<String, StageCost>,
-    /// Executions of a non-idempotent request and stage after the first one.
+    /// Executions of a stage of a non-idempotent request in excess of one.
     pub repeated: u64,
 }
 
@@ -104,10 +104,10 @@
         }
     }
 
-    /// Adds time of the target to an execution.
-    pub fn add_busy(&mut self, id: Id, busy: time::Duration) {
+    /// Adds time of the whole target to an execution.
+    pub fn add_target_time(&mut self, id: Id, time: time::Duration) {
         if let Some(execution) = self.find(id) {
-            execution.busy += busy.as_secs_f64();
+            execution.busy += time.as_secs_f64();
         }
     }
 
--- a/laburnumcart_fakes/src/target/pool.rs
+++ b/laburnumcart_fakes/src/target/pool.rs
@@ -38,7 +38,8 @@
         return Outcome::Full;
     };
     let execution = engine::RunningExecution::start(state, &call);
-    if state.crash_on_poison(&call.raw) {
+    if state.crash_if_poison(&call.raw) {
+        // The crash stops the server, which drops this call without a response.
         return future::pending().await;
     }
     let start = Instant::now();
@@ -52,7 +53,8 @@
         () = state.simulate_work(mean) => false,
         () = registration.cancelled() => true,
     };
-    execution.add_busy(start.elapsed() / state.settings.slots);
+    // A call occupies one slot, so it uses 1/slots of the target for its time.
+    execution.add_target_time(start.elapsed() / state.settings.slots);
     if cancelled {
         execution.finish(ledger::Outcome::Cancelled);
         return Outcome::Cancelled;
--- a/laburnumcart_fakes/src/target/routes.rs
+++ b/laburnumcart_fakes/src/target/routes.rs
@@ -116,11 +116,11 @@
     if state.memory().orders.accept(order.number).is_err() {
         return empty(409);
     }
-    let period = state.behaviour.borrow().order_time;
+    let delay = state.behaviour.borrow().order_delay;
     // An accepted order takes effect even if its sender disconnects.
     let state = state.clone();
     let applied = tokio::task::spawn_local(async move {
-        tokio::time::sleep(period.0).await;
+        tokio::time::sleep(delay.0).await;
         state.memory().orders.apply(order)
     });
     match applied.await {
--- a/laburnumcart_fakes/src/target/settings.rs
+++ b/laburnumcart_fakes/src/target/settings.rs
@@ -34,8 +34,8 @@
     pub tokens: u32,
     /// Maximum relative deviation of times, from 0 to 1.
     pub spread: f64,
-    /// Whether orders with an old number are refused (fenced).
-    pub orders: bundle::Orders,
+    /// Whether the target rejects (fences) orders with a stale number.
+    pub order_fencing: bundle::Orders,
     /// Capacity of the prefix cache.
     pub cached_prefixes: usize,
     /// Age of the reported load.
@@ -62,7 +62,7 @@
             prefill_time: time::Duration::from_millis(20),
             tokens: 20,
             spread: 0.2,
-            orders: bundle::Orders::Fenced,
+            order_fencing: bundle::Orders::Fenced,
             cached_prefixes: 64,
             load_lag: time::Duration::from_millis(500),
             cache_lag: time::Duration::from_secs(1),
--- a/laburnumcart_fakes/src/target/state.rs
+++ b/laburnumcart_fakes/src/target/state.rs
@@ -54,7 +54,7 @@
             incarnation: rand::random::<u32>().into(),
             slots: sync::Arc::new(slots),
             cache: cache::Cache::new(settings.cached_prefixes, settings.cache_lag),
-            orders: orders::Orders::new(settings.orders == bundle::Orders::Fenced),
+            orders: orders::Orders::new(settings.order_fencing == bundle::Orders::Fenced),
             calls: collections::HashMap::new(),
         }
     }
@@ -87,7 +87,7 @@
     }
 
     /// Crashes the target if the body contains the poison text; returns whether it did.
-    pub(super) fn crash_on_poison(&self, body: &[u8]) -> bool {
+    pub(super) fn crash_if_poison(&self, body: &[u8]) -> bool {
         let text = self.behaviour.borrow().crash_on.clone();
         let is_poison = text.is_some_and(|text| contains(body, text.as_bytes()));
         if is_poison {
--- a/laburnumcart_fakes/tests/load.rs
+++ b/laburnumcart_fakes/tests/load.rs
@@ -312,8 +312,8 @@
     };
     assert_eq!(overhead.stages, 2);
     assert!(overhead.system.p50 > 0.0 && overhead.direct.p50 > 0.0);
-    let each = (overhead.system.p99 - overhead.direct.p99) / 2.0;
-    assert_eq!(overhead.each.p99, each);
+    let per_stage = (overhead.system.p99 - overhead.direct.p99) / 2.0;
+    assert_eq!(overhead.per_stage.p99, per_stage);
     // Requests sent directly to the targets do not count as requests to the system.
     let counts = counts.lock().unwrap();
     let sum = counts.right + counts.wrong + counts.refused + counts.cut;
@@ -347,7 +347,7 @@
     assert_eq!((stage.useful, stage.wasted), (2.0, 4.0));
     assert_eq!((stage.executions, stage.completed), (6, 2));
     assert_eq!(stage.cached, 2);
-    assert_eq!(stage.each, 1.0);
+    assert_eq!(stage.per_request, 1.0);
     assert_eq!(summary.repeated, 1);
 }
 
--- a/laburnumcart_fakes/tests/target.rs
+++ b/laburnumcart_fakes/tests/target.rs
@@ -312,13 +312,13 @@
 #[case::unfenced(bundle::Orders::Unfenced, 200, json!(["old@1"]), 1)]
 #[tokio::test]
 async fn order_with_an_old_number_is_refused_only_if_fenced(
-    #[case] orders: bundle::Orders,
+    #[case] fencing: bundle::Orders,
     #[case] status: u16,
     #[case] models: Value,
     #[case] term: u64,
 ) {
     let mut settings = short_times(bundle::Kind::Engine);
-    settings.orders = orders;
+    settings.order_fencing = fencing;
     let fixture = start_target(settings);
     let new = json!({ "term": 2, "sequence": 1, "load": ["new@1"] });
     assert_eq!(fixture.post("/v1/orders", new).await.status, 200);
@@ -335,15 +335,15 @@
 #[case::unfenced(bundle::Orders::Unfenced, 200, json!(["new@1", "old@1"]))]
 #[tokio::test]
 async fn pending_order_is_superseded_only_if_fenced(
-    #[case] orders: bundle::Orders,
+    #[case] fencing: bundle::Orders,
     #[case] status: u16,
     #[case] models: Value,
 ) {
     let mut settings = short_times(bundle::Kind::Engine);
-    settings.orders = orders;
+    settings.order_fencing = fencing;
     let fixture = Arc::new(start_target(settings));
     let period = |millis| behaviour::Change {
-        order_time: Some(unit::Period::from_millis(millis)),
+        order_delay: Some(unit::Period::from_millis(millis)),
         ..Default::default()
     };
     fixture.behave(period(2000)).await;
