--- a/laburnumcart_fakes/src/bin/laburnum-plan.rs
+++ b/laburnumcart_fakes/src/bin/laburnum-plan.rs
@@ -54,14 +54,14 @@
     let matches = options.parse(arguments)?;
     let shape = matches.opt_get_default("shape", shape::Shape::Both)?;
     let size = matches.opt_get_default("size", shape::Size::Small)?;
-    let base = matches.opt_get_default("base-port", DEFAULT_BASE_PORT)?;
+    let base_port = matches.opt_get_default("base-port", DEFAULT_BASE_PORT)?;
     let keys = matches.opt_strs("key");
     let key = |text: &String| {
         let pair = text.split_once('=').ok_or("--key is not NAME=BASE64")?;
         Ok((pair.0.into(), pair.1.into()))
     };
-    let mut layout = layout::Layout::new(shape, size, base);
-    layout.pace = matches.opt_get_default("pace", layout.pace)?.max(1);
+    let mut layout = layout::Layout::new(shape, size, base_port);
+    layout.time_factor = matches.opt_get_default("pace", layout.time_factor)?.max(1);
     Ok(Arguments {
         layout,
         dir: matches.opt_str("dir").unwrap_or_default(),
--- a/laburnumcart_fakes/src/demo/documents.rs
+++ b/laburnumcart_fakes/src/demo/documents.rs
@@ -30,12 +30,12 @@
 pub(super) fn bundle(shape: shape::Shape) -> Value {
     let services = shape.services().into_iter();
     let services = services.map(|s| (s.name, service(s)));
-    let users = shape.users();
-    let pipelines = users.iter().flat_map(|user| user.pipelines);
+    let customers = shape.customers();
+    let pipelines = customers.iter().flat_map(|customer| customer.pipelines);
     let pipelines = pipelines.map(|p| (p.name, pipeline(p)));
-    let teams = users
+    let teams = customers
         .iter()
-        .flat_map(|user| user.teams.iter().map(|t| (t.name, team(user, t))));
+        .flat_map(|customer| customer.teams.iter().map(|t| (t.name, team(customer, t))));
     json!({
         "format": bundle::FORMAT,
         "title": format!("demo of {shape}"),
@@ -48,7 +48,7 @@
 fn service(service: &shape::Service) -> Value {
     json!({
         "kind": service.kind,
-        "orders": service.orders,
+        "orders": service.order_fencing,
         "models": service.models,
         "order_limit": "2s",
     })
@@ -71,7 +71,7 @@
     })
 }
 
-fn team(user: &shape::User, team: &shape::Team) -> Value {
+fn team(customer: &shape::Customer, team: &shape::Team) -> Value {
     let objectives = |p: &shape::Pipeline| {
         let objectives = json!({ "deadline": p.deadline, "priority": p.priority });
         (p.name, objectives)
@@ -79,7 +79,7 @@
     json!({
         "tokens": [sha256_hex(&token(team))],
         "weight": team.weight,
-        "pipelines": user.pipelines.iter().map(objectives).collect::<Value>(),
+        "pipelines": customer.pipelines.iter().map(objectives).collect::<Value>(),
     })
 }
 
@@ -166,12 +166,15 @@
 
 /// Returns the load plan.
 pub(super) fn load(layout: &layout::Layout) -> Value {
-    let users = layout.shape.users();
+    let customers = layout.shape.customers();
     let entries: Vec<_> = layout.entries.iter().map(|entry| entry.callers).collect();
-    let teams = users
-        .iter()
-        .flat_map(|user| user.teams.iter().map(|t| (t.name, load_team(user, t))));
-    let pipelines = users.iter().flat_map(|user| user.pipelines);
+    let teams = customers.iter().flat_map(|customer| {
+        customer
+            .teams
+            .iter()
+            .map(|t| (t.name, load_team(customer, t)))
+    });
+    let pipelines = customers.iter().flat_map(|customer| customer.pipelines);
     let pipelines = pipelines.map(|p| {
         let stages = p.stages.iter();
         let stages = stages.map(|(name, service)| json!({ "name": name, "service": service }));
@@ -198,7 +201,7 @@
     })
 }
 
-fn load_team(user: &shape::User, team: &shape::Team) -> Value {
+fn load_team(customer: &shape::Customer, team: &shape::Team) -> Value {
     let stream = |pipeline: &shape::Pipeline| {
         let rate = RATE_PER_WEIGHT * f64::from(team.weight * pipeline.percent) / 100.0;
         json!({
@@ -212,6 +215,6 @@
     json!({
         "token": token(team),
         "weight": team.weight,
-        "streams": user.pipelines.iter().map(stream).collect::<Vec<_>>(),
+        "streams": customer.pipelines.iter().map(stream).collect::<Vec<_>>(),
     })
 }
--- a/laburnumcart_fakes/src/demo/files.rs
+++ b/laburnumcart_fakes/src/demo/files.rs
@@ -64,7 +64,7 @@
             bundle::Kind::Pool => ("pool", "--service-time"),
         };
         let targets = targets.map(|node| format!("--target {}={kind}@{}", node.name, node.target));
-        let orders = match service.orders {
+        let orders = match service.order_fencing {
             bundle::Orders::Unfenced => "unfenced",
             bundle::Orders::Fenced | bundle::Orders::None => "fenced",
         };
@@ -73,8 +73,8 @@
              --orders {orders}",
             service.name,
             targets.collect::<Vec<_>>().join(" "),
-            unit::Period(service.step_time(layout.pace)),
-            unit::Period(shape::PREFILL_TIME * layout.pace),
+            unit::Period(service.step_time(layout.time_factor)),
+            unit::Period(shape::PREFILL_TIME * layout.time_factor),
             layout::SLOTS,
             shape::OUTPUT_TOKENS,
         ));
--- a/laburnumcart_fakes/src/demo/layout.rs
+++ b/laburnumcart_fakes/src/demo/layout.rs
@@ -16,10 +16,10 @@
 /// All processes of a demo.
 #[derive(Debug)]
 pub struct Layout {
-    /// Selection of services and teams.
+    /// Customers of the demo.
     pub shape: shape::Shape,
     /// Factor for the times of all targets.
-    pub pace: u32,
+    pub time_factor: u32,
     /// Address of the object service.
     pub store: net::SocketAddr,
     /// Entries.
@@ -72,9 +72,9 @@
 }
 
 impl Layout {
-    /// Creates the layout of a demo with ports from `base`.
-    pub fn new(shape: shape::Shape, size: shape::Size, base: u16) -> Self {
-        let mut ports = PortAllocator(base);
+    /// Creates the layout of a demo with consecutive ports from `base_port`.
+    pub fn new(shape: shape::Shape, size: shape::Size, base_port: u16) -> Self {
+        let mut ports = PortAllocator(base_port);
         let store = ports.next();
         let entries = (0..ENTRY_COUNT).map(|number| entry(number, &mut ports));
         let entries = entries.collect();
@@ -88,7 +88,7 @@
         }
         Self {
             shape,
-            pace: 1,
+            time_factor: 1,
             store,
             entries,
             nodes,
@@ -104,7 +104,7 @@
             let targets = self.targets(service.name).count() as f64;
             let slots = f64::from(SLOTS);
             targets * slots
-                / service.call_time(self.pace).as_secs_f64()
+                / service.call_time(self.time_factor).as_secs_f64()
                 / self.shape.call_share(service.name)
         });
         bounds.fold(f64::INFINITY, f64::min)
--- a/laburnumcart_fakes/src/demo/shape.rs
+++ b/laburnumcart_fakes/src/demo/shape.rs
@@ -1,4 +1,4 @@
-//! Services, pipelines and teams of the demo, with the number of targets by size.
+//! Customers of the demo with their services, pipelines and teams, and the size of the demo.
 
 use std::{
     str,
@@ -24,25 +24,25 @@
 /// Prefill time of a prompt whose prefix is not cached.
 pub(super) const PREFILL_TIME: time::Duration = time::Duration::from_millis(20);
 
-/// Selection of the services and teams of a demo.
+/// Customers whose services, pipelines and teams make up a demo (`--shape`).
 #[derive(Clone, Copy, Debug, Display, Eq, PartialEq)]
 #[display(rename_all = "lowercase")]
 pub enum Shape {
-    /// Legal aid eligibility.
+    /// Only `araya`, a legal aid organisation.
     Araya,
-    /// Race timing.
+    /// Only `quetzal`, a race timing company.
     Quetzal,
-    /// Both in one system.
+    /// Both customers in one system.
     Both,
 }
 
-/// Number of targets of a demo.
+/// Size of a demo, which sets the number of targets of each service (`--size`).
 #[derive(Clone, Copy, Debug, Display, Eq, PartialEq)]
 #[display(rename_all = "lowercase")]
 pub enum Size {
     /// One to three targets for each service.
     Small,
-    /// The number of targets in the described deployments.
+    /// As many targets as in the deployments that the demo represents.
     #[display("brief")]
     Full,
 }
@@ -80,40 +80,43 @@
 }
 
 impl Shape {
-    /// Returns the users of the shape.
-    pub fn users(self) -> Vec<&'static User> {
+    /// Returns the customers of the demo.
+    pub fn customers(self) -> Vec<&'static Customer> {
         match self {
-            Self::Araya => vec![&araya::USER],
-            Self::Quetzal => vec![&quetzal::USER],
-            Self::Both => vec![&araya::USER, &quetzal::USER],
+            Self::Araya => vec![&araya::CUSTOMER],
+            Self::Quetzal => vec![&quetzal::CUSTOMER],
+            Self::Both => vec![&araya::CUSTOMER, &quetzal::CUSTOMER],
         }
     }
 
-    /// Returns the services of all users and the shared pools.
+    /// Returns the services of all customers and the shared pools.
     pub fn services(self) -> Vec<&'static Service> {
-        let own = self.users().into_iter().flat_map(|user| user.services);
-        own.chain(&common::POOLS).collect()
+        let own = self
+            .customers()
+            .into_iter()
+            .flat_map(|customer| customer.services);
+        own.chain(&common::SHARED_POOLS).collect()
     }
 
     /// Returns the share of all requests that call a service.
     pub fn call_share(self, service: &str) -> f64 {
-        let users = self.users();
-        let load = |user: &User| user.teams.iter().map(|team| team.weight).sum::<u32>();
-        let calls = |user: &User| {
-            let pipelines = user.pipelines.iter();
+        let customers = self.customers();
+        let load = |customer: &Customer| customer.teams.iter().map(|team| team.weight).sum::<u32>();
+        let calls = |customer: &Customer| {
+            let pipelines = customer.pipelines.iter();
             let calling = pipelines.filter(|p| p.stages.iter().any(|(_, s)| *s == service));
-            calling.map(|p| p.percent).sum::<u32>() * load(user)
+            calling.map(|p| p.percent).sum::<u32>() * load(customer)
         };
-        let called: u32 = users.iter().map(|user| calls(user)).sum();
-        let all: u32 = users.iter().map(|user| load(user)).sum();
+        let called: u32 = customers.iter().map(|customer| calls(customer)).sum();
+        let all: u32 = customers.iter().map(|customer| load(customer)).sum();
         f64::from(called) / f64::from(100 * all)
     }
 }
 
-/// Services, pipelines and teams of one user of the system.
+/// Services, pipelines and teams of one customer of the platform.
 #[derive(Debug)]
-pub struct User {
-    /// Services of this user only.
+pub struct Customer {
+    /// Services of this customer only.
     pub services: &'static [Service],
     /// Pipelines that all its teams may call.
     pub pipelines: &'static [Pipeline],
@@ -128,39 +131,39 @@
     pub name: &'static str,
     /// Protocol.
     pub kind: bundle::Kind,
-    /// Whether its targets fence orders.
-    pub orders: bundle::Orders,
+    /// How its targets treat orders (to load or unload models) with a stale number.
+    pub order_fencing: bundle::Orders,
     /// Models that its targets load.
     pub models: &'static [&'static str],
     /// Number of targets in a small demo.
-    pub small: usize,
+    pub small_targets: usize,
     /// Number of targets in a full demo.
-    pub full: usize,
+    pub full_targets: usize,
     /// Mean time of a pool's call or an engine's token.
-    pub time: &'static str,
+    pub mean_time: &'static str,
 }
 
 impl Service {
-    /// Returns the mean time of a pool's call or an engine's token.
-    pub fn step_time(&self, pace: u32) -> time::Duration {
-        let step: Result<unit::Period, _> = self.time.parse();
-        step.map_or(time::Duration::ZERO, |step| step.0 * pace)
+    /// Returns the mean time of a pool's call or an engine's token, multiplied by a factor.
+    pub fn step_time(&self, time_factor: u32) -> time::Duration {
+        let step: Result<unit::Period, _> = self.mean_time.parse();
+        step.map_or(time::Duration::ZERO, |step| step.0 * time_factor)
     }
 
-    /// Returns the mean time of a call at full speed with a cached prefix.
-    pub fn call_time(&self, pace: u32) -> time::Duration {
-        let step = self.step_time(pace);
+    /// Returns the mean time of a call at full speed with a cached prefix, multiplied by a factor.
+    pub fn call_time(&self, time_factor: u32) -> time::Duration {
+        let step = self.step_time(time_factor);
         match self.kind {
             bundle::Kind::Pool => step,
-            bundle::Kind::Engine => step * OUTPUT_TOKENS + PREFILL_TIME * pace / 10,
+            bundle::Kind::Engine => step * OUTPUT_TOKENS + PREFILL_TIME * time_factor / 10,
         }
     }
 
     /// Returns the number of targets for a size.
     pub fn target_count(&self, size: Size) -> usize {
         match size {
-            Size::Small => self.small,
-            Size::Full => self.full,
+            Size::Small => self.small_targets,
+            Size::Full => self.full_targets,
         }
     }
 }
--- a/laburnumcart_fakes/src/demo/shape/araya.rs
+++ b/laburnumcart_fakes/src/demo/shape/araya.rs
@@ -1,9 +1,9 @@
-//! Legal aid eligibility.
+//! Demo customer `araya`: services, pipelines and teams of a legal aid organisation.
 
 use laburnumcart::bundle;
 
 use crate::demo::shape::{
-    Pipeline, User,
+    Customer, Pipeline, Service, Team,
     common::{
         self,
         ENCODE,
@@ -12,18 +12,35 @@
     },
 };
 
-pub(super) const USER: User = User {
+pub(super) const CUSTOMER: Customer = Customer {
     services: &[
-        common::engine(
-            "case-model",
-            bundle::Orders::Fenced,
-            &["case-summary@3"],
-            10,
-        ),
-        common::pool("clinic-desk", 1, 3, "10ms"),
-        common::pool("records-archive", 1, 4, "10ms"),
-        common::pool("hearing-scheduling", 1, 5, "10ms"),
-        common::pool("family-notices", 1, 5, "10ms"),
+        Service {
+            name: "case-model",
+            order_fencing: bundle::Orders::Fenced,
+            models: &["case-summary@3"],
+            full_targets: 10,
+            ..common::ENGINE
+        },
+        Service {
+            name: "clinic-desk",
+            full_targets: 3,
+            ..common::POOL
+        },
+        Service {
+            name: "records-archive",
+            full_targets: 4,
+            ..common::POOL
+        },
+        Service {
+            name: "hearing-scheduling",
+            full_targets: 5,
+            ..common::POOL
+        },
+        Service {
+            name: "family-notices",
+            full_targets: 5,
+            ..common::POOL
+        },
     ],
     pipelines: &[
         Pipeline {
@@ -68,10 +85,25 @@
         },
     ],
     teams: &[
-        common::team("clinic-central", 4),
-        common::team("defenders-north", 3),
-        common::team("clinic-south", 1),
-        common::team("clinic-harbour", 1),
-        common::team("clinic-east", 1),
+        Team {
+            name: "clinic-central",
+            weight: 4,
+        },
+        Team {
+            name: "defenders-north",
+            weight: 3,
+        },
+        Team {
+            name: "clinic-south",
+            weight: 1,
+        },
+        Team {
+            name: "clinic-harbour",
+            weight: 1,
+        },
+        Team {
+            name: "clinic-east",
+            weight: 1,
+        },
     ],
 };
--- a/laburnumcart_fakes/src/demo/shape/quetzal.rs
+++ b/laburnumcart_fakes/src/demo/shape/quetzal.rs
@@ -1,9 +1,9 @@
-//! Race timing.
+//! Demo customer `quetzal`: services, pipelines and teams of a race timing company.
 
 use laburnumcart::bundle;
 
 use crate::demo::shape::{
-    Pipeline, User,
+    Customer, Pipeline, Service, Team,
     common::{
         self,
         ENCODE,
@@ -12,18 +12,35 @@
     },
 };
 
-pub(super) const USER: User = User {
+pub(super) const CUSTOMER: Customer = Customer {
     services: &[
-        common::engine(
-            "narrative-model",
-            bundle::Orders::Unfenced,
-            &["race-report@5"],
-            12,
-        ),
-        common::pool("results-posting", 1, 3, "10ms"),
-        common::pool("registration", 1, 5, "10ms"),
-        common::pool("sponsor-feed", 1, 5, "10ms"),
-        common::pool("federation-sync", 1, 5, "10ms"),
+        Service {
+            name: "narrative-model",
+            order_fencing: bundle::Orders::Unfenced,
+            models: &["race-report@5"],
+            full_targets: 12,
+            ..common::ENGINE
+        },
+        Service {
+            name: "results-posting",
+            full_targets: 3,
+            ..common::POOL
+        },
+        Service {
+            name: "registration",
+            full_targets: 5,
+            ..common::POOL
+        },
+        Service {
+            name: "sponsor-feed",
+            full_targets: 5,
+            ..common::POOL
+        },
+        Service {
+            name: "federation-sync",
+            full_targets: 5,
+            ..common::POOL
+        },
     ],
     pipelines: &[
         Pipeline {
@@ -76,10 +93,25 @@
         },
     ],
     teams: &[
-        common::team("crew-capital", 4),
-        common::team("crew-highlands", 3),
-        common::team("crew-coast", 1),
-        common::team("federation-desk", 1),
-        common::team("sponsor-desk", 1),
+        Team {
+            name: "crew-capital",
+            weight: 4,
+        },
+        Team {
+            name: "crew-highlands",
+            weight: 3,
+        },
+        Team {
+            name: "crew-coast",
+            weight: 1,
+        },
+        Team {
+            name: "federation-desk",
+            weight: 1,
+        },
+        Team {
+            name: "sponsor-desk",
+            weight: 1,
+        },
     ],
 };
--- a/laburnumcart_fakes/src/measure/runner.rs
+++ b/laburnumcart_fakes/src/measure/runner.rs
@@ -63,7 +63,8 @@
     /// Offered load relative to capacity.
     pub load: f64,
     /// Load average of the machine during the runs.
-    pub machine: figures::Spread,
+    #[serde(rename = "machine")]
+    pub load_average: figures::Spread,
     /// Figures by strategy.
     #[serde(rename = "ways")]
     pub strategies: Vec<(Strategy, figures::Figures)>,
@@ -92,18 +93,18 @@
     /// Runs a case with all strategies in alternation.
     pub async fn run_case(&self, case: &case::Case) -> Outcome {
         let mut reports = STRATEGIES.map(|_| Vec::new());
-        let mut machine = Vec::new();
+        let mut load_averages = Vec::new();
         for seed in 1..=self.repetitions {
             for (strategy, reports) in STRATEGIES.iter().zip(&mut reports) {
                 reports.push(self.run_once(case, *strategy, seed).await);
-                machine.extend(load_average());
+                load_averages.extend(read_load_average());
             }
         }
         let figures = reports.iter().map(|reports| figures::Figures::of(reports));
         Outcome {
             case: case.name.clone(),
             load: case.load,
-            machine: figures::Spread::of(machine),
+            load_average: figures::Spread::of(load_averages),
             strategies: STRATEGIES.into_iter().zip(figures).collect(),
         }
     }
@@ -186,7 +187,7 @@
 }
 
 /// Returns the load average of the last minute, if the system provides it.
-fn load_average() -> Option<f64> {
+fn read_load_average() -> Option<f64> {
     let text = std::fs::read_to_string("/proc/loadavg").ok()?;
     text.split(' ').next()?.parse().ok()
 }
--- a/laburnumcart_fakes/src/measure/table.rs
+++ b/laburnumcart_fakes/src/measure/table.rs
@@ -46,7 +46,7 @@
                     f,
                     "| {} ({:.0}) | {strategy} | {} | {} | {} | {} | {} | {} | {} | {} | {} | {} |",
                     outcome.case,
-                    outcome.machine.mid,
+                    outcome.load_average.mid,
                     format_spread(figures.attainment.scale(100.0), 1),
                     format_spread(figures.idempotent.scale(100.0), 1),
                     format_spread(figures.p50, 0),
--- a/laburnumcart_fakes/tests/demo.rs
+++ b/laburnumcart_fakes/tests/demo.rs
@@ -19,6 +19,9 @@
 use rstest::rstest;
 use serde_json::Value;
 
+/// First port of the layouts.
+const BASE_PORT: u16 = 20_000;
+
 /// Temporary directory, removed on drop.
 struct TempDir(path::PathBuf);
 
@@ -49,7 +52,7 @@
     #[values(shape::Size::Small, shape::Size::Full)] size: shape::Size,
 ) {
     let dir = TempDir::new();
-    let layout = layout::Layout::new(shape, size, 20_000);
+    let layout = layout::Layout::new(shape, size, BASE_PORT);
     demo::write(&layout, &dir.0, &[("ops".into(), "AAAA".into())]).unwrap();
     let bundle: bundle::Bundle = serde_json::from_value(dir.json("bundle.json")).unwrap();
     let load: plan::Plan = serde_json::from_value(dir.json("load.json")).unwrap();
@@ -85,7 +88,7 @@
 
 #[test]
 fn ports_are_distinct_and_instances_span_three_data_centres() {
-    let layout = layout::Layout::new(shape::Shape::Both, shape::Size::Full, 20_000);
+    let layout = layout::Layout::new(shape::Shape::Both, shape::Size::Full, BASE_PORT);
     let mut ports: Vec<_> = vec![layout.store];
     for entry in &layout.entries {
         ports.extend([entry.callers, entry.peer]);
--- a/laburnumcart_fakes/tests/measure.rs
+++ b/laburnumcart_fakes/tests/measure.rs
@@ -30,12 +30,15 @@
 use rstest::rstest;
 use serde_json::Value;
 
+/// First port of the layouts.
+const BASE_PORT: u16 = 20_000;
+
 /// Timeout of every wait.
 const TIMEOUT: Duration = Duration::from_secs(20);
 
-fn layout(shape: shape::Shape, pace: u32) -> layout::Layout {
-    let mut layout = layout::Layout::new(shape, shape::Size::Full, 20_000);
-    layout.pace = pace;
+fn layout(shape: shape::Shape, time_factor: u32) -> layout::Layout {
+    let mut layout = layout::Layout::new(shape, shape::Size::Full, BASE_PORT);
+    layout.time_factor = time_factor;
     layout
 }
 
@@ -65,8 +68,8 @@
 #[rstest]
 #[case(1, 1875.0)]
 #[case(10, 187.5)]
-fn capacity_is_that_of_the_slowest_service(#[case] pace: u32, #[case] expected: f64) {
-    let capacity = layout(shape::Shape::Araya, pace).capacity();
+fn capacity_is_that_of_the_slowest_service(#[case] time_factor: u32, #[case] expected: f64) {
+    let capacity = layout(shape::Shape::Araya, time_factor).capacity();
     assert!((capacity - expected).abs() < 0.1, "{capacity}");
 }
 
@@ -79,12 +82,12 @@
     for case in &cases {
         assert_eq!(case.plan.validate(), Vec::<String>::new(), "{}", case.name);
     }
-    let hit = |text: &str| {
+    let faulty_targets = |text: &str| {
         let case = cases.iter().find(|case| case.name.contains(text)).unwrap();
         case.plan.faults[0].targets.len()
     };
-    assert_eq!(hit("killed"), plan.targets().count() / 5);
-    assert_eq!(hit("late"), plan.targets().count());
+    assert_eq!(faulty_targets("killed"), plan.targets().count() / 5);
+    assert_eq!(faulty_targets("late"), plan.targets().count());
     let stragglers = cases.iter().filter(|case| case.name.contains("straggler"));
     assert_eq!(stragglers.count(), 4);
 }
@@ -95,7 +98,7 @@
     let outcome = |load| runner::Outcome {
         case: format!("offered {load}x"),
         load,
-        machine: figures::Spread::of([7.0]),
+        load_average: figures::Spread::of([7.0]),
         strategies: runner::STRATEGIES
             .map(|strategy| (strategy, figures::Figures::default()))
             .into(),
