--- a/laburnumcart_system/src/control_cost.rs
+++ b/laburnumcart_system/src/control_cost.rs
@@ -4,10 +4,10 @@
 //! remain valid on a busy host; wall-clock times do not.
 
 pub mod bundles;
+pub mod facts;
 pub mod fake_agents;
 pub mod fit;
 pub mod fixture;
-pub mod gossip;
 pub mod idle;
 pub mod lanes;
 pub mod traffic;
@@ -24,23 +24,26 @@
 };
 
 /// One group of measurements.
+///
+/// A lane is the series of successive connections from one entry to one agent.
 #[derive(Clone, Copy, Debug, Display, Eq, PartialEq, derive_more::FromStr)]
 #[display(rename_all = "kebab-case")]
 #[from_str(rename_all = "kebab-case")]
 pub enum Section {
-    /// Cost of an entry by its lanes to agents, with its calls to the object service.
+    /// Cost of an entry by the number of its lanes, with its calls to the object service.
     Entry,
-    /// Cost of an entry by the agents in the list of instances.
+    /// Cost of an entry by the number of agents in the list of instances.
     List,
-    /// Cost of an entry by the entries in the list of instances, with few targets in each service.
+    /// Cost of an entry by the number of entries in the list of instances, with few targets in each
+    /// service.
     Peers,
-    /// Cost of an agent by the lanes of entries to it, with its calls to the object service.
+    /// Cost of an agent by the number of lanes to it, with its calls to the object service.
     Agent,
-    /// Cost of entries and agents by the teams in the bundle.
+    /// Cost of entries and agents by the number of teams in the bundle.
     Bundle,
-    /// Cost of an entry by the crashes in its table of facts.
+    /// Cost of an entry by the number of target crashes that heartbeats report to it as facts.
     Facts,
-    /// Cost of an entry and its agents by requests.
+    /// Cost of an entry and its agents by the number of requests.
     Traffic,
 }
 
@@ -89,7 +92,12 @@
     let mut options = getopts::Options::new();
     options
         .optmulti("", "section", "one section; all unless set", "NAME")
-        .optopt("", "window", "seconds at rest, 60 unless set", "SECONDS")
+        .optopt(
+            "",
+            "window",
+            "duration of each idle measurement, 60 unless set",
+            "SECONDS",
+        )
         .optflag("h", "help", "print this text");
     let matches = options.parse(args);
     let matches = matches.map_err(|e| UsageError::Syntax(e.to_string()))?;
@@ -125,7 +133,7 @@
             Section::Peers => vec![idle::measure_listed_entries(window).await],
             Section::Agent => vec![idle::measure_agent_lanes(window).await],
             Section::Bundle => bundles::measure().await,
-            Section::Facts => gossip::measure().await,
+            Section::Facts => facts::measure().await,
             Section::Traffic => vec![traffic::measure().await],
         };
         for table in tables {
--- a/laburnumcart_system/src/control_cost/gossip.rs
+++ b/laburnumcart_system/src/control_cost/facts.rs
@@ -1,4 +1,4 @@
-//! Cost of spreading facts by heartbeats, by their number.
+//! Cost of facts (state that heartbeats replicate; here crashes of targets) by their number.
 
 use std::time;
 
@@ -35,7 +35,7 @@
 /// Time over which the idle cost is measured.
 const IDLE_TIME: time::Duration = time::Duration::from_secs(20);
 
-/// Measures an entry with 32 lanes that receives facts from one agent.
+/// Measures an entry that has 32 lanes and receives crashes as facts from one agent.
 pub async fn measure() -> Vec<fit::Table> {
     let title = "Entry with 32 lanes, by crashes told at once (8 suspects each)";
     let columns = [
--- a/laburnumcart_system/src/control_cost/lanes.rs
+++ b/laburnumcart_system/src/control_cost/lanes.rs
@@ -1,4 +1,5 @@
-//! Lanes of fake entries in this process that only send heartbeats.
+//! Lanes (series of connections to an agent) of fake entries in this process; they only send
+//! heartbeats.
 
 use std::{
     net,
--- a/laburnumcart_system/src/process.rs
+++ b/laburnumcart_system/src/process.rs
@@ -23,14 +23,16 @@
     log: path::PathBuf,
 }
 
-/// Returns the path of a binary of this workspace, searched in the folders above the test's own.
+/// Returns the path of a binary of this workspace.
+///
+/// Searches the directory of the running executable first and then each of its parents.
 ///
 /// # Panics
 ///
 /// Panics when the binary has not been built.
 pub fn binary(name: &str) -> path::PathBuf {
-    let test = env::current_exe().expect("path of the test");
-    let found = test
+    let executable = env::current_exe().expect("path of the running executable");
+    let found = executable
         .ancestors()
         .skip(1)
         .map(|dir| dir.join(name))
--- a/laburnumcart_system/src/soak/faults.rs
+++ b/laburnumcart_system/src/soak/faults.rs
@@ -26,7 +26,7 @@
 /// Duration of a failure mode, a process pause or a store outage in milliseconds.
 const LENGTH_MS: std::ops::Range<u64> = 200..2500;
 
-/// Failure modes of targets.
+/// Failure modes of targets; `Reset` sends nothing of the response, `Cut` sends a part of it.
 const MODES: [Mode; 5] = [Mode::Shed, Mode::Reset, Mode::Mute, Mode::Cut, Mode::Double];
 
 /// Injects faults for the length of the plan.
--- a/laburnumcart_system/src/soak/outages.rs
+++ b/laburnumcart_system/src/soak/outages.rs
@@ -24,7 +24,7 @@
 /// Pause between two outages in milliseconds.
 const PAUSE_MS: std::ops::Range<u64> = 200..1000;
 
-/// Failure modes of the targets.
+/// Failure modes of the targets; `Reset` sends nothing of the response, `Cut` sends a part of it.
 const MODES: [Mode; 3] = [Mode::Shed, Mode::Reset, Mode::Cut];
 
 /// Lets all targets of a random service fail, again and again for the length of the plan.
--- a/laburnumcart_system/src/soak/targets.rs
+++ b/laburnumcart_system/src/soak/targets.rs
@@ -53,11 +53,11 @@
     Good,
     /// Refuses requests with the header that proves that they did not run.
     Shed,
-    /// Runs the request and resets the connection.
+    /// Runs the request and resets the connection before the response.
     Reset,
     /// Runs the request and never responds.
     Mute,
-    /// Runs the request and closes the connection in the middle of the response.
+    /// Runs the request and closes the connection after a part of the response.
     Cut,
     /// Runs the request and sends the end of the response twice.
     Double,
